--- a/cmd/saltreel-control/main.go
+++ b/cmd/saltreel-control/main.go
@@ -16,11 +16,12 @@
 	"github.com/spf13/cobra"
 
 	"saltreel/internal/configuration"
-	"saltreel/internal/core"
+	"saltreel/internal/controlplane"
+	"saltreel/internal/httpwire"
 	"saltreel/internal/operator"
+	"saltreel/internal/placement"
 	"saltreel/internal/platform"
 	"saltreel/internal/settings"
-	"saltreel/internal/wire"
 )
 
 func main() {
@@ -36,7 +37,7 @@
 	root.PersistentFlags().StringSliceVar(&controls, "control", nil, "control-plane addresses, host:port, separated by commas")
 	root.PersistentFlags().DurationVar(&timeout, "timeout", 2*time.Second, "how long to wait for one answer")
 	caller := func() *operator.Caller {
-		return &operator.Caller{Pool: &wire.Pool{Network: wire.TCP()}, Controls: controls, Timeout: timeout}
+		return &operator.Caller{Pool: &httpwire.Pool{Network: httpwire.TCP()}, Controls: controls, Timeout: timeout}
 	}
 	root.AddCommand(configCommand(caller), retireCommand(caller), statusCommand(caller))
 	os.Exit(platform.Main(root))
@@ -44,19 +45,19 @@
 
 // control is a core with its listener for handlers and the operator.
 type control struct {
-	*core.Core
+	*controlplane.Core
 	set *settings.Settings
 	log *log.Logger
 }
 
 func newControl(set *settings.Settings, logger *log.Logger) (*control, error) {
-	c, err := core.New(set, wire.TCP(), logger)
+	c, err := controlplane.New(set, httpwire.TCP(), logger)
 	return &control{c, set, logger}, err
 }
 
 // Run serves both sides until ctx ends.
 func (c *control) Run(ctx context.Context) error {
-	return operator.Serve(ctx, c.Core, c.set, wire.TCP(), c.log)
+	return operator.Serve(ctx, c.Core, c.set, httpwire.TCP(), c.log)
 }
 
 func configCommand(caller func() *operator.Caller) *cobra.Command {
@@ -111,7 +112,7 @@
 // current is the revision in force, 0 before the first.
 func current(ctx context.Context, c *operator.Caller) (int64, error) {
 	raw, err := c.Get(ctx, "/v1/configuration")
-	if wire.StatusOf(err) == 404 {
+	if httpwire.StatusOf(err) == 404 {
 		return 0, nil
 	}
 	if err != nil {
@@ -147,7 +148,7 @@
 			if err := json.Unmarshal(raw, &state); err != nil {
 				return err
 			}
-			if state.State == core.RetireComplete {
+			if state.State == placement.RetireComplete {
 				fmt.Fprintf(cmd.OutOrStdout(), "%s is empty\n", args[0])
 				return nil
 			}
--- a/internal/statefile/statefile.go
+++ b/internal/boltstore/statefile.go
@@ -1,8 +1,8 @@
-// Package statefile owns the file that a process keeps its state in: a bbolt
+// Package boltstore owns the file that a process keeps its state in: a bbolt
 // database whose name outlives a loss of power, that tells damage from a disk
 // that does not work, and that takes no write after one that failed until
 // memory and file agree again.
-package statefile
+package boltstore
 
 import (
 	"context"
--- a/internal/statefile/statefile_test.go
+++ b/internal/boltstore/statefile_test.go
@@ -1,4 +1,4 @@
-package statefile
+package boltstore
 
 import (
 	"bytes"
--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -13,8 +13,8 @@
 	"go.etcd.io/bbolt"
 
 	"saltreel/internal/ballot"
-	"saltreel/internal/statefile"
-	"saltreel/internal/wire"
+	"saltreel/internal/boltstore"
+	"saltreel/internal/httpwire"
 )
 
 const contact = 4 * time.Second
@@ -26,7 +26,7 @@
 		Self: Member{Address: self}, Losses: 1, Contact: contact, Log: log.New(io.Discard, "", 0), Voter: &ballot.Voter{},
 		Prepare: func(Documents) {}, Committed: func(Documents) {}, Others: func() []Member { return nil }, Ready: func() bool { return true },
 	}
-	file := &statefile.File{Path: path, Load: c.Load, Warn: t.Logf,
+	file := &boltstore.File{Path: path, Load: c.Load, Warn: t.Logf,
 		Prepare: func(tx *bbolt.Tx) error { return c.Found(tx, []string{"a", "b", "c"}) }}
 	c.Open(file)
 	if err := file.Open(); err != nil {
@@ -58,7 +58,7 @@
 				c.db.Close()
 				c = open(t, path, "c")
 			}
-			if out, err := c.take(t, whole); wire.StatusOf(err) != 409 && (err != nil || !out.Ahead) {
+			if out, err := c.take(t, whole); httpwire.StatusOf(err) != 409 && (err != nil || !out.Ahead) {
 				t.Errorf("restarted %v, head %d: the whole state that came late: %+v, %v", restarted, life, out, err)
 			}
 			if got := string(c.docs["k"]); got != "new" || c.sequence != 2 {
--- a/internal/chain/disk.go
+++ b/internal/chain/disk.go
@@ -14,8 +14,8 @@
 	"go.etcd.io/bbolt"
 
 	"saltreel/internal/ballot"
-	"saltreel/internal/statefile"
-	"saltreel/internal/wire"
+	"saltreel/internal/boltstore"
+	"saltreel/internal/httpwire"
 )
 
 var (
@@ -25,7 +25,7 @@
 )
 
 // Open takes the file whose state Found makes and Load reads.
-func (c *Chain) Open(file *statefile.File) {
+func (c *Chain) Open(file *boltstore.File) {
 	c.db, c.docs, c.write, c.answered = file, Documents{}, make(chan struct{}, 1), map[Member]time.Time{}
 	c.strangers, c.life, c.moved = map[Member]bool{}, rand.Int64(), make(chan struct{})
 	c.Voter.Disk = (*votes)(c)
@@ -90,7 +90,7 @@
 // works tells whether the disk takes writes, and memory says what it does.
 func (c *Chain) works() error {
 	if err := c.db.Err(); err != nil {
-		return &wire.Status{Code: 503, Text: "the disk refuses writes: " + err.Error()}
+		return &httpwire.Status{Code: 503, Text: "the disk refuses writes: " + err.Error()}
 	}
 	return nil
 }
@@ -165,7 +165,7 @@
 			return err
 		}
 		if decree <= settled.Number {
-			return &wire.Status{Code: 409, Text: fmt.Sprintf("view %d is settled", settled.Number)}
+			return &httpwire.Status{Code: 409, Text: fmt.Sprintf("view %d is settled", settled.Number)}
 		}
 		return tx.Bucket(bucketVotes).Put(strconv.AppendInt(nil, decree, 10), raw)
 	})
--- a/internal/chain/disk_test.go
+++ b/internal/chain/disk_test.go
@@ -20,16 +20,16 @@
 	"go.etcd.io/bbolt"
 
 	"saltreel/internal/ballot"
-	"saltreel/internal/statefile"
-	"saltreel/internal/wire"
+	"saltreel/internal/boltstore"
+	"saltreel/internal/httpwire"
 )
 
 // alone is a chain of one member on a file.
-func alone(t *testing.T, path string) (*Chain, *statefile.File) {
+func alone(t *testing.T, path string) (*Chain, *boltstore.File) {
 	t.Helper()
 	c := &Chain{Self: Member{Address: "a"}, Contact: time.Second, Log: log.New(io.Discard, "", 0), Voter: &ballot.Voter{},
 		Prepare: func(Documents) {}, Committed: func(Documents) {}, Others: func() []Member { return nil }, Ready: func() bool { return true }}
-	f := &statefile.File{Path: path, Warn: t.Logf, Load: c.Load,
+	f := &boltstore.File{Path: path, Warn: t.Logf, Load: c.Load,
 		Prepare: func(tx *bbolt.Tx) error { return c.Found(tx, []string{"a"}) }}
 	c.Open(f)
 	if err := f.Open(); err != nil {
@@ -45,7 +45,7 @@
 // A head whose disk refused a write has it on the disk all the same: what it
 // writes next builds on that, and not beside it under the same number.
 func TestARefusedWriteLeavesMemoryAndDiskTheSame(t *testing.T) {
-	for _, step := range []string{statefile.StepSync, statefile.StepCommit} {
+	for _, step := range []string{boltstore.StepSync, boltstore.StepCommit} {
 		synctest.Test(t, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "core.db")
 			c, f := alone(t, path)
@@ -93,7 +93,7 @@
 				!maps.EqualFunc(docs, again.docs, func(a, b []byte) bool { return string(a) == string(b) }) {
 				t.Errorf("%s: memory held %d %s, the disk %d %s", step, c.sequence, fmt.Sprint(docs), again.sequence, fmt.Sprint(again.docs))
 			}
-			want := map[string]string{statefile.StepCommit: "1", statefile.StepSync: "2"}[step]
+			want := map[string]string{boltstore.StepCommit: "1", boltstore.StepSync: "2"}[step]
 			if string(docs["x"]) != want {
 				t.Errorf("%s: x is %s", step, docs["x"])
 			}
@@ -132,7 +132,7 @@
 func TestAHeadWritesNothingBeforeItsFirstPass(t *testing.T) {
 	c, f := alone(t, filepath.Join(t.TempDir(), "core.db"))
 	defer f.Close()
-	c.Pool = &wire.Pool{Network: wire.Network{Dial: func(context.Context, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }}}
+	c.Pool = &httpwire.Pool{Network: httpwire.Network{Dial: func(context.Context, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }}}
 	c.view.Members = append(c.view.Members, Member{Address: "b", Disk: founder, Since: 1})
 	c.Losses = 1
 	for range 3 {
@@ -149,7 +149,7 @@
 // disk.
 func BenchmarkPass(b *testing.B) {
 	c := &Chain{Self: Member{Address: "a"}, Contact: time.Second, Log: log.New(io.Discard, "", 0), Voter: &ballot.Voter{}}
-	f := &statefile.File{Path: filepath.Join(b.TempDir(), "core.db"), Warn: b.Logf, Load: c.Load,
+	f := &boltstore.File{Path: filepath.Join(b.TempDir(), "core.db"), Warn: b.Logf, Load: c.Load,
 		Prepare: func(tx *bbolt.Tx) error { return c.Found(tx, []string{"a"}) }}
 	c.Open(f)
 	if err := f.Open(); err != nil {
--- a/internal/chain/view.go
+++ b/internal/chain/view.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"saltreel/internal/ballot"
-	"saltreel/internal/wire"
+	"saltreel/internal/httpwire"
 )
 
 // Member is one disk in one machine. A machine that lost its disk, or that came
@@ -109,7 +109,7 @@
 // mine refuses what is meant for another disk at this address.
 func (c *Chain) mine(disk string) error {
 	if disk != c.Self.Disk {
-		return &wire.Status{Code: 409, Text: fmt.Sprintf("the disk here is %s, not %s", c.Self.Disk, disk)}
+		return &httpwire.Status{Code: 409, Text: fmt.Sprintf("the disk here is %s, not %s", c.Self.Disk, disk)}
 	}
 	return nil
 }
@@ -136,7 +136,7 @@
 		return nil, err
 	}
 	if n := c.View().Number; b.Call.Decree <= n {
-		return nil, &wire.Status{Code: 409, Text: fmt.Sprintf("view %d is settled", n)}
+		return nil, &httpwire.Status{Code: 409, Text: fmt.Sprintf("view %d is settled", n)}
 	}
 	r, err := c.Voter.Handle(b.Call)
 	return &r, err
@@ -219,7 +219,7 @@
 			return
 		}
 		err := c.Propose(ctx, nil)
-		if err != nil && ctx.Err() == nil && wire.StatusOf(err) != 421 && time.Since(started) > c.Contact/4 {
+		if err != nil && ctx.Err() == nil && httpwire.StatusOf(err) != 421 && time.Since(started) > c.Contact/4 {
 			c.Log.Printf("chain: sign of life: %v", err)
 		}
 	})
@@ -259,7 +259,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.Contact/16)
 	defer cancel()
 	_, err := c.standing(ctx, view.Members[at-1], view)
-	return wire.Refused(err)
+	return httpwire.Refused(err)
 }
 
 // outside are the cores heard of that have no vote.
@@ -294,7 +294,7 @@
 	for range asked {
 		a := <-got
 		who := Member{Address: a.who.Address, Disk: a.who.Disk}
-		if wire.StatusOf(a.err) == 409 && !c.strangers[who] {
+		if httpwire.StatusOf(a.err) == 409 && !c.strangers[who] {
 			c.strangers[who] = true
 			c.Log.Printf("chain: %s is not what it was: %v", who.Address, a.err)
 		}
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"saltreel/internal/configuration"
+	"saltreel/internal/httpwire"
 	"saltreel/internal/partition"
-	"saltreel/internal/wire"
 )
 
 // Message is what a client's request says beyond HTTP.
@@ -28,27 +28,27 @@
 
 // ParseMessage checks a request that hands in a message. A response tells what
 // is wrong.
-func ParseMessage(r *wire.Request, t *configuration.Table) (*Message, *configuration.Route, *wire.Response) {
+func ParseMessage(r *httpwire.Request, t *configuration.Table) (*Message, *configuration.Route, *httpwire.Response) {
 	route := t.Route(r.Host, r.RequestURI)
 	if route == nil {
-		return nil, nil, wire.Problem(404, "no route fits")
+		return nil, nil, httpwire.Problem(404, "no route fits")
 	}
 	m := &Message{ID: r.Header.Get("Saltreel-Attempt-Id"), OrderKey: r.Header.Get("Saltreel-Order-Key")}
 	tenant := t.Holder(r.Header.Get("Saltreel-Key"))
 	if tenant == nil && !route.PublicAccess {
-		return nil, nil, wire.Problem(401, "the key is unknown")
+		return nil, nil, httpwire.Problem(401, "the key is unknown")
 	}
 	if tenant != nil {
 		m.Tenant = tenant.Name
 	}
 	if !proper(m.ID) {
-		return nil, nil, wire.Problem(400, "Saltreel-Attempt-Id is missing or not proper")
+		return nil, nil, httpwire.Problem(400, "Saltreel-Attempt-Id is missing or not proper")
 	}
 	if len(r.Header.Values("Saltreel-Attempt-Id")) > 1 || len(r.Header.Values("Saltreel-Key")) > 1 || len(r.Header.Values("Saltreel-Order-Key")) > 1 {
-		return nil, nil, wire.Problem(400, "a Saltreel header is there twice")
+		return nil, nil, httpwire.Problem(400, "a Saltreel header is there twice")
 	}
 	if route.RouteType != "deferred" {
-		return nil, nil, wire.Problem(501, "the route's type is not deferred")
+		return nil, nil, httpwire.Problem(501, "the route's type is not deferred")
 	}
 	var bad bool
 	ms := func(name string) time.Duration {
@@ -64,10 +64,10 @@
 	}
 	m.Delay, m.Deadline = ms("Saltreel-Delay-Ms"), ms("Saltreel-Deadline-Ms")
 	if bad {
-		return nil, nil, wire.Problem(400, "a time in a Saltreel header is not a number of milliseconds")
+		return nil, nil, httpwire.Problem(400, "a time in a Saltreel header is not a number of milliseconds")
 	}
 	if r.Method == http.MethodConnect || r.Method == http.MethodTrace {
-		return nil, nil, wire.Problem(405, "the method cannot be deferred")
+		return nil, nil, httpwire.Problem(405, "the method cannot be deferred")
 	}
 	return m, route, nil
 }
@@ -97,7 +97,7 @@
 
 // ParseQuestion tells whether a request asks for the state ("status") or the
 // bytes ("body") of a message, and of which.
-func ParseQuestion(r *wire.Request) (kind, name string, ok bool) {
+func ParseQuestion(r *httpwire.Request) (kind, name string, ok bool) {
 	if r.Method != http.MethodGet {
 		return "", "", false
 	}
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -18,13 +18,13 @@
 	"testing/synctest"
 	"time"
 
-	"saltreel/internal/core"
+	"saltreel/internal/controlplane"
 	"saltreel/internal/edge"
+	"saltreel/internal/httpwire"
 	"saltreel/internal/operator"
 	"saltreel/internal/platform"
 	"saltreel/internal/settings"
 	"saltreel/internal/store"
-	"saltreel/internal/wire"
 )
 
 // world is a cluster with its handlers, operator and clients.
@@ -32,7 +32,7 @@
 	t       *testing.T
 	net     *network
 	outside *process // clients and the operator
-	pool    *wire.Pool
+	pool    *httpwire.Pool
 	nodes   map[string]*machine
 	dir     string
 	lives   int
@@ -67,7 +67,7 @@
 		w := &world{t: t, net: newNetwork(), nodes: map[string]*machine{}, dir: t.TempDir(), losses: losses,
 			seeds: []string{"10.1.0.1", "10.2.0.1", "10.3.0.1"}}
 		w.outside = &process{net: w.net, ip: "10.9.0.1"}
-		w.pool = &wire.Pool{Network: w.outside.network()}
+		w.pool = &httpwire.Pool{Network: w.outside.network()}
 		for i, z := range zones {
 			for j, role := range []string{"core", "store", "edge"} {
 				name := role + "-" + z
@@ -162,8 +162,8 @@
 	case "store":
 		p, err = store.New(set, m.life.network(), logger)
 	case "core":
-		var c *core.Core
-		c, err = core.New(set, m.life.network(), logger)
+		var c *controlplane.Core
+		c, err = controlplane.New(set, m.life.network(), logger)
 		p = coreProcess{c, set, m.life.network(), logger}
 	}
 	if err != nil {
@@ -179,9 +179,9 @@
 }
 
 type coreProcess struct {
-	core *core.Core
+	core *controlplane.Core
 	set  *settings.Settings
-	net  wire.Network
+	net  httpwire.Network
 	log  *log.Logger
 }
 
@@ -242,8 +242,8 @@
 	return &operator.Caller{Pool: w.pool, Controls: w.controls(), Timeout: time.Second}
 }
 
-func (w *world) status() (core.Overview, error) {
-	var o core.Overview
+func (w *world) status() (controlplane.Overview, error) {
+	var o controlplane.Overview
 	raw, err := w.operator().Get(context.Background(), "/v1/status")
 	if err == nil {
 		err = json.Unmarshal(raw, &o)
@@ -293,7 +293,7 @@
 		s.w.t.Fatal(err)
 	}
 	s.by[id] = in
-	server := &wire.Server{Handle: func(_ context.Context, r *wire.Request) *wire.Response { return s.handle(in, r) }}
+	server := &httpwire.Server{Handle: func(_ context.Context, r *httpwire.Request) *httpwire.Response { return s.handle(in, r) }}
 	s.w.tasks.Go(func() { _ = server.Serve(ctx, l) })
 	s.w.nodes["handler "+id] = &machine{stop: cancel}
 	s.w.until(5*time.Second, "beat of "+id, func() bool { return s.beat(in) })
@@ -320,7 +320,7 @@
 func (s *service) call(method, id, body string) int {
 	for _, c := range s.w.controls() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		a, err := s.w.pool.Do(ctx, c, &wire.Call{Method: method, Target: "/v1/instances/" + id, Host: c, Body: []byte(body)})
+		a, err := s.w.pool.Do(ctx, c, &httpwire.Call{Method: method, Target: "/v1/instances/" + id, Host: c, Body: []byte(body)})
 		cancel()
 		if err == nil && a.Status < 500 {
 			return a.Status
@@ -329,9 +329,9 @@
 	return 0
 }
 
-func (s *service) handle(in *instance, r *wire.Request) *wire.Response {
+func (s *service) handle(in *instance, r *httpwire.Request) *httpwire.Response {
 	if want := r.Header.Get("Saltreel-Expect-Instance"); want != "" && want != in.id {
-		return &wire.Response{Status: 421, Header: []string{"Saltreel-Attempt-Id", r.Header.Get("Saltreel-Attempt-Id")}}
+		return &httpwire.Response{Status: 421, Header: []string{"Saltreel-Attempt-Id", r.Header.Get("Saltreel-Attempt-Id")}}
 	}
 	d := delivery{id: r.Header.Get("Saltreel-Attempt-Id"), key: r.Header.Get("Saltreel-Order-Key"), tenant: r.Header.Get("Saltreel-Tenant"),
 		body: string(r.Body), instance: in.id, at: time.Now()}
@@ -350,7 +350,7 @@
 	s.mu.Lock()
 	s.runs[at].ended = time.Now()
 	s.mu.Unlock()
-	res := &wire.Response{Status: status, Header: []string{"Saltreel-Attempt-Id", d.id}}
+	res := &httpwire.Response{Status: status, Header: []string{"Saltreel-Attempt-Id", d.id}}
 	if status == 200 {
 		res.Header = append(res.Header, "Saltreel-Server-Seal", "seal-"+d.id)
 	}
@@ -440,7 +440,7 @@
 		for _, z := range zones {
 			w.until(5*time.Second, "readiness of "+z, func() bool {
 				addr := w.nodes["edge-"+z].ip + ":81"
-				a, err := w.do(addr, &wire.Call{Method: "GET", Target: "/v1/readiness", Host: addr}, time.Second)
+				a, err := w.do(addr, &httpwire.Call{Method: "GET", Target: "/v1/readiness", Host: addr}, time.Second)
 				return err == nil && a.Status == 200
 			})
 		}
@@ -449,22 +449,22 @@
 	}
 }
 
-func (w *world) do(addr string, c *wire.Call, limit time.Duration) (*wire.Answer, error) {
+func (w *world) do(addr string, c *httpwire.Call, limit time.Duration) (*httpwire.Answer, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	return w.pool.Do(ctx, addr, c)
 }
 
 // send hands one message in at the edge of a zone.
-func (w *world) send(zone, path, id string, header ...string) *wire.Answer {
+func (w *world) send(zone, path, id string, header ...string) *httpwire.Answer {
 	w.t.Helper()
 	h := []string{"Saltreel-Attempt-Id", id, "Saltreel-Deadline-Ms", "2000"}
 	if !strings.Contains(strings.Join(header, " "), "Saltreel-Key") {
 		h = append(h, "Saltreel-Key", "key-one")
 	}
-	a, err := w.do(w.nodes["edge-"+zone].ip+":80", &wire.Call{Method: "POST", Target: path, Host: "app.example", Header: append(h, header...), Body: []byte("body of " + id)}, 4*time.Second)
+	a, err := w.do(w.nodes["edge-"+zone].ip+":80", &httpwire.Call{Method: "POST", Target: path, Host: "app.example", Header: append(h, header...), Body: []byte("body of " + id)}, 4*time.Second)
 	if err != nil {
-		return &wire.Answer{Header: http.Header{}}
+		return &httpwire.Answer{Header: http.Header{}}
 	}
 	return a
 }
@@ -484,7 +484,7 @@
 }
 
 func (w *world) ask(zone, path string) (int, string) {
-	a, err := w.do(w.nodes["edge-"+zone].ip+":80", &wire.Call{Method: "GET", Target: path, Host: "app.example", Header: []string{"Saltreel-Key", "key-one"}}, 2*time.Second)
+	a, err := w.do(w.nodes["edge-"+zone].ip+":80", &httpwire.Call{Method: "GET", Target: path, Host: "app.example", Header: []string{"Saltreel-Key", "key-one"}}, 2*time.Second)
 	if err != nil {
 		return 0, err.Error()
 	}
--- a/internal/cluster/control_test.go
+++ b/internal/cluster/control_test.go
@@ -10,12 +10,12 @@
 	"testing/synctest"
 	"time"
 
-	"saltreel/internal/wire"
+	"saltreel/internal/httpwire"
 )
 
 // put sends the next configuration to one core and tells its answer.
 func (w *world) put(control string, match int, raw []byte) int {
-	a, err := w.do(control, &wire.Call{Method: "PUT", Target: "/v1/configuration", Host: control,
+	a, err := w.do(control, &httpwire.Call{Method: "PUT", Target: "/v1/configuration", Host: control,
 		Header: []string{"If-Match", fmt.Sprint(match)}, Body: raw}, time.Second)
 	if err != nil {
 		return 0
@@ -209,7 +209,7 @@
 				}
 				for _, c := range w.controls() { // all tell the same history
 					w.until(5*time.Second, "reading from "+c, func() bool {
-						r, err := w.do(c, &wire.Call{Method: "GET", Target: "/v1/configuration", Host: c}, time.Second)
+						r, err := w.do(c, &httpwire.Call{Method: "GET", Target: "/v1/configuration", Host: c}, time.Second)
 						if err == nil && r.Status == 200 && (gotA == 200 && !bytes.Equal(r.Body, a) || gotB == 200 && !bytes.Equal(r.Body, b)) {
 							t.Fatalf("core %d cut %s: %s tells another configuration", lone, way, c)
 						}
@@ -286,7 +286,7 @@
 		w.net.sever([]string{"10.3.0.1"}, []string{"10.1.0.1"}, true)
 		leaver := plain.by["plain-i0"]
 		leaver.stop()
-		a, err := w.do("10.1.0.1:82", &wire.Call{Method: "DELETE", Target: "/v1/instances/" + leaver.id, Host: "10.1.0.1:82"}, time.Second)
+		a, err := w.do("10.1.0.1:82", &httpwire.Call{Method: "DELETE", Target: "/v1/instances/" + leaver.id, Host: "10.1.0.1:82"}, time.Second)
 		if err != nil || a.Status != 200 {
 			t.Fatalf("DELETE: %+v, %v", a, err)
 		}
@@ -344,7 +344,7 @@
 				_, err := keep(ip, electorate, "x2")
 				return err == nil
 			})
-			if _, err := keep(ip, 0, "x3"); wire.StatusOf(err) != 409 {
+			if _, err := keep(ip, 0, "x3"); httpwire.StatusOf(err) != 409 {
 				t.Errorf("%s keeps for the founders: %v", ip, err)
 			}
 		}
@@ -368,7 +368,7 @@
 				}
 			}
 			news := func() (page string, status int) { // as a node that starts asks for it
-				a, err := w.do("10.3.0.1:7100", &wire.Call{Method: "POST", Target: "/news", Host: "10.3.0.1", Body: []byte(`{"wait-ms":0,"role":"store"}`)}, time.Second)
+				a, err := w.do("10.3.0.1:7100", &httpwire.Call{Method: "POST", Target: "/news", Host: "10.3.0.1", Body: []byte(`{"wait-ms":0,"role":"store"}`)}, time.Second)
 				if err != nil {
 					return "", 0
 				}
@@ -384,7 +384,7 @@
 			leaver.stop()
 			w.until(5*time.Second, "the leaving is acknowledged", func() bool { return plain.call("DELETE", leaver.id, "") == 200 })
 			beat := func() int {
-				a, err := w.do("10.3.0.1:82", &wire.Call{Method: "PUT", Target: "/v1/instances/" + leaver.id, Host: "10.3.0.1", Body: fmt.Appendf(nil,
+				a, err := w.do("10.3.0.1:82", &httpwire.Call{Method: "PUT", Target: "/v1/instances/" + leaver.id, Host: "10.3.0.1", Body: fmt.Appendf(nil,
 					`{"service":"plain","address":%q,"zone":"z1","slots":2,"oper-state":"ready","call-seq":1}`, leaver.addr)}, time.Second)
 				if err != nil {
 					return 0
@@ -435,7 +435,7 @@
 func TestBeatsGoToTheNearestCoreThatAnswers(t *testing.T) {
 	run(t, func(w *world) {
 		target := func(control string) string {
-			a, err := w.do(control, &wire.Call{Method: "PUT", Target: "/v1/instances/x1", Host: control, Body: fmt.Appendf(nil,
+			a, err := w.do(control, &httpwire.Call{Method: "PUT", Target: "/v1/instances/x1", Host: control, Body: fmt.Appendf(nil,
 				`{"service":"plain","address":"10.20.1.1:90","zone":"z2","slots":2,"oper-state":"ready","call-seq":%d}`, time.Now().UnixMilli())}, time.Second)
 			var out struct {
 				Target string `json:"keepalive-target"`
@@ -481,7 +481,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := &world{t: t, net: newNetwork(), nodes: map[string]*machine{}, dir: t.TempDir(), seeds: []string{"10.1.0.1"}}
 		w.outside = &process{net: w.net, ip: "10.9.0.1"}
-		w.pool = &wire.Pool{Network: w.outside.network()}
+		w.pool = &httpwire.Pool{Network: w.outside.network()}
 		w.add("core-z1", "core", "z1", "10.1.0.1", true)
 		defer func() {
 			w.nodes["core-z1"].stop()
@@ -491,7 +491,7 @@
 			want := w.change("in the "+life+" life", options{})
 			w.readBack("in the "+life+" life", want)
 			w.until(5*time.Second, "a beat is taken in the "+life+" life", func() bool {
-				a, err := w.do("10.1.0.1:82", &wire.Call{Method: "PUT", Target: "/v1/instances/x1", Host: "10.1.0.1:82", Body: fmt.Appendf(nil,
+				a, err := w.do("10.1.0.1:82", &httpwire.Call{Method: "PUT", Target: "/v1/instances/x1", Host: "10.1.0.1:82", Body: fmt.Appendf(nil,
 					`{"service":"plain","address":"10.20.1.1:90","zone":"z1","slots":2,"oper-state":"ready","call-seq":%d}`, time.Now().UnixMilli())}, time.Second)
 				return err == nil && a.Status == 200
 			})
--- a/internal/cluster/failure_test.go
+++ b/internal/cluster/failure_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"saltreel/internal/wire"
+	"saltreel/internal/httpwire"
 )
 
 // stream accepts messages from all zones until stop is closed; it returns what
@@ -243,7 +243,7 @@
 		w.configure(options{})
 		op := w.operator()
 		ctx := context.Background()
-		if err := op.Retire(ctx, "store-nowhere", time.Second); wire.StatusOf(err) != 404 {
+		if err := op.Retire(ctx, "store-nowhere", time.Second); httpwire.StatusOf(err) != 404 {
 			t.Errorf("unknown store: %v", err)
 		}
 		w.during(plain, func() {
@@ -256,7 +256,7 @@
 			})
 			w.kill("store-z2")
 		})
-		if err := op.Retire(ctx, "store-z1", time.Second); wire.StatusOf(err) != 409 {
+		if err := op.Retire(ctx, "store-z1", time.Second); httpwire.StatusOf(err) != 409 {
 			t.Errorf("too few would be left: %v", err)
 		}
 	})
@@ -293,7 +293,7 @@
 		w.configure(options{})
 		ctx := context.Background()
 		put := func(raw []byte, match int64, control string) int {
-			a, err := w.do(control, &wire.Call{Method: "PUT", Target: "/v1/configuration", Host: control, Header: []string{"If-Match", fmt.Sprint(match)}, Body: raw}, 2*time.Second)
+			a, err := w.do(control, &httpwire.Call{Method: "PUT", Target: "/v1/configuration", Host: control, Header: []string{"If-Match", fmt.Sprint(match)}, Body: raw}, 2*time.Second)
 			if err != nil {
 				return 0
 			}
@@ -366,7 +366,7 @@
 			w.net.cut(ip, ip != tail)
 		}
 		for range 5 {
-			a, err := w.do(tail+":82", &wire.Call{Method: "GET", Target: "/v1/configuration", Host: tail}, time.Second)
+			a, err := w.do(tail+":82", &httpwire.Call{Method: "GET", Target: "/v1/configuration", Host: tail}, time.Second)
 			if err == nil && a.Status == 200 && bytes.Equal(a.Body, old) {
 				t.Fatal("the former tail answers with an old configuration")
 			}
--- a/internal/cluster/network_test.go
+++ b/internal/cluster/network_test.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"saltreel/internal/wire"
+	"saltreel/internal/httpwire"
 )
 
 // network is a simulated network: delays, cuts and machines that die. It runs
@@ -83,8 +83,8 @@
 func (address) Network() string  { return "tcp" }
 func (a address) String() string { return string(a) }
 
-func (p *process) network() wire.Network {
-	return wire.Network{Dial: p.dial, Listen: p.listen}
+func (p *process) network() httpwire.Network {
+	return httpwire.Network{Dial: p.dial, Listen: p.listen}
 }
 
 func (p *process) listen(addr string) (net.Listener, error) {
--- a/internal/cluster/orders_test.go
+++ b/internal/cluster/orders_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"saltreel/internal/wire"
+	"saltreel/internal/httpwire"
 )
 
 // change is what an operator sends, the same bytes each time.
@@ -54,7 +54,7 @@
 		w.net.sever(rest, lone, true)
 		time.Sleep(2500 * time.Millisecond)
 		raw := w.configuration(w.version+1, options{attempts: 4})
-		for _, call := range []wire.Call{
+		for _, call := range []httpwire.Call{
 			{Method: "PUT", Target: "/v1/configuration", Header: []string{"If-Match", fmt.Sprint(w.version)}, Body: raw},
 			{Method: "GET", Target: "/v1/configuration"}, {Method: "GET", Target: "/v1/status"}, {Method: "POST", Target: "/v1/retire/nowhere?x=1"},
 		} {
@@ -99,11 +99,11 @@
 	run(t, func(w *world) {
 		for _, c := range w.controls() {
 			w.until(5*time.Second, c+" says that there is none", func() bool {
-				a, err := w.do(c, &wire.Call{Method: "GET", Target: "/v1/configuration", Host: c}, time.Second)
+				a, err := w.do(c, &httpwire.Call{Method: "GET", Target: "/v1/configuration", Host: c}, time.Second)
 				return err == nil && a.Status == 404
 			})
 			for _, body := range []string{`{"deadline-s":-1}`, `{"deadline-s":NaN}`, `{"deadline-s":1e999}`, `{`} {
-				a, err := w.do(c, &wire.Call{Method: "POST", Target: "/v1/retire/nowhere", Host: c, Body: []byte(body)}, time.Second)
+				a, err := w.do(c, &httpwire.Call{Method: "POST", Target: "/v1/retire/nowhere", Host: c, Body: []byte(body)}, time.Second)
 				if err != nil || a.Status != 400 {
 					t.Errorf("%s: %+v %v", body, a, err)
 				}
--- a/internal/cluster/path_test.go
+++ b/internal/cluster/path_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"saltreel/internal/httpwire"
 	"saltreel/internal/store"
-	"saltreel/internal/wire"
 )
 
 func TestMessageIsTakenDeliveredAndToldOf(t *testing.T) {
@@ -67,7 +67,7 @@
 				t.Errorf("%s %s %.40v: %d, not %d", c.path, c.id, c.header, a.Status, c.want)
 			}
 		}
-		a, err := w.do(w.nodes["edge-z1"].ip+":80", &wire.Call{Method: "POST", Target: "/plain/", Host: "app.example", Header: []string{"Saltreel-Key", "key-one", "Saltreel-Attempt-Id", "a6"}, Body: make([]byte, 300000)}, time.Second)
+		a, err := w.do(w.nodes["edge-z1"].ip+":80", &httpwire.Call{Method: "POST", Target: "/plain/", Host: "app.example", Header: []string{"Saltreel-Key", "key-one", "Saltreel-Attempt-Id", "a6"}, Body: make([]byte, 300000)}, time.Second)
 		if err != nil || a.Status != 413 {
 			t.Errorf("large body: %v %v", a, err)
 		}
@@ -77,7 +77,7 @@
 				t.Errorf("the same message again: %d %v", a.Status, a.Header)
 			}
 		}
-		a, err = w.do(w.nodes["edge-z2"].ip+":80", &wire.Call{Method: "GET", Target: "/v1/message/" + name, Host: "app.example", Header: []string{"Saltreel-Key", "key-two"}}, time.Second)
+		a, err = w.do(w.nodes["edge-z2"].ip+":80", &httpwire.Call{Method: "GET", Target: "/v1/message/" + name, Host: "app.example", Header: []string{"Saltreel-Key", "key-two"}}, time.Second)
 		if err != nil || a.Status != 404 {
 			t.Errorf("another tenant's question: %v %v", a, err)
 		}
@@ -175,7 +175,7 @@
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		w.nodes["endpoint"] = &machine{stop: cancel}
-		server := &wire.Server{Handle: func(_ context.Context, r *wire.Request) *wire.Response { return paced.handle(in, r) }}
+		server := &httpwire.Server{Handle: func(_ context.Context, r *httpwire.Request) *httpwire.Response { return paced.handle(in, r) }}
 		w.tasks.Go(func() { _ = server.Serve(ctx, l) })
 		w.configure(options{pace: 20})
 		var wg sync.WaitGroup
--- a/internal/cluster/restart_test.go
+++ b/internal/cluster/restart_test.go
@@ -9,8 +9,8 @@
 	"testing/synctest"
 	"time"
 
-	"saltreel/internal/statefile"
-	"saltreel/internal/wire"
+	"saltreel/internal/boltstore"
+	"saltreel/internal/httpwire"
 )
 
 // catchUp is how long a core that comes back may take (sync-time-s).
@@ -23,7 +23,7 @@
 		w := &world{t: t, net: newNetwork(), nodes: map[string]*machine{}, dir: t.TempDir(), losses: 1,
 			seeds: []string{"10.1.0.1", "10.2.0.1", "10.3.0.1"}}
 		w.outside = &process{net: w.net, ip: "10.9.0.1"}
-		w.pool = &wire.Pool{Network: w.outside.network()}
+		w.pool = &httpwire.Pool{Network: w.outside.network()}
 		for i, z := range zones {
 			w.add("core-"+z, "core", z, w.seeds[i], true)
 		}
@@ -148,7 +148,7 @@
 				now := w.disk("core-z1")
 				return m == 3 && v == 3 && now != "" && now != was
 			})
-			if !statefile.Replaced(w.file("core-z1")) {
+			if !boltstore.Replaced(w.file("core-z1")) {
 				t.Error("the damaged file was not moved aside")
 			}
 			w.readBack("with the damaged core back", want)
--- a/internal/cluster/scale_test.go
+++ b/internal/cluster/scale_test.go
@@ -16,7 +16,7 @@
 	"testing/synctest"
 	"time"
 
-	"saltreel/internal/wire"
+	"saltreel/internal/httpwire"
 )
 
 var scaled = flag.Bool("scale", false, "count calls and bytes of clusters of several sizes, and print them")
@@ -119,7 +119,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := &world{t: t, net: newNetwork(), nodes: map[string]*machine{}, dir: t.TempDir(), losses: 1, seeds: []string{"10.1.0.1", "10.2.0.1", "10.3.0.1"}}
 		w.outside = &process{net: w.net, ip: clients}
-		w.pool = &wire.Pool{Network: w.outside.network()}
+		w.pool = &httpwire.Pool{Network: w.outside.network()}
 		defer func() {
 			if h := w.nodes["handlers"]; h != nil { // before the cores, which would refuse their beats
 				h.stop()
@@ -231,9 +231,9 @@
 		if err != nil {
 			w.t.Fatal(err)
 		}
-		server := &wire.Server{Handle: func(_ context.Context, r *wire.Request) *wire.Response { return s.handle(in, r) }}
+		server := &httpwire.Server{Handle: func(_ context.Context, r *httpwire.Request) *httpwire.Response { return s.handle(in, r) }}
 		w.tasks.Go(func() { _ = server.Serve(ctx, l) })
-		pool, core := &wire.Pool{Network: in.life.network()}, controls[i%len(controls)]
+		pool, core := &httpwire.Pool{Network: in.life.network()}, controls[i%len(controls)]
 		w.tasks.Go(func() {
 			pause := time.NewTimer(time.Duration(i) * 1200 * time.Millisecond / time.Duration(n))
 			for seq := 1; ; seq++ {
@@ -245,7 +245,7 @@
 				pause.Reset(1200 * time.Millisecond)
 				body := fmt.Sprintf(`{"service":"plain","address":%q,"zone":%q,"revision":"v1","slots":2,"oper-state":"ready","call-seq":%d}`, in.addr, in.zone, seq)
 				cctx, stop := context.WithTimeout(context.Background(), time.Second)
-				a, err := pool.Do(cctx, core, &wire.Call{Method: "PUT", Target: "/v1/instances/" + in.id, Host: core, Body: []byte(body)})
+				a, err := pool.Do(cctx, core, &httpwire.Call{Method: "PUT", Target: "/v1/instances/" + in.id, Host: core, Body: []byte(body)})
 				stop()
 				if (err != nil || a.Status != 200) && ctx.Err() == nil {
 					w.t.Errorf("beat %d of %s: %v %v", seq, in.id, a, err)
--- a/internal/cluster/search_world_test.go
+++ b/internal/cluster/search_world_test.go
@@ -22,12 +22,12 @@
 	"time"
 
 	"saltreel/internal/chain"
-	"saltreel/internal/core"
+	"saltreel/internal/controlplane"
+	"saltreel/internal/distribution"
 	"saltreel/internal/handler"
+	"saltreel/internal/httpwire"
 	"saltreel/internal/journal"
 	"saltreel/internal/operator"
-	"saltreel/internal/relay"
-	"saltreel/internal/wire"
 )
 
 const (
@@ -62,8 +62,8 @@
 	index int        // of the next machine's address
 	lost  *process   // operators, readers and handlers
 	eye   *process   // sees all, and no cut strikes it
-	pool  *wire.Pool
-	eyes  *wire.Pool
+	pool  *httpwire.Pool
+	eyes  *httpwire.Pool
 	hist  history
 	ops   sync.WaitGroup
 	fired chan event
@@ -136,7 +136,7 @@
 		s.w.net.rng = rand.New(rand.NewPCG(uint64(plan.Cores), uint64(len(plan.Steps))))
 		s.w.net.request, s.w.net.opens = s.request, p.opens
 		s.lost, s.eye = &process{net: s.w.net, ip: outside}, &process{net: s.w.net, ip: "10.9.0.2", free: true}
-		s.pool, s.eyes = &wire.Pool{Network: s.lost.network()}, &wire.Pool{Network: s.eye.network()}
+		s.pool, s.eyes = &httpwire.Pool{Network: s.lost.network()}, &httpwire.Pool{Network: s.eye.network()}
 		watching, stop := context.WithCancel(context.Background())
 		var watched sync.WaitGroup
 		watched.Go(func() { s.watch(watching) })
@@ -514,7 +514,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	m.stop, m.done = cancel, make(chan struct{})
-	c, err := core.New(set, m.life.network(), logger)
+	c, err := controlplane.New(set, m.life.network(), logger)
 	if err != nil {
 		s.fail("start", "%s does not start: %v", m.name, err)
 		return
@@ -1013,7 +1013,7 @@
 }
 
 // call sends one request to a core and follows 307 twice; 0 is no clear answer.
-func (s *search) call(m *machine, limit time.Duration, c wire.Call) (int, []byte) {
+func (s *search) call(m *machine, limit time.Duration, c httpwire.Call) (int, []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	addr := control(m)
@@ -1049,7 +1049,7 @@
 		s.hist.mu.Lock()
 		o.sent = cmp.Or(o.sent, from)
 		s.hist.mu.Unlock()
-		code, body := s.call(m, limit, wire.Call{Method: "PUT", Target: "/v1/configuration", Header: []string{"If-Match", fmt.Sprint(o.match)}, Body: o.raw})
+		code, body := s.call(m, limit, httpwire.Call{Method: "PUT", Target: "/v1/configuration", Header: []string{"If-Match", fmt.Sprint(o.match)}, Body: o.raw})
 		to := s.hist.now()
 		s.say("%s: %d on %d, to %s from %d to %d: %d %.120s", o.name, o.revision, o.match, m.name, from, to, code, body)
 		s.hist.mu.Lock()
@@ -1091,7 +1091,7 @@
 // read gets the configuration from one core.
 func (s *search) read(m *machine) bool {
 	from := s.hist.now()
-	code, body := s.call(m, time.Second, wire.Call{Method: "GET", Target: "/v1/configuration"})
+	code, body := s.call(m, time.Second, httpwire.Call{Method: "GET", Target: "/v1/configuration"})
 	r := reading{sending{from, s.hist.now(), code}, "", m.name}
 	switch code {
 	case 0:
@@ -1122,8 +1122,8 @@
 	return s.hist.byBytes[string(raw)]
 }
 
-func (s *search) status(m *machine) (o core.Overview, err error) {
-	code, body := s.call(m, time.Second, wire.Call{Method: "GET", Target: "/v1/status"})
+func (s *search) status(m *machine) (o controlplane.Overview, err error) {
+	code, body := s.call(m, time.Second, httpwire.Call{Method: "GET", Target: "/v1/status"})
 	if code != 200 {
 		return o, fmt.Errorf("answered %d %s", code, body)
 	}
@@ -1174,7 +1174,7 @@
 				seq = h.seq
 			}
 			s.mu.Unlock()
-			c := wire.Call{Method: method, Target: "/v1/instances/" + h.id}
+			c := httpwire.Call{Method: method, Target: "/v1/instances/" + h.id}
 			if method == "PUT" {
 				c.Body = fmt.Appendf(nil, `{"service":"plain","address":"10.20.0.%d:90","zone":"z1","revision":"v1","slots":2,"oper-state":%q,"call-seq":%d}`, n, state, seq)
 			}
@@ -1234,7 +1234,7 @@
 				pctx, cancel := context.WithTimeout(ctx, 400*time.Millisecond)
 				defer cancel()
 				var page journal.Page
-				if s.eyes.Post(pctx, internal(m), "/news", relay.Poll{Source: k.page.Source, Number: k.page.Number}, nil, &page) != nil {
+				if s.eyes.Post(pctx, internal(m), "/news", distribution.Poll{Source: k.page.Source, Number: k.page.Number}, nil, &page) != nil {
 					return
 				}
 				if page.Source != k.page.Source {
@@ -1242,10 +1242,10 @@
 				}
 				k.page = page
 				for _, e := range page.Events {
-					if id, ok := strings.CutPrefix(e.Key, relay.PrefixInstance); ok {
+					if id, ok := strings.CutPrefix(e.Key, distribution.PrefixInstance); ok {
 						k.state[id] = journal.Decode[handler.Instance](e).State
 					}
-					if e.Key == relay.KeyConfiguration {
+					if e.Key == distribution.KeyConfiguration {
 						k.conf = e.Version.Major
 						s.published(m, journal.Decode[[]byte](e))
 					}
--- a/internal/core/beats.go
+++ b/internal/controlplane/beats.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 
 	"saltreel/internal/chain"
 	"saltreel/internal/handler"
+	"saltreel/internal/httpwire"
 	"saltreel/internal/ring"
-	"saltreel/internal/wire"
 )
 
 // beaten answers a beat.
@@ -21,9 +21,9 @@
 	Target string `json:"keepalive-target,omitempty"`
 }
 
-func (c *Core) handleBeat(ctx context.Context, r *wire.Request, id string) *wire.Response {
+func (c *Core) handleBeat(ctx context.Context, r *httpwire.Request, id string) *httpwire.Response {
 	if !c.inTouch() {
-		return wire.Problem(503, "this core is not in touch with the others")
+		return httpwire.Problem(503, "this core is not in touch with the others")
 	}
 	var err error
 	var out beaten
@@ -32,20 +32,20 @@
 		in, bad := handler.ParseBeat(id, r.Body)
 		if bad != nil {
 			c.log.Printf("core: beat of %s from %s is refused: %v", id, r.Conn.RemoteAddr(), bad)
-			return wire.Problem(400, bad.Error())
+			return httpwire.Problem(400, bad.Error())
 		}
 		err = c.beat(ctx, in)
 		out.Target = c.nearest(in)
 	case http.MethodDelete:
 		err = c.leave(ctx, id)
 	default:
-		return wire.Problem(405, "instances take PUT and DELETE")
+		return httpwire.Problem(405, "instances take PUT and DELETE")
 	}
 	if err != nil {
 		c.log.Printf("core: beat of %s: %v", id, err)
-		return wire.Problem(503, err.Error()) // whatever an inner call was told: another core may take it
+		return httpwire.Problem(503, err.Error()) // whatever an inner call was told: another core may take it
 	}
-	return wire.JSON(200, out)
+	return httpwire.JSON(200, out)
 }
 
 // nearest is the control-plane address of the core that a handler's later beats
--- a/internal/core/core.go
+++ b/internal/controlplane/core.go
@@ -1,7 +1,7 @@
-// Package core owns the role of a core machine: the chain of control state,
+// Package controlplane owns the role of a core machine: the chain of control state,
 // the registry of handlers and nodes, the steward that places partitions, and
 // what the other processes are told.
-package core
+package controlplane
 
 import (
 	"bytes"
@@ -19,13 +19,16 @@
 	"go.etcd.io/bbolt"
 
 	"saltreel/internal/ballot"
+	"saltreel/internal/boltstore"
 	"saltreel/internal/chain"
 	"saltreel/internal/configuration"
+	"saltreel/internal/distribution"
+	"saltreel/internal/httpwire"
 	"saltreel/internal/journal"
-	"saltreel/internal/relay"
+	"saltreel/internal/membership"
+	"saltreel/internal/placement"
 	"saltreel/internal/settings"
-	"saltreel/internal/statefile"
-	"saltreel/internal/wire"
+	"saltreel/internal/timeutil"
 )
 
 // Keys of the documents in the chain.
@@ -38,33 +41,33 @@
 type Core struct {
 	set     *settings.Settings
 	log     *log.Logger
-	net     wire.Network
+	net     httpwire.Network
 	self    string // internal address
 	contact time.Duration
-	node    relay.Node
+	node    membership.Node
 
-	pool     *wire.Pool
+	pool     *httpwire.Pool
 	chain    *chain.Chain
 	voter    *ballot.Voter
 	duty     *ballot.Duty
 	registry *registry
 	journal  *journal.Journal
-	state    *statefile.File
+	state    *boltstore.File
 
 	mu        sync.Mutex
-	placement Placement
-	dead      map[string]time.Time // nodes found dead, and when
-	loaded    bool                 // a majority of the voters told its registry
-	behind    bool                 // it was out of touch since
-	complete  int64                // the electorate before whose time this disk keeps every leaving that was acknowledged
-	ready     map[int]stopped      // partitions whose primary stopped
-	inStep    map[Copy]bool        // reports for the next placement
-	handing   map[string]bool      // stores asked to stop partitions
+	placement placement.Placement
+	dead      map[string]time.Time    // nodes found dead, and when
+	loaded    bool                    // a majority of the voters told its registry
+	behind    bool                    // it was out of touch since
+	complete  int64                   // the electorate before whose time this disk keeps every leaving that was acknowledged
+	ready     map[int]stopped         // partitions whose primary stopped
+	inStep    map[placement.Copy]bool // reports for the next placement
+	handing   map[string]bool         // stores asked to stop partitions
 	sentAt    map[string]time.Time
 	sent      map[string]map[string]journal.Version
 	published chain.Documents // as last told to the nodes
 	decoded   []byte          // a placement as the chain holds it, and what it says
-	decodedAs Placement
+	decodedAs placement.Placement
 	refusing  map[string]time.Time // cores whose machine said that none runs there, and when
 	spreading []Item               // what the other cores are to hear next
 	kept      map[string]int64     // leavings on this disk: 1 draining, 2 gone
@@ -80,25 +83,25 @@
 }
 
 // New makes the process; Run opens the state on disk.
-func New(set *settings.Settings, network wire.Network, logger *log.Logger) (*Core, error) {
+func New(set *settings.Settings, network httpwire.Network, logger *log.Logger) (*Core, error) {
 	c := &Core{
 		set: set, log: logger, net: network, self: set.Internal(), contact: set.Contact(),
-		dead: map[string]time.Time{}, ready: map[int]stopped{}, inStep: map[Copy]bool{},
+		dead: map[string]time.Time{}, ready: map[int]stopped{}, inStep: map[placement.Copy]bool{},
 		handing: map[string]bool{}, sentAt: map[string]time.Time{}, sent: map[string]map[string]journal.Version{}, kept: map[string]int64{},
 		wake: make(chan struct{}, 1), probing: map[string]time.Time{},
 	}
 	c.life, c.end = context.WithCancel(context.Background())
 	life := rand.Text()
-	c.node = relay.Node{Name: set.NodeName, Role: "core", Address: c.self, Zone: set.Zone, Region: set.Region, Life: life}
-	c.journal = journal.New(set.NodeName+"/"+life, 16*c.contact, relay.PrefixNode)
+	c.node = membership.Node{Name: set.NodeName, Role: "core", Address: c.self, Zone: set.Zone, Region: set.Region, Life: life}
+	c.journal = journal.New(set.NodeName+"/"+life, 16*c.contact, distribution.PrefixNode)
 	c.registry = &registry{entries: map[string]*entry{}, journal: c.journal, late: c.contact / 2}
-	c.pool = &wire.Pool{Network: network}
+	c.pool = &httpwire.Pool{Network: network}
 	c.voter = &ballot.Voter{}
 	c.chain = &chain.Chain{
 		Self: chain.Member{Address: c.self}, Losses: int(set.FaultTolerance.HostFailures), Pool: c.pool, Contact: c.contact, Log: logger,
 		Voter: c.voter, Prepare: c.prepare, Committed: c.committed, Others: c.others, Ready: c.isReady,
 	}
-	c.state = &statefile.File{Path: filepath.Join(set.DataPath, "core.db"), BatchDelay: batchDelay, Prepare: c.prepareState, Load: c.loadState, Warn: logger.Printf}
+	c.state = &boltstore.File{Path: filepath.Join(set.DataPath, "core.db"), BatchDelay: batchDelay, Prepare: c.prepareState, Load: c.loadState, Warn: logger.Printf}
 	c.chain.Open(c.state)
 	c.duty = &ballot.Duty{Name: "steward", Self: c.self, Lease: c.contact / 4, Call: c.callDuty, Go: c.tasks.Go}
 	return c, nil
@@ -107,7 +110,7 @@
 // open opens the state on disk. While the disk refuses, this core waits and
 // takes no part; it tells whether it is open before ctx ends.
 func (c *Core) open(ctx context.Context) bool {
-	for told := false; ctx.Err() == nil; relay.Pause(ctx, c.contact/40) {
+	for told := false; ctx.Err() == nil; timeutil.Sleep(ctx, c.contact/40) {
 		err := c.state.Open()
 		if err == nil {
 			if told {
@@ -130,7 +133,7 @@
 // that was damaged founds nothing: what it held is with the others.
 func (c *Core) prepareState(tx *bbolt.Tx) error {
 	var founders []string
-	if c.set.Bootstrap && !statefile.Replaced(c.state.Path) {
+	if c.set.Bootstrap && !boltstore.Replaced(c.state.Path) {
 		founders = c.set.Cores()
 	}
 	for _, b := range [][]byte{bucketLeavings, bucketComplete} {
@@ -179,9 +182,9 @@
 		return
 	}
 	if raw := docs[docConfiguration]; raw != nil {
-		if cur, ok := c.journal.Get(relay.KeyConfiguration); !ok || !slices.Equal(journal.Decode[[]byte](cur), raw) {
+		if cur, ok := c.journal.Get(distribution.KeyConfiguration); !ok || !slices.Equal(journal.Decode[[]byte](cur), raw) {
 			if conf, err := configuration.Parse(raw); err == nil {
-				if c.journal.Append(journal.Event{Key: relay.KeyConfiguration, Version: journal.Version{Major: conf.Revision}, Value: journal.Encode(raw)}) {
+				if c.journal.Append(journal.Event{Key: distribution.KeyConfiguration, Version: journal.Version{Major: conf.Revision}, Value: journal.Encode(raw)}) {
 					c.log.Printf("core: revision %d is in force", conf.Revision)
 				}
 			}
@@ -196,7 +199,7 @@
 			}
 			c.mu.Unlock()
 			if newer {
-				c.journal.Append(journal.Event{Key: relay.KeyPlacement, Version: journal.Version{Major: p.Version}, Value: raw})
+				c.journal.Append(journal.Event{Key: distribution.KeyPlacement, Version: journal.Version{Major: p.Version}, Value: raw})
 				c.nudge()
 			}
 		}
@@ -211,7 +214,7 @@
 }
 
 // Placement is the newest placement that the chain holds.
-func (c *Core) Placement() Placement {
+func (c *Core) Placement() placement.Placement {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.placement
@@ -219,7 +222,7 @@
 
 // ErrDamaged ends Run when the state on disk was found damaged and moved aside.
 // Made anew, the core joins as one with an empty disk.
-var ErrDamaged = statefile.ErrDamaged
+var ErrDamaged = boltstore.ErrDamaged
 
 // Run serves until ctx ends.
 func (c *Core) Run(ctx context.Context) error {
@@ -231,28 +234,28 @@
 	if err != nil {
 		return fmt.Errorf("listen for our own processes: %w", err)
 	}
-	source := &relay.Source{Journal: c.journal, Wait: c.contact / 2, Linger: c.contact / 32, Fresh: c.inTouch,
+	source := &distribution.Source{Journal: c.journal, Wait: c.contact / 2, Linger: c.contact / 32, Fresh: c.inTouch,
 		Patience: c.contact / 16, Young: func() bool { return c.chain.SteadyFor() < c.contact/8 }}
-	mux := wire.Mux{
+	mux := httpwire.Mux{
 		"/news":           source.Handle,
-		"/chain/pass":     wire.Method(c.chain.HandlePass),
-		"/chain/standing": wire.Method(c.chain.HandleStanding),
-		"/chain/adopt":    wire.Method(c.chain.HandleAdopt),
-		"/ballot":         wire.Method(c.chain.HandleBallot),
-		"/duty": wire.Method(func(_ context.Context, in *ballot.DutyCall, _ []byte) (*ballot.DutyReply, error) {
+		"/chain/pass":     httpwire.Method(c.chain.HandlePass),
+		"/chain/standing": httpwire.Method(c.chain.HandleStanding),
+		"/chain/adopt":    httpwire.Method(c.chain.HandleAdopt),
+		"/ballot":         httpwire.Method(c.chain.HandleBallot),
+		"/duty": httpwire.Method(func(_ context.Context, in *ballot.DutyCall, _ []byte) (*ballot.DutyReply, error) {
 			r := c.voter.HandleDuty(*in)
 			return &r, nil
 		}),
-		"/view":     wire.Method(c.handleView),
-		"/exchange": wire.Method(c.handleExchange),
-		"/beat":     wire.Method(c.handleNode),
-		"/suspect":  wire.Method(c.handleSuspect),
-		"/in-step":  wire.Method(c.handleInStep),
-		"/propose":  wire.Method(c.handlePropose),
-		"/read":     wire.Method(c.handleRead),
-		"/ping":     wire.Method(Ping),
+		"/view":     httpwire.Method(c.handleView),
+		"/exchange": httpwire.Method(c.handleExchange),
+		"/beat":     httpwire.Method(c.handleNode),
+		"/suspect":  httpwire.Method(c.handleSuspect),
+		"/in-step":  httpwire.Method(c.handleInStep),
+		"/propose":  httpwire.Method(c.handlePropose),
+		"/read":     httpwire.Method(c.handleRead),
+		"/ping":     httpwire.Method(Ping),
 	}
-	server := &wire.Server{Handle: mux.Handle, Log: c.log}
+	server := &httpwire.Server{Handle: mux.Handle, Log: c.log}
 	for _, f := range []func(context.Context){
 		func(ctx context.Context) { _ = server.Serve(ctx, inner) },
 		c.learn, c.chain.Tend, c.gossip, c.steward,
@@ -393,7 +396,7 @@
 	defer c.mu.Unlock()
 	if c.spreading = append(c.spreading, it); len(c.spreading) == 1 {
 		c.tasks.Go(func() {
-			relay.Pause(c.life, c.contact/400)
+			timeutil.Sleep(c.life, c.contact/400)
 			c.spreadAll()
 		})
 	}
@@ -413,7 +416,7 @@
 	}
 }
 
-func (c *Core) handleNode(_ context.Context, n *relay.Node, _ []byte) (*struct{}, error) {
+func (c *Core) handleNode(_ context.Context, n *membership.Node, _ []byte) (*struct{}, error) {
 	if it, changed := c.registry.beat(*n); changed {
 		c.nudge()
 		c.spread(it)
@@ -423,10 +426,10 @@
 
 // ServeControl answers handlers and the operator; operate gets what is the
 // operator's.
-func (c *Core) ServeControl(operate wire.Handler) wire.Handler {
-	return func(ctx context.Context, r *wire.Request) *wire.Response {
+func (c *Core) ServeControl(operate httpwire.Handler) httpwire.Handler {
+	return func(ctx context.Context, r *httpwire.Request) *httpwire.Response {
 		if !c.opened.Load() {
-			return wire.Problem(503, "the state on disk is not open")
+			return httpwire.Problem(503, "the state on disk is not open")
 		}
 		if id, ok := strings.CutPrefix(r.URL.Path, "/v1/instances/"); ok {
 			return c.handleBeat(ctx, r, id)
--- a/internal/core/core_bench_test.go
+++ b/internal/controlplane/core_bench_test.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"encoding/json"
@@ -11,92 +11,33 @@
 
 	"saltreel/internal/chain"
 	"saltreel/internal/configuration"
+	"saltreel/internal/distribution"
 	"saltreel/internal/handler"
 	"saltreel/internal/journal"
-	"saltreel/internal/relay"
+	"saltreel/internal/membership"
 )
 
-// fleet is n stores in nine zones of three regions, all up.
-func fleet(n int) map[string]StoreStatus {
-	out := map[string]StoreStatus{}
-	for i := range n {
-		name := fmt.Sprintf("store-zone-%d-%d", i%9, i)
-		out[name] = StoreStatus{Up: true, Node: relay.Node{Name: name, Role: "store", Address: fmt.Sprintf("10.%d.0.%d:7100", i%9, i), Zone: fmt.Sprintf("zone-%d", i%9),
-			Region: fmt.Sprintf("region-%d", i%3), Disk: fmt.Sprintf("DISKDISKDISKDISKDISK%06d", i)}}
-	}
-	return out
-}
-
-var (
-	two          = Spread{Backups: 2}
-	storeSizes   = []int{6, 18, 60, 133}
-	handlerSizes = []int{1000, 10000, 44000}
-)
-
-func BenchmarkPlacement(b *testing.B) {
-	for _, n := range storeSizes {
-		p := Found(fleet(n), two)
-		raw := journal.Encode(p)
-		b.Run(fmt.Sprintf("encode/stores=%d", n), func(b *testing.B) {
-			b.ReportAllocs()
-			for b.Loop() {
-				journal.Encode(p)
-			}
-			b.ReportMetric(float64(len(raw)), "document-B")
-		})
-		b.Run(fmt.Sprintf("decode/stores=%d", n), func(b *testing.B) {
-			b.ReportAllocs()
-			for b.Loop() {
-				var out Placement
-				if err := json.Unmarshal(raw, &out); err != nil {
-					b.Fatal(err)
-				}
-			}
-		})
-	}
-}
-
-// BenchmarkPlan is one round of the steward when nothing changed, and one in
-// which a store is lost.
-func BenchmarkPlan(b *testing.B) {
-	for _, n := range storeSizes {
-		s := fleet(n)
-		p := Found(s, two)
-		b.Run(fmt.Sprintf("calm/stores=%d", n), func(b *testing.B) {
-			b.ReportAllocs()
-			for b.Loop() {
-				Plan(p.Clone(), s, nil, two)
-			}
-		})
-		lost := fleet(n)
-		for name, x := range lost {
-			x.Up = false
-			lost[name] = x
-			break
-		}
-		b.Run(fmt.Sprintf("lost/stores=%d", n), func(b *testing.B) {
-			b.ReportAllocs()
-			for b.Loop() {
-				Plan(p.Clone(), lost, nil, two)
-			}
-		})
-	}
-}
+var handlerSizes = []int{1000, 10000, 44000}
 
 func beatOf(i, seq int) Item {
 	in := handler.Instance{ID: fmt.Sprintf("tm-matcher-%06d", i), Service: "tm-matcher", Address: fmt.Sprintf("10.20.%d.%d:9000", i>>8&255, i&255),
 		Zone: "quezon-hall", Revision: "v1", Slots: 2, State: handler.Ready, CallSeq: int64(seq)}
-	return Item{Key: relay.PrefixInstance + in.ID, Version: journal.Version{Major: in.CallSeq}, Value: journal.Encode(in)}
+	return Item{Key: distribution.PrefixInstance + in.ID, Version: journal.Version{Major: in.CallSeq}, Value: journal.Encode(in)}
+}
+
+// benchNode is store i of a fleet in nine zones of three regions.
+func benchNode(i int) membership.Node {
+	return membership.Node{Name: fmt.Sprintf("store-zone-%d-%d", i%9, i), Role: "store", Address: fmt.Sprintf("10.%d.0.%d:7100", i%9, i), Zone: fmt.Sprintf("zone-%d", i%9),
+		Region: fmt.Sprintf("region-%d", i%3), Disk: fmt.Sprintf("DISKDISKDISKDISKDISK%06d", i)}
 }
 
 func registryOf(n int) *registry {
-	r := &registry{entries: map[string]*entry{}, journal: journal.New("bench", time.Hour, relay.PrefixNode), late: time.Second}
+	r := &registry{entries: map[string]*entry{}, journal: journal.New("bench", time.Hour, distribution.PrefixNode), late: time.Second}
 	for i := range n {
 		r.hear(beatOf(i, 1))
 	}
-	for name, s := range fleet(650) {
-		r.beat(s.Node)
-		_ = name
+	for i := range 650 {
+		r.beat(benchNode(i))
 	}
 	return r
 }
@@ -133,7 +74,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				r.hear(Item{Key: relay.PrefixInstance + in.ID, Version: journal.Version{Major: in.CallSeq}, Value: journal.Encode(in)})
+				r.hear(Item{Key: distribution.PrefixInstance + in.ID, Version: journal.Version{Major: in.CallSeq}, Value: journal.Encode(in)})
 				at++
 			}
 			b.ReportMetric(held, "held-B/handler")
@@ -234,7 +175,7 @@
 			}
 			b.ReportMetric(float64(len(raw)), "document-B")
 		})
-		event := journal.Page{Source: "a", Events: []journal.Event{{Key: relay.KeyConfiguration, Version: journal.Version{Major: 2}, Value: journal.Encode(next)}}}
+		event := journal.Page{Source: "a", Events: []journal.Event{{Key: distribution.KeyConfiguration, Version: journal.Version{Major: 2}, Value: journal.Encode(next)}}}
 		page := event.Encode()
 		b.Run(fmt.Sprintf("news/destinations=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/core/electorate.go
+++ b/internal/controlplane/electorate.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"go.etcd.io/bbolt"
 
 	"saltreel/internal/chain"
-	"saltreel/internal/relay"
-	"saltreel/internal/wire"
+	"saltreel/internal/httpwire"
+	"saltreel/internal/timeutil"
 )
 
 // Leavings are not in the chain: a majority of the voters keeps each. When the
@@ -55,11 +55,11 @@
 		c.mu.Unlock()
 		served = served || steady
 		if c.isReady() && !(behind && steady) {
-			relay.Pause(ctx, c.contact/40)
+			timeutil.Sleep(ctx, c.contact/40)
 			continue
 		}
 		if c.learnOnce(ctx, !loaded || behind) != nil {
-			relay.Pause(ctx, c.contact/80)
+			timeutil.Sleep(ctx, c.contact/80)
 			continue
 		}
 		if steady {
@@ -191,7 +191,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if view.Electorate != electorate || c.complete < electorate {
-			return &wire.Status{Code: 409, Text: fmt.Sprintf("electorate %d is in force, complete for %d, not %d", view.Electorate, c.complete, electorate)}
+			return &httpwire.Status{Code: 409, Text: fmt.Sprintf("electorate %d is in force, complete for %d, not %d", view.Electorate, c.complete, electorate)}
 		}
 		return nil
 	}
@@ -214,9 +214,9 @@
 		if err == nil {
 			return nil
 		}
-		relay.Pause(ctx, c.contact/80) // the voters may be changing just now
+		timeutil.Sleep(ctx, c.contact/80) // the voters may be changing just now
 		if ctx.Err() != nil {
-			return &wire.Status{Code: 503, Text: fmt.Sprintf("too few cores keep the news: %v", err)}
+			return &httpwire.Status{Code: 503, Text: fmt.Sprintf("too few cores keep the news: %v", err)}
 		}
 	}
 }
--- a/internal/core/leavings.go
+++ b/internal/controlplane/leavings.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"saltreel/internal/relay"
+	"saltreel/internal/distribution"
 )
 
 var bucketLeavings = []byte("leavings")
@@ -87,7 +87,7 @@
 	var mine []string
 	c.mu.Lock()
 	for _, k := range keys {
-		if strings.HasPrefix(k, relay.PrefixInstance) && c.kept[k] > 0 {
+		if strings.HasPrefix(k, distribution.PrefixInstance) && c.kept[k] > 0 {
 			mine = append(mine, k)
 			delete(c.kept, k)
 		}
--- a/internal/core/registry.go
+++ b/internal/controlplane/registry.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"context"
@@ -9,9 +9,10 @@
 	"time"
 
 	"saltreel/internal/chain"
+	"saltreel/internal/distribution"
 	"saltreel/internal/handler"
 	"saltreel/internal/journal"
-	"saltreel/internal/relay"
+	"saltreel/internal/membership"
 )
 
 // entry is what the cores know in memory of one handler or one of our nodes.
@@ -19,7 +20,7 @@
 	version journal.Version
 	changed journal.Version // when the value last changed but for the numbers of each beat
 	value   json.RawMessage // null once gone
-	node    relay.Node      // the value, where it is one of our own processes
+	node    membership.Node // the value, where it is one of our own processes
 	seen    time.Time
 	told    time.Time // when this core last heard it itself or learned a change, for exchanges
 	heard   time.Time // when it last beat to this core
@@ -62,7 +63,7 @@
 
 // leaving tells whether an item must outlive its cores before it is acknowledged.
 func (it Item) leaving() bool {
-	return it.Version.Major >= drains && strings.HasPrefix(it.Key, relay.PrefixInstance)
+	return it.Version.Major >= drains && strings.HasPrefix(it.Key, distribution.PrefixInstance)
 }
 
 // hear merges what a node or handler itself said to this core.
@@ -81,8 +82,8 @@
 // not known is newer than the one that is: the order of lives is that in which
 // the watchers see them, and rests on nobody's time of day. The clock only
 // keeps a core that just started above what it said before.
-func (r *registry) beat(n relay.Node) (Item, bool) {
-	it := Item{Key: relay.PrefixNode + n.Name, Value: journal.Encode(n)}
+func (r *registry) beat(n membership.Node) (Item, bool) {
+	it := Item{Key: distribution.PrefixNode + n.Name, Value: journal.Encode(n)}
 	r.mu.Lock()
 	it.Version = journal.Version{Major: time.Now().UnixMilli(), Minor: n.Sequence}
 	if e := r.entries[it.Key]; e != nil {
@@ -112,7 +113,7 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	for k, e := range r.entries {
-		name, ok := strings.CutPrefix(k, relay.PrefixNode)
+		name, ok := strings.CutPrefix(k, distribution.PrefixNode)
 		if ok && e.node.Role == "store" && !e.heard.IsZero() && now.Sub(e.heard) > bound && now.Sub(e.heard) < most && now.Sub(e.missed) > bound {
 			e.missed = now
 			out = append(out, name)
@@ -147,9 +148,9 @@
 	}
 	changed := !sameValue(e.value, it.Value)
 	e.value = it.Value
-	if strings.HasPrefix(it.Key, relay.PrefixNode) {
+	if strings.HasPrefix(it.Key, distribution.PrefixNode) {
 		before := e.node.Life
-		e.node = relay.Node{}
+		e.node = membership.Node{}
 		_ = json.Unmarshal(it.Value, &e.node)
 		if e.node.Life != "" && before != e.node.Life {
 			e.former, e.ended = before, now
@@ -225,7 +226,7 @@
 	defer r.mu.Unlock()
 	out := map[string]nodeAge{}
 	for k, e := range r.entries {
-		if name, ok := strings.CutPrefix(k, relay.PrefixNode); ok && string(e.value) != "null" {
+		if name, ok := strings.CutPrefix(k, distribution.PrefixNode); ok && string(e.value) != "null" {
 			out[name] = nodeAge{e.node, time.Since(e.seen)}
 		}
 	}
@@ -233,7 +234,7 @@
 }
 
 type nodeAge struct {
-	relay.Node
+	membership.Node
 	age time.Duration
 }
 
@@ -245,7 +246,7 @@
 	now := time.Now()
 	for k, e := range r.entries {
 		bound := nodes
-		if strings.HasPrefix(k, relay.PrefixInstance) {
+		if strings.HasPrefix(k, distribution.PrefixInstance) {
 			bound = instances
 		}
 		silent := now.Sub(e.seen)
@@ -343,7 +344,7 @@
 func (c *Core) take(items []Item) error {
 	var leavings []Item
 	for _, it := range items {
-		if c.registry.put(it) && strings.HasPrefix(it.Key, relay.PrefixNode) {
+		if c.registry.put(it) && strings.HasPrefix(it.Key, distribution.PrefixNode) {
 			c.nudge() // the steward may wait for this one
 		}
 		if it.leaving() && it.Value != nil {
@@ -359,7 +360,7 @@
 	if in.State != handler.Ready {
 		v.Major += drains
 	}
-	it := Item{Key: relay.PrefixInstance + in.ID, Version: v, Value: journal.Encode(in)}
+	it := Item{Key: distribution.PrefixInstance + in.ID, Version: v, Value: journal.Encode(in)}
 	if it.leaving() {
 		return c.depart(ctx, it)
 	}
@@ -371,7 +372,7 @@
 
 // leave takes a handler away for good, whether it is known here or not.
 func (c *Core) leave(ctx context.Context, id string) error {
-	return c.depart(ctx, Item{Key: relay.PrefixInstance + id, Version: journal.Version{Major: gone}, Value: json.RawMessage("null")})
+	return c.depart(ctx, Item{Key: distribution.PrefixInstance + id, Version: journal.Version{Major: gone}, Value: json.RawMessage("null")})
 }
 
 // depart makes a leaving last. Once it does, repeated beats cost nothing.
--- a/internal/core/registry_test.go
+++ b/internal/controlplane/registry_test.go
@@ -1,13 +1,16 @@
-package core
+package controlplane
 
 import (
 	"encoding/json"
+	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
 
+	"saltreel/internal/chain"
+	"saltreel/internal/distribution"
 	"saltreel/internal/journal"
-	"saltreel/internal/relay"
+	"saltreel/internal/membership"
 )
 
 // The newer life of a node is the one that its watchers see later, whatever
@@ -18,7 +21,7 @@
 		other := &registry{entries: map[string]*entry{}, journal: journal.New("other", time.Hour, ""), late: time.Second}
 		of := func(r *registry) string { return r.nodes()["edge-1"].Life }
 		beat := func(r *registry, life string, n int64) Item {
-			it, _ := r.beat(relay.Node{Name: "edge-1", Life: life, Sequence: n})
+			it, _ := r.beat(membership.Node{Name: "edge-1", Life: life, Sequence: n})
 			return it
 		}
 		first := beat(ahead, "one", 5)
@@ -87,9 +90,9 @@
 				}
 			}
 		}
-		const handlers = relay.PrefixInstance + "one"
+		const handlers = distribution.PrefixInstance + "one"
 		beat := func(n int64) {
-			near.beat(relay.Node{Name: "store-1", Role: "store", Life: "a", Sequence: n})
+			near.beat(membership.Node{Name: "store-1", Role: "store", Life: "a", Sequence: n})
 			near.hear(Item{Key: handlers, Version: journal.Version{Major: n}, Value: json.RawMessage(`{"state":"ready"}`)})
 		}
 		beat(1)
@@ -116,3 +119,58 @@
 		}
 	})
 }
+
+func TestExchangesCarryValuesOnceAndMendWhatWasMissed(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		core := func(name string) *Core {
+			return &Core{chain: &chain.Chain{}, registry: &registry{entries: map[string]*entry{}, journal: journal.New(name, time.Hour, "")}}
+		}
+		a, b := core("a"), core("b")
+		beat := func(seq int64, state string) Item {
+			return Item{Key: "instance/i", Version: journal.Version{Major: seq}, Value: journal.Encode(map[string]any{"oper-state": state, "call-seq": seq})}
+		}
+		sent := map[string]journal.Version{}
+		tell := func(arrives bool) (values int) {
+			time.Sleep(time.Second)
+			items, _ := a.registry.since(time.Time{}, func(key string) journal.Version {
+				if v, ok := sent[key]; ok {
+					return v
+				}
+				return journal.Version{Major: -1}
+			})
+			for _, it := range items {
+				sent[it.Key] = it.Version
+				if it.Value != nil {
+					values++
+				}
+			}
+			if arrives {
+				out, _ := b.handleExchange(t.Context(), &Exchange{Items: items}, nil)
+				for _, key := range out.Want {
+					delete(sent, key)
+				}
+			}
+			return values
+		}
+		a.registry.put(beat(1, "ready"))
+		if n := tell(true); n != 1 {
+			t.Errorf("the first exchange carries %d values", n)
+		}
+		a.registry.put(beat(2, "ready"))
+		if n := tell(true); n != 0 {
+			t.Errorf("an unchanged value is sent again")
+		}
+		a.registry.put(beat(3, "draining"))
+		tell(false) // lost, though the sender thinks otherwise
+		a.registry.put(beat(4, "draining"))
+		tell(true)
+		tell(true)
+		raw, _, _, _ := b.registry.get("instance/i")
+		if !strings.Contains(string(raw), "draining") {
+			t.Errorf("the change that was missed is not known: %s", raw)
+		}
+		if n := tell(true); n != 0 {
+			t.Errorf("a known value is sent again")
+		}
+	})
+}
--- a/internal/core/state.go
+++ b/internal/controlplane/state.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"bytes"
@@ -10,16 +10,17 @@
 
 	"saltreel/internal/chain"
 	"saltreel/internal/configuration"
-	"saltreel/internal/wire"
+	"saltreel/internal/httpwire"
+	"saltreel/internal/placement"
 )
 
 // Proposal is a write that any core may bring to the head. Exactly one of its
 // parts is there.
 type Proposal struct {
-	Configuration []byte     `json:"configuration,omitempty"`
-	Match         int64      `json:"match,omitempty"` // the revision it builds on
-	Placement     *Placement `json:"placement,omitempty"`
-	Retire        string     `json:"retire,omitempty"`
+	Configuration []byte               `json:"configuration,omitempty"`
+	Match         int64                `json:"match,omitempty"` // the revision it builds on
+	Placement     *placement.Placement `json:"placement,omitempty"`
+	Retire        string               `json:"retire,omitempty"`
 }
 
 // Proposed answers a proposal. A refusal travels as a field: the status of an
@@ -81,13 +82,13 @@
 	if c.refusing == nil {
 		c.refusing = map[string]time.Time{}
 	}
-	if wire.Refused(err) {
+	if httpwire.Refused(err) {
 		c.refusing[addr] = time.Now()
 	} else {
 		delete(c.refusing, addr)
 	}
 	c.mu.Unlock()
-	if wire.NotSent(err) {
+	if httpwire.NotSent(err) {
 		return &Unreached{err}
 	}
 	return err
@@ -183,7 +184,7 @@
 
 // placementOf decodes the placement in the state, once for all who ask for the
 // same one: it is the largest thing that a core reads. It is not to be changed.
-func (c *Core) placementOf(docs chain.Documents) (p Placement, err error) {
+func (c *Core) placementOf(docs chain.Documents) (p placement.Placement, err error) {
 	raw := docs[docPlacement]
 	if raw == nil {
 		return p, nil
@@ -195,7 +196,7 @@
 	if known {
 		return p, nil
 	}
-	p = Placement{}
+	p = placement.Placement{}
 	if err = json.Unmarshal(raw, &p); err == nil {
 		c.mu.Lock()
 		c.decoded, c.decodedAs = raw, p
@@ -207,7 +208,7 @@
 // prepare decodes what a pass sets while the rest of the chain takes it.
 func (c *Core) prepare(docs chain.Documents) { _, _ = c.placementOf(docs) }
 
-func (c *Core) decidePlacement(docs chain.Documents, next *Placement) (chain.Documents, error) {
+func (c *Core) decidePlacement(docs chain.Documents, next *placement.Placement) (chain.Documents, error) {
 	cur, err := c.placementOf(docs)
 	if err != nil {
 		return nil, err
@@ -241,7 +242,7 @@
 		return nil, &Refusal{409, fmt.Sprintf("%d stores would remain, %d are needed", left, failures+1)}
 	}
 	next := cur.Clone()
-	store.Retire = RetireActive
+	store.Retire = placement.RetireActive
 	next.Stores[name] = store
 	next.Version++
 	raw, err := json.Marshal(next)
--- a/internal/core/state_test.go
+++ b/internal/controlplane/state_test.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"crypto/sha256"
@@ -10,6 +10,7 @@
 	"testing"
 
 	"saltreel/internal/chain"
+	"saltreel/internal/placement"
 )
 
 func change(revision int) *Proposal {
@@ -95,7 +96,7 @@
 // the order would be refused as a new one.
 func TestAStoreIsRetiredOnce(t *testing.T) {
 	c := &Core{}
-	p := Placement{Version: 1, Stores: map[string]Store{"a": {}, "b": {}, "c": {}}}
+	p := placement.Placement{Version: 1, Stores: map[string]placement.Store{"a": {}, "b": {}, "c": {}}}
 	raw, _ := json.Marshal(p)
 	docs := chain.Documents{docPlacement: raw}
 	set, err := c.decideRetire(docs, "a", 1)
@@ -103,10 +104,10 @@
 		t.Fatal(set, err)
 	}
 	maps.Copy(docs, set)
-	for _, state := range []string{RetireActive, RetireComplete} {
+	for _, state := range []string{placement.RetireActive, placement.RetireComplete} {
 		p, _ := c.placementOf(docs)
 		p = p.Clone()
-		p.Stores["a"] = Store{Retire: state}
+		p.Stores["a"] = placement.Store{Retire: state}
 		docs[docPlacement], _ = json.Marshal(p)
 		if set, err := c.decideRetire(docs, "a", 1); err != nil || set != nil {
 			t.Errorf("%s, ordered again: %v %v", state, set, err)
--- a/internal/core/status.go
+++ b/internal/controlplane/status.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"context"
@@ -7,18 +7,20 @@
 
 	"saltreel/internal/chain"
 	"saltreel/internal/configuration"
+	"saltreel/internal/distribution"
 	"saltreel/internal/handler"
+	"saltreel/internal/httpwire"
 	"saltreel/internal/journal"
-	"saltreel/internal/relay"
-	"saltreel/internal/wire"
+	"saltreel/internal/membership"
+	"saltreel/internal/placement"
 )
 
 // Overview is what the operator's status command shows.
 type Overview struct {
 	Revision  int64              `json:"revision"`
 	View      chain.View         `json:"view"`
-	Placement readable           `json:"placement"`
-	Nodes     []relay.Node       `json:"nodes"`
+	Placement placement.Readable `json:"placement"`
+	Nodes     []membership.Node  `json:"nodes"`
 	Handlers  []handler.Instance `json:"handlers"`
 }
 
@@ -27,7 +29,7 @@
 func (c *Core) Status(ctx context.Context) (Overview, error) {
 	o := Overview{View: c.chain.View()}
 	if !c.inTouch() {
-		return o, &wire.Status{Code: 503, Text: "this core is not in touch with the others"}
+		return o, &httpwire.Status{Code: 503, Text: "this core is not in touch with the others"}
 	}
 	s, err := c.Read(ctx)
 	if err != nil {
@@ -38,18 +40,18 @@
 			o.Revision = conf.Revision
 		}
 	}
-	placement, err := c.placementOf(s.Documents)
+	current, err := c.placementOf(s.Documents)
 	if err != nil {
 		return o, err
 	}
-	o.Placement = readable(placement)
+	o.Placement = placement.Readable(current)
 	page, _ := c.journal.Since("", 0, nil, nil)
 	for _, e := range page.Events {
 		switch {
 		case e.Gone():
-		case strings.HasPrefix(e.Key, relay.PrefixNode):
-			o.Nodes = append(o.Nodes, journal.Decode[relay.Node](e))
-		case strings.HasPrefix(e.Key, relay.PrefixInstance):
+		case strings.HasPrefix(e.Key, distribution.PrefixNode):
+			o.Nodes = append(o.Nodes, journal.Decode[membership.Node](e))
+		case strings.HasPrefix(e.Key, distribution.PrefixInstance):
 			o.Handlers = append(o.Handlers, journal.Decode[handler.Instance](e))
 		}
 	}
--- a/internal/core/steward.go
+++ b/internal/controlplane/steward.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"context"
@@ -6,27 +6,16 @@
 	"sync"
 	"time"
 
-	"saltreel/internal/wire"
+	"saltreel/internal/httpwire"
+	"saltreel/internal/placement"
 )
 
-// Suspicion is a report that a node cannot be reached.
-type Suspicion struct {
-	Node    string `json:"node"`
-	Refused bool   `json:"refused"` // its machine answers that nothing listens
-}
-
-// Suspected tells whether the core that was told places the partitions: the
-// others need not be told.
-type Suspected struct {
-	Steward bool `json:"steward,omitempty"`
-}
-
-func (c *Core) handleSuspect(_ context.Context, in *Suspicion, _ []byte) (*Suspected, error) {
+func (c *Core) handleSuspect(_ context.Context, in *placement.Suspicion, _ []byte) (*placement.Suspected, error) {
 	_, held := c.duty.Held()
 	if held {
 		c.tasks.Go(func() { c.probe(c.life, in.Node) })
 	}
-	return &Suspected{held}, nil
+	return &placement.Suspected{Steward: held}, nil
 }
 
 // crowded tells whether more nodes are silent at once than may be lost: then it
@@ -72,7 +61,7 @@
 	}
 	began := time.Now()
 	err := ping(c.contact / 24)
-	if err != nil && wire.StatusOf(err) == 0 && !wire.Refused(err) && c.crowded() {
+	if err != nil && httpwire.StatusOf(err) == 0 && !httpwire.Refused(err) && c.crowded() {
 		began = time.Now()
 		err = ping(c.contact / 4)
 	}
@@ -86,23 +75,11 @@
 	c.nudge()
 }
 
-// InStep is a primary's report of backups that hold everything.
-type InStep struct {
-	Copies []Copy `json:"copies"`
-}
-
-// Copy is a backup of a partition in an epoch.
-type Copy struct {
-	Partition int    `json:"partition"`
-	Epoch     int64  `json:"epoch"`
-	Store     string `json:"store"`
-}
-
 // handleInStep notes the reports for the next placement, all at once: a write
 // down the chain for each would keep the cores busy.
-func (c *Core) handleInStep(_ context.Context, in *InStep, _ []byte) (*struct{}, error) {
+func (c *Core) handleInStep(_ context.Context, in *placement.InStep, _ []byte) (*struct{}, error) {
 	if _, held := c.duty.Held(); !held {
-		return nil, &wire.Status{Code: 421, Text: "this core is not the steward"}
+		return nil, &httpwire.Status{Code: 421, Text: "this core is not the steward"}
 	}
 	c.mu.Lock()
 	for _, x := range in.Copies {
@@ -114,7 +91,7 @@
 }
 
 // stepped marks the copies that were reported as in step.
-func (c *Core) stepped(p *Placement) (changed bool) {
+func (c *Core) stepped(p *placement.Placement) (changed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for x := range c.inStep {
@@ -137,9 +114,9 @@
 }
 
 // spread is how far the copies of a message must lie apart.
-func (c *Core) spreadOf() Spread {
+func (c *Core) spreadOf() placement.Spread {
 	t := c.set.FaultTolerance
-	return Spread{int(t.HostFailures), int(t.Zones), int(t.RegionFailures)}
+	return placement.Spread{Backups: int(t.HostFailures), Zones: int(t.Zones), Regions: int(t.RegionFailures)}
 }
 
 // steward places the partitions while this core holds the duty.
@@ -187,7 +164,7 @@
 		if c.chain.SteadyFor() < c.contact/8 && !heardAll(cur, stores) {
 			continue
 		}
-		var next Placement
+		var next placement.Placement
 		var handovers []int
 		changed := false
 		if cur.Version == 0 {
@@ -203,7 +180,7 @@
 			if count < int(c.set.FaultTolerance.HostFailures)+1 || time.Since(since) < c.contact/4 {
 				continue
 			}
-			next, changed = Found(stores, c.spreadOf()), true
+			next, changed = placement.Found(stores, c.spreadOf()), true
 		} else {
 			c.mu.Lock()
 			ready := map[int]int64{}
@@ -215,7 +192,7 @@
 			c.mu.Unlock()
 			known := cur.Clone()
 			stepped := c.stepped(&known)
-			next, handovers, changed = Plan(known, stores, ready, c.spreadOf())
+			next, handovers, changed = placement.Plan(known, stores, ready, c.spreadOf())
 			if stepped && !changed {
 				next.Version++
 				changed = true
@@ -235,9 +212,9 @@
 }
 
 // heardAll tells whether every store that holds anything was heard of.
-func heardAll(p Placement, stores map[string]StoreStatus) bool {
+func heardAll(p placement.Placement, stores map[string]placement.StoreStatus) bool {
 	for name := range p.Stores {
-		if _, ok := stores[name]; !ok && holds(p, name) {
+		if _, ok := stores[name]; !ok && placement.Holds(p, name) {
 			return false
 		}
 	}
@@ -248,7 +225,7 @@
 // whichever core is the steward.
 func (c *Core) missed(ctx context.Context) {
 	for _, name := range c.registry.silent(c.contact/8, c.contact) {
-		in := Suspicion{Node: name}
+		in := placement.Suspicion{Node: name}
 		_, _ = c.handleSuspect(ctx, &in, nil)
 		for _, peer := range c.peers() {
 			c.tasks.Go(func() {
@@ -261,8 +238,8 @@
 }
 
 // watch looks at all stores; those of which nothing was heard for long are probed.
-func (c *Core) watch(ctx context.Context) map[string]StoreStatus {
-	out := map[string]StoreStatus{}
+func (c *Core) watch(ctx context.Context) map[string]placement.StoreStatus {
+	out := map[string]placement.StoreStatus{}
 	var probes sync.WaitGroup
 	for name, n := range c.registry.nodes() {
 		if n.Role != "store" {
@@ -285,7 +262,7 @@
 			c.log.Printf("steward: %s is back", name)
 		}
 		c.mu.Unlock()
-		out[name] = StoreStatus{Node: n.Node, Up: !dead}
+		out[name] = placement.StoreStatus{Node: n.Node, Up: !dead}
 	}
 	return out
 }
@@ -296,13 +273,8 @@
 	at    time.Time
 }
 
-// Handover asks a primary to stop partitions, so that their backups may lead.
-type Handover struct {
-	Partitions map[int]int64 `json:"partitions"` // by epoch
-}
-
 // handover asks the primaries, each in the background.
-func (c *Core) handover(ctx context.Context, cur Placement, partitions []int) {
+func (c *Core) handover(ctx context.Context, cur placement.Placement, partitions []int) {
 	byStore := map[string]map[int]int64{}
 	for _, i := range partitions {
 		p := cur.Partitions[i]
@@ -323,8 +295,8 @@
 		c.tasks.Go(func() {
 			hctx, cancel := context.WithTimeout(ctx, c.contact)
 			defer cancel()
-			var out Handover
-			err := c.pool.Post(hctx, addr, "/handover", Handover{list}, nil, &out)
+			var out placement.Handover
+			err := c.pool.Post(hctx, addr, "/handover", placement.Handover{Partitions: list}, nil, &out)
 			c.mu.Lock()
 			delete(c.handing, store)
 			for i, epoch := range out.Partitions {
--- a/internal/core/taken.go
+++ b/internal/controlplane/taken.go
@@ -1,4 +1,4 @@
-package core
+package controlplane
 
 import (
 	"bytes"
--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -11,16 +11,16 @@
 
 	"saltreel/internal/configuration"
 	"saltreel/internal/handler"
+	"saltreel/internal/httpwire"
 	"saltreel/internal/partition"
 	"saltreel/internal/quota"
 	"saltreel/internal/settings"
-	"saltreel/internal/wire"
 )
 
 // Scheduler delivers the messages of the partitions that this store leads.
 type Scheduler struct {
 	Set      *partition.Set
-	Pool     *wire.Pool // to handlers
+	Pool     *httpwire.Pool // to handlers
 	Settings *settings.Settings
 	Log      *log.Logger
 	Table    func() *configuration.Table
--- a/internal/delivery/target.go
+++ b/internal/delivery/target.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"saltreel/internal/configuration"
+	"saltreel/internal/distribution"
 	"saltreel/internal/handler"
 	"saltreel/internal/journal"
-	"saltreel/internal/relay"
 )
 
 // target is one handler, or the fixed endpoint of a service.
@@ -26,7 +26,7 @@
 
 // Hear takes news of handlers.
 func (s *Scheduler) Hear(e journal.Event) {
-	id, ok := strings.CutPrefix(e.Key, relay.PrefixInstance)
+	id, ok := strings.CutPrefix(e.Key, distribution.PrefixInstance)
 	if !ok {
 		s.nudge()
 		return
--- a/internal/relay/relay.go
+++ b/internal/distribution/relay.go
@@ -1,6 +1,6 @@
-// Package relay owns the news: the tree that the nodes form among themselves
+// Package distribution owns the news: the tree that the nodes form among themselves
 // and the long polls by which a journal follows the one of its parent.
-package relay
+package distribution
 
 import (
 	"context"
@@ -14,9 +14,11 @@
 	"sync"
 	"time"
 
+	"saltreel/internal/httpwire"
 	"saltreel/internal/journal"
+	"saltreel/internal/membership"
 	"saltreel/internal/ring"
-	"saltreel/internal/wire"
+	"saltreel/internal/timeutil"
 )
 
 // Keys of the news.
@@ -27,19 +29,6 @@
 	PrefixNode       = "node/"
 )
 
-// Node is one of the system's own processes, as it tells of itself.
-type Node struct {
-	Name     string `json:"name"`
-	Role     string `json:"role"`
-	Address  string `json:"address"` // internal
-	Zone     string `json:"zone"`
-	Region   string `json:"region"`
-	Life     string `json:"life"` // differs for each start; which is the newer one, only the watchers tell
-	Leaving  bool   `json:"leaving,omitempty"`
-	Sequence int64  `json:"sequence"`
-	Disk     string `json:"disk,omitempty"` // identity of the disk, for a store
-}
-
 // Poll is a question for news.
 type Poll struct {
 	Source string `json:"source"`
@@ -60,14 +49,6 @@
 	return e.Scope == "" || p.Zone == "" || e.Scope == p.Zone
 }
 
-// Scope is whom the news of a node concern.
-func (n Node) Scope() string {
-	if n.Role == "core" {
-		return ""
-	}
-	return n.Zone
-}
-
 // Source answers polls from a journal.
 type Source struct {
 	Journal *journal.Journal
@@ -105,20 +86,20 @@
 // Handle answers one poll; it waits until there is something to tell. Where
 // hundreds of nodes start at once, telling each that each of them is there would
 // be a call for each pair: what can wait is told together.
-func (s *Source) Handle(ctx context.Context, r *wire.Request) *wire.Response {
+func (s *Source) Handle(ctx context.Context, r *httpwire.Request) *httpwire.Response {
 	var in Poll
 	if err := json.Unmarshal(r.Body, &in); err != nil {
-		return wire.Problem(400, "the poll cannot be read: "+err.Error())
+		return httpwire.Problem(400, "the poll cannot be read: "+err.Error())
 	}
 	timer := time.NewTimer(min(time.Duration(in.WaitMs)*time.Millisecond, s.Wait))
 	defer timer.Stop()
 	expired := false
 	for first := true; ; first = false {
 		if !s.fresh(ctx) {
-			return wire.Problem(503, "this node hears no news itself")
+			return httpwire.Problem(503, "this node hears no news itself")
 		}
 		if first && in.Source == "" && in.Role == "edge" && s.Young != nil && s.Young() {
-			Pause(ctx, s.Linger)
+			timeutil.Sleep(ctx, s.Linger)
 		}
 		changed, urgent := s.Journal.Changes()
 		page, prompt := s.Journal.Since(in.Source, in.Number, in.Digest, in.wants)
@@ -131,7 +112,7 @@
 			linger, changed = time.After(left), urgent
 		}
 		if expired || page.Source != in.Source {
-			return &wire.Response{Status: 200, Body: page.Encode()}
+			return &httpwire.Response{Status: 200, Body: page.Encode()}
 		}
 		select {
 		case <-changed:
@@ -139,22 +120,22 @@
 		case <-timer.C:
 			expired = true
 		case <-ctx.Done():
-			return wire.Problem(503, "stopping")
+			return httpwire.Problem(503, "stopping")
 		}
 	}
 }
 
 // Follower keeps a journal up to date from a parent.
 type Follower struct {
-	Self    Node
+	Self    membership.Node
 	Journal *journal.Journal
-	Pool    *wire.Pool
+	Pool    *httpwire.Pool
 	Cores   []string // internal addresses, the last resort
 	Contact time.Duration
 	Log     *log.Logger
 
 	mu     sync.Mutex
-	nodes  map[string]Node
+	nodes  map[string]membership.Node
 	cores  map[string]string // name to address
 	heard  time.Time
 	lost   bool // no parent answers
@@ -206,7 +187,7 @@
 func (f *Follower) Parents() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var zone []Node
+	var zone []membership.Node
 	var near, far []string
 	known := map[string]bool{}
 	for _, n := range f.nodes {
@@ -239,7 +220,7 @@
 	sort.Strings(near)
 	cores := append(turn(near), turn(far)...)
 	// Stores sit at the top of the zone's tree: they need the news first.
-	place := func(n Node) (int, string) {
+	place := func(n membership.Node) (int, string) {
 		if n.Role == "store" {
 			return 0, n.Name
 		}
@@ -262,7 +243,7 @@
 // Run follows until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	f.mu.Lock()
-	f.nodes, f.cores = map[string]Node{}, map[string]string{}
+	f.nodes, f.cores = map[string]membership.Node{}, map[string]string{}
 	f.mu.Unlock()
 	f.Journal.Fold(func(e journal.Event) {
 		if name, ok := cutPrefix(e.Key, PrefixNode); ok {
@@ -271,7 +252,7 @@
 				delete(f.nodes, name)
 				delete(f.cores, name)
 			} else {
-				n := journal.Decode[Node](e)
+				n := journal.Decode[membership.Node](e)
 				if f.nodes[name] = n; n.Role == "core" {
 					f.cores[name] = n.Address
 				}
@@ -303,7 +284,7 @@
 			f.lost = true
 			f.mu.Unlock()
 			clear(bad)
-			Pause(ctx, f.Contact/80+rand.N(f.Contact/80))
+			timeutil.Sleep(ctx, f.Contact/80+rand.N(f.Contact/80))
 			continue
 		}
 		cctx, cancel := context.WithTimeout(ctx, wait+f.Contact/8)
@@ -348,13 +329,3 @@
 	}
 	return "", false
 }
-
-// Pause waits for a while, or until ctx ends.
-func Pause(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-	case <-t.C:
-	}
-}
--- a/internal/relay/relay_test.go
+++ b/internal/distribution/relay_test.go
@@ -1,4 +1,4 @@
-package relay
+package distribution
 
 import (
 	"context"
@@ -10,8 +10,9 @@
 	"testing/synctest"
 	"time"
 
+	"saltreel/internal/httpwire"
 	"saltreel/internal/journal"
-	"saltreel/internal/wire"
+	"saltreel/internal/membership"
 )
 
 // fleet is a journal that knows a number of nodes and a placement.
@@ -25,12 +26,12 @@
 }
 
 func join(j *journal.Journal, name string, life int64) {
-	j.Append(journal.Event{Key: PrefixNode + name, Version: journal.Version{Major: life}, Value: journal.Encode(Node{Name: name, Role: "edge"})})
+	j.Append(journal.Event{Key: PrefixNode + name, Version: journal.Version{Major: life}, Value: journal.Encode(membership.Node{Name: name, Role: "edge"})})
 }
 
 func poll(t *testing.T, s *Source, p Poll) (page journal.Page) {
 	t.Helper()
-	res := s.Handle(context.Background(), &wire.Request{Request: &http.Request{}, Body: journal.Encode(p)})
+	res := s.Handle(context.Background(), &httpwire.Request{Request: &http.Request{}, Body: journal.Encode(p)})
 	if res.Status != 200 || json.Unmarshal(res.Body, &page) != nil {
 		t.Fatalf("%d %s", res.Status, res.Body)
 	}
@@ -66,7 +67,7 @@
 func TestNewsGoToThoseWhomTheyConcern(t *testing.T) {
 	j := journal.New("parent", time.Hour, PrefixNode)
 	for _, z := range []string{"z1", "z2", "z3"} {
-		for _, n := range []Node{{Name: "core-" + z, Role: "core", Zone: z}, {Name: "store-" + z, Role: "store", Zone: z}, {Name: "edge-" + z, Role: "edge", Zone: z}} {
+		for _, n := range []membership.Node{{Name: "core-" + z, Role: "core", Zone: z}, {Name: "store-" + z, Role: "store", Zone: z}, {Name: "edge-" + z, Role: "edge", Zone: z}} {
 			j.Append(journal.Event{Key: PrefixNode + n.Name, Version: journal.Version{Major: 1}, Value: journal.Encode(n), Scope: n.Scope()})
 		}
 		j.Append(journal.Event{Key: PrefixInstance + z, Version: journal.Version{Major: 1}, Value: []byte("{}")})
@@ -119,10 +120,10 @@
 
 // The first node of a zone with several cores stays with one of them.
 func TestAParentAmongCoresOfTheZoneIsKept(t *testing.T) {
-	f := &Follower{Self: Node{Name: "store-1", Role: "store", Zone: "a"}, nodes: map[string]Node{}}
+	f := &Follower{Self: membership.Node{Name: "store-1", Role: "store", Zone: "a"}, nodes: map[string]membership.Node{}}
 	for i := range 4 {
 		name := fmt.Sprint("core-", i)
-		f.nodes[name] = Node{Name: name, Role: "core", Address: name + ":1", Zone: "a"}
+		f.nodes[name] = membership.Node{Name: name, Role: "core", Address: name + ":1", Zone: "a"}
 	}
 	first := f.Parents()
 	for range 50 {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -17,20 +17,20 @@
 
 	"saltreel/internal/client"
 	"saltreel/internal/configuration"
+	"saltreel/internal/httpwire"
 	"saltreel/internal/node"
 	"saltreel/internal/partition"
 	"saltreel/internal/platform"
 	"saltreel/internal/quota"
 	"saltreel/internal/settings"
 	"saltreel/internal/store"
-	"saltreel/internal/wire"
 )
 
 // Edge is one edge machine's process.
 type Edge struct {
 	set     *settings.Settings
 	log     *log.Logger
-	network wire.Network
+	network httpwire.Network
 	node    *node.Node
 	grants  *grants
 	waning  atomic.Bool
@@ -45,7 +45,7 @@
 }
 
 // New makes the process.
-func New(set *settings.Settings, network wire.Network, logger *log.Logger) *Edge {
+func New(set *settings.Settings, network httpwire.Network, logger *log.Logger) *Edge {
 	e := &Edge{
 		set: set, log: logger, network: network, node: node.New(set, "edge", network, logger), hangs: map[int]hang{},
 		bytes: quota.NewManager(quota.RequestBytes), time: quota.NewManager(quota.RequestTime), accepted: quota.NewManager(quota.Accepted),
@@ -89,8 +89,8 @@
 	life, end := context.WithCancel(context.Background())
 	defer end()
 	source := e.node.Source()
-	own := &wire.Server{Log: e.log, Handle: wire.Mux{"/news": source.Handle}.Handle}
-	clients := &wire.Server{Log: e.log, Handle: e.handle, Limits: e.limits}
+	own := &httpwire.Server{Log: e.log, Handle: httpwire.Mux{"/news": source.Handle}.Handle}
+	clients := &httpwire.Server{Log: e.log, Handle: e.handle, Limits: e.limits}
 	var tasks sync.WaitGroup
 	for _, f := range []func(){
 		func() { _ = own.Serve(life, inner) },
@@ -125,7 +125,7 @@
 }
 
 // limits are those of the configuration, or narrow ones before the first.
-func (e *Edge) limits() wire.Limits {
+func (e *Edge) limits() httpwire.Limits {
 	t := e.node.Table()
 	l := &configuration.Limits{}
 	if t != nil && t.Limits != nil {
@@ -139,7 +139,7 @@
 	}
 	ms := func(v int64) time.Duration { return time.Duration(v) * time.Millisecond }
 	contact := e.set.Contact().Milliseconds()
-	return wire.Limits{
+	return httpwire.Limits{
 		HeaderBytes:   int(or(l.MaxHeaderBytes, 16<<10)),
 		BodyBytes:     int(or(l.MaxBodyBytes, 256<<10)),
 		HeaderTimeout: ms(or(l.HeaderTimeoutMs, contact)),
@@ -166,10 +166,10 @@
 }
 
 // handle answers one request of a client.
-func (e *Edge) handle(ctx context.Context, r *wire.Request) *wire.Response {
+func (e *Edge) handle(ctx context.Context, r *httpwire.Request) *httpwire.Response {
 	// An edge that just started hears the news within moments.
 	if !e.node.Await(ctx, e.set.Contact()/8) {
-		return later(wire.Problem(503, "no configuration is known here yet"), quota.Window)
+		return later(httpwire.Problem(503, "no configuration is known here yet"), quota.Window)
 	}
 	table := e.node.Table()
 	e.bound(table)
@@ -196,7 +196,7 @@
 
 // measure records what the request used and gives the longest throttle time,
 // with the type of quota that asks for it.
-func (e *Edge) measure(m *client.Message, route *configuration.Route, r *wire.Request, wait time.Duration) (time.Duration, *quota.Manager) {
+func (e *Edge) measure(m *client.Message, route *configuration.Route, r *httpwire.Request, wait time.Duration) (time.Duration, *quota.Manager) {
 	x, by := e.bytes.Record(m.Tenant, route.Name, float64(len(r.Body))), e.bytes
 	spent := time.Since(r.Received) - wait
 	if y := e.time.Record(m.Tenant, route.Name, max(0, spent.Seconds())); y > x {
@@ -210,7 +210,7 @@
 
 // admit decides on a message and brings it to the stores. It tells how much of
 // the time it only waited.
-func (e *Edge) admit(ctx context.Context, r *wire.Request, table *configuration.Table, m *client.Message, route *configuration.Route) (*wire.Response, time.Duration) {
+func (e *Edge) admit(ctx context.Context, r *httpwire.Request, table *configuration.Table, m *client.Message, route *configuration.Route) (*httpwire.Response, time.Duration) {
 	began := time.Now()
 	waited := func() time.Duration { return time.Since(began) + r.Read.Sub(r.Received) }
 	deadline := m.Deadline
@@ -228,7 +228,7 @@
 			// still owed its limit, also on the connections it has.
 			x := max(wait, e.grants.excess(tenant, e.accepted.Rate(m.Tenant, route.Name)))
 			m.Throttle = min(wait, x)
-			return later(wire.Problem(429, "tenant "+m.Tenant+" is over its limit"), x), waited()
+			return later(httpwire.Problem(429, "tenant "+m.Tenant+" is over its limit"), x), waited()
 		}
 	}
 	record := partition.Record{
@@ -238,59 +238,59 @@
 	n, err := e.forward(ctx, route, table.Service(route.Service), &record, m.Delay, r.Received)
 	switch {
 	case err == nil:
-		return &wire.Response{Status: 202, Header: []string{"Saltreel-Message-Name", client.Name(n, m.ID)}}, waited()
+		return &httpwire.Response{Status: 202, Header: []string{"Saltreel-Message-Name", client.Name(n, m.ID)}}, waited()
 	case errors.Is(err, errTaken):
-		return wire.Problem(400, err.Error()), waited()
+		return httpwire.Problem(400, err.Error()), waited()
 	case errors.Is(err, errNotTaken):
 		e.log.Printf("edge: 503 to %s: %v", m.ID, err)
-		return later(wire.Problem(503, "the message was not taken: "+err.Error()), e.set.Contact()/8), waited()
+		return later(httpwire.Problem(503, "the message was not taken: "+err.Error()), e.set.Contact()/8), waited()
 	}
 	e.log.Printf("edge: 504 to %s: %v", m.ID, err)
-	return wire.Problem(504, err.Error()), waited()
+	return httpwire.Problem(504, err.Error()), waited()
 }
 
 // later adds when to come back.
-func later(r *wire.Response, wait time.Duration) *wire.Response {
+func later(r *httpwire.Response, wait time.Duration) *httpwire.Response {
 	r.Header = append(r.Header, "Retry-After", strconv.Itoa(int(math.Max(1, math.Ceil(wait.Seconds())))))
 	return r
 }
 
 // answer answers a question about a message.
-func (e *Edge) answer(ctx context.Context, r *wire.Request, table *configuration.Table, kind, name string) *wire.Response {
+func (e *Edge) answer(ctx context.Context, r *httpwire.Request, table *configuration.Table, kind, name string) *httpwire.Response {
 	if !table.HasHost(r.Host) {
-		return wire.Problem(404, "no route has this host")
+		return httpwire.Problem(404, "no route has this host")
 	}
 	tenant := ""
 	if t := table.Holder(r.Header.Get("Saltreel-Key")); t != nil {
 		tenant = t.Name
 	} else if r.Header.Get("Saltreel-Key") != "" || len(table.TenantTable) > 0 {
-		return wire.Problem(401, "the key is unknown")
+		return httpwire.Problem(401, "the key is unknown")
 	}
 	n, id, ok := client.ParseName(name)
 	if !ok {
-		return wire.Problem(404, "no such message")
+		return httpwire.Problem(404, "no such message")
 	}
 	ctx, cancel := context.WithTimeout(ctx, e.set.Contact()*9/20)
 	defer cancel()
 	a, err := e.ask(ctx, "/"+kind, store.Ask{Partition: n, ID: id, Tenant: tenant, Host: r.Host})
 	if err != nil {
-		if wire.StatusOf(err) == 404 {
-			return wire.Problem(404, "no such message")
+		if httpwire.StatusOf(err) == 404 {
+			return httpwire.Problem(404, "no such message")
 		}
 		e.log.Printf("edge: %s of %s: %v", kind, name, err)
-		return later(wire.Problem(503, "the store of the message does not answer"), e.set.Contact()/8)
+		return later(httpwire.Problem(503, "the store of the message does not answer"), e.set.Contact()/8)
 	}
 	if a.Status != 200 {
-		return wire.Problem(a.Status, strings.TrimSpace(string(a.Body)))
+		return httpwire.Problem(a.Status, strings.TrimSpace(string(a.Body)))
 	}
 	if kind == "body" {
-		return &wire.Response{Status: 200, Header: []string{"Content-Type", "application/octet-stream"}, Body: a.Body}
+		return &httpwire.Response{Status: 200, Header: []string{"Content-Type", "application/octet-stream"}, Body: a.Body}
 	}
 	var s store.Status
 	if err := json.Unmarshal(a.Body, &s); err != nil {
-		return wire.Problem(502, "the store's answer cannot be read")
+		return httpwire.Problem(502, "the store's answer cannot be read")
 	}
-	return wire.JSON(200, client.Status(s.State, s.Seal))
+	return httpwire.JSON(200, client.Status(s.State, s.Seal))
 }
 
 func encode(v any) []byte {
--- a/internal/edge/edge_bench_test.go
+++ b/internal/edge/edge_bench_test.go
@@ -5,9 +5,9 @@
 	"testing"
 
 	"saltreel/internal/configuration"
-	"saltreel/internal/core"
+	"saltreel/internal/membership"
 	"saltreel/internal/partition"
-	"saltreel/internal/relay"
+	"saltreel/internal/placement"
 	"saltreel/internal/settings"
 )
 
@@ -15,12 +15,12 @@
 func BenchmarkCandidates(b *testing.B) {
 	for _, n := range []int{6, 18, 60, 133} {
 		b.Run(fmt.Sprintf("stores=%d", n), func(b *testing.B) {
-			stores := map[string]core.StoreStatus{}
+			stores := map[string]placement.StoreStatus{}
 			for i := range n {
 				name := fmt.Sprintf("store-zone-%d-%d", i%9, i)
-				stores[name] = core.StoreStatus{Up: true, Node: relay.Node{Name: name, Role: "store", Zone: fmt.Sprintf("zone-%d", i%9), Region: fmt.Sprintf("region-%d", i%3)}}
+				stores[name] = placement.StoreStatus{Up: true, Node: membership.Node{Name: name, Role: "store", Zone: fmt.Sprintf("zone-%d", i%9), Region: fmt.Sprintf("region-%d", i%3)}}
 			}
-			p := core.Found(stores, core.Spread{Backups: 2})
+			p := placement.Found(stores, placement.Spread{Backups: 2})
 			e := &Edge{set: &settings.Settings{Zone: "zone-1", Region: "region-1", FaultTolerance: &settings.FaultTolerance{HostFailures: 2}}}
 			r := &partition.Record{ID: "attempt-000000000017", Tenant: "one"}
 			b.ReportAllocs()
--- a/internal/edge/forward.go
+++ b/internal/edge/forward.go
@@ -7,11 +7,11 @@
 	"time"
 
 	"saltreel/internal/configuration"
-	"saltreel/internal/core"
+	"saltreel/internal/httpwire"
 	"saltreel/internal/partition"
+	"saltreel/internal/placement"
 	"saltreel/internal/ring"
 	"saltreel/internal/store"
-	"saltreel/internal/wire"
 )
 
 // Errors of a forward.
@@ -26,7 +26,7 @@
 
 // candidates are the partitions that may take a message, the nearest first.
 // Where only one may, it is alone in the list.
-func (e *Edge) candidates(p *core.Placement, route *configuration.Route, service *configuration.Service, r *partition.Record) []int {
+func (e *Edge) candidates(p *placement.Placement, route *configuration.Route, service *configuration.Service, r *partition.Record) []int {
 	n := len(p.Partitions)
 	if n == 0 {
 		return nil
@@ -99,11 +99,11 @@
 			return at, nil
 		}
 		last = err
-		code := wire.StatusOf(err)
+		code := httpwire.StatusOf(err)
 		if code == 409 {
 			return 0, errTaken
 		}
-		if code == 421 || code == 503 || wire.NotSent(err) {
+		if code == 421 || code == 503 || httpwire.NotSent(err) {
 			avoid[primary] = true
 			if code == 503 {
 				declined[at] = true
@@ -111,8 +111,8 @@
 			if fixed < 0 && e.all(declined, route, service, r) {
 				return 0, fmt.Errorf("%w: %w", errNotTaken, last) // waiting would not help
 			}
-			if wire.NotSent(err) {
-				e.node.Suspect(primary, wire.Refused(err))
+			if httpwire.NotSent(err) {
+				e.node.Suspect(primary, httpwire.Refused(err))
 			}
 		} else {
 			fixed = at
@@ -160,7 +160,7 @@
 
 // attend watches over a call to the primary of a partition: it reports a store
 // that does not answer soon, and gives the call up once another store leads.
-func (e *Edge) attend(ctx context.Context, giveUp context.CancelFunc, at int, p *core.Placement) (stop func()) {
+func (e *Edge) attend(ctx context.Context, giveUp context.CancelFunc, at int, p *placement.Placement) (stop func()) {
 	done := make(chan struct{})
 	go func() {
 		soon := time.NewTimer(e.set.Contact() / 40)
@@ -204,7 +204,7 @@
 }
 
 // hanging tells whether fresh messages had better go elsewhere.
-func (e *Edge) hanging(at int, p *core.Placement) bool {
+func (e *Edge) hanging(at int, p *placement.Placement) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	h, ok := e.hangs[at]
@@ -212,14 +212,14 @@
 }
 
 // ask brings a question about a message to the primary that has it.
-func (e *Edge) ask(ctx context.Context, path string, q store.Ask) (*wire.Answer, error) {
+func (e *Edge) ask(ctx context.Context, path string, q store.Ask) (*httpwire.Answer, error) {
 	contact := e.set.Contact()
 	body := encode(q)
 	var last error
 	for {
 		p := e.node.Placement()
 		if p == nil || q.Partition < 0 || q.Partition >= len(p.Partitions) {
-			return nil, &wire.Status{Code: 404, Text: "no such message"}
+			return nil, &httpwire.Status{Code: 404, Text: "no such message"}
 		}
 		moved := e.node.Moved()
 		primary := p.Partitions[q.Partition].Primary
@@ -232,9 +232,9 @@
 			return a, nil
 		case err != nil:
 			last = err
-			e.node.Suspect(primary, wire.Refused(err))
+			e.node.Suspect(primary, httpwire.Refused(err))
 		default:
-			last = &wire.Status{Code: a.Status, Text: string(a.Body)}
+			last = &httpwire.Status{Code: a.Status, Text: string(a.Body)}
 		}
 		timer := time.NewTimer(contact / 80)
 		select {
--- a/internal/handler/deliver.go
+++ b/internal/handler/deliver.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"saltreel/internal/wire"
+	"saltreel/internal/httpwire"
 )
 
 // Outcome is what became of one attempt.
@@ -55,10 +55,10 @@
 }
 
 // Deliver makes the attempt.
-func Deliver(ctx context.Context, pool *wire.Pool, d Delivery) Result {
+func Deliver(ctx context.Context, pool *httpwire.Pool, d Delivery) Result {
 	ctx, cancel := context.WithTimeout(ctx, d.Timeout)
 	defer cancel()
-	call := &wire.Call{Method: d.Method, Target: d.Target, Host: d.Host, Body: d.Body, Repeats: "Saltreel-Attempt-Id", Header: []string{
+	call := &httpwire.Call{Method: d.Method, Target: d.Target, Host: d.Host, Body: d.Body, Repeats: "Saltreel-Attempt-Id", Header: []string{
 		"Saltreel-Attempt-Id", d.ID,
 		"Saltreel-Deadline-Ms", strconv.FormatInt(d.Timeout.Milliseconds(), 10),
 	}}
@@ -70,16 +70,16 @@
 	a, err := pool.Do(ctx, d.Address, call)
 	if err != nil {
 		err = fmt.Errorf("deliver %s: %w", d.ID, err)
-		if wire.NotSent(err) || errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded) {
+		if httpwire.NotSent(err) || errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded) {
 			return Result{Outcome: Silent, Err: err}
 		}
-		var e *wire.Error
+		var e *httpwire.Error
 		return Result{Outcome: Unclear, Err: err, Kept: errors.As(err, &e) && e.Kept}
 	}
 	return classify(a)
 }
 
-func classify(a *wire.Answer) Result {
+func classify(a *httpwire.Answer) Result {
 	r := Result{Status: a.Status, Seal: a.Header.Get("Saltreel-Server-Seal")}
 	declined := a.Header.Get("Saltreel-Not-Executed") != ""
 	switch {
--- a/internal/wire/calls_test.go
+++ b/internal/httpwire/calls_test.go
@@ -1,4 +1,4 @@
-package wire
+package httpwire
 
 import (
 	"bufio"
@@ -353,12 +353,12 @@
 		}
 	}
 	used := map[string]bool{}
-	for _, file := range []string{"core/core.go", "store/store.go", "edge/edge.go"} {
+	for _, file := range []string{"controlplane/core.go", "store/store.go", "edge/edge.go"} {
 		source, err := os.ReadFile("../" + file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, m := range regexp.MustCompile(`"(/[a-z/-]+)": +(?:wire\.Method|source|s\.)`).FindAllSubmatch(source, -1) {
+		for _, m := range regexp.MustCompile(`"(/[a-z/-]+)": +(?:httpwire\.Method|source|s\.)`).FindAllSubmatch(source, -1) {
 			used[string(m[1])] = true
 		}
 	}
--- a/internal/wire/server.go
+++ b/internal/httpwire/server.go
@@ -1,7 +1,7 @@
-// Package wire owns HTTP/1.1 on connections: a server that reads requests
+// Package httpwire owns HTTP/1.1 on connections: a server that reads requests
 // strictly and a pool of client connections, both on bufio and net/http's
 // readers of single messages.
-package wire
+package httpwire
 
 import (
 	"bufio"
--- a/internal/wire/wire_bench_test.go
+++ b/internal/httpwire/wire_bench_test.go
@@ -1,4 +1,4 @@
-package wire
+package httpwire
 
 import (
 	"context"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -11,28 +11,30 @@
 	"time"
 
 	"saltreel/internal/configuration"
-	"saltreel/internal/core"
+	"saltreel/internal/distribution"
+	"saltreel/internal/httpwire"
 	"saltreel/internal/journal"
-	"saltreel/internal/relay"
+	"saltreel/internal/membership"
+	"saltreel/internal/placement"
 	"saltreel/internal/ring"
 	"saltreel/internal/settings"
-	"saltreel/internal/wire"
+	"saltreel/internal/timeutil"
 )
 
 // Node is this process among the others.
 type Node struct {
 	Settings *settings.Settings
 	Log      *log.Logger
-	Network  wire.Network
-	Pool     *wire.Pool // to our own processes
-	news     *wire.Pool // to the parent, for news
+	Network  httpwire.Network
+	Pool     *httpwire.Pool // to our own processes
+	news     *httpwire.Pool // to the parent, for news
 	Journal  *journal.Journal
-	Self     relay.Node
+	Self     membership.Node
 	Healthy  func() bool // whether to beat: a store whose disk fails is missed like a dead one
 
-	follower *relay.Follower
+	follower *distribution.Follower
 	table    atomic.Pointer[configuration.Table]
-	place    atomic.Pointer[core.Placement]
+	place    atomic.Pointer[placement.Placement]
 
 	mu       sync.Mutex
 	steward  string // the core that took the last report
@@ -51,26 +53,26 @@
 const watchers = 2
 
 // New makes a node that has heard nothing yet.
-func New(set *settings.Settings, role string, network wire.Network, logger *log.Logger) *Node {
+func New(set *settings.Settings, role string, network httpwire.Network, logger *log.Logger) *Node {
 	life := rand.Text()
 	n := &Node{
 		Settings: set, Log: logger, Network: network,
-		Pool:    &wire.Pool{Network: network},
-		Journal: journal.New(set.NodeName+"/"+life, 16*set.Contact(), relay.PrefixNode),
-		Self:    relay.Node{Name: set.NodeName, Role: role, Address: set.Internal(), Zone: set.Zone, Region: set.Region, Life: life},
+		Pool:    &httpwire.Pool{Network: network},
+		Journal: journal.New(set.NodeName+"/"+life, 16*set.Contact(), distribution.PrefixNode),
+		Self:    membership.Node{Name: set.NodeName, Role: role, Address: set.Internal(), Zone: set.Zone, Region: set.Region, Life: life},
 		told:    map[string]time.Time{}, moved: make(chan struct{}), beatNow: make(chan struct{}, 1),
 	}
 	n.life, n.end = context.WithCancel(context.Background())
 	// A parent whose machine says nothing must not keep this node from the next one.
-	n.news = &wire.Pool{Network: network, Opening: set.Contact() / 16}
-	n.follower = &relay.Follower{Self: n.Self, Journal: n.Journal, Pool: n.news, Cores: set.Cores(), Contact: set.Contact(), Log: logger}
+	n.news = &httpwire.Pool{Network: network, Opening: set.Contact() / 16}
+	n.follower = &distribution.Follower{Self: n.Self, Journal: n.Journal, Pool: n.news, Cores: set.Cores(), Contact: set.Contact(), Log: logger}
 	n.Journal.Fold(n.hear)
 	return n
 }
 
 func (n *Node) hear(e journal.Event) {
 	switch e.Key {
-	case relay.KeyConfiguration:
+	case distribution.KeyConfiguration:
 		c, err := configuration.Parse(journal.Decode[[]byte](e))
 		if err != nil {
 			n.Log.Printf("news: revision %d: %v", e.Version.Major, err)
@@ -78,8 +80,8 @@
 		}
 		n.table.Store(configuration.NewTable(c))
 		n.Log.Printf("news: revision %d", c.Revision)
-	case relay.KeyPlacement:
-		p := journal.Decode[core.Placement](e)
+	case distribution.KeyPlacement:
+		p := journal.Decode[placement.Placement](e)
 		n.place.Store(&p)
 		n.mu.Lock()
 		close(n.moved)
@@ -92,7 +94,7 @@
 func (n *Node) Table() *configuration.Table { return n.table.Load() }
 
 // Placement is the newest placement heard; nil before the first.
-func (n *Node) Placement() *core.Placement { return n.place.Load() }
+func (n *Node) Placement() *placement.Placement { return n.place.Load() }
 
 // Await waits until a configuration and a placement are known; it tells whether
 // they are.
@@ -123,8 +125,8 @@
 }
 
 // Source answers the nodes that follow this one.
-func (n *Node) Source() *relay.Source {
-	return &relay.Source{Journal: n.Journal, Wait: n.Settings.Contact() / 2, Linger: n.Settings.Contact() / 32, Fresh: n.follower.Fresh}
+func (n *Node) Source() *distribution.Source {
+	return &distribution.Source{Journal: n.Journal, Wait: n.Settings.Contact() / 2, Linger: n.Settings.Contact() / 32, Fresh: n.follower.Fresh}
 }
 
 // Run follows and beats until ctx ends.
@@ -197,8 +199,8 @@
 				err := n.Pool.Post(bctx, w, "/beat", self, nil, nil)
 				if err == nil {
 					heard.Store(true)
-				} else if n.Self.Role == "store" && !heard.Load() && wire.Refused(err) {
-					relay.Pause(ctx, n.Settings.Contact()/80) // it starts just now, as this node does
+				} else if n.Self.Role == "store" && !heard.Load() && httpwire.Refused(err) {
+					timeutil.Sleep(ctx, n.Settings.Contact()/80) // it starts just now, as this node does
 					n.beatSoon()
 				}
 			})
@@ -232,8 +234,8 @@
 	tell := func(c string) bool {
 		ctx, cancel := context.WithTimeout(n.life, n.Settings.Contact()/8)
 		defer cancel()
-		var out core.Suspected
-		err := n.Pool.Post(ctx, c, "/suspect", core.Suspicion{Node: name, Refused: refused}, nil, &out)
+		var out placement.Suspected
+		err := n.Pool.Post(ctx, c, "/suspect", placement.Suspicion{Node: name, Refused: refused}, nil, &out)
 		return err == nil && out.Steward
 	}
 	all := func() {
@@ -271,7 +273,7 @@
 }
 
 // Report tells the steward which copies are in step.
-func (n *Node) Report(ctx context.Context, in core.InStep) error {
+func (n *Node) Report(ctx context.Context, in placement.InStep) error {
 	n.mu.Lock()
 	first := n.steward
 	n.mu.Unlock()
--- a/internal/operator/caller.go
+++ b/internal/operator/caller.go
@@ -9,18 +9,18 @@
 	"strconv"
 	"time"
 
-	"saltreel/internal/wire"
+	"saltreel/internal/httpwire"
 )
 
 // Caller sends orders to whichever core answers.
 type Caller struct {
-	Pool     *wire.Pool
+	Pool     *httpwire.Pool
 	Controls []string // control-plane addresses
 	Timeout  time.Duration
 }
 
 // errClear marks an answer that ends a call.
-type errClear struct{ *wire.Status }
+type errClear struct{ *httpwire.Status }
 
 func (e errClear) Unwrap() error { return e.Status }
 
@@ -36,7 +36,7 @@
 // another core after a failure, a 5xx, a 408 or a 429, until an answer is
 // clear. If none was, the error is an Unclear where the order may have got
 // through at any of the tries.
-func (c *Caller) Do(ctx context.Context, call wire.Call) ([]byte, error) {
+func (c *Caller) Do(ctx context.Context, call httpwire.Call) ([]byte, error) {
 	if len(c.Controls) == 0 {
 		return nil, errors.New("no control address is given")
 	}
@@ -72,16 +72,16 @@
 
 // untaken tells whether it is certain that a try did nothing.
 func untaken(err error) bool {
-	switch wire.StatusOf(err) {
+	switch httpwire.StatusOf(err) {
 	case 0:
-		return wire.NotSent(err)
+		return httpwire.NotSent(err)
 	case 408, 429, 503:
 		return true
 	}
 	return false
 }
 
-func (c *Caller) once(ctx context.Context, addr string, call wire.Call) ([]byte, error) {
+func (c *Caller) once(ctx context.Context, addr string, call httpwire.Call) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	for range 3 {
@@ -93,7 +93,7 @@
 		if a.Status == 307 {
 			u, err := url.Parse(a.Header.Get("Location"))
 			if err != nil || u.Host == "" {
-				return nil, &wire.Error{Step: "redirect", Peer: addr, Err: fmt.Errorf("location %q", a.Header.Get("Location"))}
+				return nil, &httpwire.Error{Step: "redirect", Peer: addr, Err: fmt.Errorf("location %q", a.Header.Get("Location"))}
 			}
 			addr, call.Target = u.Host, u.RequestURI()
 			continue
@@ -101,22 +101,22 @@
 		if a.Status/100 == 2 {
 			return a.Body, nil
 		}
-		st := &wire.Status{Code: a.Status, Text: string(a.Body)}
+		st := &httpwire.Status{Code: a.Status, Text: string(a.Body)}
 		if a.Status/100 == 4 && a.Status != 408 && a.Status != 429 {
-			return nil, &wire.Error{Step: call.Method + " " + call.Target, Peer: addr, Sent: true, Err: errClear{st}}
+			return nil, &httpwire.Error{Step: call.Method + " " + call.Target, Peer: addr, Sent: true, Err: errClear{st}}
 		}
-		return nil, &wire.Error{Step: call.Method + " " + call.Target, Peer: addr, Sent: true, Err: st}
+		return nil, &httpwire.Error{Step: call.Method + " " + call.Target, Peer: addr, Sent: true, Err: st}
 	}
-	return nil, &wire.Error{Step: "redirect", Peer: addr, Err: errors.New("too many redirects")}
+	return nil, &httpwire.Error{Step: "redirect", Peer: addr, Err: errors.New("too many redirects")}
 }
 
 // PutConfiguration sends a configuration that builds on a revision. The error
 // says what the operator is to do.
 func (c *Caller) PutConfiguration(ctx context.Context, raw []byte, match int64) error {
-	_, err := c.Do(ctx, wire.Call{Method: "PUT", Target: "/v1/configuration", Body: raw,
+	_, err := c.Do(ctx, httpwire.Call{Method: "PUT", Target: "/v1/configuration", Body: raw,
 		Header: []string{"If-Match", strconv.FormatInt(match, 10), "Content-Type", "application/json"}})
 	var unclear *Unclear
-	switch code := wire.StatusOf(err); {
+	switch code := httpwire.StatusOf(err); {
 	case err == nil:
 		return nil
 	case errors.As(err, &unclear):
@@ -131,12 +131,12 @@
 
 // Get reads what a path tells.
 func (c *Caller) Get(ctx context.Context, path string) ([]byte, error) {
-	return c.Do(ctx, wire.Call{Method: "GET", Target: path})
+	return c.Do(ctx, httpwire.Call{Method: "GET", Target: path})
 }
 
 // Retire orders a store to be emptied.
 func (c *Caller) Retire(ctx context.Context, node string, deadline time.Duration) error {
-	_, err := c.Do(ctx, wire.Call{Method: "POST", Target: "/v1/retire/" + url.PathEscape(node),
+	_, err := c.Do(ctx, httpwire.Call{Method: "POST", Target: "/v1/retire/" + url.PathEscape(node),
 		Body: fmt.Appendf(nil, `{"deadline-s":%g}`, deadline.Seconds()), Header: []string{"Content-Type", "application/json"}})
 	if errors.As(err, new(*Unclear)) {
 		return fmt.Errorf("it is unclear whether %s is being emptied; send the order again: %w", node, err)
--- a/internal/operator/caller_test.go
+++ b/internal/operator/caller_test.go
@@ -14,7 +14,7 @@
 	"testing/synctest"
 	"time"
 
-	"saltreel/internal/wire"
+	"saltreel/internal/httpwire"
 )
 
 // standIn answers each try, in order, at whichever address: a status, 0 for an
@@ -69,7 +69,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			s := &standIn{answers: tc.answers, location: "http://10.0.0.9:82/v1/configuration"}
-			c := &Caller{Pool: &wire.Pool{Network: wire.Network{Dial: s.dial}}, Controls: []string{"a:82", "b:82"}, Timeout: time.Second}
+			c := &Caller{Pool: &httpwire.Pool{Network: httpwire.Network{Dial: s.dial}}, Controls: []string{"a:82", "b:82"}, Timeout: time.Second}
 			err := c.PutConfiguration(context.Background(), []byte("seven"), 6)
 			if len(s.tries) != tc.tries {
 				t.Errorf("%v: tried %v", tc.answers, s.tries)
--- a/internal/operator/desk.go
+++ b/internal/operator/desk.go
@@ -10,19 +10,20 @@
 	"strconv"
 	"strings"
 
-	"saltreel/internal/core"
-	"saltreel/internal/wire"
+	"saltreel/internal/controlplane"
+	"saltreel/internal/httpwire"
+	"saltreel/internal/placement"
 )
 
 // MaxConfiguration bounds the body of a configuration.
 const MaxConfiguration = 4 << 20
 
 // Desk answers the operator at a core.
-type Desk struct{ Core *core.Core }
+type Desk struct{ Core *controlplane.Core }
 
 // Handle answers one call. A core that is out of touch sends the caller to the
 // one that answers, if it knows one: the caller may reach what this core cannot.
-func (d *Desk) Handle(ctx context.Context, r *wire.Request) *wire.Response {
+func (d *Desk) Handle(ctx context.Context, r *httpwire.Request) *httpwire.Response {
 	write := r.Method != http.MethodGet
 	if !d.Core.Steady() {
 		if to := d.Core.Elsewhere(write); to != "" {
@@ -33,66 +34,66 @@
 	if err == nil {
 		return answer
 	}
-	var no *core.Refusal
-	var unreached *core.Unreached
+	var no *controlplane.Refusal
+	var unreached *controlplane.Unreached
 	switch {
 	case errors.As(err, &no):
-		return wire.Problem(no.Code, no.Text)
+		return httpwire.Problem(no.Code, no.Text)
 	case errors.As(err, &unreached):
 		if to := d.Core.Elsewhere(write); to != "" {
 			return redirect(to, r)
 		}
-		return wire.Problem(503, err.Error())
+		return httpwire.Problem(503, err.Error())
 	case write: // it may yet take effect: 504 promises nothing
-		return wire.Problem(504, err.Error())
+		return httpwire.Problem(504, err.Error())
 	}
-	return wire.Problem(503, err.Error())
+	return httpwire.Problem(503, err.Error())
 }
 
-func redirect(to string, r *wire.Request) *wire.Response {
-	return &wire.Response{Status: 307, Header: []string{"Location", "http://" + to + r.URL.RequestURI()}}
+func redirect(to string, r *httpwire.Request) *httpwire.Response {
+	return &httpwire.Response{Status: 307, Header: []string{"Location", "http://" + to + r.URL.RequestURI()}}
 }
 
 // handle gives an answer, or the error that Core gave.
-func (d *Desk) handle(ctx context.Context, r *wire.Request) (*wire.Response, error) {
+func (d *Desk) handle(ctx context.Context, r *httpwire.Request) (*httpwire.Response, error) {
 	switch {
 	case r.URL.Path == "/v1/configuration" && r.Method == http.MethodPut:
 		return d.put(ctx, r)
 	case r.URL.Path == "/v1/configuration" && r.Method == http.MethodGet:
 		return d.get(ctx)
 	case r.URL.Path == "/v1/configuration":
-		return wire.Problem(405, "the configuration takes GET and PUT"), nil
+		return httpwire.Problem(405, "the configuration takes GET and PUT"), nil
 	case strings.HasPrefix(r.URL.Path, "/v1/retire/"):
 		return d.retire(ctx, r, strings.TrimPrefix(r.URL.Path, "/v1/retire/"))
 	case r.URL.Path == "/v1/status" && r.Method == http.MethodGet:
 		s, err := d.Core.Status(ctx)
-		return wire.JSON(200, s), err
+		return httpwire.JSON(200, s), err
 	}
-	return wire.Problem(404, "no such call: "+r.URL.Path), nil
+	return httpwire.Problem(404, "no such call: "+r.URL.Path), nil
 }
 
-func (d *Desk) put(ctx context.Context, r *wire.Request) (*wire.Response, error) {
+func (d *Desk) put(ctx context.Context, r *httpwire.Request) (*httpwire.Response, error) {
 	match := int64(0)
 	if v := strings.Trim(r.Header.Get("If-Match"), `"`); v != "" {
 		n, err := strconv.ParseInt(v, 10, 64)
 		if err != nil {
-			return wire.Problem(400, "If-Match is not a revision"), nil
+			return httpwire.Problem(400, "If-Match is not a revision"), nil
 		}
 		match = n
 	}
 	if len(r.Body) == 0 {
-		return wire.Problem(400, "the configuration is empty"), nil
+		return httpwire.Problem(400, "the configuration is empty"), nil
 	}
-	err := d.Core.Propose(ctx, core.Proposal{Configuration: r.Body, Match: match})
-	return wire.JSON(200, struct{}{}), err
+	err := d.Core.Propose(ctx, controlplane.Proposal{Configuration: r.Body, Match: match})
+	return httpwire.JSON(200, struct{}{}), err
 }
 
-func (d *Desk) get(ctx context.Context) (*wire.Response, error) {
+func (d *Desk) get(ctx context.Context) (*httpwire.Response, error) {
 	raw, err := d.Core.Configuration(ctx)
 	if err == nil && raw == nil {
-		return wire.Problem(404, "there is no configuration yet"), nil
+		return httpwire.Problem(404, "there is no configuration yet"), nil
 	}
-	return &wire.Response{Status: 200, Header: []string{"Content-Type", "application/json"}, Body: raw}, err
+	return &httpwire.Response{Status: 200, Header: []string{"Content-Type", "application/json"}, Body: raw}, err
 }
 
 // Retiring is the state of a store that is being emptied.
@@ -100,20 +101,20 @@
 	State string `json:"oper-state"`
 }
 
-func (d *Desk) retire(ctx context.Context, r *wire.Request, name string) (*wire.Response, error) {
+func (d *Desk) retire(ctx context.Context, r *httpwire.Request, name string) (*httpwire.Response, error) {
 	switch r.Method {
 	case http.MethodPost:
 		var in struct {
 			Deadline float64 `json:"deadline-s"`
 		}
 		if len(r.Body) > 0 && (json.Unmarshal(r.Body, &in) != nil || in.Deadline < 0) {
-			return wire.Problem(400, "the order cannot be read"), nil
+			return httpwire.Problem(400, "the order cannot be read"), nil
 		}
-		err := d.Core.Propose(ctx, core.Proposal{Retire: name})
-		return wire.JSON(200, Retiring{core.RetireActive}), err
+		err := d.Core.Propose(ctx, controlplane.Proposal{Retire: name})
+		return httpwire.JSON(200, Retiring{placement.RetireActive}), err
 	case http.MethodGet:
 		state, err := d.Core.RetireState(ctx, name)
-		return wire.JSON(200, Retiring{state}), err
+		return httpwire.JSON(200, Retiring{state}), err
 	}
-	return wire.Problem(405, "retire takes POST and GET"), nil
+	return httpwire.Problem(405, "retire takes POST and GET"), nil
 }
--- a/internal/operator/serve.go
+++ b/internal/operator/serve.go
@@ -7,34 +7,34 @@
 	"log"
 	"time"
 
-	"saltreel/internal/core"
+	"saltreel/internal/controlplane"
+	"saltreel/internal/httpwire"
 	"saltreel/internal/settings"
-	"saltreel/internal/wire"
 )
 
 // Serve runs a core with the listener for handlers and the operator, until ctx
 // ends. A core whose state on disk was found damaged is made anew: it joins as
 // one with an empty disk.
-func Serve(ctx context.Context, c *core.Core, set *settings.Settings, network wire.Network, logger *log.Logger) error {
+func Serve(ctx context.Context, c *controlplane.Core, set *settings.Settings, network httpwire.Network, logger *log.Logger) error {
 	for {
 		err := serve(ctx, c, set, network, logger)
-		if !errors.Is(err, core.ErrDamaged) || ctx.Err() != nil {
+		if !errors.Is(err, controlplane.ErrDamaged) || ctx.Err() != nil {
 			return err
 		}
-		if c, err = core.New(set, network, logger); err != nil {
+		if c, err = controlplane.New(set, network, logger); err != nil {
 			return err
 		}
 	}
 }
 
-func serve(ctx context.Context, c *core.Core, set *settings.Settings, network wire.Network, logger *log.Logger) error {
+func serve(ctx context.Context, c *controlplane.Core, set *settings.Settings, network httpwire.Network, logger *log.Logger) error {
 	l, err := network.Listen(set.Listeners.ControlPlane)
 	if err != nil {
 		return fmt.Errorf("listen for handlers and the operator: %w", err)
 	}
 	desk := &Desk{c}
-	s := &wire.Server{Log: logger, Handle: c.ServeControl(desk.Handle), Limits: func() wire.Limits {
-		return wire.Limits{HeaderBytes: 16 << 10, BodyBytes: MaxConfiguration, HeaderTimeout: set.Contact(), BodyTimeout: 2 * set.Contact(), IdleTimeout: 8 * set.Contact()}
+	s := &httpwire.Server{Log: logger, Handle: c.ServeControl(desk.Handle), Limits: func() httpwire.Limits {
+		return httpwire.Limits{HeaderBytes: 16 << 10, BodyBytes: MaxConfiguration, HeaderTimeout: set.Contact(), BodyTimeout: 2 * set.Contact(), IdleTimeout: 8 * set.Contact()}
 	}}
 	life, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
--- a/internal/partition/copy.go
+++ b/internal/partition/copy.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"saltreel/internal/core"
-	"saltreel/internal/wire"
+	"saltreel/internal/httpwire"
+	"saltreel/internal/placement"
 )
 
 // link sends what a backup lacks, one batch at a time, and renews the leases
@@ -136,7 +136,7 @@
 				s.Log.Printf("copy: %s: %v", l.peer, err)
 			}
 			failed = time.Now()
-			s.Suspect(l.peer, wire.Refused(err))
+			s.Suspect(l.peer, httpwire.Refused(err))
 			l.nudge()
 			continue
 		}
@@ -203,7 +203,7 @@
 	for _, a := range out.Parts {
 		answers[a.Number] = a
 	}
-	var report core.InStep
+	var report placement.InStep
 	for _, x := range sent {
 		p, to := x.p, x.to
 		a, ok := answers[p.number]
@@ -236,7 +236,7 @@
 		case x.whole && a.Digest == x.digest && a.Count == x.count:
 			to.verified = true
 			if !to.inStep && time.Since(to.reported) > s.Contact/8 {
-				report.Copies = append(report.Copies, core.Copy{Partition: p.number, Epoch: p.epoch, Store: to.store})
+				report.Copies = append(report.Copies, placement.Copy{Partition: p.number, Epoch: p.epoch, Store: to.store})
 				to.reported = time.Now()
 			}
 		case x.whole && time.Since(to.compared) > s.Contact/8:
@@ -271,7 +271,7 @@
 		}
 		if bodies > len(raw) {
 			s.mu.Unlock()
-			return nil, &wire.Status{Code: 400, Text: "the bodies are cut short"}
+			return nil, &httpwire.Status{Code: 400, Text: "the bodies are cut short"}
 		}
 		mine := raw[:bodies]
 		raw = raw[bodies:]
@@ -281,7 +281,7 @@
 		}
 		p := s.parts[x.Number]
 		if p.epoch < x.Epoch { // the news come later than the batch
-			s.turn(p, core.Partition{Epoch: x.Epoch, Primary: b.From, Backups: []core.Backup{{Store: s.Self}}})
+			s.turn(p, placement.Partition{Epoch: x.Epoch, Primary: b.From, Backups: []placement.Backup{{Store: s.Self}}})
 			s.writeFence()
 		}
 		if p.primary != b.From || !p.backs {
--- a/internal/partition/disk.go
+++ b/internal/partition/disk.go
@@ -13,7 +13,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"saltreel/internal/statefile"
+	"saltreel/internal/boltstore"
 )
 
 var (
@@ -51,10 +51,10 @@
 func openDisk(dir string, warn func(format string, args ...any)) (*disk, []*Record, Fence, error) {
 	path := filepath.Join(dir, "store.db")
 	d, records, fence, err := tryDisk(path)
-	if !errors.Is(err, statefile.ErrDamaged) {
+	if !errors.Is(err, boltstore.ErrDamaged) {
 		return d, records, fence, err
 	}
-	aside, moved := statefile.MoveAside(path)
+	aside, moved := boltstore.MoveAside(path)
 	if moved != nil {
 		return nil, nil, nil, errors.Join(err, moved)
 	}
@@ -66,7 +66,7 @@
 type Fence map[int]int64
 
 func tryDisk(path string) (d *disk, records []*Record, fence Fence, err error) {
-	db, err := statefile.OpenDatabase(path)
+	db, err := boltstore.OpenDatabase(path)
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -94,19 +94,19 @@
 		}
 		if raw := m.Get([]byte("fence")); raw != nil {
 			if err := json.Unmarshal(raw, &fence); err != nil {
-				return fmt.Errorf("%w: the fence: %w", statefile.ErrDamaged, err)
+				return fmt.Errorf("%w: the fence: %w", boltstore.ErrDamaged, err)
 			}
 		}
 		return b.ForEach(func(k, v []byte) error {
 			r, err := decode(k, v)
 			if err != nil {
-				return fmt.Errorf("%w: %w", statefile.ErrDamaged, err)
+				return fmt.Errorf("%w: %w", boltstore.ErrDamaged, err)
 			}
 			records = append(records, r)
 			return nil
 		})
 	}
-	err = statefile.Guard(path, func() error {
+	err = boltstore.Guard(path, func() error {
 		err := db.Update(read)
 		if err != nil { // not after a panic: it may hold the locks that closing takes
 			db.Close()
--- a/internal/partition/partition_bench_test.go
+++ b/internal/partition/partition_bench_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"saltreel/internal/core"
-	"saltreel/internal/wire"
+	"saltreel/internal/httpwire"
+	"saltreel/internal/placement"
 )
 
 func message(i int) *Record {
@@ -72,8 +72,8 @@
 	for _, n := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("messages=%d", n), func(b *testing.B) {
 			s := &Set{Self: "me", Contact: 4 * time.Second, Log: log.New(io.Discard, "", 0), Keep: time.Minute,
-				Suspect: func(string, bool) {}, Report: func(context.Context, core.InStep) error { return nil },
-				Pool: &wire.Pool{Network: wire.Network{Dial: func(context.Context, string) (net.Conn, error) { return nil, io.EOF }}}}
+				Suspect: func(string, bool) {}, Report: func(context.Context, placement.InStep) error { return nil },
+				Pool: &httpwire.Pool{Network: httpwire.Network{Dial: func(context.Context, string) (net.Conn, error) { return nil, io.EOF }}}}
 			if err := s.Open(b.TempDir()); err != nil {
 				b.Fatal(err)
 			}
@@ -81,8 +81,8 @@
 			done := make(chan struct{})
 			go func() { _ = s.Run(ctx); close(done) }()
 			defer func() { cancel(); <-done }()
-			s.Place(core.Placement{Version: 1, Stores: map[string]core.Store{"me": {Disk: s.Identity()}},
-				Partitions: []core.Partition{{Epoch: 5, Primary: "other", Backups: []core.Backup{{Store: "me", InStep: true}}}}})
+			s.Place(placement.Placement{Version: 1, Stores: map[string]placement.Store{"me": {Disk: s.Identity()}},
+				Partitions: []placement.Partition{{Epoch: 5, Primary: "other", Backups: []placement.Backup{{Store: "me", InStep: true}}}}})
 			b.ReportAllocs()
 			at := 0
 			for b.Loop() {
--- a/internal/partition/partition_test.go
+++ b/internal/partition/partition_test.go
@@ -15,9 +15,9 @@
 	"testing/synctest"
 	"time"
 
-	"saltreel/internal/core"
-	"saltreel/internal/statefile"
-	"saltreel/internal/wire"
+	"saltreel/internal/boltstore"
+	"saltreel/internal/httpwire"
+	"saltreel/internal/placement"
 )
 
 func TestTheLaterStateWinsWhereCopiesDiffer(t *testing.T) {
@@ -47,8 +47,8 @@
 func open(t *testing.T) *Set {
 	t.Helper()
 	s := &Set{Self: "me", Contact: 4 * time.Second, Log: log.New(io.Discard, "", 0), Keep: time.Minute,
-		Suspect: func(string, bool) {}, Report: func(context.Context, core.InStep) error { return nil },
-		Pool: &wire.Pool{Network: wire.Network{Dial: func(context.Context, string) (net.Conn, error) { return nil, io.EOF }}}}
+		Suspect: func(string, bool) {}, Report: func(context.Context, placement.InStep) error { return nil },
+		Pool: &httpwire.Pool{Network: httpwire.Network{Dial: func(context.Context, string) (net.Conn, error) { return nil, io.EOF }}}}
 	if err := s.Open(t.TempDir()); err != nil {
 		t.Fatal(err)
 	}
@@ -56,8 +56,8 @@
 	done := make(chan struct{})
 	go func() { _ = s.Run(ctx); close(done) }()
 	t.Cleanup(func() { cancel(); <-done })
-	s.Place(core.Placement{Version: 1, Stores: map[string]core.Store{"me": {Disk: s.Identity()}},
-		Partitions: []core.Partition{{Epoch: 5, Primary: "other", Backups: []core.Backup{{Store: "me", InStep: true}}}}})
+	s.Place(placement.Placement{Version: 1, Stores: map[string]placement.Store{"me": {Disk: s.Identity()}},
+		Partitions: []placement.Partition{{Epoch: 5, Primary: "other", Backups: []placement.Backup{{Store: "me", InStep: true}}}}})
 	return s
 }
 
@@ -73,7 +73,7 @@
 			t.Errorf("%+v: %+v %v", c, out, err)
 		}
 	}
-	if err := s.Accept(t.Context(), 0, &Record{ID: "y"}); wire.StatusOf(err) != 421 {
+	if err := s.Accept(t.Context(), 0, &Record{ID: "y"}); httpwire.StatusOf(err) != 421 {
 		t.Errorf("a backup takes messages: %v", err)
 	}
 	if s.Leads(0) {
@@ -129,18 +129,18 @@
 
 func TestAPrimaryRefusesWhatItMustNotTake(t *testing.T) {
 	s := open(t)
-	s.Place(core.Placement{Version: 2, Stores: map[string]core.Store{"me": {Disk: s.Identity()}},
-		Partitions: []core.Partition{{Epoch: 6, Primary: "me", Backups: []core.Backup{{Store: "other"}}}}})
+	s.Place(placement.Placement{Version: 2, Stores: map[string]placement.Store{"me": {Disk: s.Identity()}},
+		Partitions: []placement.Partition{{Epoch: 6, Primary: "me", Backups: []placement.Backup{{Store: "other"}}}}})
 	s.mu.Lock()
 	s.put(s.parts[0], &Record{ID: "z", Tenant: "a"})
 	s.mu.Unlock()
-	if err := s.Accept(t.Context(), 0, &Record{ID: "z", Tenant: "b"}); wire.StatusOf(err) != 409 {
+	if err := s.Accept(t.Context(), 0, &Record{ID: "z", Tenant: "b"}); httpwire.StatusOf(err) != 409 {
 		t.Errorf("another tenant's id: %v", err)
 	}
 	s.disk.mu.Lock()
 	s.disk.refused = os.ErrClosed
 	s.disk.mu.Unlock()
-	if err := s.Accept(t.Context(), 0, &Record{ID: "y"}); wire.StatusOf(err) != 421 {
+	if err := s.Accept(t.Context(), 0, &Record{ID: "y"}); httpwire.StatusOf(err) != 421 {
 		t.Errorf("a disk that takes no writes: %v", err)
 	}
 	s.disk.mu.Lock()
@@ -154,7 +154,7 @@
 	s.held = 2
 	s.measure()
 	s.mu.Unlock()
-	if err := s.Accept(t.Context(), 0, &Record{ID: "y"}); wire.StatusOf(err) != 503 {
+	if err := s.Accept(t.Context(), 0, &Record{ID: "y"}); httpwire.StatusOf(err) != 503 {
 		t.Errorf("a full store: %v", err)
 	}
 }
@@ -195,8 +195,8 @@
 
 func TestAHandoverWaitsForABackupThatMayBeInStepByNow(t *testing.T) {
 	s := open(t)
-	s.Place(core.Placement{Version: 2, Stores: map[string]core.Store{"me": {Disk: s.Identity()}},
-		Partitions: []core.Partition{{Epoch: 6, Primary: "me", Backups: []core.Backup{{Store: "other"}}}}})
+	s.Place(placement.Placement{Version: 2, Stores: map[string]placement.Store{"me": {Disk: s.Identity()}},
+		Partitions: []placement.Partition{{Epoch: 6, Primary: "me", Backups: []placement.Backup{{Store: "other"}}}}})
 	idle := func(int) bool { return true }
 	for _, c := range []struct {
 		paired, released bool
@@ -263,8 +263,8 @@
 func TestAHandoverAskedForTwiceLastsAsTheSecondSays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := open(t)
-		s.Place(core.Placement{Version: 2, Stores: map[string]core.Store{"me": {Disk: s.Identity()}},
-			Partitions: []core.Partition{{Epoch: 6, Primary: "me"}}})
+		s.Place(placement.Placement{Version: 2, Stores: map[string]placement.Store{"me": {Disk: s.Identity()}},
+			Partitions: []placement.Partition{{Epoch: 6, Primary: "me"}}})
 		frozen := func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -298,7 +298,7 @@
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	closed, err := statefile.OpenDatabase(filepath.Join(t.TempDir(), "other.db"))
+	closed, err := boltstore.OpenDatabase(filepath.Join(t.TempDir(), "other.db"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/partition/repair.go
+++ b/internal/partition/repair.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"slices"
 
-	"saltreel/internal/core"
-	"saltreel/internal/wire"
+	"saltreel/internal/httpwire"
+	"saltreel/internal/placement"
 )
 
 // Digest asks a copy what it holds.
@@ -31,7 +31,7 @@
 	}
 	// The news may come later: whoever asks under a newer epoch leads it.
 	if p := s.parts[in.Number]; in.From != "" && p.epoch < in.Epoch && p.primary == s.Self {
-		s.turn(p, core.Partition{Epoch: in.Epoch, Primary: in.From})
+		s.turn(p, placement.Partition{Epoch: in.Epoch, Primary: in.From})
 		s.writeFence()
 	}
 	out := &Digested{IDs: map[State][]string{}}
@@ -118,15 +118,15 @@
 }
 
 // HandleFetch gives the records asked for, as one share with bodies.
-func (s *Set) HandleFetch(_ context.Context, r *wire.Request) *wire.Response {
+func (s *Set) HandleFetch(_ context.Context, r *httpwire.Request) *httpwire.Response {
 	var in Fetch
 	if err := json.Unmarshal(r.Body, &in); err != nil {
-		return wire.Problem(400, err.Error())
+		return httpwire.Problem(400, err.Error())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if in.Number < 0 || in.Number >= len(s.parts) {
-		return wire.Problem(421, "no such partition here")
+		return httpwire.Problem(421, "no such partition here")
 	}
 	sh := Share{Number: in.Number, Now: s.Now()}
 	var raw []byte
@@ -138,9 +138,9 @@
 	}
 	front, err := json.Marshal(sh)
 	if err != nil {
-		return wire.Problem(500, err.Error())
+		return httpwire.Problem(500, err.Error())
 	}
-	return &wire.Response{Status: 200, Body: append(append(front, '\n'), raw...)}
+	return &httpwire.Response{Status: 200, Body: append(append(front, '\n'), raw...)}
 }
 
 // fetch takes records from a backup and makes them the primary's own.
@@ -160,12 +160,12 @@
 		return fmt.Errorf("fetch: %w", err)
 	}
 	if a.Status != 200 {
-		return &wire.Error{Step: "fetch", Peer: addr, Sent: true, Err: &wire.Status{Code: a.Status, Text: string(a.Body)}}
+		return &httpwire.Error{Step: "fetch", Peer: addr, Sent: true, Err: &httpwire.Status{Code: a.Status, Text: string(a.Body)}}
 	}
-	front, raw := wire.Split(a.Body)
+	front, raw := httpwire.Split(a.Body)
 	var sh Share
 	if err := json.Unmarshal(front, &sh); err != nil {
-		return &wire.Error{Step: "decode fetch", Peer: addr, Sent: true, Err: err}
+		return &httpwire.Error{Step: "decode fetch", Peer: addr, Sent: true, Err: err}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,7 +174,7 @@
 	}
 	for _, r := range sh.Records {
 		if r.Length > len(raw) {
-			return &wire.Error{Step: "decode fetch", Peer: addr, Sent: true, Err: fmt.Errorf("the bodies are cut short")}
+			return &httpwire.Error{Step: "decode fetch", Peer: addr, Sent: true, Err: fmt.Errorf("the bodies are cut short")}
 		}
 		r.Partition = n
 		r.shift(s.Now() - sh.Now)
--- a/internal/partition/set.go
+++ b/internal/partition/set.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"saltreel/internal/core"
-	"saltreel/internal/wire"
+	"saltreel/internal/httpwire"
+	"saltreel/internal/placement"
 )
 
 // Event tells the delivery what changed, in order.
@@ -25,11 +25,11 @@
 // Set is the partitions of one store.
 type Set struct {
 	Self    string // name of this node
-	Pool    *wire.Pool
+	Pool    *httpwire.Pool
 	Contact time.Duration
 	Keep    time.Duration // how long an ended state is kept
 	Log     *log.Logger
-	Report  func(ctx context.Context, in core.InStep) error
+	Report  func(ctx context.Context, in placement.InStep) error
 	Suspect func(store string, refused bool) // reports a store that does not answer
 	// Bounds of what is kept, in bytes; 0 means none. A store over them takes
 	// no new messages.
@@ -40,7 +40,7 @@
 	events chan struct{}
 
 	mu        sync.Mutex
-	placement core.Placement
+	placement placement.Placement
 	parts     []*part
 	loaded    map[int][]*Record // read from disk before the placement is known
 	fence     Fence
@@ -216,7 +216,7 @@
 }
 
 // Place takes a new placement over.
-func (s *Set) Place(next core.Placement) {
+func (s *Set) Place(next placement.Placement) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if next.Version <= s.placement.Version {
@@ -267,7 +267,7 @@
 
 // turn changes the roles of a partition; the fence is to be written before the
 // lock is given up. The lock is held.
-func (s *Set) turn(p *part, x core.Partition) {
+func (s *Set) turn(p *part, x placement.Partition) {
 	led, former := p.primary == s.Self, p.primary
 	p.epoch, p.primary, p.backs = x.Epoch, x.Primary, x.Backup(s.Self) >= 0
 	p.frozen, p.closed = false, false
@@ -418,7 +418,7 @@
 		return nil, last
 	}
 	if r == nil {
-		return nil, &wire.Status{Code: 404, Text: "no such message"}
+		return nil, &httpwire.Status{Code: 404, Text: "no such message"}
 	}
 	return r, nil
 }
--- a/internal/core/compact.go
+++ b/internal/placement/encoding.go
@@ -1,4 +1,4 @@
-package core
+package placement
 
 import (
 	"encoding/json"
@@ -24,7 +24,7 @@
 }
 
 // readable is a placement as the operator sees it.
-type readable Placement
+type Readable Placement
 
 // MarshalJSON writes the short form: for each partition its epoch, its home and
 // the stores beside it, its primary and the backups, those in step with a plus.
--- a/internal/core/placement.go
+++ b/internal/placement/placement.go
@@ -1,14 +1,16 @@
-package core
+// Package placement says which stores hold each partition: the types of a
+// placement, the planner that computes the next one, and the calls about copies
+// between the stores and the control plane.
+package placement
 
 import (
 	"cmp"
 	"iter"
 	"maps"
+	"saltreel/internal/membership"
 	"slices"
 	"sort"
 	"strings"
-
-	"saltreel/internal/relay"
 )
 
 // Placement says which stores hold each partition.
@@ -84,7 +86,7 @@
 
 // StoreStatus is what the steward knows of a store now.
 type StoreStatus struct {
-	relay.Node
+	membership.Node
 	Up bool
 }
 
@@ -391,7 +393,7 @@
 		if !known && s.Up && !s.Leaving {
 			next.Stores[name] = Store{Address: s.Address, Zone: s.Zone, Region: s.Region, Disk: s.Disk}
 			changed = true
-		} else if known && s.Disk != "" && old.Disk != s.Disk && !holds(next, name) {
+		} else if known && s.Disk != "" && old.Disk != s.Disk && !Holds(next, name) {
 			old.Disk, old.Address = s.Disk, s.Address
 			next.Stores[name] = old
 			changed = true
@@ -507,7 +509,7 @@
 		}
 	}
 	for name, s := range next.Stores {
-		if s.Retire == RetireActive && !holds(next, name) {
+		if s.Retire == RetireActive && !Holds(next, name) {
 			s.Retire = RetireComplete
 			next.Stores[name] = s
 			changed = true
@@ -520,7 +522,7 @@
 }
 
 // holds tells whether a store has any partition.
-func holds(p Placement, name string) bool {
+func Holds(p Placement, name string) bool {
 	for _, x := range p.Partitions {
 		if x.Has(name) {
 			return true
--- a/internal/core/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -1,24 +1,18 @@
-package core
+package placement
 
 import (
 	"encoding/json"
 	"fmt"
 	"reflect"
+	"saltreel/internal/membership"
 	"slices"
-	"strings"
 	"testing"
-	"testing/synctest"
-	"time"
-
-	"saltreel/internal/chain"
-	"saltreel/internal/journal"
-	"saltreel/internal/relay"
 )
 
 func stores(names ...string) map[string]StoreStatus {
 	out := map[string]StoreStatus{}
 	for _, n := range names {
-		out[n] = StoreStatus{Node: relay.Node{Name: n, Role: "store", Address: n + ":1", Zone: n, Disk: "disk-" + n}, Up: true}
+		out[n] = StoreStatus{Node: membership.Node{Name: n, Role: "store", Address: n + ":1", Zone: n, Disk: "disk-" + n}, Up: true}
 	}
 	return out
 }
@@ -146,7 +140,7 @@
 			}
 		}
 	})
-	if next.Stores["a"].Disk != "disk-new" || !holds(next, "a") {
+	if next.Stores["a"].Disk != "disk-new" || !Holds(next, "a") {
 		t.Errorf("the new disk is not taken in: %+v", next.Stores["a"])
 	}
 }
@@ -157,7 +151,7 @@
 	r.Retire = RetireActive
 	p.Stores["b"] = r
 	q := settle(t, p, stores("a", "b", "c"), one, nil)
-	if holds(q, "b") || q.Stores["b"].Retire != RetireComplete {
+	if Holds(q, "b") || q.Stores["b"].Retire != RetireComplete {
 		t.Errorf("retired: %+v", q)
 	}
 	s := stores("a", "b", "c")
@@ -171,7 +165,7 @@
 	}
 	x.Up, x.Leaving = true, true
 	s["c"] = x
-	if q := settle(t, Found(stores("a", "b", "c"), one), s, one, nil); holds(q, "c") {
+	if q := settle(t, Found(stores("a", "b", "c"), one), s, one, nil); Holds(q, "c") {
 		t.Errorf("leaving: %+v", q)
 	}
 	for _, n := range []int{1, 2, 4, 5} {
@@ -193,7 +187,7 @@
 		for z := range 6 {
 			for k := range 3 {
 				name := fmt.Sprintf("s%d%d", z, k)
-				s[name] = StoreStatus{Node: relay.Node{Name: name, Role: "store", Zone: fmt.Sprint("z", z), Region: fmt.Sprint("r", z/2), Disk: name}, Up: true}
+				s[name] = StoreStatus{Node: membership.Node{Name: name, Role: "store", Zone: fmt.Sprint("z", z), Region: fmt.Sprint("r", z/2), Disk: name}, Up: true}
 			}
 		}
 		return s
@@ -231,7 +225,7 @@
 				t.Errorf("%+v: partition %d at %+v", c.spread, i, x)
 			}
 		}
-		s["s99"] = StoreStatus{Node: relay.Node{Name: "s99", Zone: "z0", Region: "r0", Disk: "d"}, Up: true}
+		s["s99"] = StoreStatus{Node: membership.Node{Name: "s99", Zone: "z0", Region: "r0", Disk: "d"}, Up: true}
 		before := q
 		moved := 0
 		q = settle(t, q, s, c.spread, nil)
@@ -240,67 +234,12 @@
 				moved++
 			}
 		}
-		if !holds(q, "s99") || moved != partitionsPerStore-1 {
+		if !Holds(q, "s99") || moved != partitionsPerStore-1 {
 			t.Errorf("%+v: of an added store's share of %d, %d were moved", c.spread, partitionsPerStore-1, moved)
 		}
 	}
 }
 
-func TestExchangesCarryValuesOnceAndMendWhatWasMissed(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		core := func(name string) *Core {
-			return &Core{chain: &chain.Chain{}, registry: &registry{entries: map[string]*entry{}, journal: journal.New(name, time.Hour, "")}}
-		}
-		a, b := core("a"), core("b")
-		beat := func(seq int64, state string) Item {
-			return Item{Key: "instance/i", Version: journal.Version{Major: seq}, Value: journal.Encode(map[string]any{"oper-state": state, "call-seq": seq})}
-		}
-		sent := map[string]journal.Version{}
-		tell := func(arrives bool) (values int) {
-			time.Sleep(time.Second)
-			items, _ := a.registry.since(time.Time{}, func(key string) journal.Version {
-				if v, ok := sent[key]; ok {
-					return v
-				}
-				return journal.Version{Major: -1}
-			})
-			for _, it := range items {
-				sent[it.Key] = it.Version
-				if it.Value != nil {
-					values++
-				}
-			}
-			if arrives {
-				out, _ := b.handleExchange(t.Context(), &Exchange{Items: items}, nil)
-				for _, key := range out.Want {
-					delete(sent, key)
-				}
-			}
-			return values
-		}
-		a.registry.put(beat(1, "ready"))
-		if n := tell(true); n != 1 {
-			t.Errorf("the first exchange carries %d values", n)
-		}
-		a.registry.put(beat(2, "ready"))
-		if n := tell(true); n != 0 {
-			t.Errorf("an unchanged value is sent again")
-		}
-		a.registry.put(beat(3, "draining"))
-		tell(false) // lost, though the sender thinks otherwise
-		a.registry.put(beat(4, "draining"))
-		tell(true)
-		tell(true)
-		raw, _, _, _ := b.registry.get("instance/i")
-		if !strings.Contains(string(raw), "draining") {
-			t.Errorf("the change that was missed is not known: %s", raw)
-		}
-		if n := tell(true); n != 0 {
-			t.Errorf("a known value is sent again")
-		}
-	})
-}
-
 // What a round of the steward costs follows the number of partitions: ten times
 // the stores must not cost a hundred times as much.
 func TestAPlanCostsWhatItPlaces(t *testing.T) {
@@ -309,7 +248,7 @@
 		for z := range 6 {
 			for i := range each {
 				name := fmt.Sprintf("s%d-%d", z, i)
-				s[name] = StoreStatus{Node: relay.Node{Name: name, Role: "store", Zone: fmt.Sprint("z", z), Region: fmt.Sprint("r", z/2), Disk: "disk-" + name}, Up: true}
+				s[name] = StoreStatus{Node: membership.Node{Name: name, Role: "store", Zone: fmt.Sprint("z", z), Region: fmt.Sprint("r", z/2), Disk: "disk-" + name}, Up: true}
 			}
 		}
 		spread := Spread{Backups: 2}
@@ -331,7 +270,7 @@
 		s := map[string]StoreStatus{}
 		add := func(z, i int) {
 			name := fmt.Sprintf("s%d-%d", z, i)
-			s[name] = StoreStatus{Node: relay.Node{Name: name, Role: "store", Zone: fmt.Sprint("z", z), Region: fmt.Sprint("r", z/2), Disk: "disk-" + name}, Up: true}
+			s[name] = StoreStatus{Node: membership.Node{Name: name, Role: "store", Zone: fmt.Sprint("z", z), Region: fmt.Sprint("r", z/2), Disk: "disk-" + name}, Up: true}
 		}
 		for z := range 6 {
 			for i := range each {
@@ -365,7 +304,7 @@
 	stores := map[string]StoreStatus{}
 	for i := range 60 {
 		name := fmt.Sprintf("storage-hall-%d", i)
-		stores[name] = StoreStatus{Node: relay.Node{Name: name, Role: "store", Address: "10.0.0.9:7000", Zone: fmt.Sprint(i % 6), Region: "r", Disk: "d"}, Up: true}
+		stores[name] = StoreStatus{Node: membership.Node{Name: name, Role: "store", Address: "10.0.0.9:7000", Zone: fmt.Sprint(i % 6), Region: "r", Disk: "d"}, Up: true}
 	}
 	p := Found(stores, Spread{Backups: 2})
 	p.Term = 3
@@ -375,7 +314,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	long, err := json.Marshal(readable(p))
+	long, err := json.Marshal(Readable(p))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -17,8 +17,8 @@
 	"syscall"
 	"time"
 
+	"saltreel/internal/httpwire"
 	"saltreel/internal/settings"
-	"saltreel/internal/wire"
 )
 
 // Variable holds the path of the settings file.
@@ -100,16 +100,16 @@
 
 // ServeReadiness answers whether the node wants new connections.
 func ServeReadiness(ctx context.Context, l net.Listener, ready func() error) error {
-	s := &wire.Server{
-		Limits: func() wire.Limits { return wire.Limits{HeaderBytes: 8192, BodyBytes: 1} },
-		Handle: func(_ context.Context, r *wire.Request) *wire.Response {
+	s := &httpwire.Server{
+		Limits: func() httpwire.Limits { return httpwire.Limits{HeaderBytes: 8192, BodyBytes: 1} },
+		Handle: func(_ context.Context, r *httpwire.Request) *httpwire.Response {
 			if r.URL.Path != "/v1/readiness" || r.Method != http.MethodGet {
-				return wire.Problem(404, "only GET /v1/readiness is answered here")
+				return httpwire.Problem(404, "only GET /v1/readiness is answered here")
 			}
 			if err := ready(); err != nil {
-				return wire.Problem(503, err.Error())
+				return httpwire.Problem(503, err.Error())
 			}
-			return wire.JSON(200, map[string]bool{"ready": true})
+			return httpwire.JSON(200, map[string]bool{"ready": true})
 		},
 	}
 	if err := s.Serve(ctx, l); err != nil {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -10,23 +10,23 @@
 	"time"
 
 	"saltreel/internal/configuration"
-	"saltreel/internal/core"
 	"saltreel/internal/delivery"
+	"saltreel/internal/distribution"
+	"saltreel/internal/httpwire"
 	"saltreel/internal/journal"
 	"saltreel/internal/node"
 	"saltreel/internal/partition"
+	"saltreel/internal/placement"
 	"saltreel/internal/quota"
-	"saltreel/internal/relay"
 	"saltreel/internal/ring"
 	"saltreel/internal/settings"
-	"saltreel/internal/wire"
 )
 
 // Store is one storage machine's process.
 type Store struct {
 	set     *settings.Settings
 	log     *log.Logger
-	network wire.Network
+	network httpwire.Network
 	node    *node.Node
 	parts   *partition.Set
 	deliver *delivery.Scheduler
@@ -35,7 +35,7 @@
 }
 
 // New opens the disk and makes the process.
-func New(set *settings.Settings, network wire.Network, logger *log.Logger) (*Store, error) {
+func New(set *settings.Settings, network httpwire.Network, logger *log.Logger) (*Store, error) {
 	s := &Store{set: set, log: logger, network: network, node: node.New(set, "store", network, logger)}
 	s.parts = &partition.Set{
 		Self: set.NodeName, Pool: s.node.Pool, Contact: set.Contact(), Log: logger,
@@ -51,7 +51,7 @@
 	s.bytes = quota.NewManager(quota.DeliveryBytes)
 	s.deliver = &delivery.Scheduler{
 		Set: s.parts, Settings: set, Log: logger, Table: s.node.Table, Bytes: s.bytes,
-		Pool: &wire.Pool{Network: network, Opening: set.Contact() / 16},
+		Pool: &httpwire.Pool{Network: network, Opening: set.Contact() / 16},
 	}
 	s.deliver.Init()
 	s.meters = &meters{share: set.Timers.QuotaAllowance / 2, leads: s.parts.Leads, paused: s.parts.Paused, mark: s.parts.Mark, table: s.node.Table, tenants: map[string]*meter{}}
@@ -61,9 +61,9 @@
 
 func (s *Store) hear(e journal.Event) {
 	switch e.Key {
-	case relay.KeyPlacement:
+	case distribution.KeyPlacement:
 		s.parts.Place(*s.node.Placement()) // which the node has just decoded
-	case relay.KeyConfiguration:
+	case distribution.KeyConfiguration:
 		if t := s.node.Table(); t != nil {
 			s.bytes.Replace(ByteLimits(t))
 		}
@@ -92,19 +92,19 @@
 	life, end := context.WithCancel(context.Background())
 	defer end()
 	source := s.node.Source()
-	mux := wire.Mux{
+	mux := httpwire.Mux{
 		"/news":     source.Handle,
-		"/ping":     wire.Method(s.handlePing),
-		"/copy":     wire.Method(s.parts.HandleCopy),
-		"/digest":   wire.Method(s.parts.HandleDigest),
+		"/ping":     httpwire.Method(s.handlePing),
+		"/copy":     httpwire.Method(s.parts.HandleCopy),
+		"/digest":   httpwire.Method(s.parts.HandleDigest),
 		"/fetch":    s.parts.HandleFetch,
-		"/accept":   wire.Method(s.handleAccept),
-		"/status":   wire.Method(s.handleStatus),
+		"/accept":   httpwire.Method(s.handleAccept),
+		"/status":   httpwire.Method(s.handleStatus),
 		"/body":     s.handleBody,
-		"/grant":    wire.Method(s.meters.handle),
-		"/handover": wire.Method(s.handleHandover),
+		"/grant":    httpwire.Method(s.meters.handle),
+		"/handover": httpwire.Method(s.handleHandover),
 	}
-	server := &wire.Server{Handle: mux.Handle, Log: s.log}
+	server := &httpwire.Server{Handle: mux.Handle, Log: s.log}
 	var tasks sync.WaitGroup
 	deliveries, stopDeliveries := context.WithCancel(life)
 	tasks.Go(func() { _ = server.Serve(life, l) })
@@ -143,7 +143,7 @@
 // handlePing answers that the process runs and its disk works.
 func (s *Store) handlePing(context.Context, *struct{}, []byte) (*struct{}, error) {
 	if err := s.parts.Health(); err != nil {
-		return nil, &wire.Status{Code: 503, Text: err.Error()}
+		return nil, &httpwire.Status{Code: 503, Text: err.Error()}
 	}
 	return &struct{}{}, nil
 }
@@ -207,7 +207,7 @@
 		return nil, err
 	}
 	if r.Tenant != in.Tenant {
-		return nil, &wire.Status{Code: 404, Text: "no such message"}
+		return nil, &httpwire.Status{Code: 404, Text: "no such message"}
 	}
 	return r, nil
 }
@@ -220,9 +220,9 @@
 	return &Status{r.State, r.Seal}, nil
 }
 
-func (s *Store) handleBody(ctx context.Context, r *wire.Request) *wire.Response {
+func (s *Store) handleBody(ctx context.Context, r *httpwire.Request) *httpwire.Response {
 	var rec *partition.Record
-	res := wire.Method(func(ctx context.Context, in *Ask, _ []byte) (_ *struct{}, err error) {
+	res := httpwire.Method(func(ctx context.Context, in *Ask, _ []byte) (_ *struct{}, err error) {
 		rec, err = s.find(ctx, in)
 		return &struct{}{}, err
 	})(ctx, r)
@@ -230,15 +230,15 @@
 		return res
 	}
 	if rec.State == partition.Complete {
-		return wire.Problem(410, "the message is complete; its body is gone")
+		return httpwire.Problem(410, "the message is complete; its body is gone")
 	}
-	return &wire.Response{Status: 200, Body: rec.Body}
+	return &httpwire.Response{Status: 200, Body: rec.Body}
 }
 
-func (s *Store) handleHandover(ctx context.Context, in *core.Handover, _ []byte) (*core.Handover, error) {
+func (s *Store) handleHandover(ctx context.Context, in *placement.Handover, _ []byte) (*placement.Handover, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.set.Contact()*3/4)
 	defer cancel()
-	return &core.Handover{Partitions: s.parts.Freeze(ctx, in.Partitions, s.deliver.Idle)}, nil
+	return &placement.Handover{Partitions: s.parts.Freeze(ctx, in.Partitions, s.deliver.Idle)}, nil
 }
 
 // MeterPartition is the partition whose primary meters a tenant.
