--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -13,9 +13,9 @@
 
 	"go.etcd.io/bbolt"
 
-	"saltreel/internal/ballot"
 	"saltreel/internal/boltstore"
 	"saltreel/internal/httpwire"
+	"saltreel/internal/paxos"
 )
 
 // Documents is the state: whole values by key.
@@ -50,12 +50,12 @@
 
 // Chain is this machine's part.
 type Chain struct {
-	Self    Member // the disk is read by Open
-	Losses  int    // how many machines may be lost at once
-	Pool    *httpwire.Pool
-	Contact time.Duration
-	Log     *log.Logger
-	Voter   *ballot.Voter
+	Self     Member // the disk is read by Open
+	Losses   int    // how many machines may be lost at once
+	Pool     *httpwire.Pool
+	Contact  time.Duration
+	Log      *log.Logger
+	Acceptor *paxos.Acceptor
 	// Prepare is called with what a write sets, before it is known to last.
 	Prepare func(Documents)
 	// Committed is called with each state that the tail is known to hold.
--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -12,9 +12,9 @@
 
 	"go.etcd.io/bbolt"
 
-	"saltreel/internal/ballot"
 	"saltreel/internal/boltstore"
 	"saltreel/internal/httpwire"
+	"saltreel/internal/paxos"
 )
 
 const contact = 4 * time.Second
@@ -23,7 +23,7 @@
 func open(t *testing.T, path, self string) *Chain {
 	t.Helper()
 	c := &Chain{
-		Self: Member{Address: self}, Losses: 1, Contact: contact, Log: log.New(io.Discard, "", 0), Voter: &ballot.Voter{},
+		Self: Member{Address: self}, Losses: 1, Contact: contact, Log: log.New(io.Discard, "", 0), Acceptor: &paxos.Acceptor{},
 		Prepare: func(Documents) {}, Committed: func(Documents) {}, Others: func() []Member { return nil }, Ready: func() bool { return true },
 	}
 	file := &boltstore.File{Path: path, Load: c.Load, Warn: t.Logf,
@@ -108,8 +108,8 @@
 	c := open(t, filepath.Join(t.TempDir(), "core.db"), "b")
 	next := c.View()
 	next.Number = 2
-	promise := ballot.Call{Decree: 2, Number: ballot.Number{Round: 5, Who: "x"}}
-	if r, err := c.Voter.Handle(promise); err != nil || !r.Granted {
+	promise := paxos.Request{Instance: 2, Number: paxos.ProposalNumber{Round: 5, Proposer: "x"}}
+	if r, err := c.Acceptor.Handle(promise); err != nil || !r.Granted {
 		t.Fatalf("promise: %v %v", r, err)
 	}
 	// The call has passed the look at the number of the view when that changes.
@@ -117,8 +117,8 @@
 		t.Fatal(err)
 	}
 	value, _ := json.Marshal(next)
-	late := ballot.Call{Decree: 2, Number: ballot.Number{Round: 1, Who: "y"}, Value: value}
-	if r, err := c.Voter.Handle(late); err == nil {
+	late := paxos.Request{Instance: 2, Number: paxos.ProposalNumber{Round: 1, Proposer: "y"}, Value: value}
+	if r, err := c.Acceptor.Handle(late); err == nil {
 		t.Errorf("a vote below the promise, on a decree that is settled: %+v", r)
 	}
 }
--- a/internal/chain/disk.go
+++ b/internal/chain/disk.go
@@ -13,9 +13,9 @@
 
 	"go.etcd.io/bbolt"
 
-	"saltreel/internal/ballot"
 	"saltreel/internal/boltstore"
 	"saltreel/internal/httpwire"
+	"saltreel/internal/paxos"
 )
 
 var (
@@ -28,7 +28,7 @@
 func (c *Chain) Open(file *boltstore.File) {
 	c.db, c.docs, c.write, c.answered = file, Documents{}, make(chan struct{}, 1), map[Member]time.Time{}
 	c.strangers, c.life, c.moved = map[Member]bool{}, rand.Int64(), make(chan struct{})
-	c.Voter.Disk = (*votes)(c)
+	c.Acceptor.Storage = (*acceptorStorage)(c)
 }
 
 // Found makes the state on an empty disk. There founders (if any) become the
@@ -139,34 +139,34 @@
 		s.Put([]byte("whole"), strconv.AppendInt(nil, c.whole, 10)))
 }
 
-// votes keeps ballots in the same file.
-type votes Chain
+// acceptorStorage keeps the states of the acceptor in the same file.
+type acceptorStorage Chain
 
-func (v *votes) LoadVote(decree int64) (vote ballot.Vote, err error) {
-	err = v.db.View(func(tx *bbolt.Tx) error {
-		if raw := tx.Bucket(bucketVotes).Get(strconv.AppendInt(nil, decree, 10)); raw != nil {
-			return json.Unmarshal(raw, &vote)
+func (a *acceptorStorage) LoadState(instance int64) (state paxos.AcceptorState, err error) {
+	err = a.db.View(func(tx *bbolt.Tx) error {
+		if raw := tx.Bucket(bucketVotes).Get(strconv.AppendInt(nil, instance, 10)); raw != nil {
+			return json.Unmarshal(raw, &state)
 		}
 		return nil
 	})
-	return vote, err
+	return state, err
 }
 
-func (v *votes) SaveVote(decree int64, vote ballot.Vote) error {
-	raw, err := json.Marshal(vote)
+func (a *acceptorStorage) SaveState(instance int64, state paxos.AcceptorState) error {
+	raw, err := json.Marshal(state)
 	if err != nil {
 		return err
 	}
-	return v.db.Update(func(tx *bbolt.Tx) error {
-		// A view that was adopted meanwhile took its votes away: one that came
+	return a.db.Update(func(tx *bbolt.Tx) error {
+		// A view that was adopted meanwhile took its states away: one that came
 		// after them would start anew, without the promise made before.
 		var settled View
 		if err := json.Unmarshal(tx.Bucket(bucketState).Get([]byte("view")), &settled); err != nil {
 			return err
 		}
-		if decree <= settled.Number {
+		if instance <= settled.Number {
 			return &httpwire.Status{Code: 409, Text: fmt.Sprintf("view %d is settled", settled.Number)}
 		}
-		return tx.Bucket(bucketVotes).Put(strconv.AppendInt(nil, decree, 10), raw)
+		return tx.Bucket(bucketVotes).Put(strconv.AppendInt(nil, instance, 10), raw)
 	})
 }
--- a/internal/chain/disk_test.go
+++ b/internal/chain/disk_test.go
@@ -19,15 +19,15 @@
 
 	"go.etcd.io/bbolt"
 
-	"saltreel/internal/ballot"
 	"saltreel/internal/boltstore"
 	"saltreel/internal/httpwire"
+	"saltreel/internal/paxos"
 )
 
 // alone is a chain of one member on a file.
 func alone(t *testing.T, path string) (*Chain, *boltstore.File) {
 	t.Helper()
-	c := &Chain{Self: Member{Address: "a"}, Contact: time.Second, Log: log.New(io.Discard, "", 0), Voter: &ballot.Voter{},
+	c := &Chain{Self: Member{Address: "a"}, Contact: time.Second, Log: log.New(io.Discard, "", 0), Acceptor: &paxos.Acceptor{},
 		Prepare: func(Documents) {}, Committed: func(Documents) {}, Others: func() []Member { return nil }, Ready: func() bool { return true }}
 	f := &boltstore.File{Path: path, Warn: t.Logf, Load: c.Load,
 		Prepare: func(tx *bbolt.Tx) error { return c.Found(tx, []string{"a"}) }}
@@ -69,7 +69,7 @@
 			if _, err := c.HandleStanding(ctx, &Query{Disk: c.Self.Disk}, nil); err == nil {
 				t.Errorf("%s: takes part while the disk refuses", step)
 			}
-			if _, err := c.HandleBallot(ctx, &Ballot{Disk: c.Self.Disk, Call: ballot.Call{Decree: 2, Number: ballot.Number{Round: 1}}}, nil); err == nil {
+			if _, err := c.HandleBallot(ctx, &Ballot{Disk: c.Self.Disk, Call: paxos.Request{Instance: 2, Number: paxos.ProposalNumber{Round: 1}}}, nil); err == nil {
 				t.Errorf("%s: votes while the disk refuses", step)
 			}
 			if _, err := c.Read(ctx); err == nil {
@@ -148,7 +148,7 @@
 // One pass on a member: a configuration of 20 kB and a placement of 13 kB put on
 // disk.
 func BenchmarkPass(b *testing.B) {
-	c := &Chain{Self: Member{Address: "a"}, Contact: time.Second, Log: log.New(io.Discard, "", 0), Voter: &ballot.Voter{}}
+	c := &Chain{Self: Member{Address: "a"}, Contact: time.Second, Log: log.New(io.Discard, "", 0), Acceptor: &paxos.Acceptor{}}
 	f := &boltstore.File{Path: filepath.Join(b.TempDir(), "core.db"), Warn: b.Logf, Load: c.Load,
 		Prepare: func(tx *bbolt.Tx) error { return c.Found(tx, []string{"a"}) }}
 	c.Open(f)
--- a/internal/chain/view.go
+++ b/internal/chain/view.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"saltreel/internal/ballot"
 	"saltreel/internal/httpwire"
+	"saltreel/internal/paxos"
 )
 
 // Member is one disk in one machine. A machine that lost its disk, or that came
@@ -103,7 +103,7 @@
 	if err := c.works(); err != nil {
 		return nil, err
 	}
-	return &Standing{view, c.Voter.Accepted(view.Number + 1), whole && view.at(c.Self) >= 0, c.Ready()}, nil
+	return &Standing{view, c.Acceptor.HasAccepted(view.Number + 1), whole && view.at(c.Self) >= 0, c.Ready()}, nil
 }
 
 // mine refuses what is meant for another disk at this address.
@@ -126,19 +126,19 @@
 
 // Ballot is a step of a ballot for one voter.
 type Ballot struct {
-	Disk string      `json:"disk"`
-	Call ballot.Call `json:"call"`
+	Disk string        `json:"disk"`
+	Call paxos.Request `json:"call"`
 }
 
 // HandleBallot votes on a view.
-func (c *Chain) HandleBallot(_ context.Context, b *Ballot, _ []byte) (*ballot.Reply, error) {
+func (c *Chain) HandleBallot(_ context.Context, b *Ballot, _ []byte) (*paxos.Response, error) {
 	if err := c.mine(b.Disk); err != nil {
 		return nil, err
 	}
-	if n := c.View().Number; b.Call.Decree <= n {
+	if n := c.View().Number; b.Call.Instance <= n {
 		return nil, &httpwire.Status{Code: 409, Text: fmt.Sprintf("view %d is settled", n)}
 	}
-	r, err := c.Voter.Handle(b.Call)
+	r, err := c.Acceptor.Handle(b.Call)
 	return &r, err
 }
 
@@ -235,7 +235,7 @@
 		view := c.View()
 		// A ballot that somebody began must come to an end: until then no
 		// majority can say that this view is the newest.
-		if c.misses(ctx, view) || c.Voter.Accepted(view.Number+1) ||
+		if c.misses(ctx, view) || c.Acceptor.HasAccepted(view.Number+1) ||
 			view.at(c.Self) == 0 && c.works() == nil && (len(view.Members) < len(view.Voters) || len(c.outside(view)) > 0) {
 			mended = time.Now()
 			c.mend(ctx, view)
@@ -319,7 +319,7 @@
 	works := c.active && time.Since(c.heard) <= c.Contact/4
 	c.mu.Unlock()
 	next, ok := c.successor(view, works, answers)
-	begun := c.Voter.Accepted(next.Number)
+	begun := c.Acceptor.HasAccepted(next.Number)
 	if !ok || slices.Equal(next.Members, view.Members) && slices.Equal(next.Voters, view.Voters) && !begun {
 		return
 	}
@@ -440,7 +440,7 @@
 		disks[v.Address] = v.Disk
 		voters = append(voters, v.Address)
 	}
-	chosen, err := ballot.Choose(bctx, next.Number, c.Self.Address+"/"+crand.Text(), 1, value, voters, func(ctx context.Context, voter string, b ballot.Call) (r ballot.Reply, err error) {
+	chosen, err := paxos.Propose(bctx, next.Number, c.Self.Address+"/"+crand.Text(), 1, value, voters, func(ctx context.Context, voter string, b paxos.Request) (r paxos.Response, err error) {
 		call := Ballot{disks[voter], b}
 		if voter == c.Self.Address {
 			mine, err := c.HandleBallot(ctx, &call, nil)
--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -18,14 +18,15 @@
 
 	"go.etcd.io/bbolt"
 
-	"saltreel/internal/ballot"
 	"saltreel/internal/boltstore"
 	"saltreel/internal/chain"
 	"saltreel/internal/configuration"
 	"saltreel/internal/distribution"
 	"saltreel/internal/httpwire"
 	"saltreel/internal/journal"
+	"saltreel/internal/lease"
 	"saltreel/internal/membership"
+	"saltreel/internal/paxos"
 	"saltreel/internal/placement"
 	"saltreel/internal/settings"
 	"saltreel/internal/timeutil"
@@ -48,8 +49,9 @@
 
 	pool     *httpwire.Pool
 	chain    *chain.Chain
-	voter    *ballot.Voter
-	duty     *ballot.Duty
+	acceptor *paxos.Acceptor
+	grantor  *lease.Grantor
+	lease    *lease.Lease
 	registry *registry
 	journal  *journal.Journal
 	state    *boltstore.File
@@ -96,14 +98,14 @@
 	c.journal = journal.New(set.NodeName+"/"+life, 16*c.contact, distribution.PrefixNode)
 	c.registry = &registry{entries: map[string]*entry{}, journal: c.journal, late: c.contact / 2}
 	c.pool = &httpwire.Pool{Network: network}
-	c.voter = &ballot.Voter{}
+	c.acceptor, c.grantor = &paxos.Acceptor{}, &lease.Grantor{}
 	c.chain = &chain.Chain{
 		Self: chain.Member{Address: c.self}, Losses: int(set.FaultTolerance.HostFailures), Pool: c.pool, Contact: c.contact, Log: logger,
-		Voter: c.voter, Prepare: c.prepare, Committed: c.committed, Others: c.others, Ready: c.isReady,
+		Acceptor: c.acceptor, Prepare: c.prepare, Committed: c.committed, Others: c.others, Ready: c.isReady,
 	}
 	c.state = &boltstore.File{Path: filepath.Join(set.DataPath, "core.db"), BatchDelay: batchDelay, Prepare: c.prepareState, Load: c.loadState, Warn: logger.Printf}
 	c.chain.Open(c.state)
-	c.duty = &ballot.Duty{Name: "steward", Self: c.self, Lease: c.contact / 4, Call: c.callDuty, Go: c.tasks.Go}
+	c.lease = &lease.Lease{Role: "steward", Self: c.self, Duration: c.contact / 4, Call: c.callLease, Go: c.tasks.Go}
 	return c, nil
 }
 
@@ -117,7 +119,7 @@
 				c.log.Printf("core: the state is open")
 			}
 			c.node.Disk = c.chain.Self.Disk
-			c.voter.Silent = time.Now().Add(c.contact / 32)
+			c.grantor.StayQuiet(c.contact / 32)
 			c.opened.Store(true)
 			return true
 		}
@@ -164,12 +166,12 @@
 	}, err
 }
 
-func (c *Core) callDuty(ctx context.Context, voter string, d ballot.DutyCall) (r ballot.DutyReply, err error) {
+func (c *Core) callLease(ctx context.Context, voter string, request lease.Request) (response lease.Response, err error) {
 	if voter == c.self {
-		return c.voter.HandleDuty(d), nil
+		return c.grantor.Handle(request), nil
 	}
-	err = c.pool.Post(ctx, voter, "/duty", d, nil, &r)
-	return r, err
+	err = c.pool.Post(ctx, voter, "/duty", request, nil, &response)
+	return response, err
 }
 
 // committed publishes what the tail is known to hold.
@@ -242,8 +244,8 @@
 		"/chain/standing": httpwire.Method(c.chain.HandleStanding),
 		"/chain/adopt":    httpwire.Method(c.chain.HandleAdopt),
 		"/ballot":         httpwire.Method(c.chain.HandleBallot),
-		"/duty": httpwire.Method(func(_ context.Context, in *ballot.DutyCall, _ []byte) (*ballot.DutyReply, error) {
-			r := c.voter.HandleDuty(*in)
+		"/duty": httpwire.Method(func(_ context.Context, in *lease.Request, _ []byte) (*lease.Response, error) {
+			r := c.grantor.Handle(*in)
 			return &r, nil
 		}),
 		"/view":     httpwire.Method(c.handleView),
--- a/internal/controlplane/steward.go
+++ b/internal/controlplane/steward.go
@@ -11,7 +11,7 @@
 )
 
 func (c *Core) handleSuspect(_ context.Context, in *placement.Suspicion, _ []byte) (*placement.Suspected, error) {
-	_, held := c.duty.Held()
+	_, held := c.lease.Held()
 	if held {
 		c.tasks.Go(func() { c.probe(c.life, in.Node) })
 	}
@@ -78,7 +78,7 @@
 // handleInStep notes the reports for the next placement, all at once: a write
 // down the chain for each would keep the cores busy.
 func (c *Core) handleInStep(_ context.Context, in *placement.InStep, _ []byte) (*struct{}, error) {
-	if _, held := c.duty.Held(); !held {
+	if _, held := c.lease.Held(); !held {
 		return nil, &httpwire.Status{Code: 421, Text: "this core is not the steward"}
 	}
 	c.mu.Lock()
@@ -139,15 +139,15 @@
 			continue
 		}
 		c.missed(ctx)
-		c.duty.Voters = c.chain.Voters()
+		c.lease.Voters = c.chain.Voters()
 		// Not all candidates ask at the same moment for a vacant duty: the head
 		// of the chain goes first.
 		// Who holds it renews it in any case: work that comes without a pause
 		// must not cost the duty.
-		if left, held := c.duty.Left(); held && left < c.duty.Lease*5/8 || !nudged && (!held && c.voter.Vacant(c.duty.Name) && (c.chain.Head() == c.self || rand.IntN(2*len(c.duty.Voters)+1) == 0)) {
-			c.duty.Round(ctx, c.Placement().Term)
+		if left, held := c.lease.Remaining(); held && left < c.lease.Duration*5/8 || !nudged && (!held && c.grantor.Expired(c.lease.Role) && (c.chain.Head() == c.self || rand.IntN(2*len(c.lease.Voters)+1) == 0)) {
+			c.lease.Acquire(ctx, c.Placement().Term)
 		}
-		term, held := c.duty.Held()
+		term, held := c.lease.Held()
 		if held != wasHeld {
 			wasHeld = held
 			if held {
