--- a/cmd/saltreel-control/main.go
+++ b/cmd/saltreel-control/main.go
@@ -21,6 +21,7 @@
 	"saltreel/internal/operator"
 	"saltreel/internal/placement"
 	"saltreel/internal/platform"
+	"saltreel/internal/rpc"
 	"saltreel/internal/settings"
 )
 
@@ -112,7 +113,7 @@
 // current is the revision in force, 0 before the first.
 func current(ctx context.Context, c *operator.Caller) (int64, error) {
 	raw, err := c.Get(ctx, "/v1/configuration")
-	if httpwire.StatusOf(err) == 404 {
+	if rpc.StatusCode(err) == 404 {
 		return 0, nil
 	}
 	if err != nil {
--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -16,6 +16,7 @@
 	"saltreel/internal/boltstore"
 	"saltreel/internal/httpwire"
 	"saltreel/internal/paxos"
+	"saltreel/internal/rpc"
 )
 
 // Documents is the state: whole values by key.
@@ -52,7 +53,7 @@
 type Chain struct {
 	Self     Member // the disk is read by Open
 	Losses   int    // how many machines may be lost at once
-	Pool     *httpwire.Pool
+	Pool     *rpc.Client
 	Contact  time.Duration
 	Log      *log.Logger
 	Acceptor *paxos.Acceptor
@@ -105,7 +106,7 @@
 		}
 		return nil
 	case <-ctx.Done():
-		return &httpwire.Status{Code: 503, Text: "the chain is busy: " + ctx.Err().Error()}
+		return &rpc.StatusError{Code: 503, Text: "the chain is busy: " + ctx.Err().Error()}
 	}
 }
 
@@ -222,7 +223,7 @@
 	view, docs, whole, active := c.view, c.docs, c.whole == c.view.Number, c.active
 	c.mu.Unlock()
 	if view.at(c.Self) != 0 || !whole {
-		return &httpwire.Status{Code: 421, Text: "this machine is not the head"}
+		return &rpc.StatusError{Code: 421, Text: "this machine is not the head"}
 	}
 	if !active { // nothing is built on a disk before the others have taken what it holds
 		if err := c.forward(ctx, c.pass(view)); err != nil {
@@ -235,7 +236,7 @@
 		// What was decided must outlast as many losses as are borne, and so must
 		// what it rests on: also where nothing is written.
 		if len(view.Members) <= c.Losses {
-			return &httpwire.Status{Code: 503, Text: fmt.Sprintf("%d cores are in the view, %d are needed", len(view.Members), c.Losses+1)}
+			return &rpc.StatusError{Code: 503, Text: fmt.Sprintf("%d cores are in the view, %d are needed", len(view.Members), c.Losses+1)}
 		}
 		set, refused = decide(docs)
 	}
@@ -325,9 +326,9 @@
 		c.mu.Unlock()
 		for {
 			var out Passed
-			if err := c.Pool.Post(ctx, next.Address, "/chain/pass", p, nil, &out); err != nil {
+			if err := c.Pool.Call(ctx, next.Address, "/chain/pass", p, nil, &out); err != nil {
 				c.mu.Lock()
-				c.gone = httpwire.Refused(err)
+				c.gone = httpwire.ConnectionRefused(err)
 				c.mu.Unlock()
 				return fmt.Errorf("pass down the chain: %w", err)
 			}
@@ -361,11 +362,11 @@
 	view, sequence, active := c.view, c.sequence, c.active
 	c.mu.Unlock()
 	if p.View.Number < view.Number {
-		return nil, &httpwire.Status{Code: 409, Text: fmt.Sprintf("view %d is sealed, %d is in force", p.View.Number, view.Number)}
+		return nil, &rpc.StatusError{Code: 409, Text: fmt.Sprintf("view %d is sealed, %d is in force", p.View.Number, view.Number)}
 	}
 	i := p.View.at(c.Self)
 	if i < 1 {
-		return nil, &httpwire.Status{Code: 409, Text: "no place behind the head in this view"}
+		return nil, &rpc.StatusError{Code: 409, Text: "no place behind the head in this view"}
 	}
 	if err := c.late(p); err != nil {
 		return nil, err
@@ -404,7 +405,7 @@
 		return nil // the first one of its view
 	}
 	if p.Stamp.Head == c.stamp.Head && p.Stamp.Number < c.stamp.Number {
-		return &httpwire.Status{Code: 409, Text: fmt.Sprintf("pass %d is late, %d was here", p.Stamp.Number, c.stamp.Number)}
+		return &rpc.StatusError{Code: 409, Text: fmt.Sprintf("pass %d is late, %d was here", p.Stamp.Number, c.stamp.Number)}
 	}
 	c.stamp = p.Stamp
 	return nil
@@ -417,13 +418,13 @@
 	view, active, docs := c.view, c.active, c.docs
 	c.mu.Unlock()
 	if _, more := view.next(c.Self); more || view.at(c.Self) < 0 {
-		return nil, &httpwire.Status{Code: 421, Text: "this machine is not the tail"}
+		return nil, &rpc.StatusError{Code: 421, Text: "this machine is not the tail"}
 	}
 	if err := c.works(); err != nil {
 		return nil, err
 	}
 	if !active {
-		return nil, &httpwire.Status{Code: 503, Text: "the view is not yet in force"}
+		return nil, &rpc.StatusError{Code: 503, Text: "the view is not yet in force"}
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Contact/8)
 	defer cancel()
@@ -442,7 +443,7 @@
 			}
 		}
 	}
-	return nil, &httpwire.Status{Code: 503, Text: "no majority confirms the view"}
+	return nil, &rpc.StatusError{Code: 503, Text: "no majority confirms the view"}
 }
 
 // Head is the address at which writes enter; "" if no view is known.
--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -13,8 +13,8 @@
 	"go.etcd.io/bbolt"
 
 	"saltreel/internal/boltstore"
-	"saltreel/internal/httpwire"
 	"saltreel/internal/paxos"
+	"saltreel/internal/rpc"
 )
 
 const contact = 4 * time.Second
@@ -58,7 +58,7 @@
 				c.db.Close()
 				c = open(t, path, "c")
 			}
-			if out, err := c.take(t, whole); httpwire.StatusOf(err) != 409 && (err != nil || !out.Ahead) {
+			if out, err := c.take(t, whole); rpc.StatusCode(err) != 409 && (err != nil || !out.Ahead) {
 				t.Errorf("restarted %v, head %d: the whole state that came late: %+v, %v", restarted, life, out, err)
 			}
 			if got := string(c.docs["k"]); got != "new" || c.sequence != 2 {
--- a/internal/chain/disk.go
+++ b/internal/chain/disk.go
@@ -14,8 +14,8 @@
 	"go.etcd.io/bbolt"
 
 	"saltreel/internal/boltstore"
-	"saltreel/internal/httpwire"
 	"saltreel/internal/paxos"
+	"saltreel/internal/rpc"
 )
 
 var (
@@ -90,7 +90,7 @@
 // works tells whether the disk takes writes, and memory says what it does.
 func (c *Chain) works() error {
 	if err := c.db.Err(); err != nil {
-		return &httpwire.Status{Code: 503, Text: "the disk refuses writes: " + err.Error()}
+		return &rpc.StatusError{Code: 503, Text: "the disk refuses writes: " + err.Error()}
 	}
 	return nil
 }
@@ -165,7 +165,7 @@
 			return err
 		}
 		if instance <= settled.Number {
-			return &httpwire.Status{Code: 409, Text: fmt.Sprintf("view %d is settled", settled.Number)}
+			return &rpc.StatusError{Code: 409, Text: fmt.Sprintf("view %d is settled", settled.Number)}
 		}
 		return tx.Bucket(bucketVotes).Put(strconv.AppendInt(nil, instance, 10), raw)
 	})
--- a/internal/chain/disk_test.go
+++ b/internal/chain/disk_test.go
@@ -17,6 +17,8 @@
 	"testing/synctest"
 	"time"
 
+	"saltreel/internal/rpc"
+
 	"go.etcd.io/bbolt"
 
 	"saltreel/internal/boltstore"
@@ -132,7 +134,7 @@
 func TestAHeadWritesNothingBeforeItsFirstPass(t *testing.T) {
 	c, f := alone(t, filepath.Join(t.TempDir(), "core.db"))
 	defer f.Close()
-	c.Pool = &httpwire.Pool{Network: httpwire.Network{Dial: func(context.Context, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }}}
+	c.Pool = rpc.NewClient(&httpwire.Pool{Network: httpwire.Network{Dial: func(context.Context, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }}})
 	c.view.Members = append(c.view.Members, Member{Address: "b", Disk: founder, Since: 1})
 	c.Losses = 1
 	for range 3 {
--- a/internal/chain/view.go
+++ b/internal/chain/view.go
@@ -11,6 +11,7 @@
 
 	"saltreel/internal/httpwire"
 	"saltreel/internal/paxos"
+	"saltreel/internal/rpc"
 )
 
 // Member is one disk in one machine. A machine that lost its disk, or that came
@@ -109,7 +110,7 @@
 // mine refuses what is meant for another disk at this address.
 func (c *Chain) mine(disk string) error {
 	if disk != c.Self.Disk {
-		return &httpwire.Status{Code: 409, Text: fmt.Sprintf("the disk here is %s, not %s", c.Self.Disk, disk)}
+		return &rpc.StatusError{Code: 409, Text: fmt.Sprintf("the disk here is %s, not %s", c.Self.Disk, disk)}
 	}
 	return nil
 }
@@ -121,7 +122,7 @@
 		return c.HandleStanding(ctx, &q, nil)
 	}
 	s := &Standing{}
-	return s, c.Pool.Post(ctx, who.Address, "/chain/standing", q, nil, s)
+	return s, c.Pool.Call(ctx, who.Address, "/chain/standing", q, nil, s)
 }
 
 // Ballot is a step of a ballot for one voter.
@@ -136,7 +137,7 @@
 		return nil, err
 	}
 	if n := c.View().Number; b.Call.Instance <= n {
-		return nil, &httpwire.Status{Code: 409, Text: fmt.Sprintf("view %d is settled", n)}
+		return nil, &rpc.StatusError{Code: 409, Text: fmt.Sprintf("view %d is settled", n)}
 	}
 	r, err := c.Acceptor.Handle(b.Call)
 	return &r, err
@@ -219,7 +220,7 @@
 			return
 		}
 		err := c.Propose(ctx, nil)
-		if err != nil && ctx.Err() == nil && httpwire.StatusOf(err) != 421 && time.Since(started) > c.Contact/4 {
+		if err != nil && ctx.Err() == nil && rpc.StatusCode(err) != 421 && time.Since(started) > c.Contact/4 {
 			c.Log.Printf("chain: sign of life: %v", err)
 		}
 	})
@@ -259,7 +260,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.Contact/16)
 	defer cancel()
 	_, err := c.standing(ctx, view.Members[at-1], view)
-	return httpwire.Refused(err)
+	return httpwire.ConnectionRefused(err)
 }
 
 // outside are the cores heard of that have no vote.
@@ -294,7 +295,7 @@
 	for range asked {
 		a := <-got
 		who := Member{Address: a.who.Address, Disk: a.who.Disk}
-		if httpwire.StatusOf(a.err) == 409 && !c.strangers[who] {
+		if rpc.StatusCode(a.err) == 409 && !c.strangers[who] {
 			c.strangers[who] = true
 			c.Log.Printf("chain: %s is not what it was: %v", who.Address, a.err)
 		}
@@ -449,7 +450,7 @@
 			}
 			return *mine, nil
 		}
-		err = c.Pool.Post(ctx, voter, "/ballot", call, nil, &r)
+		err = c.Pool.Call(ctx, voter, "/ballot", call, nil, &r)
 		return r, err
 	})
 	if c.View().Number >= next.Number {
@@ -474,7 +475,7 @@
 	var told sync.WaitGroup
 	for _, m := range v.Voters {
 		if !m.is(c.Self) {
-			told.Go(func() { _ = c.Pool.Post(tctx, m.Address, "/chain/adopt", v, nil, nil) })
+			told.Go(func() { _ = c.Pool.Call(tctx, m.Address, "/chain/adopt", v, nil, nil) })
 		}
 	}
 	told.Wait()
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -18,6 +18,8 @@
 	"testing/synctest"
 	"time"
 
+	"saltreel/internal/rpc"
+
 	"saltreel/internal/controlplane"
 	"saltreel/internal/edge"
 	"saltreel/internal/httpwire"
@@ -32,7 +34,7 @@
 	t       *testing.T
 	net     *network
 	outside *process // clients and the operator
-	pool    *httpwire.Pool
+	pool    *rpc.Client
 	nodes   map[string]*machine
 	dir     string
 	lives   int
@@ -67,7 +69,7 @@
 		w := &world{t: t, net: newNetwork(), nodes: map[string]*machine{}, dir: t.TempDir(), losses: losses,
 			seeds: []string{"10.1.0.1", "10.2.0.1", "10.3.0.1"}}
 		w.outside = &process{net: w.net, ip: "10.9.0.1"}
-		w.pool = &httpwire.Pool{Network: w.outside.network()}
+		w.pool = rpc.NewClient(&httpwire.Pool{Network: w.outside.network()})
 		for i, z := range zones {
 			for j, role := range []string{"core", "store", "edge"} {
 				name := role + "-" + z
@@ -239,7 +241,7 @@
 }
 
 func (w *world) operator() *operator.Caller {
-	return &operator.Caller{Pool: w.pool, Controls: w.controls(), Timeout: time.Second}
+	return &operator.Caller{Pool: w.pool.Pool, Controls: w.controls(), Timeout: time.Second}
 }
 
 func (w *world) status() (controlplane.Overview, error) {
--- a/internal/cluster/control_test.go
+++ b/internal/cluster/control_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"saltreel/internal/httpwire"
+	"saltreel/internal/rpc"
 )
 
 // put sends the next configuration to one core and tells its answer.
@@ -322,7 +323,7 @@
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			err := w.pool.Post(ctx, ip+":7100", "/exchange", map[string]any{"from": "10.9.0.1", "keep": electorate,
+			err := w.pool.Call(ctx, ip+":7100", "/exchange", map[string]any{"from": "10.9.0.1", "keep": electorate,
 				"items": []any{map[string]any{"key": "instance/" + id, "version": map[string]any{"major": int64(1) << 61}, "value": nil}}}, nil, &out)
 			return out.Disk, err
 		}
@@ -344,7 +345,7 @@
 				_, err := keep(ip, electorate, "x2")
 				return err == nil
 			})
-			if _, err := keep(ip, 0, "x3"); httpwire.StatusOf(err) != 409 {
+			if _, err := keep(ip, 0, "x3"); rpc.StatusCode(err) != 409 {
 				t.Errorf("%s keeps for the founders: %v", ip, err)
 			}
 		}
@@ -481,7 +482,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := &world{t: t, net: newNetwork(), nodes: map[string]*machine{}, dir: t.TempDir(), seeds: []string{"10.1.0.1"}}
 		w.outside = &process{net: w.net, ip: "10.9.0.1"}
-		w.pool = &httpwire.Pool{Network: w.outside.network()}
+		w.pool = rpc.NewClient(&httpwire.Pool{Network: w.outside.network()})
 		w.add("core-z1", "core", "z1", "10.1.0.1", true)
 		defer func() {
 			w.nodes["core-z1"].stop()
--- a/internal/cluster/failure_test.go
+++ b/internal/cluster/failure_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"saltreel/internal/httpwire"
+	"saltreel/internal/rpc"
 )
 
 // stream accepts messages from all zones until stop is closed; it returns what
@@ -243,7 +244,7 @@
 		w.configure(options{})
 		op := w.operator()
 		ctx := context.Background()
-		if err := op.Retire(ctx, "store-nowhere", time.Second); httpwire.StatusOf(err) != 404 {
+		if err := op.Retire(ctx, "store-nowhere", time.Second); rpc.StatusCode(err) != 404 {
 			t.Errorf("unknown store: %v", err)
 		}
 		w.during(plain, func() {
@@ -256,7 +257,7 @@
 			})
 			w.kill("store-z2")
 		})
-		if err := op.Retire(ctx, "store-z1", time.Second); httpwire.StatusOf(err) != 409 {
+		if err := op.Retire(ctx, "store-z1", time.Second); rpc.StatusCode(err) != 409 {
 			t.Errorf("too few would be left: %v", err)
 		}
 	})
--- a/internal/cluster/restart_test.go
+++ b/internal/cluster/restart_test.go
@@ -9,6 +9,8 @@
 	"testing/synctest"
 	"time"
 
+	"saltreel/internal/rpc"
+
 	"saltreel/internal/boltstore"
 	"saltreel/internal/httpwire"
 )
@@ -23,7 +25,7 @@
 		w := &world{t: t, net: newNetwork(), nodes: map[string]*machine{}, dir: t.TempDir(), losses: 1,
 			seeds: []string{"10.1.0.1", "10.2.0.1", "10.3.0.1"}}
 		w.outside = &process{net: w.net, ip: "10.9.0.1"}
-		w.pool = &httpwire.Pool{Network: w.outside.network()}
+		w.pool = rpc.NewClient(&httpwire.Pool{Network: w.outside.network()})
 		for i, z := range zones {
 			w.add("core-"+z, "core", z, w.seeds[i], true)
 		}
--- a/internal/cluster/scale_test.go
+++ b/internal/cluster/scale_test.go
@@ -16,6 +16,8 @@
 	"testing/synctest"
 	"time"
 
+	"saltreel/internal/rpc"
+
 	"saltreel/internal/httpwire"
 )
 
@@ -119,7 +121,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := &world{t: t, net: newNetwork(), nodes: map[string]*machine{}, dir: t.TempDir(), losses: 1, seeds: []string{"10.1.0.1", "10.2.0.1", "10.3.0.1"}}
 		w.outside = &process{net: w.net, ip: clients}
-		w.pool = &httpwire.Pool{Network: w.outside.network()}
+		w.pool = rpc.NewClient(&httpwire.Pool{Network: w.outside.network()})
 		defer func() {
 			if h := w.nodes["handlers"]; h != nil { // before the cores, which would refuse their beats
 				h.stop()
--- a/internal/cluster/search_checks_test.go
+++ b/internal/cluster/search_checks_test.go
@@ -91,7 +91,7 @@
 func (s *search) view(m *machine) (v chain.View, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
-	return v, s.eyes.Post(ctx, internal(m), "/view", struct{}{}, nil, &v)
+	return v, s.eyes.Call(ctx, internal(m), "/view", struct{}{}, nil, &v)
 }
 
 // watch asks all cores for their view and their news, past all cuts: as a node
@@ -125,7 +125,7 @@
 				pctx, cancel := context.WithTimeout(ctx, 400*time.Millisecond)
 				defer cancel()
 				var page journal.Page
-				if s.eyes.Post(pctx, internal(m), "/news", distribution.Poll{Source: k.page.Source, Number: k.page.Number}, nil, &page) != nil {
+				if s.eyes.Call(pctx, internal(m), "/news", distribution.Poll{Source: k.page.Source, Number: k.page.Number}, nil, &page) != nil {
 					return
 				}
 				if page.Source != k.page.Source {
--- a/internal/cluster/search_plant_test.go
+++ b/internal/cluster/search_plant_test.go
@@ -252,6 +252,6 @@
 	s.ops.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), contact)
 		defer cancel()
-		_ = s.eyes.Post(ctx, internal(m), path, in, nil, nil)
+		_ = s.eyes.Call(ctx, internal(m), path, in, nil, nil)
 	})
 }
--- a/internal/cluster/search_world_test.go
+++ b/internal/cluster/search_world_test.go
@@ -20,6 +20,8 @@
 	"testing/synctest"
 	"time"
 
+	"saltreel/internal/rpc"
+
 	"saltreel/internal/chain"
 	"saltreel/internal/controlplane"
 	"saltreel/internal/httpwire"
@@ -52,7 +54,7 @@
 	lost  *process   // operators, readers and handlers
 	eye   *process   // sees all, and no cut strikes it
 	pool  *httpwire.Pool
-	eyes  *httpwire.Pool
+	eyes  *rpc.Client
 	hist  history
 	ops   sync.WaitGroup
 	fired chan event
@@ -103,7 +105,7 @@
 		s.w.net.rng = rand.New(rand.NewPCG(uint64(plan.Cores), uint64(len(plan.Steps))))
 		s.w.net.request, s.w.net.opens = s.request, p.opens
 		s.lost, s.eye = &process{net: s.w.net, ip: outside}, &process{net: s.w.net, ip: "10.9.0.2", free: true}
-		s.pool, s.eyes = &httpwire.Pool{Network: s.lost.network()}, &httpwire.Pool{Network: s.eye.network()}
+		s.pool, s.eyes = &httpwire.Pool{Network: s.lost.network()}, rpc.NewClient(&httpwire.Pool{Network: s.eye.network()})
 		watching, stop := context.WithCancel(context.Background())
 		var watched sync.WaitGroup
 		watched.Go(func() { s.watch(watching) })
--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -28,6 +28,7 @@
 	"saltreel/internal/membership"
 	"saltreel/internal/paxos"
 	"saltreel/internal/placement"
+	"saltreel/internal/rpc"
 	"saltreel/internal/settings"
 	"saltreel/internal/timeutil"
 )
@@ -47,7 +48,7 @@
 	contact time.Duration
 	node    membership.Node
 
-	pool     *httpwire.Pool
+	pool     *rpc.Client
 	chain    *chain.Chain
 	acceptor *paxos.Acceptor
 	grantor  *lease.Grantor
@@ -97,7 +98,7 @@
 	c.node = membership.Node{Name: set.NodeName, Role: "core", Address: c.self, Zone: set.Zone, Region: set.Region, Life: life}
 	c.journal = journal.New(set.NodeName+"/"+life, 16*c.contact, distribution.PrefixNode)
 	c.registry = &registry{entries: map[string]*entry{}, journal: c.journal, late: c.contact / 2}
-	c.pool = &httpwire.Pool{Network: network}
+	c.pool = rpc.NewClient(&httpwire.Pool{Network: network})
 	c.acceptor, c.grantor = &paxos.Acceptor{}, &lease.Grantor{}
 	c.chain = &chain.Chain{
 		Self: chain.Member{Address: c.self}, Losses: int(set.FaultTolerance.HostFailures), Pool: c.pool, Contact: c.contact, Log: logger,
@@ -170,7 +171,7 @@
 	if voter == c.self {
 		return c.grantor.Handle(request), nil
 	}
-	err = c.pool.Post(ctx, voter, "/duty", request, nil, &response)
+	err = c.pool.Call(ctx, voter, "/duty", request, nil, &response)
 	return response, err
 }
 
@@ -238,24 +239,24 @@
 	}
 	source := &distribution.Source{Journal: c.journal, Wait: c.contact / 2, Linger: c.contact / 32, Fresh: c.inTouch,
 		Patience: c.contact / 16, Young: func() bool { return c.chain.SteadyFor() < c.contact/8 }}
-	mux := httpwire.Mux{
+	mux := rpc.Mux{
 		"/news":           source.Handle,
-		"/chain/pass":     httpwire.Method(c.chain.HandlePass),
-		"/chain/standing": httpwire.Method(c.chain.HandleStanding),
-		"/chain/adopt":    httpwire.Method(c.chain.HandleAdopt),
-		"/ballot":         httpwire.Method(c.chain.HandleBallot),
-		"/duty": httpwire.Method(func(_ context.Context, in *lease.Request, _ []byte) (*lease.Response, error) {
+		"/chain/pass":     rpc.Handler(c.chain.HandlePass),
+		"/chain/standing": rpc.Handler(c.chain.HandleStanding),
+		"/chain/adopt":    rpc.Handler(c.chain.HandleAdopt),
+		"/ballot":         rpc.Handler(c.chain.HandleBallot),
+		"/duty": rpc.Handler(func(_ context.Context, in *lease.Request, _ []byte) (*lease.Response, error) {
 			r := c.grantor.Handle(*in)
 			return &r, nil
 		}),
-		"/view":     httpwire.Method(c.handleView),
-		"/exchange": httpwire.Method(c.handleExchange),
-		"/beat":     httpwire.Method(c.handleNode),
-		"/suspect":  httpwire.Method(c.handleSuspect),
-		"/in-step":  httpwire.Method(c.handleInStep),
-		"/propose":  httpwire.Method(c.handlePropose),
-		"/read":     httpwire.Method(c.handleRead),
-		"/ping":     httpwire.Method(Ping),
+		"/view":     rpc.Handler(c.handleView),
+		"/exchange": rpc.Handler(c.handleExchange),
+		"/beat":     rpc.Handler(c.handleNode),
+		"/suspect":  rpc.Handler(c.handleSuspect),
+		"/in-step":  rpc.Handler(c.handleInStep),
+		"/propose":  rpc.Handler(c.handlePropose),
+		"/read":     rpc.Handler(c.handleRead),
+		"/ping":     rpc.Handler(rpc.Ping),
 	}
 	server := &httpwire.Server{Handle: mux.Handle, Log: c.log}
 	for _, f := range []func(context.Context){
@@ -272,15 +273,12 @@
 	}
 	stop, cancel := context.WithTimeout(context.Background(), c.contact/8)
 	defer cancel()
-	server.Drain(stop)
+	server.Shutdown(stop)
 	c.end()
 	c.tasks.Wait()
 	return err
 }
 
-// Ping answers that the process runs.
-func Ping(context.Context, *struct{}, []byte) (*struct{}, error) { return &struct{}{}, nil }
-
 func (c *Core) handleView(context.Context, *struct{}, []byte) (*chain.View, error) {
 	v := c.chain.View()
 	return &v, nil
@@ -328,7 +326,7 @@
 	for n := int64(1); ; n++ {
 		if time.Since(told) > 4*c.contact {
 			told = time.Now()
-			c.log.Printf("traffic: in %v: %s", 4*c.contact, c.pool.Tally())
+			c.log.Printf("traffic: in %v: %s", 4*c.contact, c.pool.Traffic())
 		}
 		self := c.node
 		self.Sequence = n
@@ -372,7 +370,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.contact/8)
 	defer cancel()
 	var out Exchanged
-	if err := c.pool.Post(ctx, peer, "/exchange", Exchange{From: c.self, Items: items}, nil, &out); err != nil {
+	if err := c.pool.Call(ctx, peer, "/exchange", Exchange{From: c.self, Items: items}, nil, &out); err != nil {
 		c.mu.Lock()
 		delete(c.sent, peer) // it may have started anew
 		delete(c.sentAt, peer)
@@ -413,7 +411,7 @@
 		c.tasks.Go(func() {
 			ctx, cancel := context.WithTimeout(c.life, c.contact/8)
 			defer cancel()
-			_ = c.pool.Post(ctx, peer, "/exchange", Exchange{From: c.self, Items: items}, nil, nil)
+			_ = c.pool.Call(ctx, peer, "/exchange", Exchange{From: c.self, Items: items}, nil, nil)
 		})
 	}
 }
--- a/internal/controlplane/electorate.go
+++ b/internal/controlplane/electorate.go
@@ -9,7 +9,7 @@
 	"go.etcd.io/bbolt"
 
 	"saltreel/internal/chain"
-	"saltreel/internal/httpwire"
+	"saltreel/internal/rpc"
 	"saltreel/internal/timeutil"
 )
 
@@ -96,7 +96,7 @@
 	for _, peer := range peers {
 		c.tasks.Go(func() {
 			var out Exchanged
-			if c.pool.Post(ctx, peer, "/exchange", Exchange{From: c.self, Ask: ask, View: &asked}, nil, &out) != nil {
+			if c.pool.Call(ctx, peer, "/exchange", Exchange{From: c.self, Ask: ask, View: &asked}, nil, &out) != nil {
 				got <- told{}
 				return
 			}
@@ -191,7 +191,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if view.Electorate != electorate || c.complete < electorate {
-			return &httpwire.Status{Code: 409, Text: fmt.Sprintf("electorate %d is in force, complete for %d, not %d", view.Electorate, c.complete, electorate)}
+			return &rpc.StatusError{Code: 409, Text: fmt.Sprintf("electorate %d is in force, complete for %d, not %d", view.Electorate, c.complete, electorate)}
 		}
 		return nil
 	}
@@ -216,7 +216,7 @@
 		}
 		timeutil.Sleep(ctx, c.contact/80) // the voters may be changing just now
 		if ctx.Err() != nil {
-			return &httpwire.Status{Code: 503, Text: fmt.Sprintf("too few cores keep the news: %v", err)}
+			return &rpc.StatusError{Code: 503, Text: fmt.Sprintf("too few cores keep the news: %v", err)}
 		}
 	}
 }
@@ -233,7 +233,7 @@
 				return
 			}
 			var out Exchanged
-			err := c.pool.Post(ctx, v.Address, "/exchange", Exchange{From: c.self, Items: []Item{it}, Keep: &view.Electorate}, nil, &out)
+			err := c.pool.Call(ctx, v.Address, "/exchange", Exchange{From: c.self, Items: []Item{it}, Keep: &view.Electorate}, nil, &out)
 			if err == nil && out.Disk != v.Disk {
 				err = fmt.Errorf("%s has another disk", v.Address)
 			}
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -77,12 +77,12 @@
 // ask calls another core for the operator, and remembers whether its machine
 // said that no core runs there.
 func (c *Core) ask(ctx context.Context, addr, path string, in, out any) error {
-	err := c.pool.Post(ctx, addr, path, in, nil, out)
+	err := c.pool.Call(ctx, addr, path, in, nil, out)
 	c.mu.Lock()
 	if c.refusing == nil {
 		c.refusing = map[string]time.Time{}
 	}
-	if httpwire.Refused(err) {
+	if httpwire.ConnectionRefused(err) {
 		c.refusing[addr] = time.Now()
 	} else {
 		delete(c.refusing, addr)
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -9,10 +9,10 @@
 	"saltreel/internal/configuration"
 	"saltreel/internal/distribution"
 	"saltreel/internal/handler"
-	"saltreel/internal/httpwire"
 	"saltreel/internal/journal"
 	"saltreel/internal/membership"
 	"saltreel/internal/placement"
+	"saltreel/internal/rpc"
 )
 
 // Overview is what the operator's status command shows.
@@ -29,7 +29,7 @@
 func (c *Core) Status(ctx context.Context) (Overview, error) {
 	o := Overview{View: c.chain.View()}
 	if !c.inTouch() {
-		return o, &httpwire.Status{Code: 503, Text: "this core is not in touch with the others"}
+		return o, &rpc.StatusError{Code: 503, Text: "this core is not in touch with the others"}
 	}
 	s, err := c.Read(ctx)
 	if err != nil {
--- a/internal/controlplane/steward.go
+++ b/internal/controlplane/steward.go
@@ -8,6 +8,7 @@
 
 	"saltreel/internal/httpwire"
 	"saltreel/internal/placement"
+	"saltreel/internal/rpc"
 )
 
 func (c *Core) handleSuspect(_ context.Context, in *placement.Suspicion, _ []byte) (*placement.Suspected, error) {
@@ -57,11 +58,11 @@
 	ping := func(limit time.Duration) error {
 		pctx, cancel := context.WithTimeout(ctx, limit)
 		defer cancel()
-		return c.pool.Post(pctx, n.Address, "/ping", struct{}{}, nil, nil)
+		return c.pool.Call(pctx, n.Address, "/ping", struct{}{}, nil, nil)
 	}
 	began := time.Now()
 	err := ping(c.contact / 24)
-	if err != nil && httpwire.StatusOf(err) == 0 && !httpwire.Refused(err) && c.crowded() {
+	if err != nil && rpc.StatusCode(err) == 0 && !httpwire.ConnectionRefused(err) && c.crowded() {
 		began = time.Now()
 		err = ping(c.contact / 4)
 	}
@@ -79,7 +80,7 @@
 // down the chain for each would keep the cores busy.
 func (c *Core) handleInStep(_ context.Context, in *placement.InStep, _ []byte) (*struct{}, error) {
 	if _, held := c.lease.Held(); !held {
-		return nil, &httpwire.Status{Code: 421, Text: "this core is not the steward"}
+		return nil, &rpc.StatusError{Code: 421, Text: "this core is not the steward"}
 	}
 	c.mu.Lock()
 	for _, x := range in.Copies {
@@ -231,7 +232,7 @@
 			c.tasks.Go(func() {
 				ctx, cancel := context.WithTimeout(c.life, c.contact/8)
 				defer cancel()
-				_ = c.pool.Post(ctx, peer, "/suspect", in, nil, nil)
+				_ = c.pool.Call(ctx, peer, "/suspect", in, nil, nil)
 			})
 		}
 	}
@@ -296,7 +297,7 @@
 			hctx, cancel := context.WithTimeout(ctx, c.contact)
 			defer cancel()
 			var out placement.Handover
-			err := c.pool.Post(hctx, addr, "/handover", placement.Handover{Partitions: list}, nil, &out)
+			err := c.pool.Call(hctx, addr, "/handover", placement.Handover{Partitions: list}, nil, &out)
 			c.mu.Lock()
 			delete(c.handing, store)
 			for i, epoch := range out.Partitions {
--- a/internal/distribution/relay.go
+++ b/internal/distribution/relay.go
@@ -14,6 +14,8 @@
 	"sync"
 	"time"
 
+	"saltreel/internal/rpc"
+
 	"saltreel/internal/httpwire"
 	"saltreel/internal/journal"
 	"saltreel/internal/membership"
@@ -129,7 +131,7 @@
 type Follower struct {
 	Self    membership.Node
 	Journal *journal.Journal
-	Pool    *httpwire.Pool
+	Pool    *rpc.Client
 	Cores   []string // internal addresses, the last resort
 	Contact time.Duration
 	Log     *log.Logger
@@ -297,7 +299,7 @@
 		f.mu.Lock()
 		f.asking, f.parent, f.doubts = cancel, target, ""
 		f.mu.Unlock()
-		err := f.Pool.Post(cctx, target, "/news", poll, nil, &page)
+		err := f.Pool.Call(cctx, target, "/news", poll, nil, &page)
 		cancel()
 		f.mu.Lock()
 		f.asking = nil
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -22,6 +22,7 @@
 	"saltreel/internal/partition"
 	"saltreel/internal/platform"
 	"saltreel/internal/quota"
+	"saltreel/internal/rpc"
 	"saltreel/internal/settings"
 	"saltreel/internal/store"
 )
@@ -89,7 +90,7 @@
 	life, end := context.WithCancel(context.Background())
 	defer end()
 	source := e.node.Source()
-	own := &httpwire.Server{Log: e.log, Handle: httpwire.Mux{"/news": source.Handle}.Handle}
+	own := &httpwire.Server{Log: e.log, Handle: rpc.Mux{"/news": source.Handle}.Handle}
 	clients := &httpwire.Server{Log: e.log, Handle: e.handle, Limits: e.limits}
 	var tasks sync.WaitGroup
 	for _, f := range []func(){
@@ -112,12 +113,12 @@
 	e.log.Printf("edge: stopping")
 	e.waning.Store(true)
 	e.node.Leave()
-	clients.Wane()
+	clients.StopKeepAlives()
 	wait := time.NewTimer(grace * 2 / 5)
 	<-wait.C
 	stop, cancel := context.WithTimeout(context.Background(), grace*2/5)
 	defer cancel()
-	clients.Drain(stop)
+	clients.Shutdown(stop)
 	end()
 	tasks.Wait()
 	e.log.Printf("edge: ended")
@@ -274,7 +275,7 @@
 	defer cancel()
 	a, err := e.ask(ctx, "/"+kind, store.Ask{Partition: n, ID: id, Tenant: tenant, Host: r.Host})
 	if err != nil {
-		if httpwire.StatusOf(err) == 404 {
+		if rpc.StatusCode(err) == 404 {
 			return httpwire.Problem(404, "no such message")
 		}
 		e.log.Printf("edge: %s of %s: %v", kind, name, err)
--- a/internal/edge/forward.go
+++ b/internal/edge/forward.go
@@ -11,6 +11,7 @@
 	"saltreel/internal/partition"
 	"saltreel/internal/placement"
 	"saltreel/internal/ring"
+	"saltreel/internal/rpc"
 	"saltreel/internal/store"
 )
 
@@ -91,7 +92,7 @@
 		if d, ok := ctx.Deadline(); ok {
 			wait = min(wait, time.Until(d))
 		}
-		err := e.node.Pool.Post(tctx, addr, "/accept", store.Accept{Partition: at, Message: *r, DelayMs: max(0, left.Milliseconds()+1), WaitMs: wait.Milliseconds()}, r.Body, nil)
+		err := e.node.Pool.Call(tctx, addr, "/accept", store.Accept{Partition: at, Message: *r, DelayMs: max(0, left.Milliseconds()+1), WaitMs: wait.Milliseconds()}, r.Body, nil)
 		stop()
 		cancel()
 		if err == nil {
@@ -99,7 +100,7 @@
 			return at, nil
 		}
 		last = err
-		code := httpwire.StatusOf(err)
+		code := rpc.StatusCode(err)
 		if code == 409 {
 			return 0, errTaken
 		}
@@ -112,7 +113,7 @@
 				return 0, fmt.Errorf("%w: %w", errNotTaken, last) // waiting would not help
 			}
 			if httpwire.NotSent(err) {
-				e.node.Suspect(primary, httpwire.Refused(err))
+				e.node.Suspect(primary, httpwire.ConnectionRefused(err))
 			}
 		} else {
 			fixed = at
@@ -219,22 +220,22 @@
 	for {
 		p := e.node.Placement()
 		if p == nil || q.Partition < 0 || q.Partition >= len(p.Partitions) {
-			return nil, &httpwire.Status{Code: 404, Text: "no such message"}
+			return nil, &rpc.StatusError{Code: 404, Text: "no such message"}
 		}
 		moved := e.node.Moved()
 		primary := p.Partitions[q.Partition].Primary
 		addr := p.Stores[primary].Address
 		tctx, cancel := context.WithTimeout(ctx, contact/6)
-		a, err := e.node.Pool.Ask(tctx, addr, path, body)
+		a, err := e.node.Pool.Send(tctx, addr, path, body)
 		cancel()
 		switch {
 		case err == nil && (a.Status == 200 || a.Status == 404 || a.Status == 410):
 			return a, nil
 		case err != nil:
 			last = err
-			e.node.Suspect(primary, httpwire.Refused(err))
+			e.node.Suspect(primary, httpwire.ConnectionRefused(err))
 		default:
-			last = &httpwire.Status{Code: a.Status, Text: string(a.Body)}
+			last = &rpc.StatusError{Code: a.Status, Text: string(a.Body)}
 		}
 		timer := time.NewTimer(contact / 80)
 		select {
--- a/internal/edge/grants.go
+++ b/internal/edge/grants.go
@@ -214,7 +214,7 @@
 		tasks.Go(func() {
 			began := time.Now()
 			var out store.Granted
-			err := g.node.Pool.Post(ctx, p.Stores[at].Address, "/grant", in, nil, &out)
+			err := g.node.Pool.Call(ctx, p.Stores[at].Address, "/grant", in, nil, &out)
 			g.mu.Lock()
 			defer g.mu.Unlock()
 			now := time.Now()
--- a/internal/handler/deliver.go
+++ b/internal/handler/deliver.go
@@ -74,7 +74,7 @@
 			return Result{Outcome: Silent, Err: err}
 		}
 		var e *httpwire.Error
-		return Result{Outcome: Unclear, Err: err, Kept: errors.As(err, &e) && e.Kept}
+		return Result{Outcome: Unclear, Err: err, Kept: errors.As(err, &e) && e.Reused}
 	}
 	return classify(a)
 }
--- a/internal/httpwire/client.go
+++ b/internal/httpwire/client.go
@@ -2,16 +2,13 @@
 
 import (
 	"bufio"
-	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
-	"maps"
 	"net"
 	"net/http"
-	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -46,7 +43,11 @@
 	Header               []string // names and values in turn
 	Body                 []byte
 	Repeats              string // a header that the answer must repeat as it was sent
-	Idempotent           bool   // may be sent again once when a kept connection breaks before any answer
+	// NewID makes the value of Repeats anew for each attempt. Only our own
+	// processes answer such calls, so their answers are checked more strictly:
+	// with a length, and nothing behind it. Nil: Header holds the value.
+	NewID      func(ctx context.Context) string
+	Idempotent bool // may be sent again once when a kept connection breaks before any answer
 }
 
 // sent is the value of a header of the call.
@@ -71,7 +72,7 @@
 	Step, Peer string
 	Sent       bool // whether any byte of the request may have arrived
 	Err        error
-	Kept       bool // a connection that had been idle broke before any answer
+	Reused     bool // a connection that had been idle broke before any answer
 }
 
 func (e *Error) Error() string { return e.Step + " " + e.Peer + ": " + e.Err.Error() }
@@ -84,7 +85,7 @@
 }
 
 // Refused tells whether the peer's machine answered that no process listens.
-func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+func ConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // Pool keeps connections to peers open between calls.
 type Pool struct {
@@ -93,53 +94,17 @@
 	Expire  time.Duration // an idle connection older than this is not used; 0: as the peer's Keep-Alive says
 	Opening time.Duration // how long opening a connection may take; 0: as long as the call
 
-	mu    sync.Mutex
-	idle  map[string][]*clientConn
-	open  map[string]int
-	tally map[string]*tally
-}
-
-// tally counts the calls of one kind and their bytes, both ways, without headers.
-type tally struct{ calls, bytes int }
-
-func (p *Pool) note(path string, bytes int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	t := p.tally[path]
-	if t == nil {
-		t = &tally{}
-		if p.tally == nil {
-			p.tally = map[string]*tally{}
-		}
-		p.tally[path] = t
-	}
-	t.calls++
-	t.bytes += bytes
-}
-
-// Tally words what was posted since it was last asked, by kind, and how many
-// connections are open.
-func (p *Pool) Tally() string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	open := 0
-	for _, n := range p.open {
-		open += n
-	}
-	out := fmt.Sprintf("%d connections", open)
-	for _, path := range slices.Sorted(maps.Keys(p.tally)) {
-		out += fmt.Sprintf(", %s %d calls %d bytes", path, p.tally[path].calls, p.tally[path].bytes)
-	}
-	p.tally = nil
-	return out
+	mu   sync.Mutex
+	idle map[string][]*clientConn
+	open map[string]int
 }
 
 type clientConn struct {
 	net.Conn
-	br    *bufio.Reader
-	until time.Time
-	used  bool
-	still bool // the end of the last call's context does not touch it any more
+	br           *bufio.Reader
+	until        time.Time
+	reused       bool
+	deadlineDone bool // the end of the last call's context does not touch it any more
 }
 
 func (p *Pool) take(addr string) *clientConn {
@@ -152,7 +117,7 @@
 		}
 		c := list[len(list)-1]
 		p.idle[addr] = list[:len(list)-1]
-		if (c.until.IsZero() || time.Now().Before(c.until)) && quiet(c.Conn) {
+		if (c.until.IsZero() || time.Now().Before(c.until)) && isQuiet(c.Conn) {
 			return c
 		}
 		p.open[addr]--
@@ -162,7 +127,7 @@
 
 // quiet tells whether an idle connection is as it should be: open, and with
 // nothing to read. An answer to nobody's question must not become the next one's.
-func quiet(c net.Conn) bool {
+func isQuiet(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
@@ -215,6 +180,17 @@
 	return p.open[addr]
 }
 
+// Connections tells how many connections to all peers there are.
+func (p *Pool) Connections() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	total := 0
+	for _, n := range p.open {
+		total += n
+	}
+	return total
+}
+
 // Forget closes the idle connections to a peer.
 func (p *Pool) Forget(addr string) {
 	p.mu.Lock()
@@ -241,7 +217,7 @@
 		}
 		a, began, err := c.do(ctx, call)
 		if err == nil {
-			if c.still && keep(a, c, p.Expire) {
+			if c.deadlineDone && keep(a, c, p.Expire) {
 				p.give(addr, c)
 			} else {
 				p.count(addr, -1)
@@ -254,10 +230,10 @@
 		var e *Error
 		if errors.As(err, &e) {
 			e.Sent = e.Sent || sent
-			e.Peer, e.Kept = addr, c.used && !began
+			e.Peer, e.Reused = addr, c.reused && !began
 		}
 		sent = true
-		if c.used && call.Idempotent && !began && ctx.Err() == nil {
+		if c.reused && call.Idempotent && !began && ctx.Err() == nil {
 			continue
 		}
 		return nil, err
@@ -278,7 +254,7 @@
 	if strings.EqualFold(a.Header.Get("Connection"), "close") || c.br.Buffered() > 0 {
 		return false
 	}
-	c.used = true
+	c.reused = true
 	c.until = time.Time{}
 	if expire > 0 {
 		c.until = time.Now().Add(expire)
@@ -302,16 +278,16 @@
 	}
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	// Where it has begun it may yet run: the connection is not for the next call.
-	defer func() { c.still = stop() }()
+	defer func() { c.deadlineDone = stop() }()
 	buf := make([]byte, 0, 512+len(call.Body))
 	buf = append(buf, call.Method+" "+call.Target+" HTTP/1.1\r\nHost: "+call.Host+"\r\n"...)
 	for i := 0; i+1 < len(call.Header); i += 2 {
 		buf = append(buf, call.Header[i]+": "+call.Header[i+1]+"\r\n"...)
 	}
-	want, own := call.sent(call.Repeats), call.Repeats == headerCall
-	if own {
-		want = name(ctx)
-		buf = append(buf, headerCall+": "+want+"\r\n"...)
+	want, strict := call.sent(call.Repeats), call.NewID != nil
+	if strict {
+		want = call.NewID(ctx)
+		buf = append(buf, call.Repeats+": "+want+"\r\n"...)
 	}
 	if len(call.Body) > 0 || call.Method != http.MethodGet && call.Method != http.MethodDelete {
 		buf = append(buf, "Content-Length: "+strconv.Itoa(len(call.Body))+"\r\n"...)
@@ -336,7 +312,7 @@
 		return nil, true, &Error{Step: "match answer", Sent: true, Err: fmt.Errorf("%s is %q, not %q", call.Repeats, got, want)}
 	}
 	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
-	if own && !framed {
+	if strict && !framed {
 		return nil, true, &Error{Step: "match answer", Sent: true, Err: errors.New("the answer has no length")}
 	}
 	body, err := io.ReadAll(resp.Body)
@@ -346,7 +322,7 @@
 	}
 	// A handler in trouble may answer twice; what it has done is done. Our own
 	// processes never do, so whoever answered was not one of them.
-	if n := c.br.Buffered(); own && n > 0 {
+	if n := c.br.Buffered(); strict && n > 0 {
 		return nil, true, &Error{Step: "match answer", Sent: true, Err: fmt.Errorf("%d bytes stand behind the answer", n)}
 	}
 	if resp.Close || !framed {
@@ -355,23 +331,6 @@
 	return &Answer{resp.StatusCode, resp.Header, body}, true, nil
 }
 
-// Status is the error of a call that was answered with something but 2xx.
-type Status struct {
-	Code int
-	Text string
-}
-
-func (s *Status) Error() string { return fmt.Sprintf("answered %d %s", s.Code, s.Text) }
-
-// StatusOf gives the status that the peer answered, or 0.
-func StatusOf(err error) int {
-	var s *Status
-	if errors.As(err, &s) {
-		return s.Code
-	}
-	return 0
-}
-
 // JSON is an answer with a JSON body.
 func JSON(status int, v any) *Response {
 	body, err := json.Marshal(v)
@@ -380,76 +339,3 @@
 	}
 	return &Response{Status: status, Header: []string{"Content-Type", "application/json"}, Body: body}
 }
-
-// Ask sends a call to one of our own processes and reads its answer. The call
-// is named, and only the answer that repeats the name is taken.
-func (p *Pool) Ask(ctx context.Context, addr, path string, body []byte) (*Answer, error) {
-	a, err := p.Do(ctx, addr, &Call{Method: "POST", Target: path, Host: addr, Body: body, Repeats: headerCall, Idempotent: Idempotent[path]})
-	got := 0
-	if a != nil {
-		got = len(a.Body)
-	}
-	p.note(path, len(body)+got)
-	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
-	}
-	return a, nil
-}
-
-// Post sends JSON, with raw bytes behind it on a new line, to one of our own
-// processes and reads JSON back.
-func (p *Pool) Post(ctx context.Context, addr, path string, in any, raw []byte, out any) error {
-	body, err := json.Marshal(in)
-	if err != nil {
-		return &Error{Step: "encode " + path, Peer: addr, Err: err}
-	}
-	if raw != nil {
-		body = append(append(body, '\n'), raw...)
-	}
-	a, err := p.Ask(ctx, addr, path, body)
-	if err != nil {
-		return err
-	}
-	if a.Status/100 != 2 {
-		return &Error{Step: path, Peer: addr, Sent: true, Err: &Status{a.Status, string(bytes.TrimSpace(a.Body))}}
-	}
-	if out == nil {
-		return nil
-	}
-	if err := json.Unmarshal(a.Body, out); err != nil {
-		return &Error{Step: "decode " + path, Peer: addr, Sent: true, Err: err}
-	}
-	return nil
-}
-
-// Split parts the JSON in front from the raw bytes behind it.
-func Split(body []byte) (front, raw []byte) {
-	front, raw, _ = bytes.Cut(body, []byte{'\n'})
-	return front, raw
-}
-
-// Method wraps a function of JSON to JSON as a handler.
-func Method[In, Out any](f func(ctx context.Context, in *In, raw []byte) (*Out, error)) Handler {
-	return func(ctx context.Context, r *Request) *Response {
-		front, raw := Split(r.Body)
-		in := new(In)
-		if len(front) > 0 {
-			if err := json.Unmarshal(front, in); err != nil {
-				return Problem(400, "the call cannot be read: "+err.Error())
-			}
-		}
-		out, err := f(ctx, in, raw)
-		if err != nil {
-			var s *Status
-			if errors.As(err, &s) {
-				return Problem(s.Code, s.Text)
-			}
-			return Problem(500, err.Error())
-		}
-		body, err := json.Marshal(out)
-		if err != nil {
-			return Problem(500, err.Error())
-		}
-		return &Response{Status: 200, Body: body} // no header that our own processes do not need
-	}
-}
--- a/internal/httpwire/server.go
+++ b/internal/httpwire/server.go
@@ -17,6 +17,7 @@
 	"strconv"
 	"strings"
 	"sync"
+	"syscall"
 	"time"
 )
 
@@ -90,9 +91,6 @@
 // connections end as they stand; Drain lets them finish first.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	s.mu.Lock()
-	if s.conns == nil {
-		s.conns = map[*Conn]bool{}
-	}
 	s.listener = l
 	s.mu.Unlock()
 	stop := context.AfterFunc(ctx, func() {
@@ -113,29 +111,48 @@
 			}
 			continue
 		}
-		c := &Conn{Conn: nc, server: s, br: bufio.NewReaderSize(nc, 4096), drain: make(chan struct{})}
-		s.mu.Lock()
-		if s.stopped {
-			s.mu.Unlock()
-			nc.Close()
-			continue
+		if c := s.track(nc); c != nil {
+			go s.serveTracked(ctx, c)
 		}
-		s.conns[c] = true
-		s.busy.Add(1)
-		s.mu.Unlock()
-		go func() {
-			defer s.busy.Done()
-			c.serve(ctx)
-			s.mu.Lock()
-			delete(s.conns, c)
-			s.mu.Unlock()
-			nc.Close()
-		}()
 	}
 }
 
+// ServeConn answers requests on one connection until it ends, and closes it.
+func (s *Server) ServeConn(ctx context.Context, nc net.Conn) {
+	if c := s.track(nc); c != nil {
+		s.serveTracked(ctx, c)
+	}
+}
+
+// track takes a new connection over. It closes the connection and returns nil
+// when the server has stopped.
+func (s *Server) track(nc net.Conn) *Conn {
+	c := &Conn{Conn: nc, server: s, br: bufio.NewReaderSize(nc, 4096), drain: make(chan struct{})}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.stopped {
+		nc.Close()
+		return nil
+	}
+	if s.conns == nil {
+		s.conns = map[*Conn]bool{}
+	}
+	s.conns[c] = true
+	s.busy.Add(1)
+	return c
+}
+
+func (s *Server) serveTracked(ctx context.Context, c *Conn) {
+	defer s.busy.Done()
+	c.serve(ctx)
+	s.mu.Lock()
+	delete(s.conns, c)
+	s.mu.Unlock()
+	c.Close()
+}
+
 // Wane lets every answer from now on close its connection.
-func (s *Server) Wane() {
+func (s *Server) StopKeepAlives() {
 	s.mu.Lock()
 	s.closing = true
 	s.mu.Unlock()
@@ -143,7 +160,7 @@
 
 // Drain takes no more connections, closes the idle ones, releases the held
 // ones, and waits for the rest until ctx ends.
-func (s *Server) Drain(ctx context.Context) {
+func (s *Server) Shutdown(ctx context.Context) {
 	s.mu.Lock()
 	s.closing, s.stopped = true, true
 	if s.listener != nil {
@@ -187,12 +204,12 @@
 }
 
 // refusal is an error that the client is told of before the connection closes.
-type refusal struct {
+type rejection struct {
 	status int
 	why    string
 }
 
-func (r refusal) Error() string { return r.why }
+func (r rejection) Error() string { return r.why }
 
 func (c *Conn) serve(ctx context.Context) {
 	bw := bufio.NewWriterSize(c.Conn, 4096)
@@ -224,7 +241,7 @@
 		c.setIdle(false)
 		r, err := c.read(lim)
 		var answer *Response
-		var no refusal
+		var no rejection
 		switch {
 		case errors.As(err, &no):
 			answer = Problem(no.status, no.why)
@@ -249,7 +266,7 @@
 		}
 		if last {
 			if err != nil {
-				c.linger()
+				c.lingeringClose()
 			}
 			return
 		}
@@ -258,7 +275,7 @@
 
 // linger reads a little of what a refused client still sends, so that closing
 // does not reset the connection before the answer is read.
-func (c *Conn) linger() {
+func (c *Conn) lingeringClose() {
 	c.SetReadDeadline(time.Now().Add(500 * time.Millisecond))
 	io.CopyN(io.Discard, c.br, 1<<20)
 }
@@ -296,24 +313,24 @@
 	}
 	head, err := readHead(c.br, lim.HeaderBytes)
 	if err != nil {
-		return nil, slow(err)
+		return nil, timeoutError(err)
 	}
 	if err := checkHead(head); err != nil {
 		return nil, err
 	}
 	hr, err := http.ReadRequest(bufio.NewReaderSize(bytes.NewReader(head), 16))
 	if err != nil {
-		return nil, refusal{400, "the request cannot be read: " + err.Error()}
+		return nil, rejection{400, "the request cannot be read: " + err.Error()}
 	}
 	if hr.ProtoMajor != 1 {
-		return nil, refusal{400, "the protocol is not HTTP/1"}
+		return nil, rejection{400, "the protocol is not HTTP/1"}
 	}
 	if hr.Host == "" {
-		return nil, refusal{400, "the request names no host"}
+		return nil, rejection{400, "the request names no host"}
 	}
 	chunked := len(hr.TransferEncoding) > 0
 	if lim.BodyBytes > 0 && hr.ContentLength > int64(lim.BodyBytes) {
-		return nil, refusal{413, "the body is over the limit"}
+		return nil, rejection{413, "the body is over the limit"}
 	}
 	if strings.EqualFold(hr.Header.Get("Expect"), "100-continue") {
 		io.WriteString(c.Conn, "HTTP/1.1 100 Continue\r\n\r\n")
@@ -325,12 +342,12 @@
 	switch {
 	case chunked:
 		if r.Body, err = readChunks(c.br, lim.BodyBytes); err != nil {
-			return nil, slow(err)
+			return nil, timeoutError(err)
 		}
 	case hr.ContentLength > 0:
 		r.Body = make([]byte, hr.ContentLength)
 		if _, err = io.ReadFull(c.br, r.Body); err != nil {
-			return nil, slow(err)
+			return nil, timeoutError(err)
 		}
 	}
 	c.SetReadDeadline(time.Time{})
@@ -339,9 +356,9 @@
 }
 
 // slow turns a time-out into 408: what was not read whole never runs.
-func slow(err error) error {
+func timeoutError(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return refusal{408, "the request came too slowly"}
+		return rejection{408, "the request came too slowly"}
 	}
 	return err
 }
@@ -355,7 +372,7 @@
 		}
 		head = append(head, line...)
 		if limit > 0 && len(head) > limit {
-			return nil, refusal{431, "the header is over the limit"}
+			return nil, rejection{431, "the header is over the limit"}
 		}
 		if err == nil && len(line) <= 2 && (len(line) == 1 || line[0] == '\r') {
 			if len(head) > len(line) && bytes.HasSuffix(head[:len(head)-len(line)], []byte("\n")) {
@@ -376,21 +393,21 @@
 			continue
 		}
 		if line[len(line)-1] != '\r' {
-			return refusal{400, "a header line ends without CR"}
+			return rejection{400, "a header line ends without CR"}
 		}
 		line = line[:len(line)-1]
 		if bytes.ContainsAny(line, "\r\x00") {
-			return refusal{400, "a header line holds a control character"}
+			return rejection{400, "a header line holds a control character"}
 		}
 		if n == 0 || len(line) == 0 {
 			continue
 		}
 		if line[0] == ' ' || line[0] == '\t' {
-			return refusal{400, "a header line is folded"}
+			return rejection{400, "a header line is folded"}
 		}
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		if !ok || len(name) == 0 || bytes.ContainsAny(name, " \t") {
-			return refusal{400, "a header line has no proper name"}
+			return rejection{400, "a header line has no proper name"}
 		}
 		value = bytes.TrimSpace(value)
 		switch {
@@ -398,21 +415,21 @@
 			lengths++
 			for _, b := range value {
 				if b < '0' || b > '9' {
-					return refusal{400, "the length is not a number"}
+					return rejection{400, "the length is not a number"}
 				}
 			}
 			if len(value) == 0 {
-				return refusal{400, "the length is empty"}
+				return rejection{400, "the length is empty"}
 			}
 		case bytes.EqualFold(name, []byte("Transfer-Encoding")):
 			encodings++
 			if !bytes.EqualFold(value, []byte("chunked")) {
-				return refusal{400, "the transfer encoding is not chunked"}
+				return rejection{400, "the transfer encoding is not chunked"}
 			}
 		}
 	}
 	if lengths > 1 || encodings > 1 || lengths > 0 && encodings > 0 {
-		return refusal{400, "the length of the body is given twice"}
+		return rejection{400, "the length of the body is given twice"}
 	}
 	return nil
 }
@@ -427,10 +444,10 @@
 		if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, io.ErrUnexpectedEOF) {
 			return nil, err
 		}
-		return nil, refusal{400, "the chunks cannot be read"}
+		return nil, rejection{400, "the chunks cannot be read"}
 	}
 	if limit > 0 && len(body) > limit {
-		return nil, refusal{413, "the body is over the limit"}
+		return nil, rejection{413, "the body is over the limit"}
 	}
 	for n := 0; ; n++ { // trailers are read and dropped
 		line, err := br.ReadSlice('\n')
@@ -441,11 +458,32 @@
 			return body, nil
 		}
 		if n > 64 {
-			return nil, refusal{400, "too many trailers"}
+			return nil, rejection{400, "too many trailers"}
 		}
 	}
 }
 
+// ClientClosed tells whether the client has closed the connection behind its request,
+// as far as its machine has said so. A process that was frozen, or reached only
+// after a cut, finds such requests; our own callers never close just one way.
+func (c *Conn) ClientClosed() bool {
+	sc, ok := c.Conn.(syscall.Conn)
+	if !ok || c.br.Buffered() > 0 {
+		return false
+	}
+	raw, err := sc.SyscallConn()
+	if err != nil {
+		return true
+	}
+	gone := false
+	err = raw.Control(func(fd uintptr) {
+		var b [1]byte
+		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		gone = err == nil && n == 0 || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
+	})
+	return gone || errors.Is(err, net.ErrClosed)
+}
+
 // Problem is a JSON answer that tells what is wrong.
 func Problem(status int, why string) *Response {
 	return JSON(status, map[string]string{"error-text": why})
--- a/internal/httpwire/wire_test.go
+++ b/internal/httpwire/wire_test.go
@@ -97,7 +97,7 @@
 		time.AfterFunc(time.Second, func() {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			s.Drain(ctx)
+			s.Shutdown(ctx)
 		})
 		status, _ := exchange(t, s, strings.Repeat("GET /a HTTP/1.1\r\nHost: h\r\n\r\n", 3))
 		if len(status) != 3 || at[1] < 400*time.Millisecond || at[2] < time.Second || at[2] > 1100*time.Millisecond {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -10,6 +10,8 @@
 	"sync/atomic"
 	"time"
 
+	"saltreel/internal/rpc"
+
 	"saltreel/internal/configuration"
 	"saltreel/internal/distribution"
 	"saltreel/internal/httpwire"
@@ -26,8 +28,8 @@
 	Settings *settings.Settings
 	Log      *log.Logger
 	Network  httpwire.Network
-	Pool     *httpwire.Pool // to our own processes
-	news     *httpwire.Pool // to the parent, for news
+	Pool     *rpc.Client // to our own processes
+	news     *rpc.Client // to the parent, for news
 	Journal  *journal.Journal
 	Self     membership.Node
 	Healthy  func() bool // whether to beat: a store whose disk fails is missed like a dead one
@@ -57,14 +59,14 @@
 	life := rand.Text()
 	n := &Node{
 		Settings: set, Log: logger, Network: network,
-		Pool:    &httpwire.Pool{Network: network},
+		Pool:    rpc.NewClient(&httpwire.Pool{Network: network}),
 		Journal: journal.New(set.NodeName+"/"+life, 16*set.Contact(), distribution.PrefixNode),
 		Self:    membership.Node{Name: set.NodeName, Role: role, Address: set.Internal(), Zone: set.Zone, Region: set.Region, Life: life},
 		told:    map[string]time.Time{}, moved: make(chan struct{}), beatNow: make(chan struct{}, 1),
 	}
 	n.life, n.end = context.WithCancel(context.Background())
 	// A parent whose machine says nothing must not keep this node from the next one.
-	n.news = &httpwire.Pool{Network: network, Opening: set.Contact() / 16}
+	n.news = rpc.NewClient(&httpwire.Pool{Network: network, Opening: set.Contact() / 16})
 	n.follower = &distribution.Follower{Self: n.Self, Journal: n.Journal, Pool: n.news, Cores: set.Cores(), Contact: set.Contact(), Log: logger}
 	n.Journal.Fold(n.hear)
 	return n
@@ -181,7 +183,7 @@
 	for {
 		if time.Since(told) > 4*n.Settings.Contact() {
 			told = time.Now()
-			n.Log.Printf("traffic: in %v: %s; news: %s", 4*n.Settings.Contact(), n.Pool.Tally(), n.news.Tally())
+			n.Log.Printf("traffic: in %v: %s; news: %s", 4*n.Settings.Contact(), n.Pool.Traffic(), n.news.Traffic())
 		}
 		n.mu.Lock()
 		n.sequence++
@@ -196,10 +198,10 @@
 			n.report(func() {
 				bctx, cancel := context.WithTimeout(ctx, every*2)
 				defer cancel()
-				err := n.Pool.Post(bctx, w, "/beat", self, nil, nil)
+				err := n.Pool.Call(bctx, w, "/beat", self, nil, nil)
 				if err == nil {
 					heard.Store(true)
-				} else if n.Self.Role == "store" && !heard.Load() && httpwire.Refused(err) {
+				} else if n.Self.Role == "store" && !heard.Load() && httpwire.ConnectionRefused(err) {
 					timeutil.Sleep(ctx, n.Settings.Contact()/80) // it starts just now, as this node does
 					n.beatSoon()
 				}
@@ -235,7 +237,7 @@
 		ctx, cancel := context.WithTimeout(n.life, n.Settings.Contact()/8)
 		defer cancel()
 		var out placement.Suspected
-		err := n.Pool.Post(ctx, c, "/suspect", placement.Suspicion{Node: name, Refused: refused}, nil, &out)
+		err := n.Pool.Call(ctx, c, "/suspect", placement.Suspicion{Node: name, Refused: refused}, nil, &out)
 		return err == nil && out.Steward
 	}
 	all := func() {
@@ -283,7 +285,7 @@
 			continue
 		}
 		cctx, cancel := context.WithTimeout(ctx, n.Settings.Contact()/16)
-		last = n.Pool.Post(cctx, c, "/in-step", in, nil, nil)
+		last = n.Pool.Call(cctx, c, "/in-step", in, nil, nil)
 		cancel()
 		if last == nil {
 			n.mu.Lock()
--- a/internal/operator/caller.go
+++ b/internal/operator/caller.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"saltreel/internal/httpwire"
+	"saltreel/internal/rpc"
 )
 
 // Caller sends orders to whichever core answers.
@@ -20,9 +21,9 @@
 }
 
 // errClear marks an answer that ends a call.
-type errClear struct{ *httpwire.Status }
+type errClear struct{ *rpc.StatusError }
 
-func (e errClear) Unwrap() error { return e.Status }
+func (e errClear) Unwrap() error { return e.StatusError }
 
 // Unclear is the error of an order that had no clear answer: it may be in
 // force, or come into force yet. The very same order may be sent again, by
@@ -72,7 +73,7 @@
 
 // untaken tells whether it is certain that a try did nothing.
 func untaken(err error) bool {
-	switch httpwire.StatusOf(err) {
+	switch rpc.StatusCode(err) {
 	case 0:
 		return httpwire.NotSent(err)
 	case 408, 429, 503:
@@ -101,7 +102,7 @@
 		if a.Status/100 == 2 {
 			return a.Body, nil
 		}
-		st := &httpwire.Status{Code: a.Status, Text: string(a.Body)}
+		st := &rpc.StatusError{Code: a.Status, Text: string(a.Body)}
 		if a.Status/100 == 4 && a.Status != 408 && a.Status != 429 {
 			return nil, &httpwire.Error{Step: call.Method + " " + call.Target, Peer: addr, Sent: true, Err: errClear{st}}
 		}
@@ -116,7 +117,7 @@
 	_, err := c.Do(ctx, httpwire.Call{Method: "PUT", Target: "/v1/configuration", Body: raw,
 		Header: []string{"If-Match", strconv.FormatInt(match, 10), "Content-Type", "application/json"}})
 	var unclear *Unclear
-	switch code := httpwire.StatusOf(err); {
+	switch code := rpc.StatusCode(err); {
 	case err == nil:
 		return nil
 	case errors.As(err, &unclear):
--- a/internal/operator/serve.go
+++ b/internal/operator/serve.go
@@ -46,12 +46,12 @@
 	case <-ctx.Done():
 	case err := <-done:
 		end()
-		s.Drain(life)
+		s.Shutdown(life)
 		return err
 	}
 	stop, cancel := context.WithTimeout(context.Background(), settings.Seconds(set.Timers.GraceS)/8)
 	defer cancel()
-	s.Drain(stop)
+	s.Shutdown(stop)
 	end()
 	select {
 	case err = <-done:
--- a/internal/partition/accept.go
+++ b/internal/partition/accept.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"saltreel/internal/httpwire"
+	"saltreel/internal/rpc"
 )
 
 // accepted is a message on its way to the disks.
@@ -18,12 +18,12 @@
 
 // errors of an accept.
 func moved(n int) error {
-	return &httpwire.Status{Code: 421, Text: fmt.Sprintf("partition %d is not led here", n)}
+	return &rpc.StatusError{Code: 421, Text: fmt.Sprintf("partition %d is not led here", n)}
 }
 
 // unclear is the answer when a message may have been taken.
 func unclear(n int) error {
-	return &httpwire.Status{Code: 504, Text: fmt.Sprintf("partition %d: too few stores answered in time", n)}
+	return &rpc.StatusError{Code: 504, Text: fmt.Sprintf("partition %d: too few stores answered in time", n)}
 }
 
 // Accept takes a message: it returns nil once it is on as many disks as may be
@@ -56,7 +56,7 @@
 		}
 		if old := p.records[r.ID]; old != nil && old.Tenant != r.Tenant {
 			s.mu.Unlock()
-			return &httpwire.Status{Code: 409, Text: "another tenant's message has this id"}
+			return &rpc.StatusError{Code: 409, Text: "another tenant's message has this id"}
 		}
 		w := p.waiting[r.ID]
 		if p.records[r.ID] != nil && w == nil { // taken before
@@ -79,15 +79,15 @@
 		if w == nil {
 			if len(p.replicas) < s.Backups {
 				s.mu.Unlock()
-				return &httpwire.Status{Code: 503, Text: fmt.Sprintf("partition %d has %d backups, %d are needed", n, len(p.replicas), s.Backups)}
+				return &rpc.StatusError{Code: 503, Text: fmt.Sprintf("partition %d has %d backups, %d are needed", n, len(p.replicas), s.Backups)}
 			}
 			if s.disk.refuses() { // others lead soon: worth waiting for
 				s.mu.Unlock()
-				return &httpwire.Status{Code: 421, Text: "this store's disk takes no writes"}
+				return &rpc.StatusError{Code: 421, Text: "this store's disk takes no writes"}
 			}
 			if s.full {
 				s.mu.Unlock()
-				return &httpwire.Status{Code: 503, Text: "this store is full"}
+				return &rpc.StatusError{Code: 503, Text: "this store is full"}
 			}
 			r.Partition = n
 			r.Order = p.sequence + 1
--- a/internal/partition/copy.go
+++ b/internal/partition/copy.go
@@ -10,6 +10,7 @@
 
 	"saltreel/internal/httpwire"
 	"saltreel/internal/placement"
+	"saltreel/internal/rpc"
 )
 
 // link sends what a backup lacks, one batch at a time, and renews the leases
@@ -128,7 +129,7 @@
 		ctx, cancel := context.WithTimeout(s.ctx, s.Lease())
 		var out Copied
 		soon := time.AfterFunc(s.Contact/40, func() { s.Suspect(l.peer, false) })
-		err := s.Pool.Post(ctx, addr, "/copy", batch, raw, &out)
+		err := s.Pool.Call(ctx, addr, "/copy", batch, raw, &out)
 		soon.Stop()
 		cancel()
 		if err != nil {
@@ -136,7 +137,7 @@
 				s.Log.Printf("copy: %s: %v", l.peer, err)
 			}
 			failed = time.Now()
-			s.Suspect(l.peer, httpwire.Refused(err))
+			s.Suspect(l.peer, httpwire.ConnectionRefused(err))
 			l.nudge()
 			continue
 		}
@@ -271,7 +272,7 @@
 		}
 		if bodies > len(raw) {
 			s.mu.Unlock()
-			return nil, &httpwire.Status{Code: 400, Text: "the bodies are cut short"}
+			return nil, &rpc.StatusError{Code: 400, Text: "the bodies are cut short"}
 		}
 		mine := raw[:bodies]
 		raw = raw[bodies:]
--- a/internal/partition/partition_bench_test.go
+++ b/internal/partition/partition_bench_test.go
@@ -11,6 +11,8 @@
 	"testing"
 	"time"
 
+	"saltreel/internal/rpc"
+
 	"saltreel/internal/httpwire"
 	"saltreel/internal/placement"
 )
@@ -73,7 +75,7 @@
 		b.Run(fmt.Sprintf("messages=%d", n), func(b *testing.B) {
 			s := &Set{Self: "me", Contact: 4 * time.Second, Log: log.New(io.Discard, "", 0), Keep: time.Minute,
 				Suspect: func(string, bool) {}, Report: func(context.Context, placement.InStep) error { return nil },
-				Pool: &httpwire.Pool{Network: httpwire.Network{Dial: func(context.Context, string) (net.Conn, error) { return nil, io.EOF }}}}
+				Pool: rpc.NewClient(&httpwire.Pool{Network: httpwire.Network{Dial: func(context.Context, string) (net.Conn, error) { return nil, io.EOF }}})}
 			if err := s.Open(b.TempDir()); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/partition/partition_test.go
+++ b/internal/partition/partition_test.go
@@ -18,6 +18,7 @@
 	"saltreel/internal/boltstore"
 	"saltreel/internal/httpwire"
 	"saltreel/internal/placement"
+	"saltreel/internal/rpc"
 )
 
 func TestTheLaterStateWinsWhereCopiesDiffer(t *testing.T) {
@@ -48,7 +49,7 @@
 	t.Helper()
 	s := &Set{Self: "me", Contact: 4 * time.Second, Log: log.New(io.Discard, "", 0), Keep: time.Minute,
 		Suspect: func(string, bool) {}, Report: func(context.Context, placement.InStep) error { return nil },
-		Pool: &httpwire.Pool{Network: httpwire.Network{Dial: func(context.Context, string) (net.Conn, error) { return nil, io.EOF }}}}
+		Pool: rpc.NewClient(&httpwire.Pool{Network: httpwire.Network{Dial: func(context.Context, string) (net.Conn, error) { return nil, io.EOF }}})}
 	if err := s.Open(t.TempDir()); err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +74,7 @@
 			t.Errorf("%+v: %+v %v", c, out, err)
 		}
 	}
-	if err := s.Accept(t.Context(), 0, &Record{ID: "y"}); httpwire.StatusOf(err) != 421 {
+	if err := s.Accept(t.Context(), 0, &Record{ID: "y"}); rpc.StatusCode(err) != 421 {
 		t.Errorf("a backup takes messages: %v", err)
 	}
 	if s.Leads(0) {
@@ -134,13 +135,13 @@
 	s.mu.Lock()
 	s.put(s.parts[0], &Record{ID: "z", Tenant: "a"})
 	s.mu.Unlock()
-	if err := s.Accept(t.Context(), 0, &Record{ID: "z", Tenant: "b"}); httpwire.StatusOf(err) != 409 {
+	if err := s.Accept(t.Context(), 0, &Record{ID: "z", Tenant: "b"}); rpc.StatusCode(err) != 409 {
 		t.Errorf("another tenant's id: %v", err)
 	}
 	s.disk.mu.Lock()
 	s.disk.refused = os.ErrClosed
 	s.disk.mu.Unlock()
-	if err := s.Accept(t.Context(), 0, &Record{ID: "y"}); httpwire.StatusOf(err) != 421 {
+	if err := s.Accept(t.Context(), 0, &Record{ID: "y"}); rpc.StatusCode(err) != 421 {
 		t.Errorf("a disk that takes no writes: %v", err)
 	}
 	s.disk.mu.Lock()
@@ -154,7 +155,7 @@
 	s.held = 2
 	s.measure()
 	s.mu.Unlock()
-	if err := s.Accept(t.Context(), 0, &Record{ID: "y"}); httpwire.StatusOf(err) != 503 {
+	if err := s.Accept(t.Context(), 0, &Record{ID: "y"}); rpc.StatusCode(err) != 503 {
 		t.Errorf("a full store: %v", err)
 	}
 }
--- a/internal/partition/repair.go
+++ b/internal/partition/repair.go
@@ -8,6 +8,7 @@
 
 	"saltreel/internal/httpwire"
 	"saltreel/internal/placement"
+	"saltreel/internal/rpc"
 )
 
 // Digest asks a copy what it holds.
@@ -52,7 +53,7 @@
 	ctx, cancel := context.WithTimeout(s.ctx, s.Contact/2)
 	defer cancel()
 	var out Digested
-	if err := s.Pool.Post(ctx, addr, "/digest", Digest{s.Self, n, epoch}, nil, &out); err != nil {
+	if err := s.Pool.Call(ctx, addr, "/digest", Digest{s.Self, n, epoch}, nil, &out); err != nil {
 		s.Log.Printf("repair: partition %d: %v", n, err)
 		return false
 	}
@@ -155,14 +156,14 @@
 	if err != nil {
 		return err
 	}
-	a, err := s.Pool.Ask(ctx, addr, "/fetch", body)
+	a, err := s.Pool.Send(ctx, addr, "/fetch", body)
 	if err != nil {
 		return fmt.Errorf("fetch: %w", err)
 	}
 	if a.Status != 200 {
-		return &httpwire.Error{Step: "fetch", Peer: addr, Sent: true, Err: &httpwire.Status{Code: a.Status, Text: string(a.Body)}}
+		return &httpwire.Error{Step: "fetch", Peer: addr, Sent: true, Err: &rpc.StatusError{Code: a.Status, Text: string(a.Body)}}
 	}
-	front, raw := httpwire.Split(a.Body)
+	front, raw := rpc.SplitBody(a.Body)
 	var sh Share
 	if err := json.Unmarshal(front, &sh); err != nil {
 		return &httpwire.Error{Step: "decode fetch", Peer: addr, Sent: true, Err: err}
--- a/internal/partition/set.go
+++ b/internal/partition/set.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"saltreel/internal/httpwire"
 	"saltreel/internal/placement"
+	"saltreel/internal/rpc"
 )
 
 // Event tells the delivery what changed, in order.
@@ -25,7 +25,7 @@
 // Set is the partitions of one store.
 type Set struct {
 	Self    string // name of this node
-	Pool    *httpwire.Pool
+	Pool    *rpc.Client
 	Contact time.Duration
 	Keep    time.Duration // how long an ended state is kept
 	Log     *log.Logger
@@ -418,7 +418,7 @@
 		return nil, last
 	}
 	if r == nil {
-		return nil, &httpwire.Status{Code: 404, Text: "no such message"}
+		return nil, &rpc.StatusError{Code: 404, Text: "no such message"}
 	}
 	return r, nil
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -7,10 +7,11 @@
 	"cmp"
 	"iter"
 	"maps"
-	"saltreel/internal/membership"
 	"slices"
 	"sort"
 	"strings"
+
+	"saltreel/internal/membership"
 )
 
 // Placement says which stores hold each partition.
--- a/internal/placement/placement_bench_test.go
+++ b/internal/placement/placement_bench_test.go
@@ -3,9 +3,10 @@
 import (
 	"encoding/json"
 	"fmt"
+	"testing"
+
 	"saltreel/internal/journal"
 	"saltreel/internal/membership"
-	"testing"
 )
 
 // fleet is n stores in nine zones of three regions, all up.
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -4,9 +4,10 @@
 	"encoding/json"
 	"fmt"
 	"reflect"
-	"saltreel/internal/membership"
 	"slices"
 	"testing"
+
+	"saltreel/internal/membership"
 )
 
 func stores(names ...string) map[string]StoreStatus {
--- a/internal/httpwire/calls.go
+++ b/internal/rpc/calls.go
@@ -1,16 +1,18 @@
-package httpwire
+// Package rpc makes and answers the calls between the system's own processes:
+// JSON over HTTP/1.1, each call with a path, an identifier and the time that its
+// caller still waits. docs/calls.md lists the calls.
+package rpc
 
 import (
 	"context"
 	"encoding/base64"
 	"encoding/binary"
-	"errors"
 	"math/rand/v2"
-	"net"
 	"strconv"
 	"strings"
-	"syscall"
 	"time"
+
+	"saltreel/internal/httpwire"
 )
 
 // headerCall names a call between our own processes: a random number, and how
@@ -48,9 +50,10 @@
 // these does nothing (docs/calls.md).
 var frequent = map[string]bool{"/copy": true, "/grant": true, "/news": true}
 
-// name makes the name of a call. Of 48 random bits, no two on one connection
-// and no two of which one may come late, over all lives, are alike.
-func name(ctx context.Context) string {
+// newCallID makes the identifier of a call, with the time that its caller waits.
+// Of 48 random bits, no two on one connection and no two of which one may come
+// late, over all restarts, are alike.
+func newCallID(ctx context.Context) string {
 	var id [8]byte
 	binary.LittleEndian.PutUint64(id[:], rand.Uint64())
 	out := base64.RawURLEncoding.AppendEncode(make([]byte, 0, 16), id[:6])
@@ -61,32 +64,32 @@
 }
 
 // Mux answers the calls of our own processes by their path.
-type Mux map[string]Handler
+type Mux map[string]httpwire.Handler
 
 // Handle is the mux as a handler. It repeats the name of the call. What the
 // caller waits for no longer is not begun, and what has begun ends with the
 // caller's wait.
-func (m Mux) Handle(ctx context.Context, r *Request) *Response {
+func (m Mux) Handle(ctx context.Context, r *httpwire.Request) *httpwire.Response {
 	call := r.Header.Get(headerCall)
-	if r.Conn != nil && !frequent[r.URL.Path] && r.Conn.left() {
+	if r.Conn != nil && !frequent[r.URL.Path] && r.Conn.ClientClosed() {
 		return nil // nobody reads an answer
 	}
 	if _, ms, ok := strings.Cut(call, " "); ok {
 		wait, err := strconv.ParseInt(ms, 10, 32)
 		if err != nil || wait < 0 {
-			return Problem(400, "the call says not how long its caller waits")
+			return httpwire.Problem(400, "the call says not how long its caller waits")
 		}
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(ctx, r.Received.Add(time.Duration(wait)*time.Millisecond))
 		defer cancel()
 	}
-	var answer *Response
+	var answer *httpwire.Response
 	h := m[r.URL.Path]
 	switch {
 	case h == nil:
-		answer = Problem(404, "no such call: "+r.URL.Path)
+		answer = httpwire.Problem(404, "no such call: "+r.URL.Path)
 	case ctx.Err() != nil:
-		answer = Problem(503, "the caller waits no longer; nothing was done")
+		answer = httpwire.Problem(503, "the caller waits no longer; nothing was done")
 	default:
 		answer = h(ctx, r)
 	}
@@ -95,24 +98,3 @@
 	}
 	return answer
 }
-
-// left tells whether the client has closed the connection behind its request,
-// as far as its machine has said so. A process that was frozen, or reached only
-// after a cut, finds such requests; our own callers never close just one way.
-func (c *Conn) left() bool {
-	sc, ok := c.Conn.(syscall.Conn)
-	if !ok || c.br.Buffered() > 0 {
-		return false
-	}
-	raw, err := sc.SyscallConn()
-	if err != nil {
-		return true
-	}
-	gone := false
-	err = raw.Control(func(fd uintptr) {
-		var b [1]byte
-		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		gone = err == nil && n == 0 || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
-	})
-	return gone || errors.Is(err, net.ErrClosed)
-}
--- a/internal/httpwire/calls_test.go
+++ b/internal/rpc/calls_test.go
@@ -1,4 +1,4 @@
-package httpwire
+package rpc
 
 import (
 	"bufio"
@@ -15,6 +15,8 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"saltreel/internal/httpwire"
 )
 
 // peer is the far end of a connection whose answers the test writes itself.
@@ -42,24 +44,24 @@
 const good = "HTTP/1.1 200 OK\r\nCall: NAME\r\nContent-Length: 2\r\n\r\n{}"
 
 // facing is a pool whose every connection leads to the peer.
-func facing(t *testing.T, play func(p *peer)) *Pool {
+func facing(t *testing.T, play func(p *peer)) *Client {
 	n := 0
-	pool := &Pool{Network: Network{Dial: func(context.Context, string) (net.Conn, error) {
+	pool := NewClient(&httpwire.Pool{Network: httpwire.Network{Dial: func(context.Context, string) (net.Conn, error) {
 		n++
 		near, far := net.Pipe()
 		p := &peer{Conn: far, br: bufio.NewReader(far), nth: n}
 		go func() { play(p); far.Close() }()
 		return near, nil
-	}}}
+	}}})
 	t.Cleanup(func() { pool.Forget("h:1") })
 	return pool
 }
 
 // post makes a call that waits for a second.
-func post(t *testing.T, pool *Pool, path string) error {
+func post(t *testing.T, pool *Client, path string) error {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	return pool.Post(ctx, "h:1", path, struct{}{}, nil, nil)
+	return pool.Call(ctx, "h:1", path, struct{}{}, nil, nil)
 }
 
 func TestOnlyItsOwnWholeAnswerEndsACall(t *testing.T) {
@@ -88,10 +90,10 @@
 				p.say(c.raw)
 			})
 			err := post(t, pool, "/ping")
-			if (err == nil) != c.ok || NotSent(err) {
+			if (err == nil) != c.ok || httpwire.NotSent(err) {
 				t.Errorf("%s: %v", what, err)
 			}
-			if clear := StatusOf(err) != 0; clear != (what == "own, refused") || !c.ok && !clear && pool.Open("h:1") != 0 {
+			if clear := StatusCode(err) != 0; clear != (what == "own, refused") || !c.ok && !clear && pool.Open("h:1") != 0 {
 				t.Errorf("%s: %v, %d connections are left", what, err, pool.Open("h:1"))
 			}
 		})
@@ -108,7 +110,7 @@
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		a, err := pool.Do(ctx, "h:1", &Call{Method: "POST", Target: "/", Host: "h", Header: []string{"Id", "mine"}, Repeats: "Id"})
+		a, err := pool.Do(ctx, "h:1", &httpwire.Call{Method: "POST", Target: "/", Host: "h", Header: []string{"Id", "mine"}, Repeats: "Id"})
 		if err != nil || a.Header.Get("Seal") != "s" || pool.Open("h:1") != 0 {
 			t.Errorf("%+v %v, %d connections are left", a, err, pool.Open("h:1"))
 		}
@@ -139,7 +141,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			pool := facing(t, play)
-			if err := post(t, pool, "/ping"); err == nil || NotSent(err) {
+			if err := post(t, pool, "/ping"); err == nil || httpwire.NotSent(err) {
 				t.Errorf("%s: %v", what, err)
 			}
 			time.Sleep(time.Second)
@@ -183,7 +185,7 @@
 				errs = append(errs, post(t, pool, "/ping"))
 				synctest.Wait()
 			}
-			if errs[1] == nil || NotSent(errs[1]) || StatusOf(errs[1]) != 0 || errs[2] != nil || first == "" && errs[0] != nil {
+			if errs[1] == nil || httpwire.NotSent(errs[1]) || StatusCode(errs[1]) != 0 || errs[2] != nil || first == "" && errs[0] != nil {
 				t.Errorf("%s: %v", what, errs)
 			}
 			first = ""
@@ -207,7 +209,7 @@
 				t.Fatal(err)
 			}
 			err := post(t, pool, path)
-			if seen != want || (err == nil) != Idempotent[path] || NotSent(err) {
+			if seen != want || (err == nil) != Idempotent[path] || httpwire.NotSent(err) {
 				t.Errorf("%s: seen %d times, %v", path, seen, err)
 			}
 		})
@@ -239,10 +241,10 @@
 			c, err := dial(ctx, addr)
 			return hasty{c, cancel}, err
 		}
-		if err := pool.Post(ctx, "h:1", "/ping", struct{}{}, nil, nil); err != nil || pool.Open("h:1") != 0 {
+		if err := pool.Call(ctx, "h:1", "/ping", struct{}{}, nil, nil); err != nil || pool.Open("h:1") != 0 {
 			t.Errorf("%v, %d connections are left", err, pool.Open("h:1"))
 		}
-		if err := pool.Post(ctx, "h:1", "/ping", struct{}{}, nil, nil); !NotSent(err) {
+		if err := pool.Call(ctx, "h:1", "/ping", struct{}{}, nil, nil); !httpwire.NotSent(err) {
 			t.Errorf("a call whose time is over is sent: %v", err)
 		}
 	})
@@ -251,13 +253,13 @@
 func TestAHandlerEndsWithItsCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan time.Duration, 2)
-		mux := Mux{"/wait": func(ctx context.Context, r *Request) *Response {
+		mux := Mux{"/wait": func(ctx context.Context, r *httpwire.Request) *httpwire.Response {
 			<-ctx.Done()
 			ended <- time.Since(r.Received)
-			return Problem(503, "busy")
+			return httpwire.Problem(503, "busy")
 		}}
-		s := &Server{Handle: mux.Handle}
-		pool := &Pool{Network: Network{Dial: func(context.Context, string) (net.Conn, error) { return served(t.Context(), s), nil }}}
+		s := &httpwire.Server{Handle: mux.Handle}
+		pool := NewClient(&httpwire.Pool{Network: httpwire.Network{Dial: func(context.Context, string) (net.Conn, error) { return served(t.Context(), s), nil }}})
 		if err := post(t, pool, "/wait"); err == nil {
 			t.Error("no error")
 		}
@@ -280,11 +282,11 @@
 func TestCallsOnOneConnectionAreAnsweredInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		wait := map[string]time.Duration{"/slow": time.Second}
-		answer := func(_ context.Context, r *Request) *Response {
+		answer := func(_ context.Context, r *httpwire.Request) *httpwire.Response {
 			time.Sleep(wait[r.URL.Path])
-			return &Response{Status: 200, Body: []byte(r.URL.Path)}
+			return &httpwire.Response{Status: 200, Body: []byte(r.URL.Path)}
 		}
-		c := served(t.Context(), &Server{Handle: Mux{"/slow": answer, "/fast": answer}.Handle})
+		c := served(t.Context(), &httpwire.Server{Handle: Mux{"/slow": answer, "/fast": answer}.Handle})
 		go func() {
 			_, _ = io.WriteString(c, "POST /slow HTTP/1.1\r\nHost: h\r\nCall: a 5000\r\n\r\nPOST /fast HTTP/1.1\r\nHost: h\r\nCall: b 5000\r\n\r\n")
 		}()
@@ -309,9 +311,9 @@
 		t.Fatal(err)
 	}
 	var ran atomic.Int32
-	s := &Server{Handle: Mux{"/do": func(context.Context, *Request) *Response {
+	s := &httpwire.Server{Handle: Mux{"/do": func(context.Context, *httpwire.Request) *httpwire.Response {
 		ran.Add(1)
-		return &Response{Status: 200, Body: []byte("{}")}
+		return &httpwire.Response{Status: 200, Body: []byte("{}")}
 	}}.Handle}
 	// The caller is gone before the server, frozen so far, reads its call.
 	c, err := net.Dial("tcp", l.Addr().String())
@@ -321,13 +323,13 @@
 	_, _ = io.WriteString(c, "POST /do HTTP/1.1\r\nHost: h\r\nCall: a 5000\r\n\r\n")
 	c.Close()
 	go func() { _ = s.Serve(t.Context(), l) }()
-	pool := &Pool{Network: TCP()}
+	pool := NewClient(&httpwire.Pool{Network: httpwire.TCP()})
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	if err := pool.Post(ctx, l.Addr().String(), "/do", struct{}{}, nil, nil); err != nil {
+	if err := pool.Call(ctx, l.Addr().String(), "/do", struct{}{}, nil, nil); err != nil {
 		t.Fatal(err)
 	}
-	s.Drain(ctx)
+	s.Shutdown(ctx)
 	if n := ran.Load(); n != 1 {
 		t.Errorf("%d calls ran", n)
 	}
@@ -358,7 +360,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, m := range regexp.MustCompile(`"(/[a-z/-]+)": +(?:httpwire\.Method|source|s\.)`).FindAllSubmatch(source, -1) {
+		for _, m := range regexp.MustCompile(`"(/[a-z/-]+)": +(?:rpc\.Handler|source|s\.)`).FindAllSubmatch(source, -1) {
 			used[string(m[1])] = true
 		}
 	}
--- a/internal/httpwire/wire_bench_test.go
+++ b/internal/rpc/wire_bench_test.go
@@ -1,4 +1,4 @@
-package httpwire
+package rpc
 
 import (
 	"context"
@@ -6,6 +6,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"saltreel/internal/httpwire"
 )
 
 // BenchmarkCall is one call between our own processes over loopback, both ends
@@ -22,14 +24,14 @@
 			type body struct {
 				Text string `json:"text"`
 			}
-			server := &Server{Handle: Mux{"/call": Method(func(context.Context, *body, []byte) (*struct{}, error) { return &struct{}{}, nil })}.Handle}
+			server := &httpwire.Server{Handle: Mux{"/call": Handler(func(context.Context, *body, []byte) (*struct{}, error) { return &struct{}{}, nil })}.Handle}
 			go func() { _ = server.Serve(ctx, l) }()
-			p := &Pool{Network: TCP()}
+			p := NewClient(&httpwire.Pool{Network: httpwire.TCP()})
 			in := body{strings.Repeat("x", size)}
 			b.ReportAllocs()
 			for b.Loop() {
 				cctx, stop := context.WithTimeout(ctx, time.Second)
-				if err := p.Post(cctx, l.Addr().String(), "/call", in, nil, nil); err != nil {
+				if err := p.Call(cctx, l.Addr().String(), "/call", in, nil, nil); err != nil {
 					b.Fatal(err)
 				}
 				stop()
--- a/internal/store/meter.go
+++ b/internal/store/meter.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"saltreel/internal/configuration"
-	"saltreel/internal/httpwire"
+	"saltreel/internal/rpc"
 )
 
 // meters count the accepted messages of tenants over all nodes. The meter of a
@@ -54,13 +54,13 @@
 func (m *meters) handle(ctx context.Context, in *Grant, _ []byte) (*Granted, error) {
 	t := m.table()
 	if t == nil || in.Partitions <= 0 {
-		return nil, &httpwire.Status{Code: 503, Text: "no configuration is known here"}
+		return nil, &rpc.StatusError{Code: 503, Text: "no configuration is known here"}
 	}
 	out := &Granted{Given: map[string]float64{}, WaitMs: map[string]int64{}}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if ctx.Err() != nil { // what is given to nobody is lost
-		return nil, &httpwire.Status{Code: 503, Text: "the caller waits no longer"}
+		return nil, &rpc.StatusError{Code: 503, Text: "the caller waits no longer"}
 	}
 	now := time.Now()
 	for name, want := range in.Want {
@@ -70,7 +70,7 @@
 		}
 		if !m.leads(MeterPartition(name, in.Partitions)) {
 			delete(m.tenants, name)
-			return nil, &httpwire.Status{Code: 421, Text: "the meter of " + name + " is not here"}
+			return nil, &rpc.StatusError{Code: 421, Text: "the meter of " + name + " is not here"}
 		}
 		if tenant.RatePerS <= 0 {
 			out.Given[name] = want
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -19,6 +19,7 @@
 	"saltreel/internal/placement"
 	"saltreel/internal/quota"
 	"saltreel/internal/ring"
+	"saltreel/internal/rpc"
 	"saltreel/internal/settings"
 )
 
@@ -92,17 +93,17 @@
 	life, end := context.WithCancel(context.Background())
 	defer end()
 	source := s.node.Source()
-	mux := httpwire.Mux{
+	mux := rpc.Mux{
 		"/news":     source.Handle,
-		"/ping":     httpwire.Method(s.handlePing),
-		"/copy":     httpwire.Method(s.parts.HandleCopy),
-		"/digest":   httpwire.Method(s.parts.HandleDigest),
+		"/ping":     rpc.Handler(s.handlePing),
+		"/copy":     rpc.Handler(s.parts.HandleCopy),
+		"/digest":   rpc.Handler(s.parts.HandleDigest),
 		"/fetch":    s.parts.HandleFetch,
-		"/accept":   httpwire.Method(s.handleAccept),
-		"/status":   httpwire.Method(s.handleStatus),
+		"/accept":   rpc.Handler(s.handleAccept),
+		"/status":   rpc.Handler(s.handleStatus),
 		"/body":     s.handleBody,
-		"/grant":    httpwire.Method(s.meters.handle),
-		"/handover": httpwire.Method(s.handleHandover),
+		"/grant":    rpc.Handler(s.meters.handle),
+		"/handover": rpc.Handler(s.handleHandover),
 	}
 	server := &httpwire.Server{Handle: mux.Handle, Log: s.log}
 	var tasks sync.WaitGroup
@@ -134,7 +135,7 @@
 	stopDeliveries()
 	stop, cancel := context.WithTimeout(context.Background(), grace/16)
 	defer cancel()
-	server.Drain(stop)
+	server.Shutdown(stop)
 	end()
 	tasks.Wait()
 	return <-failed
@@ -143,7 +144,7 @@
 // handlePing answers that the process runs and its disk works.
 func (s *Store) handlePing(context.Context, *struct{}, []byte) (*struct{}, error) {
 	if err := s.parts.Health(); err != nil {
-		return nil, &httpwire.Status{Code: 503, Text: err.Error()}
+		return nil, &rpc.StatusError{Code: 503, Text: err.Error()}
 	}
 	return &struct{}{}, nil
 }
@@ -207,7 +208,7 @@
 		return nil, err
 	}
 	if r.Tenant != in.Tenant {
-		return nil, &httpwire.Status{Code: 404, Text: "no such message"}
+		return nil, &rpc.StatusError{Code: 404, Text: "no such message"}
 	}
 	return r, nil
 }
@@ -222,7 +223,7 @@
 
 func (s *Store) handleBody(ctx context.Context, r *httpwire.Request) *httpwire.Response {
 	var rec *partition.Record
-	res := httpwire.Method(func(ctx context.Context, in *Ask, _ []byte) (_ *struct{}, err error) {
+	res := rpc.Handler(func(ctx context.Context, in *Ask, _ []byte) (_ *struct{}, err error) {
 		rec, err = s.find(ctx, in)
 		return &struct{}{}, err
 	})(ctx, r)
