--- a/cmd/saltreel-control/main.go
+++ b/cmd/saltreel-control/main.go
@@ -37,8 +37,8 @@
 	var timeout time.Duration
 	root.PersistentFlags().StringSliceVar(&controls, "control", nil, "control-plane addresses, host:port, separated by commas")
 	root.PersistentFlags().DurationVar(&timeout, "timeout", 2*time.Second, "how long to wait for one answer")
-	caller := func() *operator.Caller {
-		return &operator.Caller{Pool: &httpwire.Pool{Network: httpwire.TCP()}, Controls: controls, Timeout: timeout}
+	caller := func() *operator.Client {
+		return &operator.Client{Pool: &httpwire.Pool{Network: httpwire.TCP()}, Controls: controls, Timeout: timeout}
 	}
 	root.AddCommand(configCommand(caller), retireCommand(caller), statusCommand(caller))
 	os.Exit(platform.Main(root))
@@ -46,7 +46,7 @@
 
 // control is a core with its listener for handlers and the operator.
 type control struct {
-	*controlplane.Core
+	*controlplane.Server
 	set *settings.Settings
 	log *log.Logger
 }
@@ -58,10 +58,10 @@
 
 // Run serves both sides until ctx ends.
 func (c *control) Run(ctx context.Context) error {
-	return operator.Serve(ctx, c.Core, c.set, httpwire.TCP(), c.log)
+	return operator.Serve(ctx, c.Server, c.set, httpwire.TCP(), c.log)
 }
 
-func configCommand(caller func() *operator.Caller) *cobra.Command {
+func configCommand(caller func() *operator.Client) *cobra.Command {
 	cmd := &cobra.Command{Use: "config", Short: "Read, check or send the configuration"}
 	get := &cobra.Command{Use: "get", Short: "Print the configuration in force", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 		raw, err := caller().Get(cmd.Context(), "/v1/configuration")
@@ -111,7 +111,7 @@
 }
 
 // current is the revision in force, 0 before the first.
-func current(ctx context.Context, c *operator.Caller) (int64, error) {
+func current(ctx context.Context, c *operator.Client) (int64, error) {
 	raw, err := c.Get(ctx, "/v1/configuration")
 	if rpc.StatusCode(err) == 404 {
 		return 0, nil
@@ -133,7 +133,7 @@
 	return os.ReadFile(path)
 }
 
-func retireCommand(caller func() *operator.Caller) *cobra.Command {
+func retireCommand(caller func() *operator.Client) *cobra.Command {
 	var wait time.Duration
 	cmd := &cobra.Command{Use: "retire NODE", Short: "Empty a store, so that it may be removed", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 		c := caller()
@@ -162,7 +162,7 @@
 	return cmd
 }
 
-func statusCommand(caller func() *operator.Caller) *cobra.Command {
+func statusCommand(caller func() *operator.Client) *cobra.Command {
 	return &cobra.Command{Use: "status", Short: "Show the view, the nodes, the placement and the handlers", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 		raw, err := caller().Get(cmd.Context(), "/v1/status")
 		if err != nil {
--- a/internal/boltstore/statefile.go
+++ b/internal/boltstore/statefile.go
@@ -198,7 +198,7 @@
 }
 
 // Tend brings the file back after writes that failed, until ctx ends.
-func (f *File) Tend(ctx context.Context, pause time.Duration) {
+func (f *File) Recover(ctx context.Context, pause time.Duration) {
 	f.init()
 	for {
 		select {
--- a/internal/boltstore/statefile_test.go
+++ b/internal/boltstore/statefile_test.go
@@ -72,7 +72,7 @@
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
-			go func() { s.Tend(ctx, time.Second); close(done) }()
+			go func() { s.Recover(ctx, time.Second); close(done) }()
 			var full atomic.Bool
 			full.Store(true)
 			s.Fault = func(at string) error {
--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -25,25 +25,25 @@
 // Pass is what a member sends to its successor: one write, which may set
 // several documents, or with All everything that it holds, as a snapshot; with
 // neither, a sign of life.
-type Pass struct {
-	View     View      `json:"view"`
-	Sequence int64     `json:"sequence"` // of the last write that the sender holds; it only rises within a view
-	All      bool      `json:"all,omitempty"`
-	Set      Documents `json:"set,omitempty"`
-	Stamp    Stamp     `json:"stamp"`
+type UpdateRequest struct {
+	View     View           `json:"view"`
+	Sequence int64          `json:"sequence"` // of the last write that the sender holds; it only rises within a view
+	Snapshot bool           `json:"all,omitempty"`
+	Set      Documents      `json:"set,omitempty"`
+	Position StreamPosition `json:"stamp"`
 	// Back is the last pass of this head that came back whole: all members had
 	// answered it.
-	Back int64 `json:"back,omitempty"`
+	CommittedThrough int64 `json:"back,omitempty"`
 }
 
 // Stamp orders the passes that one life of a head sends down the chain.
-type Stamp struct {
+type StreamPosition struct {
 	Head   int64 `json:"head"` // differs for each life of a head
 	Number int64 `json:"number"`
 }
 
 // Passed answers a pass. Gap asks for the whole state.
-type Passed struct {
+type UpdateResponse struct {
 	Gap bool `json:"gap,omitempty"`
 	// Ahead says that the successor holds everything, and more than was passed.
 	Ahead bool `json:"ahead,omitempty"`
@@ -51,20 +51,20 @@
 
 // Chain is this machine's part.
 type Chain struct {
-	Self     Member // the disk is read by Open
-	Losses   int    // how many machines may be lost at once
-	Pool     *rpc.Client
-	Contact  time.Duration
-	Log      *log.Logger
-	Acceptor *paxos.Acceptor
+	Self           Member // the disk is read by Open
+	MaxFailures    int    // how many machines may be lost at once
+	Client         *rpc.Client
+	ContactTimeout time.Duration
+	Log            *log.Logger
+	Acceptor       *paxos.Acceptor
 	// Prepare is called with what a write sets, before it is known to last.
-	Prepare func(Documents)
+	OnUpdate func(Documents)
 	// Committed is called with each state that the tail is known to hold.
-	Committed func(Documents)
+	OnCommit func(Documents)
 	// Others are the cores heard of lately, whether in the view or not.
-	Others func() []Member
+	KnownCores func() []Member
 	// Ready tells whether this core knows what a voter must know.
-	Ready func() bool
+	VoterReady func() bool
 
 	db *boltstore.File
 
@@ -78,7 +78,7 @@
 	active    bool                 // a pass of this view went through here
 	touched   time.Time            // at that moment all members held what this one held, and no other view was in force
 	steady    time.Time            // since when there was no gap in that
-	stamp     Stamp                // of the last pass, sent or taken
+	stamp     StreamPosition       // of the last pass, sent or taken
 	back      int64                // the last pass that came back whole, at the head
 	answers   [4]through           // the last passes that this member answered, newest first
 	heard     time.Time            // when a pass last went through here
@@ -92,7 +92,7 @@
 
 // through is a pass that this member answered, and when it took it.
 type through struct {
-	stamp Stamp
+	stamp StreamPosition
 	at    time.Time
 }
 
@@ -142,21 +142,21 @@
 
 // Steady tells whether this machine is in the view and heard from its chain
 // lately, so that what it tells is not old.
-func (c *Chain) Steady() bool {
+func (c *Chain) InContact() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.isSteady()
+	return c.inContactLocked()
 }
 
-func (c *Chain) isSteady() bool {
-	return c.view.at(c.Self) >= 0 && time.Since(c.touched) < c.Contact/2
+func (c *Chain) inContactLocked() bool {
+	return c.view.at(c.Self) >= 0 && time.Since(c.touched) < c.ContactTimeout/2
 }
 
 // SteadyFor is how long this machine has been steady without a gap.
-func (c *Chain) SteadyFor() time.Duration {
+func (c *Chain) InContactFor() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.isSteady() {
+	if !c.inContactLocked() {
 		return 0
 	}
 	return time.Since(c.steady)
@@ -168,7 +168,7 @@
 	if !at.After(c.touched) {
 		return
 	}
-	if at.Sub(c.touched) > c.Contact/2 {
+	if at.Sub(c.touched) > c.ContactTimeout/2 {
 		c.steady = at
 	}
 	c.touched = at
@@ -181,32 +181,32 @@
 // touch when it took that one: from then until its answer was on the way, all
 // before it held their place in this view, and all behind it had not left it.
 // The lock is held.
-func (c *Chain) passed(p Pass, began time.Time) {
-	c.active, c.gone, c.heard, c.stamp = true, false, time.Now(), p.Stamp
+func (c *Chain) passed(p UpdateRequest, began time.Time) {
+	c.active, c.gone, c.heard, c.stamp = true, false, time.Now(), p.Position
 	if p.View.at(c.Self) == 0 {
-		c.back = p.Stamp.Number
+		c.back = p.Position.Number
 		c.touch(began)
 		return
 	}
 	for _, a := range c.answers {
-		if a.stamp == (Stamp{p.Stamp.Head, p.Back}) {
+		if a.stamp == (StreamPosition{p.Position.Head, p.CommittedThrough}) {
 			c.touch(a.at)
 		}
 	}
 	copy(c.answers[1:], c.answers[:])
-	c.answers[0] = through{p.Stamp, began}
+	c.answers[0] = through{p.Position, began}
 }
 
 // pass is the next pass of this head, a sign of life as it stands. The right to
 // write is held.
-func (c *Chain) pass(view View) Pass {
+func (c *Chain) pass(view View) UpdateRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stamp.Head != c.life {
-		c.stamp, c.back = Stamp{Head: c.life}, 0
+		c.stamp, c.back = StreamPosition{Head: c.life}, 0
 	}
 	c.stamp.Number++
-	return Pass{View: view, Sequence: c.sequence, Stamp: c.stamp, Back: c.back}
+	return UpdateRequest{View: view, Sequence: c.sequence, Position: c.stamp, CommittedThrough: c.back}
 }
 
 // Propose makes one write. At the head, decide sees the newest state and gives
@@ -235,8 +235,8 @@
 	if decide != nil {
 		// What was decided must outlast as many losses as are borne, and so must
 		// what it rests on: also where nothing is written.
-		if len(view.Members) <= c.Losses {
-			return &rpc.StatusError{Code: 503, Text: fmt.Sprintf("%d cores are in the view, %d are needed", len(view.Members), c.Losses+1)}
+		if len(view.Members) <= c.MaxFailures {
+			return &rpc.StatusError{Code: 503, Text: fmt.Sprintf("%d cores are in the view, %d are needed", len(view.Members), c.MaxFailures+1)}
 		}
 		set, refused = decide(docs)
 	}
@@ -273,23 +273,23 @@
 }
 
 // apply puts a pass on disk and into memory. The right to write is held.
-func (c *Chain) apply(p Pass) error {
+func (c *Chain) apply(p UpdateRequest) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	view, before, whole := c.view, c.sequence, c.whole
 	c.enter(p.View)
 	docs := Documents{}
-	if !p.All {
+	if !p.Snapshot {
 		maps.Copy(docs, c.docs)
 	}
 	maps.Copy(docs, p.Set)
 	c.sequence = p.Sequence
-	if p.All {
+	if p.Snapshot {
 		c.whole = p.View.Number
 	}
 	err := c.db.Update(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(bucketDocs)
-		if p.All {
+		if p.Snapshot {
 			for k := range c.docs {
 				if err := b.Delete([]byte(k)); err != nil {
 					return err
@@ -313,20 +313,20 @@
 
 // forward hands a pass to the successor; when it returns nil, the tail holds
 // all that this machine holds. The right to write is held.
-func (c *Chain) forward(ctx context.Context, p Pass) error {
+func (c *Chain) forward(ctx context.Context, p UpdateRequest) error {
 	began := time.Now()
 	if next, ok := p.View.next(c.Self); ok {
 		if len(p.Set) > 0 {
-			go c.Prepare(p.Set)
+			go c.OnUpdate(p.Set)
 		}
-		ctx, cancel := context.WithTimeout(ctx, c.Contact/5)
+		ctx, cancel := context.WithTimeout(ctx, c.ContactTimeout/5)
 		defer cancel()
 		c.mu.Lock()
 		c.stop = cancel
 		c.mu.Unlock()
 		for {
-			var out Passed
-			if err := c.Pool.Call(ctx, next.Address, "/chain/pass", p, nil, &out); err != nil {
+			var out UpdateResponse
+			if err := c.Client.Call(ctx, next.Address, "/chain/pass", p, nil, &out); err != nil {
 				c.mu.Lock()
 				c.gone = httpwire.ConnectionRefused(err)
 				c.mu.Unlock()
@@ -338,22 +338,22 @@
 			if !out.Gap {
 				break
 			}
-			if p.All {
+			if p.Snapshot {
 				return fmt.Errorf("pass down the chain: %s does not take the whole state", next.Address)
 			}
-			p.All, p.Set = true, c.docs
+			p.Snapshot, p.Set = true, c.docs
 		}
 	}
 	c.mu.Lock()
 	c.passed(p, began)
 	docs := c.docs
 	c.mu.Unlock()
-	c.Committed(docs)
+	c.OnCommit(docs)
 	return nil
 }
 
 // HandlePass takes what the predecessor sends.
-func (c *Chain) HandlePass(ctx context.Context, p *Pass, _ []byte) (*Passed, error) {
+func (c *Chain) HandleUpdate(ctx context.Context, p *UpdateRequest, _ []byte) (*UpdateResponse, error) {
 	if err := c.lock(ctx); err != nil {
 		return nil, err
 	}
@@ -372,42 +372,42 @@
 		return nil, err
 	}
 	if c.ahead(p) {
-		return &Passed{Ahead: true}, nil
+		return &UpdateResponse{Ahead: true}, nil
 	}
 	fresh := p.View.Number == view.Number && active
 	switch {
-	case p.All:
+	case p.Snapshot:
 		if err := c.apply(*p); err != nil {
 			return nil, err
 		}
 	case !fresh:
-		return &Passed{Gap: true}, nil
+		return &UpdateResponse{Gap: true}, nil
 	case len(p.Set) > 0 && p.Sequence == sequence+1:
 		if err := c.apply(*p); err != nil {
 			return nil, err
 		}
 	case p.Sequence != sequence:
-		return &Passed{Gap: true}, nil
+		return &UpdateResponse{Gap: true}, nil
 	}
 	if err := c.forward(ctx, *p); err != nil {
 		return nil, err
 	}
-	return &Passed{}, nil
+	return &UpdateResponse{}, nil
 }
 
 // late refuses a pass that others of the same life of the head have overtaken:
 // it lay in a buffer, or on a link that was cut. Over a restart ahead tells it,
 // by the sequence, which is on disk.
-func (c *Chain) late(p *Pass) error {
+func (c *Chain) late(p *UpdateRequest) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if p.View.Number != c.view.Number {
 		return nil // the first one of its view
 	}
-	if p.Stamp.Head == c.stamp.Head && p.Stamp.Number < c.stamp.Number {
-		return &rpc.StatusError{Code: 409, Text: fmt.Sprintf("pass %d is late, %d was here", p.Stamp.Number, c.stamp.Number)}
+	if p.Position.Head == c.stamp.Head && p.Position.Number < c.stamp.Number {
+		return &rpc.StatusError{Code: 409, Text: fmt.Sprintf("pass %d is late, %d was here", p.Position.Number, c.stamp.Number)}
 	}
-	c.stamp = p.Stamp
+	c.stamp = p.Position
 	return nil
 }
 
@@ -426,13 +426,13 @@
 	if !active {
 		return nil, &rpc.StatusError{Code: 503, Text: "the view is not yet in force"}
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.Contact/8)
+	ctx, cancel := context.WithTimeout(ctx, c.ContactTimeout/8)
 	defer cancel()
 	agree := make(chan bool, len(view.Voters))
 	for _, v := range view.Voters {
 		go func() {
 			s, err := c.standing(ctx, v, view)
-			agree <- err == nil && s.View.Number <= view.Number && !s.Next
+			agree <- err == nil && s.View.Number <= view.Number && !s.NextAccepted
 		}()
 	}
 	n := 0
--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -23,11 +23,11 @@
 func open(t *testing.T, path, self string) *Chain {
 	t.Helper()
 	c := &Chain{
-		Self: Member{Address: self}, Losses: 1, Contact: contact, Log: log.New(io.Discard, "", 0), Acceptor: &paxos.Acceptor{},
-		Prepare: func(Documents) {}, Committed: func(Documents) {}, Others: func() []Member { return nil }, Ready: func() bool { return true },
+		Self: Member{Address: self}, MaxFailures: 1, ContactTimeout: contact, Log: log.New(io.Discard, "", 0), Acceptor: &paxos.Acceptor{},
+		OnUpdate: func(Documents) {}, OnCommit: func(Documents) {}, KnownCores: func() []Member { return nil }, VoterReady: func() bool { return true },
 	}
 	file := &boltstore.File{Path: path, Load: c.Load, Warn: t.Logf,
-		Prepare: func(tx *bbolt.Tx) error { return c.Found(tx, []string{"a", "b", "c"}) }}
+		Prepare: func(tx *bbolt.Tx) error { return c.InitState(tx, []string{"a", "b", "c"}) }}
 	c.Open(file)
 	if err := file.Open(); err != nil {
 		t.Fatal(err)
@@ -36,9 +36,9 @@
 	return c
 }
 
-func (c *Chain) take(t *testing.T, p Pass) (*Passed, error) {
+func (c *Chain) take(t *testing.T, p UpdateRequest) (*UpdateResponse, error) {
 	t.Helper()
-	return c.HandlePass(context.Background(), &p, nil)
+	return c.HandleUpdate(context.Background(), &p, nil)
 }
 
 func TestAWholeStateThatComesLateIsRefused(t *testing.T) {
@@ -47,9 +47,9 @@
 			path := filepath.Join(t.TempDir(), "core.db")
 			c := open(t, path, "c")
 			view := c.View()
-			whole := Pass{View: view, Sequence: 1, All: true, Set: Documents{"k": []byte("old")}, Stamp: Stamp{7, 1}}
-			write := Pass{View: view, Sequence: 2, Set: Documents{"k": []byte("new")}, Stamp: Stamp{life, 2}, Back: 1}
-			for _, p := range []Pass{whole, write} {
+			whole := UpdateRequest{View: view, Sequence: 1, Snapshot: true, Set: Documents{"k": []byte("old")}, Position: StreamPosition{7, 1}}
+			write := UpdateRequest{View: view, Sequence: 2, Set: Documents{"k": []byte("new")}, Position: StreamPosition{life, 2}, CommittedThrough: 1}
+			for _, p := range []UpdateRequest{whole, write} {
 				if out, err := c.take(t, p); err != nil || out.Gap {
 					t.Fatalf("pass %d: %v %v", p.Sequence, out, err)
 				}
@@ -75,30 +75,30 @@
 func TestAPassThatLayInABufferIsNoContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := open(t, filepath.Join(t.TempDir(), "core.db"), "c")
-		pass := func(n, back int64) Pass {
-			return Pass{View: c.View(), Sequence: 1, All: n == 1, Stamp: Stamp{7, n}, Back: back}
+		pass := func(n, back int64) UpdateRequest {
+			return UpdateRequest{View: c.View(), Sequence: 1, Snapshot: n == 1, Position: StreamPosition{7, n}, CommittedThrough: back}
 		}
 		for n := range int64(5) {
 			if _, err := c.take(t, pass(n+1, n)); err != nil {
 				t.Fatal(err)
 			}
-			if want := n > 0; c.Steady() != want {
+			if want := n > 0; c.InContact() != want {
 				t.Fatalf("after %d passes: steady %v", n+1, !want)
 			}
 			time.Sleep(contact / 16)
 		}
 		time.Sleep(20 * time.Second) // frozen; the next pass lies in its buffer
-		if c.Steady() {
+		if c.InContact() {
 			t.Fatal("steady after 20 s without a pass")
 		}
 		if _, err := c.take(t, pass(6, 5)); err != nil {
 			t.Fatal(err)
 		}
-		if c.Steady() {
+		if c.InContact() {
 			t.Error("steady by a pass that was sent 20 s ago")
 		}
 		// Once the head has heard the answer it sends the next one.
-		if _, err := c.take(t, pass(7, 6)); err != nil || !c.Steady() {
+		if _, err := c.take(t, pass(7, 6)); err != nil || !c.InContact() {
 			t.Errorf("not steady again: %v", err)
 		}
 	})
@@ -113,7 +113,7 @@
 		t.Fatalf("promise: %v %v", r, err)
 	}
 	// The call has passed the look at the number of the view when that changes.
-	if err := c.Adopt(context.Background(), next); err != nil {
+	if err := c.InstallView(context.Background(), next); err != nil {
 		t.Fatal(err)
 	}
 	value, _ := json.Marshal(next)
--- a/internal/chain/disk.go
+++ b/internal/chain/disk.go
@@ -33,7 +33,7 @@
 
 // Found makes the state on an empty disk. There founders (if any) become the
 // first view.
-func (c *Chain) Found(tx *bbolt.Tx, founders []string) error {
+func (c *Chain) InitState(tx *bbolt.Tx, founders []string) error {
 	for _, b := range [][]byte{bucketState, bucketDocs, bucketVotes} {
 		if _, err := tx.CreateBucketIfNotExists(b); err != nil {
 			return err
@@ -98,7 +98,7 @@
 // ahead tells whether this member holds everything, and more than a pass. The
 // members before it hold all that it does, so such a pass is late, or comes from
 // a disk with an old file put back.
-func (c *Chain) ahead(p *Pass) bool {
+func (c *Chain) ahead(p *UpdateRequest) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	i := p.View.at(c.Self)
--- a/internal/chain/disk_test.go
+++ b/internal/chain/disk_test.go
@@ -29,10 +29,10 @@
 // alone is a chain of one member on a file.
 func alone(t *testing.T, path string) (*Chain, *boltstore.File) {
 	t.Helper()
-	c := &Chain{Self: Member{Address: "a"}, Contact: time.Second, Log: log.New(io.Discard, "", 0), Acceptor: &paxos.Acceptor{},
-		Prepare: func(Documents) {}, Committed: func(Documents) {}, Others: func() []Member { return nil }, Ready: func() bool { return true }}
+	c := &Chain{Self: Member{Address: "a"}, ContactTimeout: time.Second, Log: log.New(io.Discard, "", 0), Acceptor: &paxos.Acceptor{},
+		OnUpdate: func(Documents) {}, OnCommit: func(Documents) {}, KnownCores: func() []Member { return nil }, VoterReady: func() bool { return true }}
 	f := &boltstore.File{Path: path, Warn: t.Logf, Load: c.Load,
-		Prepare: func(tx *bbolt.Tx) error { return c.Found(tx, []string{"a"}) }}
+		Prepare: func(tx *bbolt.Tx) error { return c.InitState(tx, []string{"a"}) }}
 	c.Open(f)
 	if err := f.Open(); err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
-			go func() { f.Tend(ctx, time.Second); close(done) }()
+			go func() { f.Recover(ctx, time.Second); close(done) }()
 			if err := c.set("x", "1"); err != nil {
 				t.Fatal(err)
 			}
@@ -68,10 +68,10 @@
 			if err := c.set("x", "2"); err == nil {
 				t.Fatalf("%s: a refused write is confirmed", step)
 			}
-			if _, err := c.HandleStanding(ctx, &Query{Disk: c.Self.Disk}, nil); err == nil {
+			if _, err := c.HandleStatus(ctx, &StatusRequest{Disk: c.Self.Disk}, nil); err == nil {
 				t.Errorf("%s: takes part while the disk refuses", step)
 			}
-			if _, err := c.HandleBallot(ctx, &Ballot{Disk: c.Self.Disk, Call: paxos.Request{Instance: 2, Number: paxos.ProposalNumber{Round: 1}}}, nil); err == nil {
+			if _, err := c.HandleVote(ctx, &VoteRequest{Disk: c.Self.Disk, Call: paxos.Request{Instance: 2, Number: paxos.ProposalNumber{Round: 1}}}, nil); err == nil {
 				t.Errorf("%s: votes while the disk refuses", step)
 			}
 			if _, err := c.Read(ctx); err == nil {
@@ -134,9 +134,9 @@
 func TestAHeadWritesNothingBeforeItsFirstPass(t *testing.T) {
 	c, f := alone(t, filepath.Join(t.TempDir(), "core.db"))
 	defer f.Close()
-	c.Pool = rpc.NewClient(&httpwire.Pool{Network: httpwire.Network{Dial: func(context.Context, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }}})
+	c.Client = rpc.NewClient(&httpwire.Pool{Network: httpwire.Network{Dial: func(context.Context, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }}})
 	c.view.Members = append(c.view.Members, Member{Address: "b", Disk: founder, Since: 1})
-	c.Losses = 1
+	c.MaxFailures = 1
 	for range 3 {
 		if err := c.set("x", "1"); err == nil {
 			t.Error("confirmed by nobody")
@@ -150,9 +150,9 @@
 // One pass on a member: a configuration of 20 kB and a placement of 13 kB put on
 // disk.
 func BenchmarkPass(b *testing.B) {
-	c := &Chain{Self: Member{Address: "a"}, Contact: time.Second, Log: log.New(io.Discard, "", 0), Acceptor: &paxos.Acceptor{}}
+	c := &Chain{Self: Member{Address: "a"}, ContactTimeout: time.Second, Log: log.New(io.Discard, "", 0), Acceptor: &paxos.Acceptor{}}
 	f := &boltstore.File{Path: filepath.Join(b.TempDir(), "core.db"), Warn: b.Logf, Load: c.Load,
-		Prepare: func(tx *bbolt.Tx) error { return c.Found(tx, []string{"a"}) }}
+		Prepare: func(tx *bbolt.Tx) error { return c.InitState(tx, []string{"a"}) }}
 	c.Open(f)
 	if err := f.Open(); err != nil {
 		b.Fatal(err)
@@ -160,7 +160,7 @@
 	defer f.Close()
 	configuration, placement := bytes.Repeat([]byte("c"), 20_000), bytes.Repeat([]byte("p"), 13_000)
 	for b.Loop() {
-		p := Pass{View: c.view, Sequence: c.sequence + 1, Set: Documents{"configuration": configuration, "placement": placement}}
+		p := UpdateRequest{View: c.view, Sequence: c.sequence + 1, Set: Documents{"configuration": configuration, "placement": placement}}
 		if err := c.apply(p); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/chain/view.go
+++ b/internal/chain/view.go
@@ -36,14 +36,14 @@
 	Voters  []Member `json:"voters"`
 	// Electorate is the number of the view with which these voters came in;
 	// Former are those before them, and FormerElectorate is their number.
-	Electorate       int64    `json:"electorate,omitempty"`
-	Former           []Member `json:"former,omitempty"`
-	FormerElectorate int64    `json:"former-electorate,omitempty"`
+	QuorumEpoch         int64    `json:"electorate,omitempty"`
+	PreviousVoters      []Member `json:"former,omitempty"`
+	PreviousQuorumEpoch int64    `json:"former-electorate,omitempty"`
 }
 
 // Of counts those of a set of members for which a condition holds, and tells
 // whether they are a majority of it.
-func Of(set []Member, f func(Member) bool) (n int, majority bool) {
+func CountMembers(set []Member, f func(Member) bool) (n int, majority bool) {
 	for _, m := range set {
 		m.Since = 0
 		if f(m) {
@@ -76,26 +76,26 @@
 }
 
 // Standing tells what a core knows of the view.
-type Standing struct {
-	View  View `json:"view"`
-	Next  bool `json:"next"`  // a value for the view after this one was accepted here
-	Whole bool `json:"whole"` // holds everything that was ever acknowledged
-	Ready bool `json:"ready"` // knows what a voter must know
+type ReplicaStatus struct {
+	View         View `json:"view"`
+	NextAccepted bool `json:"next"`  // a value for the view after this one was accepted here
+	Complete     bool `json:"whole"` // holds everything that was ever acknowledged
+	Ready        bool `json:"ready"` // knows what a voter must know
 }
 
 // Query asks a core where it stands. It carries the newest view that the
 // asker knows, so that views spread with the questions.
-type Query struct {
+type StatusRequest struct {
 	Disk string `json:"disk"` // of the one asked; the answer of another disk does not count
 	View View   `json:"view"`
 }
 
 // HandleStanding tells what is known here.
-func (c *Chain) HandleStanding(ctx context.Context, q *Query, _ []byte) (*Standing, error) {
+func (c *Chain) HandleStatus(ctx context.Context, q *StatusRequest, _ []byte) (*ReplicaStatus, error) {
 	if err := c.mine(q.Disk); err != nil {
 		return nil, err
 	}
-	if err := c.adopt(ctx, q.View); err != nil {
+	if err := c.installView(ctx, q.View); err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
@@ -104,7 +104,7 @@
 	if err := c.works(); err != nil {
 		return nil, err
 	}
-	return &Standing{view, c.Acceptor.HasAccepted(view.Number + 1), whole && view.at(c.Self) >= 0, c.Ready()}, nil
+	return &ReplicaStatus{view, c.Acceptor.HasAccepted(view.Number + 1), whole && view.at(c.Self) >= 0, c.VoterReady()}, nil
 }
 
 // mine refuses what is meant for another disk at this address.
@@ -116,23 +116,23 @@
 }
 
 // standing asks one core.
-func (c *Chain) standing(ctx context.Context, who Member, view View) (*Standing, error) {
-	q := Query{who.Disk, view}
+func (c *Chain) standing(ctx context.Context, who Member, view View) (*ReplicaStatus, error) {
+	q := StatusRequest{who.Disk, view}
 	if who.is(c.Self) {
-		return c.HandleStanding(ctx, &q, nil)
+		return c.HandleStatus(ctx, &q, nil)
 	}
-	s := &Standing{}
-	return s, c.Pool.Call(ctx, who.Address, "/chain/standing", q, nil, s)
+	s := &ReplicaStatus{}
+	return s, c.Client.Call(ctx, who.Address, "/chain/standing", q, nil, s)
 }
 
 // Ballot is a step of a ballot for one voter.
-type Ballot struct {
+type VoteRequest struct {
 	Disk string        `json:"disk"`
 	Call paxos.Request `json:"call"`
 }
 
 // HandleBallot votes on a view.
-func (c *Chain) HandleBallot(_ context.Context, b *Ballot, _ []byte) (*paxos.Response, error) {
+func (c *Chain) HandleVote(_ context.Context, b *VoteRequest, _ []byte) (*paxos.Response, error) {
 	if err := c.mine(b.Disk); err != nil {
 		return nil, err
 	}
@@ -144,13 +144,13 @@
 }
 
 // adopt takes a chosen view over and puts it on disk.
-func (c *Chain) adopt(ctx context.Context, v View) error {
+func (c *Chain) installView(ctx context.Context, v View) error {
 	if v.Number <= c.View().Number {
 		return nil
 	}
 	// A pass of the view before may be under way, and hang at a member that is
 	// gone. It is given a while to come back; then it is given up.
-	soon, cancel := context.WithTimeout(ctx, c.Contact/16)
+	soon, cancel := context.WithTimeout(ctx, c.ContactTimeout/16)
 	err := c.lock(soon)
 	cancel()
 	if err != nil {
@@ -183,7 +183,7 @@
 // Tend keeps the chain whole until ctx ends: the head sends signs of life down
 // it, and whoever misses a neighbour calls for a new view. A pass may hang at a
 // member that is gone, so neither waits for the other.
-func (c *Chain) Tend(ctx context.Context) {
+func (c *Chain) Run(ctx context.Context) {
 	var tasks sync.WaitGroup
 	started := time.Now()
 	tasks.Go(func() { c.signs(ctx, started) })
@@ -203,9 +203,9 @@
 		case <-timer.C:
 		}
 		c.mu.Lock()
-		next := c.Contact / 16
+		next := c.ContactTimeout / 16
 		if !c.active {
-			next = c.Contact / 80
+			next = c.ContactTimeout / 80
 		}
 		c.mu.Unlock()
 		timer.Reset(next)
@@ -220,7 +220,7 @@
 			return
 		}
 		err := c.Propose(ctx, nil)
-		if err != nil && ctx.Err() == nil && rpc.StatusCode(err) != 421 && time.Since(started) > c.Contact/4 {
+		if err != nil && ctx.Err() == nil && rpc.StatusCode(err) != 421 && time.Since(started) > c.ContactTimeout/4 {
 			c.Log.Printf("chain: sign of life: %v", err)
 		}
 	})
@@ -230,7 +230,7 @@
 func (c *Chain) look(ctx context.Context, started time.Time) {
 	var mended time.Time
 	c.every(ctx, func() {
-		if time.Since(started) < c.Contact/8 || time.Since(mended) < c.Contact/16 {
+		if time.Since(started) < c.ContactTimeout/8 || time.Since(mended) < c.ContactTimeout/16 {
 			return
 		}
 		view := c.View()
@@ -251,13 +251,13 @@
 	silent, gone := time.Since(c.heard), c.gone
 	c.mu.Unlock()
 	at := view.at(c.Self)
-	if silent > c.Contact/4 || gone {
+	if silent > c.ContactTimeout/4 || gone {
 		return true
 	}
-	if at < 1 || silent < c.Contact/8 {
+	if at < 1 || silent < c.ContactTimeout/8 {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.Contact/16)
+	ctx, cancel := context.WithTimeout(ctx, c.ContactTimeout/16)
 	defer cancel()
 	_, err := c.standing(ctx, view.Members[at-1], view)
 	return httpwire.ConnectionRefused(err)
@@ -265,17 +265,17 @@
 
 // outside are the cores heard of that have no vote.
 func (c *Chain) outside(view View) []Member {
-	return slices.DeleteFunc(c.Others(), view.votes)
+	return slices.DeleteFunc(c.KnownCores(), view.votes)
 }
 
 // mend asks all cores where they stand and calls a ballot for the view that
 // follows from the answers.
 func (c *Chain) mend(ctx context.Context, view View) {
-	sctx, cancel := context.WithTimeout(ctx, c.Contact/16)
+	sctx, cancel := context.WithTimeout(ctx, c.ContactTimeout/16)
 	defer cancel()
 	type answer struct {
 		who Member
-		s   *Standing
+		s   *ReplicaStatus
 		err error
 	}
 	asked := append(slices.Clone(view.Voters), c.outside(view)...)
@@ -289,7 +289,7 @@
 			got <- answer{who, s, err}
 		}()
 	}
-	answers := map[Member]*Standing{}
+	answers := map[Member]*ReplicaStatus{}
 	newest := view
 	now := time.Now()
 	for range asked {
@@ -308,7 +308,7 @@
 		}
 	}
 	if newest.Number > view.Number {
-		if err := c.adopt(ctx, newest); err != nil {
+		if err := c.installView(ctx, newest); err != nil {
 			c.Log.Printf("chain: adopt view %d: %v", newest.Number, err)
 		}
 		return
@@ -317,7 +317,7 @@
 		return
 	}
 	c.mu.Lock()
-	works := c.active && time.Since(c.heard) <= c.Contact/4
+	works := c.active && time.Since(c.heard) <= c.ContactTimeout/4
 	c.mu.Unlock()
 	next, ok := c.successor(view, works, answers)
 	begun := c.Acceptor.HasAccepted(next.Number)
@@ -329,7 +329,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(c.Contact / 16 * time.Duration(i)):
+		case <-time.After(c.ContactTimeout / 16 * time.Duration(i)):
 		}
 	}
 	c.choose(ctx, view, next)
@@ -337,15 +337,15 @@
 
 // successor is the view that is to follow, from what the cores answered. It is
 // not ok when too few answered for one that is safe.
-func (c *Chain) successor(view View, works bool, answers map[Member]*Standing) (next View, ok bool) {
-	of := func(m Member) *Standing { m.Since = 0; return answers[m] }
+func (c *Chain) successor(view View, works bool, answers map[Member]*ReplicaStatus) (next View, ok bool) {
+	of := func(m Member) *ReplicaStatus { m.Since = 0; return answers[m] }
 	next = view
 	next.Number, next.Members, next.Voters = view.Number+1, nil, slices.Clone(view.Voters)
 	// Those that hold everything go first; among them the order stays, so that
 	// the new head holds all that any of them does.
 	var behind []Member
 	for _, m := range view.Members {
-		if s := of(m); s != nil && s.Whole {
+		if s := of(m); s != nil && s.Complete {
 			next.Members = append(next.Members, m)
 		} else if s != nil {
 			behind = append(behind, m)
@@ -373,7 +373,7 @@
 	if works && !joined && len(next.Members) == len(view.Members) {
 		c.changeVoters(view, &next, of, join)
 		if !slices.Equal(next.Voters, view.Voters) {
-			next.Electorate, next.Former, next.FormerElectorate = next.Number, view.Voters, view.Electorate
+			next.QuorumEpoch, next.PreviousVoters, next.PreviousQuorumEpoch = next.Number, view.Voters, view.QuorumEpoch
 		}
 	}
 	return next, len(next.Members)*2 > len(next.Voters)
@@ -381,11 +381,11 @@
 
 // changeVoters lets one more core vote, in place of one that is lost where
 // there is one, or takes the vote of a lost one that is not needed.
-func (c *Chain) changeVoters(view View, next *View, of func(Member) *Standing, join func(Member)) {
+func (c *Chain) changeVoters(view View, next *View, of func(Member) *ReplicaStatus, join func(Member)) {
 	// What the voters keep by majority, beside the chain, must have come over to
 	// the present ones before the next change: those that change then learn it
 	// from a majority of these.
-	if _, most := Of(view.Voters, func(v Member) bool { s := of(v); return s != nil && s.Ready }); !most {
+	if _, most := CountMembers(view.Voters, func(v Member) bool { s := of(v); return s != nil && s.Ready }); !most {
 		return
 	}
 	lost := func(v Member) bool {
@@ -394,7 +394,7 @@
 		if !heard { // nobody was asked before
 			c.answered[v] = time.Now()
 		}
-		return of(v) == nil && heard && time.Since(at) > c.Contact/2
+		return of(v) == nil && heard && time.Since(at) > c.ContactTimeout/2
 	}
 	for _, m := range c.outside(view) {
 		s := of(m)
@@ -414,7 +414,7 @@
 		join(m)
 		return
 	}
-	if len(next.Voters) > 2*c.Losses+1 {
+	if len(next.Voters) > 2*c.MaxFailures+1 {
 		if at := slices.IndexFunc(next.Voters, lost); at >= 0 && next.at(next.Voters[at]) < 0 {
 			next.Voters = slices.Delete(next.Voters, at, at+1)
 		}
@@ -424,7 +424,7 @@
 // choose settles the view after this one by a ballot of its voters.
 func (c *Chain) choose(ctx context.Context, view, next View) {
 	value, _ := json.Marshal(next)
-	bctx, cancel := context.WithTimeout(ctx, c.Contact/4)
+	bctx, cancel := context.WithTimeout(ctx, c.ContactTimeout/4)
 	defer cancel()
 	go func() { // others may have settled it: their answers do not come any more
 		for n, moved := c.moves(); n < next.Number && bctx.Err() == nil; n, moved = c.moves() {
@@ -442,15 +442,15 @@
 		voters = append(voters, v.Address)
 	}
 	chosen, err := paxos.Propose(bctx, next.Number, c.Self.Address+"/"+crand.Text(), 1, value, voters, func(ctx context.Context, voter string, b paxos.Request) (r paxos.Response, err error) {
-		call := Ballot{disks[voter], b}
+		call := VoteRequest{disks[voter], b}
 		if voter == c.Self.Address {
-			mine, err := c.HandleBallot(ctx, &call, nil)
+			mine, err := c.HandleVote(ctx, &call, nil)
 			if err != nil {
 				return r, err
 			}
 			return *mine, nil
 		}
-		err = c.Pool.Call(ctx, voter, "/ballot", call, nil, &r)
+		err = c.Client.Call(ctx, voter, "/ballot", call, nil, &r)
 		return r, err
 	})
 	if c.View().Number >= next.Number {
@@ -465,26 +465,26 @@
 		c.Log.Printf("chain: ballot for view %d: %v", next.Number, err)
 		return
 	}
-	if err := c.adopt(ctx, v); err != nil {
+	if err := c.installView(ctx, v); err != nil {
 		c.Log.Printf("chain: adopt view %d: %v", v.Number, err)
 		return
 	}
 	// Tell the others; those that miss it learn it from the first pass.
-	tctx, cancel2 := context.WithTimeout(ctx, c.Contact/16)
+	tctx, cancel2 := context.WithTimeout(ctx, c.ContactTimeout/16)
 	defer cancel2()
 	var told sync.WaitGroup
 	for _, m := range v.Voters {
 		if !m.is(c.Self) {
-			told.Go(func() { _ = c.Pool.Call(tctx, m.Address, "/chain/adopt", v, nil, nil) })
+			told.Go(func() { _ = c.Client.Call(tctx, m.Address, "/chain/adopt", v, nil, nil) })
 		}
 	}
 	told.Wait()
 }
 
 // HandleAdopt takes news of a chosen view.
-func (c *Chain) HandleAdopt(ctx context.Context, v *View, _ []byte) (*struct{}, error) {
-	return &struct{}{}, c.adopt(ctx, *v)
+func (c *Chain) HandleInstallView(ctx context.Context, v *View, _ []byte) (*struct{}, error) {
+	return &struct{}{}, c.installView(ctx, *v)
 }
 
 // Adopt takes over a view that a peer knows.
-func (c *Chain) Adopt(ctx context.Context, v View) error { return c.adopt(ctx, v) }
+func (c *Chain) InstallView(ctx context.Context, v View) error { return c.installView(ctx, v) }
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -164,7 +164,7 @@
 	case "store":
 		p, err = store.New(set, m.life.network(), logger)
 	case "core":
-		var c *controlplane.Core
+		var c *controlplane.Server
 		c, err = controlplane.New(set, m.life.network(), logger)
 		p = coreProcess{c, set, m.life.network(), logger}
 	}
@@ -181,7 +181,7 @@
 }
 
 type coreProcess struct {
-	core *controlplane.Core
+	core *controlplane.Server
 	set  *settings.Settings
 	net  httpwire.Network
 	log  *log.Logger
@@ -240,8 +240,8 @@
 	return out
 }
 
-func (w *world) operator() *operator.Caller {
-	return &operator.Caller{Pool: w.pool.Pool, Controls: w.controls(), Timeout: time.Second}
+func (w *world) operator() *operator.Client {
+	return &operator.Client{Pool: w.pool.Pool, Controls: w.controls(), Timeout: time.Second}
 }
 
 func (w *world) status() (controlplane.Overview, error) {
--- a/internal/cluster/control_test.go
+++ b/internal/cluster/control_test.go
@@ -261,7 +261,7 @@
 					s, err := w.status()
 					ok := err == nil && len(s.View.Members) == 6 && len(s.View.Voters) == 6
 					for _, p := range s.Placement.Partitions {
-						ok = ok && p.InStep(2)
+						ok = ok && p.InSync(2)
 					}
 					return ok
 				})
@@ -337,7 +337,7 @@
 		var electorate int64
 		w.until(10*time.Second, "the voters have changed", func() bool {
 			s, err := w.status()
-			electorate = s.View.Electorate
+			electorate = s.View.QuorumEpoch
 			return err == nil && electorate > 0
 		})
 		for _, ip := range []string{"10.1.0.9", "10.2.0.1", "10.3.0.1"} {
--- a/internal/cluster/failure_test.go
+++ b/internal/cluster/failure_test.go
@@ -76,7 +76,7 @@
 			s, err := w.status()
 			lead := map[string]int{}
 			for _, p := range s.Placement.Partitions {
-				if p.InStep(1) {
+				if p.InSync(1) {
 					lead[p.Primary]++
 				}
 			}
@@ -185,7 +185,7 @@
 			s, err := w.status()
 			lead, ok := 0, err == nil && s.Placement.Stores["store-z1"].Disk != before.Placement.Stores["store-z1"].Disk
 			for _, p := range s.Placement.Partitions {
-				ok = ok && p.InStep(1)
+				ok = ok && p.InSync(1)
 				if p.Primary == "store-z1" {
 					lead++
 				}
@@ -401,7 +401,7 @@
 			t.Fatal(err)
 		}
 		for i, p := range after.Placement.Partitions {
-			if p.Epoch <= before.Placement.Partitions[i].Epoch || !p.InStep(1) {
+			if p.Epoch <= before.Placement.Partitions[i].Epoch || !p.InSync(1) {
 				t.Errorf("partition %d: %+v, before %+v", i, p, before.Placement.Partitions[i])
 			}
 		}
--- a/internal/cluster/path_test.go
+++ b/internal/cluster/path_test.go
@@ -328,7 +328,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			meter := s.Placement.Partitions[store.MeterPartition("one", len(s.Placement.Partitions))].Primary
+			meter := s.Placement.Partitions[store.LimiterPartition("one", len(s.Placement.Partitions))].Primary
 			var mu sync.Mutex
 			var taken []time.Time
 			var wg sync.WaitGroup
--- a/internal/cluster/search_checks_test.go
+++ b/internal/cluster/search_checks_test.go
@@ -125,7 +125,7 @@
 				pctx, cancel := context.WithTimeout(ctx, 400*time.Millisecond)
 				defer cancel()
 				var page journal.Page
-				if s.eyes.Call(pctx, internal(m), "/news", distribution.Poll{Source: k.page.Source, Number: k.page.Number}, nil, &page) != nil {
+				if s.eyes.Call(pctx, internal(m), "/news", distribution.WatchRequest{Source: k.page.Source, Number: k.page.Number}, nil, &page) != nil {
 					return
 				}
 				if page.Source != k.page.Source {
--- a/internal/cluster/search_plant_test.go
+++ b/internal/cluster/search_plant_test.go
@@ -98,14 +98,14 @@
 
 func majorityPlant() plant {
 	return plant{opens: true, request: func(s *search, from, to, path string, body []byte) (out, answer []byte) {
-		var q chain.Query
+		var q chain.StatusRequest
 		if path != "/chain/standing" || json.Unmarshal(body, &q) != nil || len(q.View.Members) == 0 {
 			return nil, nil
 		}
 		if !strings.HasPrefix(q.View.Members[len(q.View.Members)-1].Address, from+":") || s.w.net.clear(from, to) {
 			return nil, nil
 		}
-		answer, _ = json.Marshal(chain.Standing{View: q.View, Whole: true, Ready: true})
+		answer, _ = json.Marshal(chain.ReplicaStatus{View: q.View, Complete: true, Ready: true})
 		return nil, answer
 	}}
 }
--- a/internal/controlplane/beats.go
+++ b/internal/controlplane/beats.go
@@ -21,7 +21,7 @@
 	Target string `json:"keepalive-target,omitempty"`
 }
 
-func (c *Core) handleBeat(ctx context.Context, r *httpwire.Request, id string) *httpwire.Response {
+func (c *Server) handleBeat(ctx context.Context, r *httpwire.Request, id string) *httpwire.Response {
 	if !c.inTouch() {
 		return httpwire.Problem(503, "this core is not in touch with the others")
 	}
@@ -29,7 +29,7 @@
 	var out beaten
 	switch r.Method {
 	case http.MethodPut:
-		in, bad := handler.ParseBeat(id, r.Body)
+		in, bad := handler.ParseHeartbeat(id, r.Body)
 		if bad != nil {
 			c.log.Printf("core: beat of %s from %s is refused: %v", id, r.Conn.RemoteAddr(), bad)
 			return httpwire.Problem(400, bad.Error())
@@ -52,7 +52,7 @@
 // go to: one of its zone, else of its region, else this one. The others count
 // only while they are in the view and beat themselves; which of several, the
 // handler's id says, so that all cores name the same one.
-func (c *Core) nearest(in handler.Instance) string {
+func (c *Server) nearest(in handler.Instance) string {
 	view, region := c.chain.View(), c.set.Zones[in.Zone]
 	type place struct{ rank, address string }
 	best := place{"", c.self}
@@ -81,7 +81,7 @@
 
 // coresHeard are the other cores as they were heard of a moment ago: each beat of
 // a handler asks for them, and the list of all nodes goes through all handlers.
-func (c *Core) coresHeard() []nodeAge {
+func (c *Server) coresHeard() []nodeAge {
 	c.mu.Lock()
 	list, fresh := c.cores, time.Since(c.coresAt) < c.contact/40
 	c.mu.Unlock()
@@ -102,7 +102,7 @@
 
 // controlOf is the control-plane address of the core at an internal address:
 // ports are alike on all machines. It is "" if there is none.
-func (c *Core) controlOf(internal string) string {
+func (c *Server) controlOf(internal string) string {
 	host, _, err := net.SplitHostPort(internal)
 	if err != nil {
 		return ""
--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -40,7 +40,7 @@
 )
 
 // Core is one core machine's process.
-type Core struct {
+type Server struct {
 	set     *settings.Settings
 	log     *log.Logger
 	net     httpwire.Network
@@ -59,13 +59,13 @@
 
 	mu        sync.Mutex
 	placement placement.Placement
-	dead      map[string]time.Time    // nodes found dead, and when
-	loaded    bool                    // a majority of the voters told its registry
-	behind    bool                    // it was out of touch since
-	complete  int64                   // the electorate before whose time this disk keeps every leaving that was acknowledged
-	ready     map[int]stopped         // partitions whose primary stopped
-	inStep    map[placement.Copy]bool // reports for the next placement
-	handing   map[string]bool         // stores asked to stop partitions
+	dead      map[string]time.Time       // nodes found dead, and when
+	loaded    bool                       // a majority of the voters told its registry
+	behind    bool                       // it was out of touch since
+	complete  int64                      // the electorate before whose time this disk keeps every leaving that was acknowledged
+	ready     map[int]stopped            // partitions whose primary stopped
+	inStep    map[placement.Replica]bool // reports for the next placement
+	handing   map[string]bool            // stores asked to stop partitions
 	sentAt    map[string]time.Time
 	sent      map[string]map[string]journal.Version
 	published chain.Documents // as last told to the nodes
@@ -86,23 +86,23 @@
 }
 
 // New makes the process; Run opens the state on disk.
-func New(set *settings.Settings, network httpwire.Network, logger *log.Logger) (*Core, error) {
-	c := &Core{
+func New(set *settings.Settings, network httpwire.Network, logger *log.Logger) (*Server, error) {
+	c := &Server{
 		set: set, log: logger, net: network, self: set.Internal(), contact: set.Contact(),
-		dead: map[string]time.Time{}, ready: map[int]stopped{}, inStep: map[placement.Copy]bool{},
+		dead: map[string]time.Time{}, ready: map[int]stopped{}, inStep: map[placement.Replica]bool{},
 		handing: map[string]bool{}, sentAt: map[string]time.Time{}, sent: map[string]map[string]journal.Version{}, kept: map[string]int64{},
 		wake: make(chan struct{}, 1), probing: map[string]time.Time{},
 	}
 	c.life, c.end = context.WithCancel(context.Background())
 	life := rand.Text()
-	c.node = membership.Node{Name: set.NodeName, Role: "core", Address: c.self, Zone: set.Zone, Region: set.Region, Life: life}
+	c.node = membership.Node{Name: set.NodeName, Role: "core", Address: c.self, Zone: set.Zone, Region: set.Region, Incarnation: life}
 	c.journal = journal.New(set.NodeName+"/"+life, 16*c.contact, distribution.PrefixNode)
 	c.registry = &registry{entries: map[string]*entry{}, journal: c.journal, late: c.contact / 2}
 	c.pool = rpc.NewClient(&httpwire.Pool{Network: network})
 	c.acceptor, c.grantor = &paxos.Acceptor{}, &lease.Grantor{}
 	c.chain = &chain.Chain{
-		Self: chain.Member{Address: c.self}, Losses: int(set.FaultTolerance.HostFailures), Pool: c.pool, Contact: c.contact, Log: logger,
-		Acceptor: c.acceptor, Prepare: c.prepare, Committed: c.committed, Others: c.others, Ready: c.isReady,
+		Self: chain.Member{Address: c.self}, MaxFailures: int(set.FaultTolerance.HostFailures), Client: c.pool, ContactTimeout: c.contact, Log: logger,
+		Acceptor: c.acceptor, OnUpdate: c.prepare, OnCommit: c.committed, KnownCores: c.others, VoterReady: c.isReady,
 	}
 	c.state = &boltstore.File{Path: filepath.Join(set.DataPath, "core.db"), BatchDelay: batchDelay, Prepare: c.prepareState, Load: c.loadState, Warn: logger.Printf}
 	c.chain.Open(c.state)
@@ -112,7 +112,7 @@
 
 // open opens the state on disk. While the disk refuses, this core waits and
 // takes no part; it tells whether it is open before ctx ends.
-func (c *Core) open(ctx context.Context) bool {
+func (c *Server) open(ctx context.Context) bool {
 	for told := false; ctx.Err() == nil; timeutil.Sleep(ctx, c.contact/40) {
 		err := c.state.Open()
 		if err == nil {
@@ -134,7 +134,7 @@
 
 // prepareState makes the state on an empty disk. A disk that is there for one
 // that was damaged founds nothing: what it held is with the others.
-func (c *Core) prepareState(tx *bbolt.Tx) error {
+func (c *Server) prepareState(tx *bbolt.Tx) error {
 	var founders []string
 	if c.set.Bootstrap && !boltstore.Replaced(c.state.Path) {
 		founders = c.set.Cores()
@@ -144,11 +144,11 @@
 			return err
 		}
 	}
-	return c.chain.Found(tx, founders)
+	return c.chain.InitState(tx, founders)
 }
 
 // loadState reads the state on disk.
-func (c *Core) loadState(tx *bbolt.Tx) (func(), error) {
+func (c *Server) loadState(tx *bbolt.Tx) (func(), error) {
 	install, err := c.chain.Load(tx)
 	if err != nil {
 		return nil, err
@@ -167,7 +167,7 @@
 	}, err
 }
 
-func (c *Core) callLease(ctx context.Context, voter string, request lease.Request) (response lease.Response, err error) {
+func (c *Server) callLease(ctx context.Context, voter string, request lease.Request) (response lease.Response, err error) {
 	if voter == c.self {
 		return c.grantor.Handle(request), nil
 	}
@@ -176,7 +176,7 @@
 }
 
 // committed publishes what the tail is known to hold.
-func (c *Core) committed(docs chain.Documents) {
+func (c *Server) committed(docs chain.Documents) {
 	c.mu.Lock()
 	same := bytes.Equal(c.published[docConfiguration], docs[docConfiguration]) && bytes.Equal(c.published[docPlacement], docs[docPlacement])
 	c.published = docs
@@ -209,7 +209,7 @@
 	}
 }
 
-func (c *Core) nudge() {
+func (c *Server) nudge() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -217,7 +217,7 @@
 }
 
 // Placement is the newest placement that the chain holds.
-func (c *Core) Placement() placement.Placement {
+func (c *Server) Placement() placement.Placement {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.placement
@@ -228,7 +228,7 @@
 var ErrDamaged = boltstore.ErrDamaged
 
 // Run serves until ctx ends.
-func (c *Core) Run(ctx context.Context) error {
+func (c *Server) Run(ctx context.Context) error {
 	defer c.state.Close()
 	if !c.open(ctx) {
 		return nil
@@ -237,14 +237,14 @@
 	if err != nil {
 		return fmt.Errorf("listen for our own processes: %w", err)
 	}
-	source := &distribution.Source{Journal: c.journal, Wait: c.contact / 2, Linger: c.contact / 32, Fresh: c.inTouch,
-		Patience: c.contact / 16, Young: func() bool { return c.chain.SteadyFor() < c.contact/8 }}
+	source := &distribution.Publisher{Journal: c.journal, MaxWait: c.contact / 2, BatchDelay: c.contact / 32, UpToDate: c.inTouch,
+		UpToDateWait: c.contact / 16, Warming: func() bool { return c.chain.InContactFor() < c.contact/8 }}
 	mux := rpc.Mux{
 		"/news":           source.Handle,
-		"/chain/pass":     rpc.Handler(c.chain.HandlePass),
-		"/chain/standing": rpc.Handler(c.chain.HandleStanding),
-		"/chain/adopt":    rpc.Handler(c.chain.HandleAdopt),
-		"/ballot":         rpc.Handler(c.chain.HandleBallot),
+		"/chain/pass":     rpc.Handler(c.chain.HandleUpdate),
+		"/chain/standing": rpc.Handler(c.chain.HandleStatus),
+		"/chain/adopt":    rpc.Handler(c.chain.HandleInstallView),
+		"/ballot":         rpc.Handler(c.chain.HandleVote),
 		"/duty": rpc.Handler(func(_ context.Context, in *lease.Request, _ []byte) (*lease.Response, error) {
 			r := c.grantor.Handle(*in)
 			return &r, nil
@@ -261,8 +261,8 @@
 	server := &httpwire.Server{Handle: mux.Handle, Log: c.log}
 	for _, f := range []func(context.Context){
 		func(ctx context.Context) { _ = server.Serve(ctx, inner) },
-		c.learn, c.chain.Tend, c.gossip, c.steward,
-		func(ctx context.Context) { c.state.Tend(ctx, c.contact/40) },
+		c.learn, c.chain.Run, c.gossip, c.steward,
+		func(ctx context.Context) { c.state.Recover(ctx, c.contact/40) },
 	} {
 		c.tasks.Go(func() { f(c.life) })
 	}
@@ -279,20 +279,20 @@
 	return err
 }
 
-func (c *Core) handleView(context.Context, *struct{}, []byte) (*chain.View, error) {
+func (c *Server) handleView(context.Context, *struct{}, []byte) (*chain.View, error) {
 	v := c.chain.View()
 	return &v, nil
 }
 
 // isLoaded tells whether a majority of the voters told this core what they know.
-func (c *Core) isLoaded() bool {
+func (c *Server) isLoaded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.loaded
 }
 
 // others are the cores heard of lately, but this one.
-func (c *Core) others() []chain.Member {
+func (c *Server) others() []chain.Member {
 	var out []chain.Member
 	for _, n := range c.registry.nodes() {
 		if n.Role == "core" && n.Address != c.self && n.Disk != "" && n.age < c.contact/2 {
@@ -305,7 +305,7 @@
 
 // peers are the addresses of the other cores: the voters, those heard of
 // lately, and as long as there are none the seeds.
-func (c *Core) peers() []string {
+func (c *Server) peers() []string {
 	all := c.chain.Voters()
 	for _, m := range c.others() {
 		all = append(all, m.Address)
@@ -318,7 +318,7 @@
 }
 
 // gossip exchanges the registry with the other cores and drops what is silent.
-func (c *Core) gossip(ctx context.Context) {
+func (c *Server) gossip(ctx context.Context) {
 	tick := time.NewTicker(c.contact / 4)
 	defer tick.Stop()
 	keepalive := settings.Ms(float64(max(c.set.KeepaliveMs, 1)))
@@ -335,7 +335,7 @@
 			c.tasks.Go(func() { c.exchange(ctx, peer) })
 		}
 		// Who was out of touch itself cannot tell that others are silent.
-		if c.chain.SteadyFor() > max(c.contact, 3*keepalive) {
+		if c.chain.InContactFor() > max(c.contact, 3*keepalive) {
 			silent, forgotten := c.registry.expire(3*keepalive, c.contact*3/4)
 			for _, key := range silent {
 				c.log.Printf("core: silent and taken off the list: %s", key)
@@ -350,7 +350,7 @@
 	}
 }
 
-func (c *Core) exchange(ctx context.Context, peer string) {
+func (c *Server) exchange(ctx context.Context, peer string) {
 	c.mu.Lock()
 	after := c.sentAt[peer]
 	sent := c.sent[peer]
@@ -391,7 +391,7 @@
 // spread tells all other cores of an item and does not wait for them; what is
 // lost goes with the next exchange. What comes within a moment goes together:
 // when many nodes start at once, each core hears of all of them.
-func (c *Core) spread(it Item) {
+func (c *Server) spread(it Item) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.spreading = append(c.spreading, it); len(c.spreading) == 1 {
@@ -402,7 +402,7 @@
 	}
 }
 
-func (c *Core) spreadAll() {
+func (c *Server) spreadAll() {
 	c.mu.Lock()
 	items := c.spreading
 	c.spreading = nil
@@ -416,7 +416,7 @@
 	}
 }
 
-func (c *Core) handleNode(_ context.Context, n *membership.Node, _ []byte) (*struct{}, error) {
+func (c *Server) handleNode(_ context.Context, n *membership.Node, _ []byte) (*struct{}, error) {
 	if it, changed := c.registry.beat(*n); changed {
 		c.nudge()
 		c.spread(it)
@@ -426,7 +426,7 @@
 
 // ServeControl answers handlers and the operator; operate gets what is the
 // operator's.
-func (c *Core) ServeControl(operate httpwire.Handler) httpwire.Handler {
+func (c *Server) ServeControl(operate httpwire.Handler) httpwire.Handler {
 	return func(ctx context.Context, r *httpwire.Request) *httpwire.Response {
 		if !c.opened.Load() {
 			return httpwire.Problem(503, "the state on disk is not open")
--- a/internal/controlplane/core_bench_test.go
+++ b/internal/controlplane/core_bench_test.go
@@ -70,7 +70,7 @@
 					b.StartTimer()
 				}
 				i := at % len(bodies)
-				in, err := handler.ParseBeat(fmt.Sprintf("tm-matcher-%06d", i), bodies[i])
+				in, err := handler.ParseHeartbeat(fmt.Sprintf("tm-matcher-%06d", i), bodies[i])
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -162,12 +162,12 @@
 				}
 			}
 		})
-		pass := chain.Pass{Sequence: 2, Set: chain.Documents{docConfiguration: next}}
+		pass := chain.UpdateRequest{Sequence: 2, Set: chain.Documents{docConfiguration: next}}
 		raw := journal.Encode(pass)
 		b.Run(fmt.Sprintf("pass/destinations=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				var in chain.Pass
+				var in chain.UpdateRequest
 				if err := json.Unmarshal(raw, &in); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/controlplane/electorate.go
+++ b/internal/controlplane/electorate.go
@@ -26,8 +26,8 @@
 //   - The voters change again only when a majority of them is complete.
 
 // isReady tells whether this core knows what a voter must know.
-func (c *Core) isReady() bool {
-	electorate := c.chain.View().Electorate
+func (c *Server) isReady() bool {
+	electorate := c.chain.View().QuorumEpoch
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.loaded && c.complete >= electorate
@@ -35,20 +35,20 @@
 
 // inTouch tells whether what this core says of handlers and nodes is not old: a
 // majority told it what they know since it was last out of touch.
-func (c *Core) inTouch() bool {
+func (c *Server) inTouch() bool {
 	c.mu.Lock()
 	known := c.loaded && !c.behind
 	c.mu.Unlock()
-	return known && c.chain.Steady()
+	return known && c.chain.InContact()
 }
 
 // learn asks the other cores for what they know whenever this core may lack
 // what a majority knows: after its start, when the voters have changed, and
 // when it was out of touch. It says nothing about handlers meanwhile.
-func (c *Core) learn(ctx context.Context) {
+func (c *Server) learn(ctx context.Context) {
 	served := false
 	for ctx.Err() == nil {
-		steady := c.chain.Steady()
+		steady := c.chain.InContact()
 		c.mu.Lock()
 		c.behind = c.behind || served && !steady
 		loaded, behind := c.loaded, c.behind
@@ -75,7 +75,7 @@
 
 // learnOnce asks all cores at once, for all they know or for leavings only. It
 // returns nil when this core is complete.
-func (c *Core) learnOnce(ctx context.Context, all bool) error {
+func (c *Server) learnOnce(ctx context.Context, all bool) error {
 	ctx, cancel := context.WithTimeout(ctx, c.contact/16)
 	defer cancel()
 	asked, ask := c.chain.View(), askLeavings
@@ -83,7 +83,7 @@
 		ask = askAll
 	}
 	peers := c.peers()
-	for _, m := range asked.Former {
+	for _, m := range asked.PreviousVoters {
 		if m.Address != c.self {
 			peers = append(peers, m.Address)
 		}
@@ -112,7 +112,7 @@
 		if t.out == nil || t.out.View == nil {
 			continue
 		}
-		if err := c.chain.Adopt(ctx, *t.out.View); err != nil {
+		if err := c.chain.InstallView(ctx, *t.out.View); err != nil {
 			return err
 		}
 		if err := c.take(t.out.Items); err != nil {
@@ -128,27 +128,27 @@
 
 // majority notes that this core is complete if those that answered are enough,
 // and tells how many they were.
-func (c *Core) majority(answers map[chain.Member]*Exchanged) int {
+func (c *Server) majority(answers map[chain.Member]*Exchanged) int {
 	view := c.chain.View()
 	c.mu.Lock()
 	complete := c.complete
 	c.mu.Unlock()
 	enough := func(set []chain.Member, electorate int64) (int, bool) {
-		return chain.Of(set, func(m chain.Member) bool {
+		return chain.CountMembers(set, func(m chain.Member) bool {
 			if m == c.chain.Self {
 				return complete >= electorate
 			}
 			a := answers[m]
-			return a != nil && a.View.Electorate >= view.Electorate && a.Complete >= electorate
+			return a != nil && a.View.QuorumEpoch >= view.QuorumEpoch && a.Complete >= electorate
 		})
 	}
-	n, ok := enough(view.Voters, view.Electorate)
+	n, ok := enough(view.Voters, view.QuorumEpoch)
 	if !ok {
-		if n, ok = enough(view.Former, view.FormerElectorate); !ok {
+		if n, ok = enough(view.PreviousVoters, view.PreviousQuorumEpoch); !ok {
 			return 0
 		}
 	}
-	if err := c.setComplete(view.Electorate); err != nil {
+	if err := c.setComplete(view.QuorumEpoch); err != nil {
 		c.log.Printf("core: %v", err)
 		return 0
 	}
@@ -163,7 +163,7 @@
 }
 
 // setComplete puts on disk for which electorate this core is complete.
-func (c *Core) setComplete(electorate int64) error {
+func (c *Server) setComplete(electorate int64) error {
 	c.mu.Lock()
 	known := c.complete >= electorate
 	c.mu.Unlock()
@@ -185,13 +185,13 @@
 // keepFor keeps leavings as a voter of an electorate. That it still is one is
 // looked at again once they are on disk: a core that asks in the name of the
 // next one after this finds them, and one that asked before has sealed this.
-func (c *Core) keepFor(electorate int64, items []Item) error {
+func (c *Server) keepFor(electorate int64, items []Item) error {
 	check := func() error {
 		view := c.chain.View()
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if view.Electorate != electorate || c.complete < electorate {
-			return &rpc.StatusError{Code: 409, Text: fmt.Sprintf("electorate %d is in force, complete for %d, not %d", view.Electorate, c.complete, electorate)}
+		if view.QuorumEpoch != electorate || c.complete < electorate {
+			return &rpc.StatusError{Code: 409, Text: fmt.Sprintf("electorate %d is in force, complete for %d, not %d", view.QuorumEpoch, c.complete, electorate)}
 		}
 		return nil
 	}
@@ -206,7 +206,7 @@
 
 // settle returns once a leaving is on the disks of a majority of the voters,
 // and on as many as may be lost and one more.
-func (c *Core) settle(ctx context.Context, it Item) error {
+func (c *Server) settle(ctx context.Context, it Item) error {
 	ctx, cancel := context.WithTimeout(ctx, c.contact/5)
 	defer cancel()
 	for {
@@ -221,7 +221,7 @@
 	}
 }
 
-func (c *Core) settleFor(ctx context.Context, it Item, view chain.View) error {
+func (c *Server) settleFor(ctx context.Context, it Item, view chain.View) error {
 	ctx, cancel := context.WithTimeout(ctx, c.contact/10)
 	defer cancel()
 	need := max(len(view.Voters)/2+1, int(c.set.FaultTolerance.HostFailures)+1)
@@ -229,11 +229,11 @@
 	for _, v := range view.Voters {
 		c.tasks.Go(func() {
 			if v.Address == c.self {
-				got <- c.keepFor(view.Electorate, []Item{it})
+				got <- c.keepFor(view.QuorumEpoch, []Item{it})
 				return
 			}
 			var out Exchanged
-			err := c.pool.Call(ctx, v.Address, "/exchange", Exchange{From: c.self, Items: []Item{it}, Keep: &view.Electorate}, nil, &out)
+			err := c.pool.Call(ctx, v.Address, "/exchange", Exchange{From: c.self, Items: []Item{it}, Keep: &view.QuorumEpoch}, nil, &out)
 			if err == nil && out.Disk != v.Disk {
 				err = fmt.Errorf("%s has another disk", v.Address)
 			}
@@ -248,5 +248,5 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("electorate %d: %w", view.Electorate, last)
+	return fmt.Errorf("electorate %d: %w", view.QuorumEpoch, last)
 }
--- a/internal/controlplane/leavings.go
+++ b/internal/controlplane/leavings.go
@@ -42,7 +42,7 @@
 
 // keep puts leavings on disk, those of several calls at once where they come
 // together. It returns nil once they would outlive a loss of power.
-func (c *Core) keep(items []Item) error {
+func (c *Server) keep(items []Item) error {
 	var fresh []Item
 	c.mu.Lock()
 	for _, it := range items {
@@ -83,7 +83,7 @@
 }
 
 // forget takes leavings off the disk that no late beat can undo any more.
-func (c *Core) forget(keys []string) {
+func (c *Server) forget(keys []string) {
 	var mine []string
 	c.mu.Lock()
 	for _, k := range keys {
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -88,16 +88,16 @@
 	it.Version = journal.Version{Major: time.Now().UnixMilli(), Minor: n.Sequence}
 	if e := r.entries[it.Key]; e != nil {
 		switch {
-		case e.node.Life == n.Life:
+		case e.node.Incarnation == n.Incarnation:
 			it.Version.Major = e.version.Major
-		case e.former == n.Life && time.Since(e.ended) < r.late,
-			slices.Contains(e.over, n.Life) && time.Since(e.seen) < r.late: // a late beat, while the next life is heard
+		case e.former == n.Incarnation && time.Since(e.ended) < r.late,
+			slices.Contains(e.over, n.Incarnation) && time.Since(e.seen) < r.late: // a late beat, while the next life is heard
 			r.mu.Unlock()
 			return it, false
 		default:
 			it.Version.Major = max(it.Version.Major, e.version.Major+1)
-			if e.node.Life != "" {
-				e.over = append(e.over, e.node.Life)
+			if e.node.Incarnation != "" {
+				e.over = append(e.over, e.node.Incarnation)
 				e.over = e.over[max(0, len(e.over)-formerLives):]
 			}
 		}
@@ -149,10 +149,10 @@
 	changed := !sameValue(e.value, it.Value)
 	e.value = it.Value
 	if strings.HasPrefix(it.Key, distribution.PrefixNode) {
-		before := e.node.Life
+		before := e.node.Incarnation
 		e.node = membership.Node{}
 		_ = json.Unmarshal(it.Value, &e.node)
-		if e.node.Life != "" && before != e.node.Life {
+		if e.node.Incarnation != "" && before != e.node.Incarnation {
 			e.former, e.ended = before, now
 		}
 	}
@@ -305,10 +305,10 @@
 	return it.Value == nil && (e == nil || e.changed.Less(it.Changed) || string(e.value) == "null" && e.version.Less(it.Version))
 }
 
-func (c *Core) handleExchange(ctx context.Context, in *Exchange, _ []byte) (*Exchanged, error) {
+func (c *Server) handleExchange(ctx context.Context, in *Exchange, _ []byte) (*Exchanged, error) {
 	out := &Exchanged{Disk: c.chain.Self.Disk}
 	if in.View != nil {
-		if err := c.chain.Adopt(ctx, *in.View); err != nil {
+		if err := c.chain.InstallView(ctx, *in.View); err != nil {
 			return nil, err
 		}
 	}
@@ -341,7 +341,7 @@
 }
 
 // take merges what a peer tells; leavings are on disk when it returns.
-func (c *Core) take(items []Item) error {
+func (c *Server) take(items []Item) error {
 	var leavings []Item
 	for _, it := range items {
 		if c.registry.put(it) && strings.HasPrefix(it.Key, distribution.PrefixNode) {
@@ -355,7 +355,7 @@
 }
 
 // beat takes a handler's beat; it returns once it is safe to acknowledge.
-func (c *Core) beat(ctx context.Context, in handler.Instance) error {
+func (c *Server) beat(ctx context.Context, in handler.Instance) error {
 	v := journal.Version{Major: in.CallSeq}
 	if in.State != handler.Ready {
 		v.Major += drains
@@ -371,12 +371,12 @@
 }
 
 // leave takes a handler away for good, whether it is known here or not.
-func (c *Core) leave(ctx context.Context, id string) error {
+func (c *Server) leave(ctx context.Context, id string) error {
 	return c.depart(ctx, Item{Key: distribution.PrefixInstance + id, Version: journal.Version{Major: gone}, Value: json.RawMessage("null")})
 }
 
 // depart makes a leaving last. Once it does, repeated beats cost nothing.
-func (c *Core) depart(ctx context.Context, it Item) error {
+func (c *Server) depart(ctx context.Context, it Item) error {
 	c.registry.hear(it)
 	if c.registry.settled(it, false) {
 		return nil
--- a/internal/controlplane/registry_test.go
+++ b/internal/controlplane/registry_test.go
@@ -19,9 +19,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		ahead := &registry{entries: map[string]*entry{}, journal: journal.New("ahead", time.Hour, ""), late: time.Second}
 		other := &registry{entries: map[string]*entry{}, journal: journal.New("other", time.Hour, ""), late: time.Second}
-		of := func(r *registry) string { return r.nodes()["edge-1"].Life }
+		of := func(r *registry) string { return r.nodes()["edge-1"].Incarnation }
 		beat := func(r *registry, life string, n int64) Item {
-			it, _ := r.beat(membership.Node{Name: "edge-1", Life: life, Sequence: n})
+			it, _ := r.beat(membership.Node{Name: "edge-1", Incarnation: life, Sequence: n})
 			return it
 		}
 		first := beat(ahead, "one", 5)
@@ -92,7 +92,7 @@
 		}
 		const handlers = distribution.PrefixInstance + "one"
 		beat := func(n int64) {
-			near.beat(membership.Node{Name: "store-1", Role: "store", Life: "a", Sequence: n})
+			near.beat(membership.Node{Name: "store-1", Role: "store", Incarnation: "a", Sequence: n})
 			near.hear(Item{Key: handlers, Version: journal.Version{Major: n}, Value: json.RawMessage(`{"state":"ready"}`)})
 		}
 		beat(1)
@@ -122,8 +122,8 @@
 
 func TestExchangesCarryValuesOnceAndMendWhatWasMissed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		core := func(name string) *Core {
-			return &Core{chain: &chain.Chain{}, registry: &registry{entries: map[string]*entry{}, journal: journal.New(name, time.Hour, "")}}
+		core := func(name string) *Server {
+			return &Server{chain: &chain.Chain{}, registry: &registry{entries: map[string]*entry{}, journal: journal.New(name, time.Hour, "")}}
 		}
 		a, b := core("a"), core("b")
 		beat := func(seq int64, state string) Item {
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -26,31 +26,31 @@
 // Proposed answers a proposal. A refusal travels as a field: the status of an
 // answer may be that of any call on the way.
 type Proposed struct {
-	Refusal *Refusal `json:"refusal,omitempty"`
+	Refusal *RejectedError `json:"refusal,omitempty"`
 }
 
 // Refusal is what the state itself says against an order, given only once the
 // tail holds that state. Nothing else may refuse an order: one that failed on
 // the way may be in force all the same.
-type Refusal struct {
+type RejectedError struct {
 	Code int    `json:"code"` // as HTTP has it
 	Text string `json:"text"`
 }
 
-func (r *Refusal) Error() string { return fmt.Sprintf("refused %d: %s", r.Code, r.Text) }
+func (r *RejectedError) Error() string { return fmt.Sprintf("refused %d: %s", r.Code, r.Text) }
 
 // Unreached is the error of a call that certainly did nothing: it did not come
 // as far as the state.
-type Unreached struct{ Err error }
+type UnavailableError struct{ Err error }
 
-func (e *Unreached) Error() string { return e.Err.Error() }
-func (e *Unreached) Unwrap() error { return e.Err }
+func (e *UnavailableError) Error() string { return e.Err.Error() }
+func (e *UnavailableError) Unwrap() error { return e.Err }
 
-var errNoView = &Unreached{errors.New("no view is known")}
+var errNoView = &UnavailableError{errors.New("no view is known")}
 
 // Propose brings a write to the head, wherever it is. The error is a Refusal,
 // an Unreached, or something else: then the write may take effect or not.
-func (c *Core) Propose(ctx context.Context, p Proposal) error {
+func (c *Server) Propose(ctx context.Context, p Proposal) error {
 	wait := c.Wait()
 	if p.Placement != nil { // nobody waits for it but the steward
 		wait = c.contact / 4
@@ -76,7 +76,7 @@
 
 // ask calls another core for the operator, and remembers whether its machine
 // said that no core runs there.
-func (c *Core) ask(ctx context.Context, addr, path string, in, out any) error {
+func (c *Server) ask(ctx context.Context, addr, path string, in, out any) error {
 	err := c.pool.Call(ctx, addr, path, in, nil, out)
 	c.mu.Lock()
 	if c.refusing == nil {
@@ -89,18 +89,18 @@
 	}
 	c.mu.Unlock()
 	if httpwire.NotSent(err) {
-		return &Unreached{err}
+		return &UnavailableError{err}
 	}
 	return err
 }
 
 // Steady tells whether this core heard from its chain lately.
-func (c *Core) Steady() bool { return c.chain.Steady() }
+func (c *Server) Steady() bool { return c.chain.InContact() }
 
 // Elsewhere is the control-plane address of the core that answers writes, or
 // reads, in the view known here. It is "" if that is this core, if none is
 // known, or if its machine said just now that no core runs there.
-func (c *Core) Elsewhere(write bool) string {
+func (c *Server) Elsewhere(write bool) string {
 	addr := c.chain.Tail()
 	if write {
 		addr = c.chain.Head()
@@ -115,7 +115,7 @@
 }
 
 // decide makes a write at the head.
-func (c *Core) decide(ctx context.Context, p *Proposal) error {
+func (c *Server) decide(ctx context.Context, p *Proposal) error {
 	reached := false
 	err := c.chain.Propose(ctx, func(docs chain.Documents) (chain.Documents, error) {
 		reached = true
@@ -127,23 +127,23 @@
 		case p.Retire != "":
 			return c.decideRetire(docs, p.Retire, int(c.set.FaultTolerance.HostFailures))
 		}
-		return nil, &Refusal{400, "the proposal is empty"}
+		return nil, &RejectedError{400, "the proposal is empty"}
 	})
 	if err != nil && !reached {
-		return &Unreached{err}
+		return &UnavailableError{err}
 	}
-	var no *Refusal
+	var no *RejectedError
 	if p.Configuration != nil && errors.As(err, &no) && no.Code == 400 {
 		c.log.Printf("core: a configuration of %d bytes is refused: %v", len(p.Configuration), err)
 	}
 	return err
 }
 
-func (c *Core) handlePropose(ctx context.Context, p *Proposal, _ []byte) (*Proposed, error) {
+func (c *Server) handlePropose(ctx context.Context, p *Proposal, _ []byte) (*Proposed, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.contact/4) // whoever sent it has left by then
 	defer cancel()
 	err := c.decide(ctx, p)
-	var no *Refusal
+	var no *RejectedError
 	if errors.As(err, &no) {
 		return &Proposed{no}, nil
 	}
@@ -160,7 +160,7 @@
 	}
 	next, err := configuration.Parse(p.Configuration)
 	if err != nil {
-		return nil, &Refusal{400, err.Error()}
+		return nil, &RejectedError{400, err.Error()}
 	}
 	var revision int64
 	if current != nil {
@@ -173,10 +173,10 @@
 		revision = old.Revision
 	}
 	if p.Match != revision {
-		return nil, &Refusal{412, fmt.Sprintf("revision %d is in force, not %d", revision, p.Match)}
+		return nil, &RejectedError{412, fmt.Sprintf("revision %d is in force, not %d", revision, p.Match)}
 	}
 	if next.Revision <= revision {
-		return nil, &Refusal{400, fmt.Sprintf("revision %d is not higher than %d", next.Revision, revision)}
+		return nil, &RejectedError{400, fmt.Sprintf("revision %d is not higher than %d", next.Revision, revision)}
 	}
 	key, block := take(docs, hash)
 	return chain.Documents{docConfiguration: p.Configuration, key: block}, nil
@@ -184,7 +184,7 @@
 
 // placementOf decodes the placement in the state, once for all who ask for the
 // same one: it is the largest thing that a core reads. It is not to be changed.
-func (c *Core) placementOf(docs chain.Documents) (p placement.Placement, err error) {
+func (c *Server) placementOf(docs chain.Documents) (p placement.Placement, err error) {
 	raw := docs[docPlacement]
 	if raw == nil {
 		return p, nil
@@ -206,28 +206,28 @@
 }
 
 // prepare decodes what a pass sets while the rest of the chain takes it.
-func (c *Core) prepare(docs chain.Documents) { _, _ = c.placementOf(docs) }
+func (c *Server) prepare(docs chain.Documents) { _, _ = c.placementOf(docs) }
 
-func (c *Core) decidePlacement(docs chain.Documents, next *placement.Placement) (chain.Documents, error) {
+func (c *Server) decidePlacement(docs chain.Documents, next *placement.Placement) (chain.Documents, error) {
 	cur, err := c.placementOf(docs)
 	if err != nil {
 		return nil, err
 	}
 	if next.Version != cur.Version+1 || next.Term < cur.Term {
-		return nil, &Refusal{409, fmt.Sprintf("placement %d of term %d is in force", cur.Version, cur.Term)}
+		return nil, &RejectedError{409, fmt.Sprintf("placement %d of term %d is in force", cur.Version, cur.Term)}
 	}
 	raw, err := json.Marshal(next)
 	return chain.Documents{docPlacement: raw}, err
 }
 
-func (c *Core) decideRetire(docs chain.Documents, name string, failures int) (chain.Documents, error) {
+func (c *Server) decideRetire(docs chain.Documents, name string, failures int) (chain.Documents, error) {
 	cur, err := c.placementOf(docs)
 	if err != nil {
 		return nil, err
 	}
 	store, ok := cur.Stores[name]
 	if !ok {
-		return nil, &Refusal{404, "no store is called " + name}
+		return nil, &RejectedError{404, "no store is called " + name}
 	}
 	if store.Retire != "" {
 		return nil, nil // ordered before, or done: a store stays listed, and retired
@@ -239,7 +239,7 @@
 		}
 	}
 	if left < failures+1 {
-		return nil, &Refusal{409, fmt.Sprintf("%d stores would remain, %d are needed", left, failures+1)}
+		return nil, &RejectedError{409, fmt.Sprintf("%d stores would remain, %d are needed", left, failures+1)}
 	}
 	next := cur.Clone()
 	store.Retire = placement.RetireActive
@@ -255,7 +255,7 @@
 }
 
 // Read gets the state from the tail.
-func (c *Core) Read(ctx context.Context) (State, error) {
+func (c *Server) Read(ctx context.Context) (State, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Wait())
 	defer cancel()
 	tail := c.chain.Tail()
@@ -274,20 +274,20 @@
 	return s, err
 }
 
-func (c *Core) handleRead(ctx context.Context, _ *struct{}, _ []byte) (*State, error) {
+func (c *Server) handleRead(ctx context.Context, _ *struct{}, _ []byte) (*State, error) {
 	docs, err := c.chain.Read(ctx)
 	return &State{withoutTaken(docs)}, err
 }
 
 // Configuration reads the newest configuration, its bytes as they came; nil
 // before the first.
-func (c *Core) Configuration(ctx context.Context) ([]byte, error) {
+func (c *Server) Configuration(ctx context.Context) ([]byte, error) {
 	s, err := c.Read(ctx)
 	return s.Documents[docConfiguration], err
 }
 
 // RetireState tells how far the emptying of a store is.
-func (c *Core) RetireState(ctx context.Context, name string) (string, error) {
+func (c *Server) RetireState(ctx context.Context, name string) (string, error) {
 	s, err := c.Read(ctx)
 	if err != nil {
 		return "", err
@@ -298,14 +298,14 @@
 	}
 	store, ok := p.Stores[name]
 	if !ok {
-		return "", &Refusal{404, "no store is called " + name}
+		return "", &RejectedError{404, "no store is called " + name}
 	}
 	if store.Retire == "" {
-		return "", &Refusal{404, name + " is not being emptied"}
+		return "", &RejectedError{404, name + " is not being emptied"}
 	}
 	return store.Retire, nil
 }
 
 // Wait is how long the operator's calls may take here: callers go on after a
 // second of silence, and contact-ms is about six.
-func (c *Core) Wait() time.Duration { return c.contact * 3 / 20 }
+func (c *Server) Wait() time.Duration { return c.contact * 3 / 20 }
--- a/internal/controlplane/state_test.go
+++ b/internal/controlplane/state_test.go
@@ -85,7 +85,7 @@
 		"400 not higher": {Configuration: []byte(`{"revision":4}`), Match: 5},
 	} {
 		_, err := decideConfiguration(docs, p)
-		var no *Refusal
+		var no *RejectedError
 		if !errors.As(err, &no) || fmt.Sprint(no.Code) != what[:3] {
 			t.Errorf("%s: %v", what, err)
 		}
@@ -95,7 +95,7 @@
 // An emptying that was ordered is acknowledged again in each state, also where
 // the order would be refused as a new one.
 func TestAStoreIsRetiredOnce(t *testing.T) {
-	c := &Core{}
+	c := &Server{}
 	p := placement.Placement{Version: 1, Stores: map[string]placement.Store{"a": {}, "b": {}, "c": {}}}
 	raw, _ := json.Marshal(p)
 	docs := chain.Documents{docPlacement: raw}
@@ -114,7 +114,7 @@
 		}
 	}
 	for name, code := range map[string]int{"b": 409, "nowhere": 404} {
-		var no *Refusal
+		var no *RejectedError
 		if _, err := c.decideRetire(docs, name, 1); !errors.As(err, &no) || no.Code != code {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -26,7 +26,7 @@
 
 // Status tells the state of the system as this core and the tail know it. A core
 // that is not in touch answers 503: what it knows of handlers may be old.
-func (c *Core) Status(ctx context.Context) (Overview, error) {
+func (c *Server) Status(ctx context.Context) (Overview, error) {
 	o := Overview{View: c.chain.View()}
 	if !c.inTouch() {
 		return o, &rpc.StatusError{Code: 503, Text: "this core is not in touch with the others"}
@@ -48,7 +48,7 @@
 	page, _ := c.journal.Since("", 0, nil, nil)
 	for _, e := range page.Events {
 		switch {
-		case e.Gone():
+		case e.IsDeleted():
 		case strings.HasPrefix(e.Key, distribution.PrefixNode):
 			o.Nodes = append(o.Nodes, journal.Decode[membership.Node](e))
 		case strings.HasPrefix(e.Key, distribution.PrefixInstance):
--- a/internal/controlplane/steward.go
+++ b/internal/controlplane/steward.go
@@ -11,18 +11,18 @@
 	"saltreel/internal/rpc"
 )
 
-func (c *Core) handleSuspect(_ context.Context, in *placement.Suspicion, _ []byte) (*placement.Suspected, error) {
+func (c *Server) handleSuspect(_ context.Context, in *placement.FailureReport, _ []byte) (*placement.FailureReportResponse, error) {
 	_, held := c.lease.Held()
 	if held {
 		c.tasks.Go(func() { c.probe(c.life, in.Node) })
 	}
-	return &placement.Suspected{Steward: held}, nil
+	return &placement.FailureReportResponse{Controller: held}, nil
 }
 
 // crowded tells whether more nodes are silent at once than may be lost: then it
 // is rather this core, or the network, that is slow. Those that were asked only
 // just now are not silent.
-func (c *Core) crowded() bool {
+func (c *Server) crowded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	silent := 0
@@ -37,7 +37,7 @@
 // probe asks a node itself whether it runs. No answer makes it dead for as
 // long as it does not beat again. Where many are asked at once, one late answer
 // is not a death.
-func (c *Core) probe(ctx context.Context, name string) {
+func (c *Server) probe(ctx context.Context, name string) {
 	n, ok := c.registry.nodes()[name]
 	if !ok {
 		return
@@ -78,12 +78,12 @@
 
 // handleInStep notes the reports for the next placement, all at once: a write
 // down the chain for each would keep the cores busy.
-func (c *Core) handleInStep(_ context.Context, in *placement.InStep, _ []byte) (*struct{}, error) {
+func (c *Server) handleInStep(_ context.Context, in *placement.InSyncReport, _ []byte) (*struct{}, error) {
 	if _, held := c.lease.Held(); !held {
 		return nil, &rpc.StatusError{Code: 421, Text: "this core is not the steward"}
 	}
 	c.mu.Lock()
-	for _, x := range in.Copies {
+	for _, x := range in.Replicas {
 		c.inStep[x] = true
 	}
 	c.mu.Unlock()
@@ -92,7 +92,7 @@
 }
 
 // stepped marks the copies that were reported as in step.
-func (c *Core) stepped(p *placement.Placement) (changed bool) {
+func (c *Server) stepped(p *placement.Placement) (changed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for x := range c.inStep {
@@ -104,24 +104,24 @@
 		if p.Partitions[x.Partition].Epoch < x.Epoch || at < 0 {
 			continue
 		}
-		if p.Partitions[x.Partition].Backups[at].InStep {
+		if p.Partitions[x.Partition].Backups[at].InSync {
 			delete(c.inStep, x)
 			continue
 		}
-		p.Partitions[x.Partition].Backups[at].InStep = true
+		p.Partitions[x.Partition].Backups[at].InSync = true
 		changed = true
 	}
 	return changed
 }
 
 // spread is how far the copies of a message must lie apart.
-func (c *Core) spreadOf() placement.Spread {
+func (c *Server) spreadOf() placement.Redundancy {
 	t := c.set.FaultTolerance
-	return placement.Spread{Backups: int(t.HostFailures), Zones: int(t.Zones), Regions: int(t.RegionFailures)}
+	return placement.Redundancy{Backups: int(t.HostFailures), Zones: int(t.Zones), Regions: int(t.RegionFailures)}
 }
 
 // steward places the partitions while this core holds the duty.
-func (c *Core) steward(ctx context.Context) {
+func (c *Server) steward(ctx context.Context) {
 	tick := time.NewTicker(c.contact / 32)
 	defer tick.Stop()
 	var looked time.Time
@@ -136,7 +136,7 @@
 		case <-c.wake:
 			nudged = true
 		}
-		if !c.chain.Steady() {
+		if !c.chain.InContact() {
 			continue
 		}
 		c.missed(ctx)
@@ -162,7 +162,7 @@
 		stores := c.watch(ctx)
 		cur := c.Placement()
 		// A core that just came into touch first hears everyone out.
-		if c.chain.SteadyFor() < c.contact/8 && !heardAll(cur, stores) {
+		if c.chain.InContactFor() < c.contact/8 && !heardAll(cur, stores) {
 			continue
 		}
 		var next placement.Placement
@@ -171,7 +171,7 @@
 		if cur.Version == 0 {
 			ups := 0
 			for _, s := range stores {
-				if s.Up {
+				if s.Alive {
 					ups++
 				}
 			}
@@ -181,7 +181,7 @@
 			if count < int(c.set.FaultTolerance.HostFailures)+1 || time.Since(since) < c.contact/4 {
 				continue
 			}
-			next, changed = placement.Found(stores, c.spreadOf()), true
+			next, changed = placement.Initial(stores, c.spreadOf()), true
 		} else {
 			c.mu.Lock()
 			ready := map[int]int64{}
@@ -224,9 +224,9 @@
 
 // missed reports the stores that this core watches and that fell silent to
 // whichever core is the steward.
-func (c *Core) missed(ctx context.Context) {
+func (c *Server) missed(ctx context.Context) {
 	for _, name := range c.registry.silent(c.contact/8, c.contact) {
-		in := placement.Suspicion{Node: name}
+		in := placement.FailureReport{Node: name}
 		_, _ = c.handleSuspect(ctx, &in, nil)
 		for _, peer := range c.peers() {
 			c.tasks.Go(func() {
@@ -239,7 +239,7 @@
 }
 
 // watch looks at all stores; those of which nothing was heard for long are probed.
-func (c *Core) watch(ctx context.Context) map[string]placement.StoreStatus {
+func (c *Server) watch(ctx context.Context) map[string]placement.StoreStatus {
 	out := map[string]placement.StoreStatus{}
 	var probes sync.WaitGroup
 	for name, n := range c.registry.nodes() {
@@ -263,7 +263,7 @@
 			c.log.Printf("steward: %s is back", name)
 		}
 		c.mu.Unlock()
-		out[name] = placement.StoreStatus{Node: n.Node, Up: !dead}
+		out[name] = placement.StoreStatus{Node: n.Node, Alive: !dead}
 	}
 	return out
 }
@@ -275,7 +275,7 @@
 }
 
 // handover asks the primaries, each in the background.
-func (c *Core) handover(ctx context.Context, cur placement.Placement, partitions []int) {
+func (c *Server) handover(ctx context.Context, cur placement.Placement, partitions []int) {
 	byStore := map[string]map[int]int64{}
 	for _, i := range partitions {
 		p := cur.Partitions[i]
@@ -296,8 +296,8 @@
 		c.tasks.Go(func() {
 			hctx, cancel := context.WithTimeout(ctx, c.contact)
 			defer cancel()
-			var out placement.Handover
-			err := c.pool.Call(hctx, addr, "/handover", placement.Handover{Partitions: list}, nil, &out)
+			var out placement.HandoverRequest
+			err := c.pool.Call(hctx, addr, "/handover", placement.HandoverRequest{Partitions: list}, nil, &out)
 			c.mu.Lock()
 			delete(c.handing, store)
 			for i, epoch := range out.Partitions {
--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -19,7 +19,7 @@
 
 // Scheduler delivers the messages of the partitions that this store leads.
 type Scheduler struct {
-	Set      *partition.Set
+	Set      *partition.Manager
 	Pool     *httpwire.Pool // to handlers
 	Settings *settings.Settings
 	Log      *log.Logger
@@ -117,7 +117,7 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	for _, e := range events {
-		if e.Lead || e.Follow {
+		if e.BecamePrimary || e.LostPrimary {
 			if p := s.parts[e.Partition]; p != nil {
 				for _, it := range p.items {
 					it.ended = true
@@ -125,7 +125,7 @@
 			}
 			delete(s.parts, e.Partition)
 		}
-		if e.Follow {
+		if e.LostPrimary {
 			continue
 		}
 		p := s.parts[e.Partition]
@@ -252,7 +252,7 @@
 			next = min(next, contact/400)
 			continue
 		}
-		if !s.Set.Unended(it.record.Partition, it.record.ID) { // another copy knew how it ended
+		if !s.Set.IsPending(it.record.Partition, it.record.ID) { // another copy knew how it ended
 			s.land(it)
 			s.close(it)
 			continue
@@ -318,7 +318,7 @@
 // mayFly counts a delivery as under way if it may start; land counts it off.
 func (s *Scheduler) mayFly(it *item) bool {
 	s.fly(it.record.Partition, 1)
-	if s.Set.Leads(it.record.Partition) {
+	if s.Set.MayDeliver(it.record.Partition) {
 		return true
 	}
 	s.fly(it.record.Partition, -1)
--- a/internal/delivery/delivery_bench_test.go
+++ b/internal/delivery/delivery_bench_test.go
@@ -22,7 +22,7 @@
 		c.ServiceTable = append(c.ServiceTable, &configuration.Service{Name: name, StaticEndpoint: fmt.Sprintf("10.%d.%d.%d:90", i>>16, i>>8&255, i&255), MaxConnections: 29})
 	}
 	table := configuration.NewTable(c)
-	s := &Scheduler{Set: &partition.Set{}, Settings: &settings.Settings{Timers: &settings.Timers{ContactMs: 4000, OriginOvershoot: 1.1}},
+	s := &Scheduler{Set: &partition.Manager{}, Settings: &settings.Settings{Timers: &settings.Timers{ContactMs: 4000, OriginOvershoot: 1.1}},
 		Table: func() *configuration.Table { return table }, Bytes: quota.NewManager(quota.DeliveryBytes)}
 	s.Init()
 	return s
@@ -35,7 +35,7 @@
 		records = append(records, &partition.Record{ID: fmt.Sprintf("attempt-%012d", i), Tenant: "one", Host: fmt.Sprintf("h%d.example", i%destinations), Target: "/x",
 			Due: s.Set.Now() + time.Hour.Milliseconds() + int64(i*7919%1000)})
 	}
-	s.step(context.Background(), []partition.Event{{Partition: 0, Lead: true, Records: records}})
+	s.step(context.Background(), []partition.Event{{Partition: 0, BecamePrimary: true, Records: records}})
 }
 
 // BenchmarkQueue takes the first of 100,000 waiting messages and puts it back.
--- a/internal/delivery/target.go
+++ b/internal/delivery/target.go
@@ -34,16 +34,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var in handler.Instance
-	if !e.Gone() && json.Unmarshal(e.Value, &in) != nil {
+	if !e.IsDeleted() && json.Unmarshal(e.Value, &in) != nil {
 		return
 	}
 	for name, list := range s.targets {
-		if t := list[id]; t != nil && (e.Gone() || name != in.Service || in.State != handler.Ready) {
+		if t := list[id]; t != nil && (e.IsDeleted() || name != in.Service || in.State != handler.Ready) {
 			delete(list, id)
 			s.Pool.Forget(t.Address)
 		}
 	}
-	if !e.Gone() && in.State == handler.Ready {
+	if !e.IsDeleted() && in.State == handler.Ready {
 		list := s.targets[in.Service]
 		if list == nil {
 			list = map[string]*target{}
--- a/internal/distribution/relay.go
+++ b/internal/distribution/relay.go
@@ -32,7 +32,7 @@
 )
 
 // Poll is a question for news.
-type Poll struct {
+type WatchRequest struct {
 	Source string `json:"source"`
 	Number uint64 `json:"number"`
 	WaitMs int64  `json:"wait-ms"`
@@ -44,7 +44,7 @@
 // wants tells whether an event concerns the asker: of the nodes the cores and
 // those of its zone, from whom its tree is made, and handlers unless it is an
 // edge, which delivers nothing. An edge has no stores below it.
-func (p *Poll) wants(e journal.Event) bool {
+func (p *WatchRequest) wants(e journal.Event) bool {
 	if p.Role == "edge" && strings.HasPrefix(e.Key, PrefixInstance) {
 		return false
 	}
@@ -52,29 +52,29 @@
 }
 
 // Source answers polls from a journal.
-type Source struct {
-	Journal *journal.Journal
-	Fresh   func() bool // whether this node hears the news itself
-	Wait    time.Duration
-	Linger  time.Duration // how long news that can wait are gathered before they are told
+type Publisher struct {
+	Journal    *journal.Journal
+	UpToDate   func() bool // whether this node hears the news itself
+	MaxWait    time.Duration
+	BatchDelay time.Duration // how long news that can wait are gathered before they are told
 	// Patience is how long a poll waits for this node to hear the news itself;
 	// a core that just started is asked by all nodes at once otherwise, again
 	// and again.
-	Patience time.Duration
+	UpToDateWait time.Duration
 	// Young tells that this node hears the news only just now: then edges, who
 	// can do nothing without the stores, are told after those.
-	Young func() bool
+	Warming func() bool
 }
 
 // fresh waits until this node hears the news, and tells whether it does.
-func (s *Source) fresh(ctx context.Context) bool {
-	for began := time.Now(); s.Fresh != nil && !s.Fresh(); {
+func (s *Publisher) fresh(ctx context.Context) bool {
+	for began := time.Now(); s.UpToDate != nil && !s.UpToDate(); {
 		changed, _ := s.Journal.Changes()
-		left := s.Patience - time.Since(began)
+		left := s.UpToDateWait - time.Since(began)
 		if left <= 0 || ctx.Err() != nil {
 			return false
 		}
-		timer := time.NewTimer(min(left, s.Patience/4))
+		timer := time.NewTimer(min(left, s.UpToDateWait/4))
 		select {
 		case <-changed:
 		case <-timer.C:
@@ -88,26 +88,26 @@
 // Handle answers one poll; it waits until there is something to tell. Where
 // hundreds of nodes start at once, telling each that each of them is there would
 // be a call for each pair: what can wait is told together.
-func (s *Source) Handle(ctx context.Context, r *httpwire.Request) *httpwire.Response {
-	var in Poll
+func (s *Publisher) Handle(ctx context.Context, r *httpwire.Request) *httpwire.Response {
+	var in WatchRequest
 	if err := json.Unmarshal(r.Body, &in); err != nil {
 		return httpwire.Problem(400, "the poll cannot be read: "+err.Error())
 	}
-	timer := time.NewTimer(min(time.Duration(in.WaitMs)*time.Millisecond, s.Wait))
+	timer := time.NewTimer(min(time.Duration(in.WaitMs)*time.Millisecond, s.MaxWait))
 	defer timer.Stop()
 	expired := false
 	for first := true; ; first = false {
 		if !s.fresh(ctx) {
 			return httpwire.Problem(503, "this node hears no news itself")
 		}
-		if first && in.Source == "" && in.Role == "edge" && s.Young != nil && s.Young() {
-			timeutil.Sleep(ctx, s.Linger)
+		if first && in.Source == "" && in.Role == "edge" && s.Warming != nil && s.Warming() {
+			timeutil.Sleep(ctx, s.BatchDelay)
 		}
 		changed, urgent := s.Journal.Changes()
 		page, prompt := s.Journal.Since(in.Source, in.Number, in.Digest, in.wants)
 		var linger <-chan time.Time
 		if len(page.Events) > 0 {
-			left := s.Linger - time.Since(page.Oldest())
+			left := s.BatchDelay - time.Since(page.Oldest())
 			if prompt || left <= 0 {
 				expired = true
 			}
@@ -128,13 +128,13 @@
 }
 
 // Follower keeps a journal up to date from a parent.
-type Follower struct {
-	Self    membership.Node
-	Journal *journal.Journal
-	Pool    *rpc.Client
-	Cores   []string // internal addresses, the last resort
-	Contact time.Duration
-	Log     *log.Logger
+type Subscriber struct {
+	Self           membership.Node
+	Journal        *journal.Journal
+	Client         *rpc.Client
+	Cores          []string // internal addresses, the last resort
+	ContactTimeout time.Duration
+	Log            *log.Logger
 
 	mu     sync.Mutex
 	nodes  map[string]membership.Node
@@ -151,24 +151,24 @@
 // Doubt tells that the news may be late: somebody waits for what they should
 // have told. Another parent is asked at once, but only once for as long as the
 // one before is left alone: it is no help to ask all cores in turn.
-func (f *Follower) Doubt() {
+func (f *Subscriber) SuspectParent() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.asking != nil && time.Since(f.doubted) > f.Contact/2 {
+	if f.asking != nil && time.Since(f.doubted) > f.ContactTimeout/2 {
 		f.doubts, f.doubted = f.parent, time.Now()
 		f.asking()
 	}
 }
 
 // Seeds replaces the addresses of last resort.
-func (f *Follower) Seeds(cores []string) {
+func (f *Subscriber) SetSeeds(cores []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.Cores = cores
 }
 
 // Known are the addresses of the cores that the news told of, in order.
-func (f *Follower) Known() []string {
+func (f *Subscriber) KnownCores() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Sorted(maps.Values(f.cores))
@@ -178,15 +178,15 @@
 const fanout = 3
 
 // Fresh tells whether a parent was heard lately.
-func (f *Follower) Fresh() bool {
+func (f *Subscriber) UpToDate() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.lost && !f.heard.IsZero() && time.Since(f.heard) < f.Contact*5/8
+	return !f.lost && !f.heard.IsZero() && time.Since(f.heard) < f.ContactTimeout*5/8
 }
 
 // Parents orders the addresses to ask: the parent in the tree of the zone,
 // then the cores, the nearest one first.
-func (f *Follower) Parents() []string {
+func (f *Subscriber) Parents() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var zone []membership.Node
@@ -200,7 +200,7 @@
 			} else {
 				far = append(far, n.Address)
 			}
-		} else if n.Zone == f.Self.Zone && n.Name != f.Self.Name && !n.Leaving {
+		} else if n.Zone == f.Self.Zone && n.Name != f.Self.Name && !n.Draining {
 			zone = append(zone, n)
 		}
 	}
@@ -243,14 +243,14 @@
 }
 
 // Run follows until ctx ends.
-func (f *Follower) Run(ctx context.Context) {
+func (f *Subscriber) Run(ctx context.Context) {
 	f.mu.Lock()
 	f.nodes, f.cores = map[string]membership.Node{}, map[string]string{}
 	f.mu.Unlock()
 	f.Journal.Fold(func(e journal.Event) {
 		if name, ok := cutPrefix(e.Key, PrefixNode); ok {
 			f.mu.Lock()
-			if e.Gone() {
+			if e.IsDeleted() {
 				delete(f.nodes, name)
 				delete(f.cores, name)
 			} else {
@@ -262,7 +262,7 @@
 			f.mu.Unlock()
 		}
 	})
-	wait := f.Contact / 4
+	wait := f.ContactTimeout / 4
 	var current string
 	var looked time.Time
 	at := map[string]journal.Page{}
@@ -271,11 +271,11 @@
 		// The parent is looked for again now and then, not with each node that
 		// comes or goes: while many do, the tree would never settle.
 		target := current
-		if target == "" || time.Since(bad[target]) <= f.Contact/2 || time.Since(looked) > f.Contact/4 {
-			looked = time.Now().Add(-rand.N(f.Contact / 16))
+		if target == "" || time.Since(bad[target]) <= f.ContactTimeout/2 || time.Since(looked) > f.ContactTimeout/4 {
+			looked = time.Now().Add(-rand.N(f.ContactTimeout / 16))
 			target = ""
 			for _, p := range f.Parents() {
-				if time.Since(bad[p]) > f.Contact/2 {
+				if time.Since(bad[p]) > f.ContactTimeout/2 {
 					target = p
 					break
 				}
@@ -286,20 +286,20 @@
 			f.lost = true
 			f.mu.Unlock()
 			clear(bad)
-			timeutil.Sleep(ctx, f.Contact/80+rand.N(f.Contact/80))
+			timeutil.Sleep(ctx, f.ContactTimeout/80+rand.N(f.ContactTimeout/80))
 			continue
 		}
-		cctx, cancel := context.WithTimeout(ctx, wait+f.Contact/8)
+		cctx, cancel := context.WithTimeout(ctx, wait+f.ContactTimeout/8)
 		page := journal.Page{}
 		last, asked := at[target]
-		poll := Poll{Source: last.Source, Number: last.Number, WaitMs: wait.Milliseconds(), Zone: f.Self.Zone, Role: f.Self.Role}
-		if !asked && f.Journal.Holds() {
+		poll := WatchRequest{Source: last.Source, Number: last.Number, WaitMs: wait.Milliseconds(), Zone: f.Self.Zone, Role: f.Self.Role}
+		if !asked && f.Journal.NotEmpty() {
 			poll.Digest = f.Journal.Digest()
 		}
 		f.mu.Lock()
 		f.asking, f.parent, f.doubts = cancel, target, ""
 		f.mu.Unlock()
-		err := f.Pool.Call(cctx, target, "/news", poll, nil, &page)
+		err := f.Client.Call(cctx, target, "/news", poll, nil, &page)
 		cancel()
 		f.mu.Lock()
 		f.asking = nil
--- a/internal/distribution/relay_test.go
+++ b/internal/distribution/relay_test.go
@@ -29,7 +29,7 @@
 	j.Append(journal.Event{Key: PrefixNode + name, Version: journal.Version{Major: life}, Value: journal.Encode(membership.Node{Name: name, Role: "edge"})})
 }
 
-func poll(t *testing.T, s *Source, p Poll) (page journal.Page) {
+func poll(t *testing.T, s *Publisher, p WatchRequest) (page journal.Page) {
 	t.Helper()
 	res := s.Handle(context.Background(), &httpwire.Request{Request: &http.Request{}, Body: journal.Encode(p)})
 	if res.Status != 200 || json.Unmarshal(res.Body, &page) != nil {
@@ -47,16 +47,16 @@
 			join(parent, fmt.Sprint("new-", i), 1)
 		}
 		join(parent, "edge-3", 2)
-		s := &Source{Journal: parent, Wait: time.Second}
-		if n := len(poll(t, s, Poll{}).Events); n != nodes+6 {
+		s := &Publisher{Journal: parent, MaxWait: time.Second}
+		if n := len(poll(t, s, WatchRequest{}).Events); n != nodes+6 {
 			t.Errorf("of %d nodes: %d events for one that holds nothing", nodes, n)
 		}
-		page := poll(t, s, Poll{Digest: child.Digest()})
+		page := poll(t, s, WatchRequest{Digest: child.Digest()})
 		if n := len(page.Events); n < 6 || n > 6+6*(2+nodes/100) {
 			t.Errorf("of %d nodes: %d events, 6 differ", nodes, n)
 		}
 		child.Load(page)
-		if n := len(poll(t, s, Poll{Digest: child.Digest()}).Events); n != 0 {
+		if n := len(poll(t, s, WatchRequest{Digest: child.Digest()}).Events); n != 0 {
 			t.Errorf("of %d nodes: %d events when nothing differs", nodes, n)
 		}
 	}
@@ -72,9 +72,9 @@
 		}
 		j.Append(journal.Event{Key: PrefixInstance + z, Version: journal.Version{Major: 1}, Value: []byte("{}")})
 	}
-	s := &Source{Journal: j, Wait: time.Second}
+	s := &Publisher{Journal: j, MaxWait: time.Second}
 	for role, want := range map[string]int{"store": 3 + 2 + 3, "edge": 3 + 2, "": 12} {
-		p := Poll{Role: role}
+		p := WatchRequest{Role: role}
 		if role != "" {
 			p.Zone = "z2"
 		}
@@ -90,14 +90,14 @@
 	for _, nodes := range []int{20, 200} {
 		synctest.Test(t, func(t *testing.T) {
 			j := fleet("parent", 1)
-			s := &Source{Journal: j, Wait: time.Minute, Linger: 100 * time.Millisecond}
+			s := &Publisher{Journal: j, MaxWait: time.Minute, BatchDelay: 100 * time.Millisecond}
 			pages, events := 0, 0
-			last := poll(t, s, Poll{})
+			last := poll(t, s, WatchRequest{})
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
 				for events < nodes+1 {
-					last = poll(t, s, Poll{Source: last.Source, Number: last.Number, WaitMs: 60000})
+					last = poll(t, s, WatchRequest{Source: last.Source, Number: last.Number, WaitMs: 60000})
 					pages, events = pages+1, events+len(last.Events)
 				}
 			}()
@@ -120,7 +120,7 @@
 
 // The first node of a zone with several cores stays with one of them.
 func TestAParentAmongCoresOfTheZoneIsKept(t *testing.T) {
-	f := &Follower{Self: membership.Node{Name: "store-1", Role: "store", Zone: "a"}, nodes: map[string]membership.Node{}}
+	f := &Subscriber{Self: membership.Node{Name: "store-1", Role: "store", Zone: "a"}, nodes: map[string]membership.Node{}}
 	for i := range 4 {
 		name := fmt.Sprint("core-", i)
 		f.nodes[name] = membership.Node{Name: name, Role: "core", Address: name + ":1", Zone: "a"}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -89,7 +89,7 @@
 	}
 	life, end := context.WithCancel(context.Background())
 	defer end()
-	source := e.node.Source()
+	source := e.node.Publisher()
 	own := &httpwire.Server{Log: e.log, Handle: rpc.Mux{"/news": source.Handle}.Handle}
 	clients := &httpwire.Server{Log: e.log, Handle: e.handle, Limits: e.limits}
 	var tasks sync.WaitGroup
@@ -112,7 +112,7 @@
 	grace := settings.Seconds(e.set.Timers.GraceS)
 	e.log.Printf("edge: stopping")
 	e.waning.Store(true)
-	e.node.Leave()
+	e.node.Drain()
 	clients.StopKeepAlives()
 	wait := time.NewTimer(grace * 2 / 5)
 	<-wait.C
@@ -169,7 +169,7 @@
 // handle answers one request of a client.
 func (e *Edge) handle(ctx context.Context, r *httpwire.Request) *httpwire.Response {
 	// An edge that just started hears the news within moments.
-	if !e.node.Await(ctx, e.set.Contact()/8) {
+	if !e.node.WaitForPlacement(ctx, e.set.Contact()/8) {
 		return later(httpwire.Problem(503, "no configuration is known here yet"), quota.Window)
 	}
 	table := e.node.Table()
@@ -273,7 +273,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, e.set.Contact()*9/20)
 	defer cancel()
-	a, err := e.ask(ctx, "/"+kind, store.Ask{Partition: n, ID: id, Tenant: tenant, Host: r.Host})
+	a, err := e.ask(ctx, "/"+kind, store.MessageQuery{Partition: n, ID: id, Tenant: tenant, Host: r.Host})
 	if err != nil {
 		if rpc.StatusCode(err) == 404 {
 			return httpwire.Problem(404, "no such message")
@@ -287,7 +287,7 @@
 	if kind == "body" {
 		return &httpwire.Response{Status: 200, Header: []string{"Content-Type", "application/octet-stream"}, Body: a.Body}
 	}
-	var s store.Status
+	var s store.MessageStatus
 	if err := json.Unmarshal(a.Body, &s); err != nil {
 		return httpwire.Problem(502, "the store's answer cannot be read")
 	}
--- a/internal/edge/edge_bench_test.go
+++ b/internal/edge/edge_bench_test.go
@@ -18,9 +18,9 @@
 			stores := map[string]placement.StoreStatus{}
 			for i := range n {
 				name := fmt.Sprintf("store-zone-%d-%d", i%9, i)
-				stores[name] = placement.StoreStatus{Up: true, Node: membership.Node{Name: name, Role: "store", Zone: fmt.Sprintf("zone-%d", i%9), Region: fmt.Sprintf("region-%d", i%3)}}
+				stores[name] = placement.StoreStatus{Alive: true, Node: membership.Node{Name: name, Role: "store", Zone: fmt.Sprintf("zone-%d", i%9), Region: fmt.Sprintf("region-%d", i%3)}}
 			}
-			p := placement.Found(stores, placement.Spread{Backups: 2})
+			p := placement.Initial(stores, placement.Redundancy{Backups: 2})
 			e := &Edge{set: &settings.Settings{Zone: "zone-1", Region: "region-1", FaultTolerance: &settings.FaultTolerance{HostFailures: 2}}}
 			r := &partition.Record{ID: "attempt-000000000017", Tenant: "one"}
 			b.ReportAllocs()
--- a/internal/edge/forward.go
+++ b/internal/edge/forward.go
@@ -68,7 +68,7 @@
 		if p == nil {
 			return 0, errNotTaken
 		}
-		moved := e.node.Moved()
+		moved := e.node.PlacementChanged()
 		at := fixed
 		if at < 0 {
 			list := e.candidates(p, route, service, r)
@@ -92,7 +92,7 @@
 		if d, ok := ctx.Deadline(); ok {
 			wait = min(wait, time.Until(d))
 		}
-		err := e.node.Pool.Call(tctx, addr, "/accept", store.Accept{Partition: at, Message: *r, DelayMs: max(0, left.Milliseconds()+1), WaitMs: wait.Milliseconds()}, r.Body, nil)
+		err := e.node.Client.Call(tctx, addr, "/accept", store.AcceptRequest{Partition: at, Message: *r, DelayMs: max(0, left.Milliseconds()+1), WaitMs: wait.Milliseconds()}, r.Body, nil)
 		stop()
 		cancel()
 		if err == nil {
@@ -113,12 +113,12 @@
 				return 0, fmt.Errorf("%w: %w", errNotTaken, last) // waiting would not help
 			}
 			if httpwire.NotSent(err) {
-				e.node.Suspect(primary, httpwire.ConnectionRefused(err))
+				e.node.ReportFailure(primary, httpwire.ConnectionRefused(err))
 			}
 		} else {
 			fixed = at
 			if code == 0 {
-				e.node.Suspect(primary, false)
+				e.node.ReportFailure(primary, false)
 			}
 		}
 		if len(avoid) >= len(p.Stores) {
@@ -167,7 +167,7 @@
 		soon := time.NewTimer(e.set.Contact() / 40)
 		defer soon.Stop()
 		for {
-			moved := e.node.Moved()
+			moved := e.node.PlacementChanged()
 			if now := e.node.Placement(); now.Partitions[at].Primary != p.Partitions[at].Primary {
 				giveUp()
 				return
@@ -176,7 +176,7 @@
 			case <-moved:
 			case <-soon.C:
 				e.hang(at, p.Partitions[at].Epoch)
-				e.node.Suspect(p.Partitions[at].Primary, false)
+				e.node.ReportFailure(p.Partitions[at].Primary, false)
 			case <-done:
 				return
 			case <-ctx.Done():
@@ -213,7 +213,7 @@
 }
 
 // ask brings a question about a message to the primary that has it.
-func (e *Edge) ask(ctx context.Context, path string, q store.Ask) (*httpwire.Answer, error) {
+func (e *Edge) ask(ctx context.Context, path string, q store.MessageQuery) (*httpwire.Answer, error) {
 	contact := e.set.Contact()
 	body := encode(q)
 	var last error
@@ -222,18 +222,18 @@
 		if p == nil || q.Partition < 0 || q.Partition >= len(p.Partitions) {
 			return nil, &rpc.StatusError{Code: 404, Text: "no such message"}
 		}
-		moved := e.node.Moved()
+		moved := e.node.PlacementChanged()
 		primary := p.Partitions[q.Partition].Primary
 		addr := p.Stores[primary].Address
 		tctx, cancel := context.WithTimeout(ctx, contact/6)
-		a, err := e.node.Pool.Send(tctx, addr, path, body)
+		a, err := e.node.Client.Send(tctx, addr, path, body)
 		cancel()
 		switch {
 		case err == nil && (a.Status == 200 || a.Status == 404 || a.Status == 410):
 			return a, nil
 		case err != nil:
 			last = err
-			e.node.Suspect(primary, httpwire.ConnectionRefused(err))
+			e.node.ReportFailure(primary, httpwire.ConnectionRefused(err))
 		default:
 			last = &rpc.StatusError{Code: a.Status, Text: string(a.Body)}
 		}
--- a/internal/edge/grants.go
+++ b/internal/edge/grants.go
@@ -181,7 +181,7 @@
 func (g *grants) ask(ctx context.Context, names []string) {
 	ctx, cancel := context.WithTimeout(ctx, g.node.Settings.Contact()/16)
 	defer cancel()
-	byStore := map[string]store.Grant{}
+	byStore := map[string]store.QuotaLeaseRequest{}
 	p := g.node.Placement()
 	g.mu.Lock()
 	if g.life != nil {
@@ -195,38 +195,38 @@
 		if p == nil || len(p.Partitions) == 0 {
 			continue
 		}
-		at := p.Partitions[store.MeterPartition(name, len(p.Partitions))].Primary
-		if byStore[at].Want == nil {
-			byStore[at] = store.Grant{Partitions: len(p.Partitions), Want: map[string]float64{}, Back: map[string]float64{}, Spent: map[string]float64{}}
+		at := p.Partitions[store.LimiterPartition(name, len(p.Partitions))].Primary
+		if byStore[at].Wanted == nil {
+			byStore[at] = store.QuotaLeaseRequest{Partitions: len(p.Partitions), Wanted: map[string]float64{}, Returned: map[string]float64{}, Spent: map[string]float64{}}
 		}
 		if x.left > 0 && time.Now().After(x.until) { // what was not used goes back
-			byStore[at].Back[name] = x.left
+			byStore[at].Returned[name] = x.left
 			x.left = 0
 		}
 		if x.spent > 0 {
 			byStore[at].Spent[name] = x.spent
 		}
-		byStore[at].Want[name] = max(1, float64(x.waiting), g.ahead(x)-x.left)
+		byStore[at].Wanted[name] = max(1, float64(x.waiting), g.ahead(x)-x.left)
 	}
 	g.mu.Unlock()
 	var tasks sync.WaitGroup
 	for at, in := range byStore {
 		tasks.Go(func() {
 			began := time.Now()
-			var out store.Granted
-			err := g.node.Pool.Call(ctx, p.Stores[at].Address, "/grant", in, nil, &out)
+			var out store.QuotaLeaseResponse
+			err := g.node.Client.Call(ctx, p.Stores[at].Address, "/grant", in, nil, &out)
 			g.mu.Lock()
 			defer g.mu.Unlock()
 			now := time.Now()
 			if err != nil {
-				for name := range in.Want {
+				for name := range in.Wanted {
 					if x := g.tenants[name]; x != nil {
 						x.lost = true
 					}
 				}
 				return
 			}
-			for name, w := range in.Want {
+			for name, w := range in.Wanted {
 				x := g.tenants[name]
 				if x == nil {
 					continue
@@ -234,7 +234,7 @@
 				if now.After(x.until) {
 					x.left = 0
 				}
-				given := out.Given[name]
+				given := out.Granted[name]
 				x.spent = max(0, x.spent-in.Spent[name])
 				x.left += given
 				x.given += given
--- a/internal/handler/instance.go
+++ b/internal/handler/instance.go
@@ -29,7 +29,7 @@
 }
 
 // ParseBeat reads and checks a beat.
-func ParseBeat(id string, body []byte) (Instance, error) {
+func ParseHeartbeat(id string, body []byte) (Instance, error) {
 	var in Instance
 	if err := json.Unmarshal(body, &in); err != nil {
 		return in, fmt.Errorf("the beat cannot be read: %w", err)
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -38,7 +38,7 @@
 }
 
 // Gone tells whether the event takes its key away.
-func (e Event) Gone() bool { return len(e.Value) == 0 || string(e.Value) == "null" }
+func (e Event) IsDeleted() bool { return len(e.Value) == 0 || string(e.Value) == "null" }
 
 // bucket is where the digest counts a key: the few large values by themselves,
 // those of a kind (kind/name) elsewhere. mark is what an event adds to it.
@@ -139,7 +139,7 @@
 		if j.latest[e.Key] != e {
 			return true
 		}
-		if e.Gone() && time.Since(e.at) > j.keep {
+		if e.IsDeleted() && time.Since(e.at) > j.keep {
 			j.digest[e.bucket()] ^= e.mark()
 			delete(j.latest, e.Key)
 			return true
@@ -219,7 +219,7 @@
 }
 
 // Holds tells whether there is any event.
-func (j *Journal) Holds() bool {
+func (j *Journal) NotEmpty() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return len(j.latest) > 0
@@ -256,7 +256,7 @@
 // Decode reads the value of an event; a value that cannot be read is zero.
 func Decode[T any](e Event) T {
 	var v T
-	if !e.Gone() {
+	if !e.IsDeleted() {
 		_ = json.Unmarshal(e.Value, &v)
 	}
 	return v
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -28,13 +28,13 @@
 	Settings *settings.Settings
 	Log      *log.Logger
 	Network  httpwire.Network
-	Pool     *rpc.Client // to our own processes
+	Client   *rpc.Client // to our own processes
 	news     *rpc.Client // to the parent, for news
 	Journal  *journal.Journal
 	Self     membership.Node
 	Healthy  func() bool // whether to beat: a store whose disk fails is missed like a dead one
 
-	follower *distribution.Follower
+	follower *distribution.Subscriber
 	table    atomic.Pointer[configuration.Table]
 	place    atomic.Pointer[placement.Placement]
 
@@ -59,15 +59,15 @@
 	life := rand.Text()
 	n := &Node{
 		Settings: set, Log: logger, Network: network,
-		Pool:    rpc.NewClient(&httpwire.Pool{Network: network}),
+		Client:  rpc.NewClient(&httpwire.Pool{Network: network}),
 		Journal: journal.New(set.NodeName+"/"+life, 16*set.Contact(), distribution.PrefixNode),
-		Self:    membership.Node{Name: set.NodeName, Role: role, Address: set.Internal(), Zone: set.Zone, Region: set.Region, Life: life},
+		Self:    membership.Node{Name: set.NodeName, Role: role, Address: set.Internal(), Zone: set.Zone, Region: set.Region, Incarnation: life},
 		told:    map[string]time.Time{}, moved: make(chan struct{}), beatNow: make(chan struct{}, 1),
 	}
 	n.life, n.end = context.WithCancel(context.Background())
 	// A parent whose machine says nothing must not keep this node from the next one.
 	n.news = rpc.NewClient(&httpwire.Pool{Network: network, Opening: set.Contact() / 16})
-	n.follower = &distribution.Follower{Self: n.Self, Journal: n.Journal, Pool: n.news, Cores: set.Cores(), Contact: set.Contact(), Log: logger}
+	n.follower = &distribution.Subscriber{Self: n.Self, Journal: n.Journal, Client: n.news, Cores: set.Cores(), ContactTimeout: set.Contact(), Log: logger}
 	n.Journal.Fold(n.hear)
 	return n
 }
@@ -100,7 +100,7 @@
 
 // Await waits until a configuration and a placement are known; it tells whether
 // they are.
-func (n *Node) Await(ctx context.Context, most time.Duration) bool {
+func (n *Node) WaitForPlacement(ctx context.Context, most time.Duration) bool {
 	known := func() bool { return n.Table() != nil && n.Placement() != nil }
 	if known() {
 		return true
@@ -120,15 +120,15 @@
 }
 
 // Moved is closed when the next placement is heard.
-func (n *Node) Moved() <-chan struct{} {
+func (n *Node) PlacementChanged() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.moved
 }
 
 // Source answers the nodes that follow this one.
-func (n *Node) Source() *distribution.Source {
-	return &distribution.Source{Journal: n.Journal, Wait: n.Settings.Contact() / 2, Linger: n.Settings.Contact() / 32, Fresh: n.follower.Fresh}
+func (n *Node) Publisher() *distribution.Publisher {
+	return &distribution.Publisher{Journal: n.Journal, MaxWait: n.Settings.Contact() / 2, BatchDelay: n.Settings.Contact() / 32, UpToDate: n.follower.UpToDate}
 }
 
 // Run follows and beats until ctx ends.
@@ -144,18 +144,18 @@
 }
 
 // Reload takes over what may change while the process runs.
-func (n *Node) Reload(s *settings.Settings) { n.follower.Seeds(s.Cores()) }
+func (n *Node) Reload(s *settings.Settings) { n.follower.SetSeeds(s.Cores()) }
 
 // Cores are the addresses of the cores known, or the seeds.
 func (n *Node) Cores() []string {
-	if out := n.follower.Known(); len(out) > 0 {
+	if out := n.follower.KnownCores(); len(out) > 0 {
 		return out
 	}
 	return n.Settings.Cores()
 }
 
 // Leave tells the watchers from the next beat on that this node is to end.
-func (n *Node) Leave() {
+func (n *Node) Drain() {
 	n.mu.Lock()
 	n.leaving = true
 	n.mu.Unlock()
@@ -183,12 +183,12 @@
 	for {
 		if time.Since(told) > 4*n.Settings.Contact() {
 			told = time.Now()
-			n.Log.Printf("traffic: in %v: %s; news: %s", 4*n.Settings.Contact(), n.Pool.Traffic(), n.news.Traffic())
+			n.Log.Printf("traffic: in %v: %s; news: %s", 4*n.Settings.Contact(), n.Client.Traffic(), n.news.Traffic())
 		}
 		n.mu.Lock()
 		n.sequence++
 		self := n.Self
-		self.Sequence, self.Leaving = n.sequence, n.leaving
+		self.Sequence, self.Draining = n.sequence, n.leaving
 		n.mu.Unlock()
 		watched := ring.Watchers(n.Self.Name, n.Cores(), watchers)
 		if n.Healthy != nil && !n.Healthy() {
@@ -198,7 +198,7 @@
 			n.report(func() {
 				bctx, cancel := context.WithTimeout(ctx, every*2)
 				defer cancel()
-				err := n.Pool.Call(bctx, w, "/beat", self, nil, nil)
+				err := n.Client.Call(bctx, w, "/beat", self, nil, nil)
 				if err == nil {
 					heard.Store(true)
 				} else if n.Self.Role == "store" && !heard.Load() && httpwire.ConnectionRefused(err) {
@@ -220,7 +220,7 @@
 // known who that is, all cores. When much is slow at once, hundreds of nodes
 // suspect dozens of others: each tells of one of them now and then, and of
 // those whose machine says that nothing runs there at once.
-func (n *Node) Suspect(name string, refused bool) {
+func (n *Node) ReportFailure(name string, refused bool) {
 	every := n.Settings.Contact() / 20
 	n.mu.Lock()
 	recent := time.Since(n.told[name]) < every || !refused && time.Since(n.toldAny) < every
@@ -232,13 +232,13 @@
 	if recent {
 		return
 	}
-	n.follower.Doubt()
+	n.follower.SuspectParent()
 	tell := func(c string) bool {
 		ctx, cancel := context.WithTimeout(n.life, n.Settings.Contact()/8)
 		defer cancel()
-		var out placement.Suspected
-		err := n.Pool.Call(ctx, c, "/suspect", placement.Suspicion{Node: name, Refused: refused}, nil, &out)
-		return err == nil && out.Steward
+		var out placement.FailureReportResponse
+		err := n.Client.Call(ctx, c, "/suspect", placement.FailureReport{Node: name, Refused: refused}, nil, &out)
+		return err == nil && out.Controller
 	}
 	all := func() {
 		for _, c := range n.Cores() {
@@ -275,7 +275,7 @@
 }
 
 // Report tells the steward which copies are in step.
-func (n *Node) Report(ctx context.Context, in placement.InStep) error {
+func (n *Node) ReportInSync(ctx context.Context, in placement.InSyncReport) error {
 	n.mu.Lock()
 	first := n.steward
 	n.mu.Unlock()
@@ -285,7 +285,7 @@
 			continue
 		}
 		cctx, cancel := context.WithTimeout(ctx, n.Settings.Contact()/16)
-		last = n.Pool.Call(cctx, c, "/in-step", in, nil, nil)
+		last = n.Client.Call(cctx, c, "/in-step", in, nil, nil)
 		cancel()
 		if last == nil {
 			n.mu.Lock()
--- a/internal/operator/caller.go
+++ b/internal/operator/caller.go
@@ -14,7 +14,7 @@
 )
 
 // Caller sends orders to whichever core answers.
-type Caller struct {
+type Client struct {
 	Pool     *httpwire.Pool
 	Controls []string // control-plane addresses
 	Timeout  time.Duration
@@ -28,16 +28,16 @@
 // Unclear is the error of an order that had no clear answer: it may be in
 // force, or come into force yet. The very same order may be sent again, by
 // whom and however late within the day: it is acknowledged if it was taken.
-type Unclear struct{ Err error }
+type IndeterminateError struct{ Err error }
 
-func (e *Unclear) Error() string { return "no clear answer: " + e.Err.Error() }
-func (e *Unclear) Unwrap() error { return e.Err }
+func (e *IndeterminateError) Error() string { return "no clear answer: " + e.Err.Error() }
+func (e *IndeterminateError) Unwrap() error { return e.Err }
 
 // Do sends one order. It follows 307 twice, and sends the order as it is to
 // another core after a failure, a 5xx, a 408 or a 429, until an answer is
 // clear. If none was, the error is an Unclear where the order may have got
 // through at any of the tries.
-func (c *Caller) Do(ctx context.Context, call httpwire.Call) ([]byte, error) {
+func (c *Client) Do(ctx context.Context, call httpwire.Call) ([]byte, error) {
 	if len(c.Controls) == 0 {
 		return nil, errors.New("no control address is given")
 	}
@@ -62,7 +62,7 @@
 		}
 		last = err
 		if call.Method != "GET" && !untaken(err) {
-			unclear = &Unclear{err}
+			unclear = &IndeterminateError{err}
 		}
 		if ctx.Err() != nil {
 			break
@@ -82,7 +82,7 @@
 	return false
 }
 
-func (c *Caller) once(ctx context.Context, addr string, call httpwire.Call) ([]byte, error) {
+func (c *Client) once(ctx context.Context, addr string, call httpwire.Call) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	for range 3 {
@@ -113,10 +113,10 @@
 
 // PutConfiguration sends a configuration that builds on a revision. The error
 // says what the operator is to do.
-func (c *Caller) PutConfiguration(ctx context.Context, raw []byte, match int64) error {
+func (c *Client) PutConfiguration(ctx context.Context, raw []byte, match int64) error {
 	_, err := c.Do(ctx, httpwire.Call{Method: "PUT", Target: "/v1/configuration", Body: raw,
 		Header: []string{"If-Match", strconv.FormatInt(match, 10), "Content-Type", "application/json"}})
-	var unclear *Unclear
+	var unclear *IndeterminateError
 	switch code := rpc.StatusCode(err); {
 	case err == nil:
 		return nil
@@ -131,15 +131,15 @@
 }
 
 // Get reads what a path tells.
-func (c *Caller) Get(ctx context.Context, path string) ([]byte, error) {
+func (c *Client) Get(ctx context.Context, path string) ([]byte, error) {
 	return c.Do(ctx, httpwire.Call{Method: "GET", Target: path})
 }
 
 // Retire orders a store to be emptied.
-func (c *Caller) Retire(ctx context.Context, node string, deadline time.Duration) error {
+func (c *Client) Retire(ctx context.Context, node string, deadline time.Duration) error {
 	_, err := c.Do(ctx, httpwire.Call{Method: "POST", Target: "/v1/retire/" + url.PathEscape(node),
 		Body: fmt.Appendf(nil, `{"deadline-s":%g}`, deadline.Seconds()), Header: []string{"Content-Type", "application/json"}})
-	if errors.As(err, new(*Unclear)) {
+	if errors.As(err, new(*IndeterminateError)) {
 		return fmt.Errorf("it is unclear whether %s is being emptied; send the order again: %w", node, err)
 	}
 	return err
--- a/internal/operator/caller_test.go
+++ b/internal/operator/caller_test.go
@@ -69,7 +69,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			s := &standIn{answers: tc.answers, location: "http://10.0.0.9:82/v1/configuration"}
-			c := &Caller{Pool: &httpwire.Pool{Network: httpwire.Network{Dial: s.dial}}, Controls: []string{"a:82", "b:82"}, Timeout: time.Second}
+			c := &Client{Pool: &httpwire.Pool{Network: httpwire.Network{Dial: s.dial}}, Controls: []string{"a:82", "b:82"}, Timeout: time.Second}
 			err := c.PutConfiguration(context.Background(), []byte("seven"), 6)
 			if len(s.tries) != tc.tries {
 				t.Errorf("%v: tried %v", tc.answers, s.tries)
@@ -82,7 +82,7 @@
 			if (tc.says == "") != (err == nil) || err != nil && !strings.Contains(err.Error(), tc.says) {
 				t.Errorf("%v: %v", tc.answers, err)
 			}
-			if errors.As(err, new(*Unclear)) != tc.unclear {
+			if errors.As(err, new(*IndeterminateError)) != tc.unclear {
 				t.Errorf("%v: unclear is not %v: %v", tc.answers, tc.unclear, err)
 			}
 		})
--- a/internal/operator/desk.go
+++ b/internal/operator/desk.go
@@ -19,11 +19,11 @@
 const MaxConfiguration = 4 << 20
 
 // Desk answers the operator at a core.
-type Desk struct{ Core *controlplane.Core }
+type Server struct{ Core *controlplane.Server }
 
 // Handle answers one call. A core that is out of touch sends the caller to the
 // one that answers, if it knows one: the caller may reach what this core cannot.
-func (d *Desk) Handle(ctx context.Context, r *httpwire.Request) *httpwire.Response {
+func (d *Server) Handle(ctx context.Context, r *httpwire.Request) *httpwire.Response {
 	write := r.Method != http.MethodGet
 	if !d.Core.Steady() {
 		if to := d.Core.Elsewhere(write); to != "" {
@@ -34,8 +34,8 @@
 	if err == nil {
 		return answer
 	}
-	var no *controlplane.Refusal
-	var unreached *controlplane.Unreached
+	var no *controlplane.RejectedError
+	var unreached *controlplane.UnavailableError
 	switch {
 	case errors.As(err, &no):
 		return httpwire.Problem(no.Code, no.Text)
@@ -55,7 +55,7 @@
 }
 
 // handle gives an answer, or the error that Core gave.
-func (d *Desk) handle(ctx context.Context, r *httpwire.Request) (*httpwire.Response, error) {
+func (d *Server) handle(ctx context.Context, r *httpwire.Request) (*httpwire.Response, error) {
 	switch {
 	case r.URL.Path == "/v1/configuration" && r.Method == http.MethodPut:
 		return d.put(ctx, r)
@@ -72,7 +72,7 @@
 	return httpwire.Problem(404, "no such call: "+r.URL.Path), nil
 }
 
-func (d *Desk) put(ctx context.Context, r *httpwire.Request) (*httpwire.Response, error) {
+func (d *Server) put(ctx context.Context, r *httpwire.Request) (*httpwire.Response, error) {
 	match := int64(0)
 	if v := strings.Trim(r.Header.Get("If-Match"), `"`); v != "" {
 		n, err := strconv.ParseInt(v, 10, 64)
@@ -88,7 +88,7 @@
 	return httpwire.JSON(200, struct{}{}), err
 }
 
-func (d *Desk) get(ctx context.Context) (*httpwire.Response, error) {
+func (d *Server) get(ctx context.Context) (*httpwire.Response, error) {
 	raw, err := d.Core.Configuration(ctx)
 	if err == nil && raw == nil {
 		return httpwire.Problem(404, "there is no configuration yet"), nil
@@ -101,7 +101,7 @@
 	State string `json:"oper-state"`
 }
 
-func (d *Desk) retire(ctx context.Context, r *httpwire.Request, name string) (*httpwire.Response, error) {
+func (d *Server) retire(ctx context.Context, r *httpwire.Request, name string) (*httpwire.Response, error) {
 	switch r.Method {
 	case http.MethodPost:
 		var in struct {
--- a/internal/operator/serve.go
+++ b/internal/operator/serve.go
@@ -15,7 +15,7 @@
 // Serve runs a core with the listener for handlers and the operator, until ctx
 // ends. A core whose state on disk was found damaged is made anew: it joins as
 // one with an empty disk.
-func Serve(ctx context.Context, c *controlplane.Core, set *settings.Settings, network httpwire.Network, logger *log.Logger) error {
+func Serve(ctx context.Context, c *controlplane.Server, set *settings.Settings, network httpwire.Network, logger *log.Logger) error {
 	for {
 		err := serve(ctx, c, set, network, logger)
 		if !errors.Is(err, controlplane.ErrDamaged) || ctx.Err() != nil {
@@ -27,12 +27,12 @@
 	}
 }
 
-func serve(ctx context.Context, c *controlplane.Core, set *settings.Settings, network httpwire.Network, logger *log.Logger) error {
+func serve(ctx context.Context, c *controlplane.Server, set *settings.Settings, network httpwire.Network, logger *log.Logger) error {
 	l, err := network.Listen(set.Listeners.ControlPlane)
 	if err != nil {
 		return fmt.Errorf("listen for handlers and the operator: %w", err)
 	}
-	desk := &Desk{c}
+	desk := &Server{c}
 	s := &httpwire.Server{Log: logger, Handle: c.ServeControl(desk.Handle), Limits: func() httpwire.Limits {
 		return httpwire.Limits{HeaderBytes: 16 << 10, BodyBytes: MaxConfiguration, HeaderTimeout: set.Contact(), BodyTimeout: 2 * set.Contact(), IdleTimeout: 8 * set.Contact()}
 	}}
--- a/internal/partition/accept.go
+++ b/internal/partition/accept.go
@@ -29,7 +29,7 @@
 // Accept takes a message: it returns nil once it is on as many disks as may be
 // lost, and one more. After a 421
 // or a 503 it is certain that it was not taken; any other error is unclear.
-func (s *Set) Accept(ctx context.Context, n int, r *Record) error {
+func (s *Manager) Accept(ctx context.Context, n int, r *Record) error {
 	logged := false
 	for {
 		s.mu.Lock()
@@ -70,7 +70,7 @@
 			select { // until the backups are seen to hold it too
 			case <-here:
 				return nil
-			case <-time.After(s.Contact / 200):
+			case <-time.After(s.ContactTimeout / 200):
 				continue
 			case <-ctx.Done():
 				return unclear(n)
@@ -114,7 +114,7 @@
 }
 
 // settle ends the wait of a message that enough disks hold. The lock is held.
-func (s *Set) settle(p *part, w *accepted) {
+func (s *Manager) settle(p *part, w *accepted) {
 	if !w.local || len(p.replicas) < s.Backups || p.waiting[w.record.ID] != w {
 		return
 	}
@@ -131,7 +131,7 @@
 }
 
 // Finish writes how a message ended.
-func (s *Set) Finish(n int, id string, state State, seal string) {
+func (s *Manager) Finish(n int, id string, state State, seal string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.parts[n]
@@ -139,7 +139,7 @@
 	if r == nil || r.State != Pending {
 		return
 	}
-	end := r.ended(state, seal, s.Now()+s.Keep.Milliseconds())
+	end := r.ended(state, seal, s.Now()+s.StateRetention.Milliseconds())
 	if p.primary == s.Self {
 		s.change(p, end, nil)
 		return
--- a/internal/partition/copy.go
+++ b/internal/partition/copy.go
@@ -38,14 +38,14 @@
 	}
 }
 
-func (s *Set) wakeLink(peer string) {
+func (s *Manager) wakeLink(peer string) {
 	if l := s.links[peer]; l != nil {
 		l.nudge()
 	}
 }
 
 // startLink begins to send to a peer. The lock is held.
-func (s *Set) startLink(peer string) {
+func (s *Manager) startLink(peer string) {
 	if s.links[peer] != nil {
 		s.links[peer].nudge()
 		return
@@ -58,15 +58,15 @@
 
 // Batch is what a primary sends to a backup. The bodies stand behind it in the
 // order of the records.
-type Batch struct {
-	From   string  `json:"from"`
-	Number int64   `json:"no"`  // rises with each batch of a life of the sender
-	Now    int64   `json:"now"` // the sender's clock: machines may not agree on the time
-	Parts  []Share `json:"parts"`
+type BatchRequest struct {
+	From   string           `json:"from"`
+	Number int64            `json:"no"`  // rises with each batch of a life of the sender
+	Now    int64            `json:"now"` // the sender's clock: machines may not agree on the time
+	Parts  []PartitionBatch `json:"parts"`
 }
 
 // Share is one partition's part of a batch.
-type Share struct {
+type PartitionBatch struct {
 	Number  int       `json:"n"`
 	Epoch   int64     `json:"e"`
 	Now     int64     `json:"now,omitempty"`
@@ -75,12 +75,12 @@
 }
 
 // Copied answers a batch.
-type Copied struct {
-	Parts []CopiedShare `json:"parts"`
+type BatchResponse struct {
+	Parts []PartitionResult `json:"parts"`
 }
 
 // CopiedShare tells how one partition's part was taken.
-type CopiedShare struct {
+type PartitionResult struct {
 	Number int    `json:"n"`
 	Stale  bool   `json:"stale,omitempty"` // a newer epoch is known here
 	Digest uint64 `json:"d"`
@@ -101,8 +101,8 @@
 	release bool
 }
 
-func (s *Set) send(l *link) {
-	beat := time.NewTicker(s.Lease() / 4)
+func (s *Manager) send(l *link) {
+	beat := time.NewTicker(s.LeaseDuration() / 4)
 	defer beat.Stop()
 	var failed time.Time
 	for {
@@ -112,11 +112,11 @@
 		case <-l.wake:
 		case <-beat.C:
 		}
-		if !failed.IsZero() && time.Since(failed) < s.Lease()/16 {
+		if !failed.IsZero() && time.Since(failed) < s.LeaseDuration()/16 {
 			select {
 			case <-s.ctx.Done():
 				return
-			case <-time.After(s.Lease() / 16):
+			case <-time.After(s.LeaseDuration() / 16):
 			}
 		}
 		batch, raw, sent, addr := s.collect(l.peer)
@@ -126,10 +126,10 @@
 		l.number++
 		batch.Number = l.number
 		began := time.Now()
-		ctx, cancel := context.WithTimeout(s.ctx, s.Lease())
-		var out Copied
-		soon := time.AfterFunc(s.Contact/40, func() { s.Suspect(l.peer, false) })
-		err := s.Pool.Call(ctx, addr, "/copy", batch, raw, &out)
+		ctx, cancel := context.WithTimeout(s.ctx, s.LeaseDuration())
+		var out BatchResponse
+		soon := time.AfterFunc(s.ContactTimeout/40, func() { s.ReportFailure(l.peer, false) })
+		err := s.Client.Call(ctx, addr, "/copy", batch, raw, &out)
 		soon.Stop()
 		cancel()
 		if err != nil {
@@ -137,7 +137,7 @@
 				s.Log.Printf("copy: %s: %v", l.peer, err)
 			}
 			failed = time.Now()
-			s.Suspect(l.peer, httpwire.ConnectionRefused(err))
+			s.ReportFailure(l.peer, httpwire.ConnectionRefused(err))
 			l.nudge()
 			continue
 		}
@@ -147,10 +147,10 @@
 }
 
 // collect makes the next batch for a peer.
-func (s *Set) collect(peer string) (Batch, []byte, []sentShare, string) {
+func (s *Manager) collect(peer string) (BatchRequest, []byte, []sentShare, string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b := Batch{From: s.Self, Now: s.Now()}
+	b := BatchRequest{From: s.Self, Now: s.Now()}
 	raw := []byte{}
 	var sent []sentShare
 	for _, p := range s.parts {
@@ -161,10 +161,10 @@
 		// Bytes between regions are dear: a partition with nothing to send is
 		// left out until its lease is to be renewed.
 		quiet := len(x.dirty)+len(x.extra) == 0 && x.paired && (!p.closed || x.released)
-		if quiet && time.Until(x.lease) > s.Lease()*3/4 {
+		if quiet && time.Until(x.lease) > s.LeaseDuration()*3/4 {
 			continue
 		}
-		sh := Share{Number: p.number, Epoch: p.epoch, Release: p.closed}
+		sh := PartitionBatch{Number: p.number, Epoch: p.epoch, Release: p.closed}
 		ss := sentShare{p: p, to: x, epoch: p.epoch, whole: true, release: p.closed}
 		for _, r := range x.dirty {
 			sh.Records = append(sh.Records, r)
@@ -197,14 +197,14 @@
 }
 
 // sent takes the answer to a batch.
-func (s *Set) sent(l *link, began time.Time, sent []sentShare, out Copied) {
+func (s *Manager) sent(l *link, began time.Time, sent []sentShare, out BatchResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	answers := map[int]CopiedShare{}
+	answers := map[int]PartitionResult{}
 	for _, a := range out.Parts {
 		answers[a.Number] = a
 	}
-	var report placement.InStep
+	var report placement.InSyncReport
 	for _, x := range sent {
 		p, to := x.p, x.to
 		a, ok := answers[p.number]
@@ -231,16 +231,16 @@
 		if to.released = x.release; p.closed {
 			to.lease = time.Time{}
 		} else {
-			to.lease = began.Add(s.Lease())
+			to.lease = began.Add(s.LeaseDuration())
 		}
 		switch {
 		case x.whole && a.Digest == x.digest && a.Count == x.count:
 			to.verified = true
-			if !to.inStep && time.Since(to.reported) > s.Contact/8 {
-				report.Copies = append(report.Copies, placement.Copy{Partition: p.number, Epoch: p.epoch, Store: to.store})
+			if !to.inStep && time.Since(to.reported) > s.ContactTimeout/8 {
+				report.Replicas = append(report.Replicas, placement.Replica{Partition: p.number, Epoch: p.epoch, Store: to.store})
 				to.reported = time.Now()
 			}
-		case x.whole && time.Since(to.compared) > s.Contact/8:
+		case x.whole && time.Since(to.compared) > s.ContactTimeout/8:
 			to.compared = time.Now()
 			n, epoch := p.number, p.epoch
 			s.tasks.Go(func() { s.compare(n, epoch, to.store) })
@@ -249,11 +249,11 @@
 			l.nudge()
 		}
 	}
-	if len(report.Copies) > 0 {
+	if len(report.Replicas) > 0 {
 		s.tasks.Go(func() {
-			ctx, cancel := context.WithTimeout(s.ctx, s.Contact/4)
+			ctx, cancel := context.WithTimeout(s.ctx, s.ContactTimeout/4)
 			defer cancel()
-			if err := s.Report(ctx, report); err != nil && s.ctx.Err() == nil {
+			if err := s.ReportInSync(ctx, report); err != nil && s.ctx.Err() == nil {
 				s.Log.Printf("copy: report of partitions in step: %v", err)
 			}
 		})
@@ -261,8 +261,8 @@
 }
 
 // HandleCopy takes a batch as the backup; it answers once all is on disk.
-func (s *Set) HandleCopy(ctx context.Context, b *Batch, raw []byte) (*Copied, error) {
-	out := &Copied{}
+func (s *Manager) HandleBatch(ctx context.Context, b *BatchRequest, raw []byte) (*BatchResponse, error) {
+	out := &BatchResponse{}
 	done := make(chan struct{})
 	s.mu.Lock()
 	for _, x := range b.Parts {
@@ -277,7 +277,7 @@
 		mine := raw[:bodies]
 		raw = raw[bodies:]
 		if x.Number < 0 || x.Number >= len(s.parts) || s.parts[x.Number].epoch > x.Epoch {
-			out.Parts = append(out.Parts, CopiedShare{Number: x.Number, Stale: true})
+			out.Parts = append(out.Parts, PartitionResult{Number: x.Number, Stale: true})
 			continue
 		}
 		p := s.parts[x.Number]
@@ -286,7 +286,7 @@
 			s.writeFence()
 		}
 		if p.primary != b.From || !p.backs {
-			out.Parts = append(out.Parts, CopiedShare{Number: x.Number, Stale: true})
+			out.Parts = append(out.Parts, PartitionResult{Number: x.Number, Stale: true})
 			continue
 		}
 		for _, r := range x.Records {
@@ -304,11 +304,11 @@
 		switch {
 		case late(b.Number, p.batch):
 		case !x.Release:
-			p.granted, p.batch = time.Now().Add(s.Lease()), b.Number
+			p.granted, p.batch = time.Now().Add(s.LeaseDuration()), b.Number
 		case b.Number/lives == p.batch/lives:
 			p.granted, p.batch = time.Time{}, b.Number
 		}
-		out.Parts = append(out.Parts, CopiedShare{Number: p.number, Digest: p.digest, Count: p.count})
+		out.Parts = append(out.Parts, PartitionResult{Number: p.number, Digest: p.digest, Count: p.count})
 	}
 	// Also what came with an earlier batch, or from another primary: the digest
 	// tells of it, and a message that a digest shows may be answered with 202.
@@ -322,7 +322,7 @@
 	}
 }
 
-func encodeFence(f Fence) []byte {
+func encodeFence(f FencingEpochs) []byte {
 	raw, err := json.Marshal(f)
 	if err != nil {
 		panic("partition: the fence cannot be encoded: " + err.Error())
--- a/internal/partition/disk.go
+++ b/internal/partition/disk.go
@@ -48,7 +48,7 @@
 
 // openDisk opens the file in dir. A damaged one is moved aside: the copies on
 // the other stores fill a new one. One that the disk can't read is left alone.
-func openDisk(dir string, warn func(format string, args ...any)) (*disk, []*Record, Fence, error) {
+func openDisk(dir string, warn func(format string, args ...any)) (*disk, []*Record, FencingEpochs, error) {
 	path := filepath.Join(dir, "store.db")
 	d, records, fence, err := tryDisk(path)
 	if !errors.Is(err, boltstore.ErrDamaged) {
@@ -63,15 +63,15 @@
 }
 
 // Fence is the newest epoch seen of each partition.
-type Fence map[int]int64
+type FencingEpochs map[int]int64
 
-func tryDisk(path string) (d *disk, records []*Record, fence Fence, err error) {
+func tryDisk(path string) (d *disk, records []*Record, fence FencingEpochs, err error) {
 	db, err := boltstore.OpenDatabase(path)
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	d = &disk{db: db, wake: make(chan struct{}, 1)}
-	fence = Fence{}
+	fence = FencingEpochs{}
 	read := func(tx *bbolt.Tx) error {
 		b, err := tx.CreateBucketIfNotExists(bucketRecords)
 		if err != nil {
--- a/internal/partition/handover.go
+++ b/internal/partition/handover.go
@@ -8,7 +8,7 @@
 // Freeze stops the deliveries of partitions, waits until those under way have
 // ended, stops taking messages, and gives back the partitions whose backups
 // hold everything. If no new placement comes, all goes on as before.
-func (s *Set) Freeze(ctx context.Context, want map[int]int64, idle func(n int) bool) map[int]int64 {
+func (s *Manager) Freeze(ctx context.Context, want map[int]int64, idle func(n int) bool) map[int]int64 {
 	out := map[int]int64{}
 	s.mu.Lock()
 	s.freezes++
@@ -21,7 +21,7 @@
 		}
 	}
 	s.mu.Unlock()
-	step := s.Contact / 800
+	step := s.ContactTimeout / 800
 	for len(want) > 0 && ctx.Err() == nil {
 		s.mu.Lock()
 		for n, epoch := range want {
@@ -48,7 +48,7 @@
 		case <-time.After(step):
 		}
 	}
-	s.thaw(freeze, out, s.Contact/4) // longer than the steward relies on it
+	s.thaw(freeze, out, s.ContactTimeout/4) // longer than the steward relies on it
 	s.thaw(freeze, want, 0)
 	return out
 }
@@ -67,7 +67,7 @@
 
 // patience tells whether what is left is far from ready: some deliveries take
 // long, and the partitions that are ready do not wait for them.
-func (s *Set) patience(want map[int]int64) bool {
+func (s *Manager) patience(want map[int]int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for n := range want {
@@ -80,7 +80,7 @@
 
 // thaw lets partitions go on that are still led here after a while, unless they
 // were asked for again: the steward may rely on that answer for longer.
-func (s *Set) thaw(freeze int64, list map[int]int64, after time.Duration) {
+func (s *Manager) thaw(freeze int64, list map[int]int64, after time.Duration) {
 	if len(list) == 0 {
 		return
 	}
--- a/internal/partition/partition_bench_test.go
+++ b/internal/partition/partition_bench_test.go
@@ -53,7 +53,7 @@
 			for b.Loop() {
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				p, s := &part{records: map[string]*Record{}}, &Set{}
+				p, s := &part{records: map[string]*Record{}}, &Manager{}
 				for i := range n {
 					r := message(i)
 					r.Body = make([]byte, size)
@@ -73,9 +73,9 @@
 func BenchmarkCopies(b *testing.B) {
 	for _, n := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("messages=%d", n), func(b *testing.B) {
-			s := &Set{Self: "me", Contact: 4 * time.Second, Log: log.New(io.Discard, "", 0), Keep: time.Minute,
-				Suspect: func(string, bool) {}, Report: func(context.Context, placement.InStep) error { return nil },
-				Pool: rpc.NewClient(&httpwire.Pool{Network: httpwire.Network{Dial: func(context.Context, string) (net.Conn, error) { return nil, io.EOF }}})}
+			s := &Manager{Self: "me", ContactTimeout: 4 * time.Second, Log: log.New(io.Discard, "", 0), StateRetention: time.Minute,
+				ReportFailure: func(string, bool) {}, ReportInSync: func(context.Context, placement.InSyncReport) error { return nil },
+				Client: rpc.NewClient(&httpwire.Pool{Network: httpwire.Network{Dial: func(context.Context, string) (net.Conn, error) { return nil, io.EOF }}})}
 			if err := s.Open(b.TempDir()); err != nil {
 				b.Fatal(err)
 			}
@@ -83,21 +83,21 @@
 			done := make(chan struct{})
 			go func() { _ = s.Run(ctx); close(done) }()
 			defer func() { cancel(); <-done }()
-			s.Place(placement.Placement{Version: 1, Stores: map[string]placement.Store{"me": {Disk: s.Identity()}},
-				Partitions: []placement.Partition{{Epoch: 5, Primary: "other", Backups: []placement.Backup{{Store: "me", InStep: true}}}}})
+			s.ApplyPlacement(placement.Placement{Version: 1, Stores: map[string]placement.Store{"me": {Disk: s.DiskID()}},
+				Partitions: []placement.Partition{{Epoch: 5, Primary: "other", Backups: []placement.Backup{{Store: "me", InSync: true}}}}})
 			b.ReportAllocs()
 			at := 0
 			for b.Loop() {
-				batch, raw := Batch{From: "other", Now: s.Now()}, []byte{}
-				share := Share{Epoch: 5}
+				batch, raw := BatchRequest{From: "other", Now: s.Now()}, []byte{}
+				share := PartitionBatch{Epoch: 5}
 				for range n {
 					r := message(at)
 					at++
 					share.Records = append(share.Records, r)
 					raw = append(raw, r.Body...)
 				}
-				batch.Parts = []Share{share}
-				if _, err := s.HandleCopy(ctx, &batch, raw); err != nil {
+				batch.Parts = []PartitionBatch{share}
+				if _, err := s.HandleBatch(ctx, &batch, raw); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/partition/partition_test.go
+++ b/internal/partition/partition_test.go
@@ -30,7 +30,7 @@
 	if !(&Record{Epoch: 2, Sequence: 1}).newer(&Record{Epoch: 1, Sequence: 5}) || pending.newer(pending) {
 		t.Error("the newer epoch does not win")
 	}
-	p, s := &part{records: map[string]*Record{}}, &Set{}
+	p, s := &part{records: map[string]*Record{}}, &Manager{}
 	s.put(p, &Record{ID: "a"})
 	before, held := p.digest, s.held
 	s.put(p, &Record{ID: "b", Sequence: 1, Body: make([]byte, 100)})
@@ -45,11 +45,11 @@
 }
 
 // open makes a set that backs up partition 0 of another store.
-func open(t *testing.T) *Set {
+func open(t *testing.T) *Manager {
 	t.Helper()
-	s := &Set{Self: "me", Contact: 4 * time.Second, Log: log.New(io.Discard, "", 0), Keep: time.Minute,
-		Suspect: func(string, bool) {}, Report: func(context.Context, placement.InStep) error { return nil },
-		Pool: rpc.NewClient(&httpwire.Pool{Network: httpwire.Network{Dial: func(context.Context, string) (net.Conn, error) { return nil, io.EOF }}})}
+	s := &Manager{Self: "me", ContactTimeout: 4 * time.Second, Log: log.New(io.Discard, "", 0), StateRetention: time.Minute,
+		ReportFailure: func(string, bool) {}, ReportInSync: func(context.Context, placement.InSyncReport) error { return nil },
+		Client: rpc.NewClient(&httpwire.Pool{Network: httpwire.Network{Dial: func(context.Context, string) (net.Conn, error) { return nil, io.EOF }}})}
 	if err := s.Open(t.TempDir()); err != nil {
 		t.Fatal(err)
 	}
@@ -57,8 +57,8 @@
 	done := make(chan struct{})
 	go func() { _ = s.Run(ctx); close(done) }()
 	t.Cleanup(func() { cancel(); <-done })
-	s.Place(placement.Placement{Version: 1, Stores: map[string]placement.Store{"me": {Disk: s.Identity()}},
-		Partitions: []placement.Partition{{Epoch: 5, Primary: "other", Backups: []placement.Backup{{Store: "me", InStep: true}}}}})
+	s.ApplyPlacement(placement.Placement{Version: 1, Stores: map[string]placement.Store{"me": {Disk: s.DiskID()}},
+		Partitions: []placement.Partition{{Epoch: 5, Primary: "other", Backups: []placement.Backup{{Store: "me", InSync: true}}}}})
 	return s
 }
 
@@ -69,7 +69,7 @@
 		epoch int64
 		stale bool
 	}{{"other", 4, true}, {"third", 5, true}, {"other", 5, false}, {"third", 7, false}, {"other", 5, true}, {"third", 7, false}} {
-		out, err := s.HandleCopy(t.Context(), &Batch{From: c.from, Parts: []Share{{Number: 0, Epoch: c.epoch, Records: []*Record{{ID: "x", Epoch: c.epoch, Sequence: 1}}}}}, nil)
+		out, err := s.HandleBatch(t.Context(), &BatchRequest{From: c.from, Parts: []PartitionBatch{{Number: 0, Epoch: c.epoch, Records: []*Record{{ID: "x", Epoch: c.epoch, Sequence: 1}}}}}, nil)
 		if err != nil || len(out.Parts) != 1 || out.Parts[0].Stale != c.stale {
 			t.Errorf("%+v: %+v %v", c, out, err)
 		}
@@ -77,7 +77,7 @@
 	if err := s.Accept(t.Context(), 0, &Record{ID: "y"}); rpc.StatusCode(err) != 421 {
 		t.Errorf("a backup takes messages: %v", err)
 	}
-	if s.Leads(0) {
+	if s.MayDeliver(0) {
 		t.Error("a backup delivers")
 	}
 }
@@ -90,16 +90,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	copied := func(b *Batch, limit time.Duration) error {
+	copied := func(b *BatchRequest, limit time.Duration) error {
 		ctx, cancel := context.WithTimeout(t.Context(), limit)
 		defer cancel()
-		_, err := s.HandleCopy(ctx, b, nil)
+		_, err := s.HandleBatch(ctx, b, nil)
 		return err
 	}
-	if copied(&Batch{From: "other", Parts: []Share{{Epoch: 5, Records: []*Record{{ID: "x", Epoch: 5, Sequence: 1}}}}}, 50*time.Millisecond) == nil {
+	if copied(&BatchRequest{From: "other", Parts: []PartitionBatch{{Epoch: 5, Records: []*Record{{ID: "x", Epoch: 5, Sequence: 1}}}}}, 50*time.Millisecond) == nil {
 		t.Error("a message is said to be on a disk that hangs")
 	}
-	next := &Batch{From: "third", Parts: []Share{{Epoch: 6}}}
+	next := &BatchRequest{From: "third", Parts: []PartitionBatch{{Epoch: 6}}}
 	if copied(next, 50*time.Millisecond) == nil {
 		t.Error("the next primary is told of a message that is on no disk here")
 	}
@@ -115,7 +115,7 @@
 	s := open(t)
 	hour := time.Hour.Milliseconds()
 	now := s.Now()
-	_, err := s.HandleCopy(t.Context(), &Batch{From: "other", Now: now + hour, Parts: []Share{{Epoch: 5, Records: []*Record{{ID: "x", Sequence: 1, Due: now + hour + 2000, Expires: now + hour + 90000}}}}}, nil)
+	_, err := s.HandleBatch(t.Context(), &BatchRequest{From: "other", Now: now + hour, Parts: []PartitionBatch{{Epoch: 5, Records: []*Record{{ID: "x", Sequence: 1, Due: now + hour + 2000, Expires: now + hour + 90000}}}}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 
 func TestAPrimaryRefusesWhatItMustNotTake(t *testing.T) {
 	s := open(t)
-	s.Place(placement.Placement{Version: 2, Stores: map[string]placement.Store{"me": {Disk: s.Identity()}},
+	s.ApplyPlacement(placement.Placement{Version: 2, Stores: map[string]placement.Store{"me": {Disk: s.DiskID()}},
 		Partitions: []placement.Partition{{Epoch: 6, Primary: "me", Backups: []placement.Backup{{Store: "other"}}}}})
 	s.mu.Lock()
 	s.put(s.parts[0], &Record{ID: "z", Tenant: "a"})
@@ -196,7 +196,7 @@
 
 func TestAHandoverWaitsForABackupThatMayBeInStepByNow(t *testing.T) {
 	s := open(t)
-	s.Place(placement.Placement{Version: 2, Stores: map[string]placement.Store{"me": {Disk: s.Identity()}},
+	s.ApplyPlacement(placement.Placement{Version: 2, Stores: map[string]placement.Store{"me": {Disk: s.DiskID()}},
 		Partitions: []placement.Partition{{Epoch: 6, Primary: "me", Backups: []placement.Backup{{Store: "other"}}}}})
 	idle := func(int) bool { return true }
 	for _, c := range []struct {
@@ -231,8 +231,8 @@
 func TestALateBatchGivesNoLeaseBack(t *testing.T) {
 	s := open(t)
 	granted := func(number int64, release bool) bool {
-		b := &Batch{From: "other", Number: number, Parts: []Share{{Number: 0, Epoch: 5, Release: release}}}
-		if out, err := s.HandleCopy(t.Context(), b, nil); err != nil || out.Parts[0].Stale {
+		b := &BatchRequest{From: "other", Number: number, Parts: []PartitionBatch{{Number: 0, Epoch: 5, Release: release}}}
+		if out, err := s.HandleBatch(t.Context(), b, nil); err != nil || out.Parts[0].Stale {
 			t.Fatalf("batch %d: %+v %v", number, out, err)
 		}
 		s.mu.Lock()
@@ -264,7 +264,7 @@
 func TestAHandoverAskedForTwiceLastsAsTheSecondSays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := open(t)
-		s.Place(placement.Placement{Version: 2, Stores: map[string]placement.Store{"me": {Disk: s.Identity()}},
+		s.ApplyPlacement(placement.Placement{Version: 2, Stores: map[string]placement.Store{"me": {Disk: s.DiskID()}},
 			Partitions: []placement.Partition{{Epoch: 6, Primary: "me"}}})
 		frozen := func() bool {
 			s.mu.Lock()
@@ -275,12 +275,12 @@
 			if out := s.Freeze(t.Context(), map[int]int64{0: 6}, func(int) bool { return true }); len(out) != 1 {
 				t.Fatalf("the %s call: %v", which, out)
 			}
-			time.Sleep(s.Contact * 3 / 16)
+			time.Sleep(s.ContactTimeout * 3 / 16)
 		}
 		if !frozen() { // contact/4 after the first
 			t.Error("the first lets the partition go on while the second is relied on")
 		}
-		time.Sleep(s.Contact / 8)
+		time.Sleep(s.ContactTimeout / 8)
 		if frozen() {
 			t.Error("no new placement came, and the partition does not go on")
 		}
--- a/internal/partition/repair.go
+++ b/internal/partition/repair.go
@@ -12,19 +12,19 @@
 )
 
 // Digest asks a copy what it holds.
-type Digest struct {
+type DigestRequest struct {
 	From   string `json:"from"`
 	Number int    `json:"n"`
 	Epoch  int64  `json:"e"`
 }
 
 // Digested lists it: the ids by state.
-type Digested struct {
+type DigestResponse struct {
 	IDs map[State][]string `json:"ids"`
 }
 
 // HandleDigest tells what is held here of a partition.
-func (s *Set) HandleDigest(_ context.Context, in *Digest, _ []byte) (*Digested, error) {
+func (s *Manager) HandleDigest(_ context.Context, in *DigestRequest, _ []byte) (*DigestResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if in.Number < 0 || in.Number >= len(s.parts) {
@@ -35,7 +35,7 @@
 		s.turn(p, placement.Partition{Epoch: in.Epoch, Primary: in.From})
 		s.writeFence()
 	}
-	out := &Digested{IDs: map[State][]string{}}
+	out := &DigestResponse{IDs: map[State][]string{}}
 	for id, r := range s.parts[in.Number].records {
 		out.IDs[r.State] = append(out.IDs[r.State], id)
 	}
@@ -45,15 +45,15 @@
 // compare finds in what the copies of a partition differ and mends both; of a
 // store that is no backup it only takes what it lacks. It tells whether the
 // other one answered.
-func (s *Set) compare(n int, epoch int64, backup string) bool {
+func (s *Manager) compare(n int, epoch int64, backup string) bool {
 	s.mu.Lock()
 	p := s.parts[n]
 	addr := s.placement.Stores[backup].Address
 	s.mu.Unlock()
-	ctx, cancel := context.WithTimeout(s.ctx, s.Contact/2)
+	ctx, cancel := context.WithTimeout(s.ctx, s.ContactTimeout/2)
 	defer cancel()
-	var out Digested
-	if err := s.Pool.Call(ctx, addr, "/digest", Digest{s.Self, n, epoch}, nil, &out); err != nil {
+	var out DigestResponse
+	if err := s.Client.Call(ctx, addr, "/digest", DigestRequest{s.Self, n, epoch}, nil, &out); err != nil {
 		s.Log.Printf("repair: partition %d: %v", n, err)
 		return false
 	}
@@ -113,14 +113,14 @@
 }
 
 // Fetch asks a copy for records.
-type Fetch struct {
+type FetchRequest struct {
 	Number int      `json:"n"`
 	IDs    []string `json:"ids"`
 }
 
 // HandleFetch gives the records asked for, as one share with bodies.
-func (s *Set) HandleFetch(_ context.Context, r *httpwire.Request) *httpwire.Response {
-	var in Fetch
+func (s *Manager) HandleFetch(_ context.Context, r *httpwire.Request) *httpwire.Response {
+	var in FetchRequest
 	if err := json.Unmarshal(r.Body, &in); err != nil {
 		return httpwire.Problem(400, err.Error())
 	}
@@ -129,7 +129,7 @@
 	if in.Number < 0 || in.Number >= len(s.parts) {
 		return httpwire.Problem(421, "no such partition here")
 	}
-	sh := Share{Number: in.Number, Now: s.Now()}
+	sh := PartitionBatch{Number: in.Number, Now: s.Now()}
 	var raw []byte
 	for _, id := range in.IDs {
 		if x := s.parts[in.Number].records[id]; x != nil && len(raw) < 4*batchBytes {
@@ -145,18 +145,18 @@
 }
 
 // fetch takes records from a backup and makes them the primary's own.
-func (s *Set) fetch(ctx context.Context, n int, backup string, ids []string) error {
+func (s *Manager) fetch(ctx context.Context, n int, backup string, ids []string) error {
 	s.mu.Lock()
 	p := s.parts[n]
 	epoch, addr := p.epoch, s.placement.Stores[backup].Address
 	s.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, s.Contact/8)
+	ctx, cancel := context.WithTimeout(ctx, s.ContactTimeout/8)
 	defer cancel()
-	body, err := json.Marshal(Fetch{n, ids})
+	body, err := json.Marshal(FetchRequest{n, ids})
 	if err != nil {
 		return err
 	}
-	a, err := s.Pool.Send(ctx, addr, "/fetch", body)
+	a, err := s.Client.Send(ctx, addr, "/fetch", body)
 	if err != nil {
 		return fmt.Errorf("fetch: %w", err)
 	}
@@ -164,7 +164,7 @@
 		return &httpwire.Error{Step: "fetch", Peer: addr, Sent: true, Err: &rpc.StatusError{Code: a.Status, Text: string(a.Body)}}
 	}
 	front, raw := rpc.SplitBody(a.Body)
-	var sh Share
+	var sh PartitionBatch
 	if err := json.Unmarshal(front, &sh); err != nil {
 		return &httpwire.Error{Step: "decode fetch", Peer: addr, Sent: true, Err: err}
 	}
--- a/internal/partition/set.go
+++ b/internal/partition/set.go
@@ -16,21 +16,21 @@
 
 // Event tells the delivery what changed, in order.
 type Event struct {
-	Partition int
-	Lead      bool      // this store leads the partition from now on, with Records
-	Follow    bool      // it does not lead it any more
-	Records   []*Record // pending messages to deliver
+	Partition     int
+	BecamePrimary bool      // this store leads the partition from now on, with Records
+	LostPrimary   bool      // it does not lead it any more
+	Records       []*Record // pending messages to deliver
 }
 
 // Set is the partitions of one store.
-type Set struct {
-	Self    string // name of this node
-	Pool    *rpc.Client
-	Contact time.Duration
-	Keep    time.Duration // how long an ended state is kept
-	Log     *log.Logger
-	Report  func(ctx context.Context, in placement.InStep) error
-	Suspect func(store string, refused bool) // reports a store that does not answer
+type Manager struct {
+	Self           string // name of this node
+	Client         *rpc.Client
+	ContactTimeout time.Duration
+	StateRetention time.Duration // how long an ended state is kept
+	Log            *log.Logger
+	ReportInSync   func(ctx context.Context, in placement.InSyncReport) error
+	ReportFailure  func(store string, refused bool) // reports a store that does not answer
 	// Bounds of what is kept, in bytes; 0 means none. A store over them takes
 	// no new messages.
 	MaxDisk, MaxMemory int64
@@ -43,8 +43,8 @@
 	placement placement.Placement
 	parts     []*part
 	loaded    map[int][]*Record // read from disk before the placement is known
-	fence     Fence
-	before    Fence // as the last life left it
+	fence     FencingEpochs
+	before    FencingEpochs // as the last life left it
 	queue     []Event
 	links     map[string]*link
 	ctx       context.Context // of what the set does on its own
@@ -58,7 +58,7 @@
 
 // Now is the wall clock in milliseconds as it was at the start, carried on by
 // the steady clock: steps of the wall clock while the process runs do not count.
-func (s *Set) Now() int64 { return s.started.Add(time.Since(s.started)).UnixMilli() }
+func (s *Manager) Now() int64 { return s.started.Add(time.Since(s.started)).UnixMilli() }
 
 // part is one partition on this store.
 type part struct {
@@ -122,10 +122,10 @@
 }
 
 // Lease is how long a primary may deliver after its backup has answered.
-func (s *Set) Lease() time.Duration { return s.Contact * 3 / 20 }
+func (s *Manager) LeaseDuration() time.Duration { return s.ContactTimeout * 3 / 20 }
 
 // Open reads the disk.
-func (s *Set) Open(dir string) error {
+func (s *Manager) Open(dir string) error {
 	d, records, fence, err := openDisk(dir, s.Log.Printf)
 	if err != nil {
 		return err
@@ -143,21 +143,21 @@
 }
 
 // Identity names the disk.
-func (s *Set) Identity() string { return s.disk.identity }
+func (s *Manager) DiskID() string { return s.disk.identity }
 
 // Run writes, replicates and sweeps until ctx ends.
-func (s *Set) Run(ctx context.Context) error {
+func (s *Manager) Run(ctx context.Context) error {
 	defer context.AfterFunc(ctx, s.stop)()
 	s.tasks.Go(func() { s.sweep(ctx) })
 	s.tasks.Go(func() { s.watch(ctx) })
-	err := s.disk.run(ctx, s.Contact/40, s.Log.Printf)
+	err := s.disk.run(ctx, s.ContactTimeout/40, s.Log.Printf)
 	s.tasks.Wait()
 	return err
 }
 
 // Events gives the events since the last call, and a channel that tells when
 // there may be more.
-func (s *Set) Events() ([]Event, <-chan struct{}) {
+func (s *Manager) Events() ([]Event, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := s.queue
@@ -165,7 +165,7 @@
 	return out, s.events
 }
 
-func (s *Set) emit(e Event) {
+func (s *Manager) emit(e Event) {
 	s.queue = append(s.queue, e)
 	select {
 	case s.events <- struct{}{}:
@@ -174,7 +174,7 @@
 }
 
 // put makes a record the newest of its id. The lock is held.
-func (s *Set) put(p *part, r *Record) {
+func (s *Manager) put(p *part, r *Record) {
 	if old := p.records[r.ID]; old != nil {
 		p.digest ^= old.mark()
 		p.count--
@@ -192,7 +192,7 @@
 }
 
 // write puts a record on disk. The lock is held.
-func (s *Set) write(p *part, r *Record, done func()) {
+func (s *Manager) write(p *part, r *Record, done func()) {
 	c := change{key: key(p.number, r.ID), done: done}
 	if r.State != Forgotten {
 		c.value = r.encode()
@@ -202,7 +202,7 @@
 
 // change makes a change as the primary: it gets the next sequence number and
 // goes to the disk and the backup. The lock is held.
-func (s *Set) change(p *part, r *Record, done func()) {
+func (s *Manager) change(p *part, r *Record, done func()) {
 	p.sequence++
 	r.Sequence, r.Epoch, r.Length = p.sequence, p.epoch, len(r.Body)
 	s.put(p, r)
@@ -216,7 +216,7 @@
 }
 
 // Place takes a new placement over.
-func (s *Set) Place(next placement.Placement) {
+func (s *Manager) ApplyPlacement(next placement.Placement) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if next.Version <= s.placement.Version {
@@ -227,7 +227,7 @@
 	for i, x := range next.Partitions {
 		if i >= len(s.parts) {
 			p := &part{number: i, records: map[string]*Record{}, waiting: map[string]*accepted{},
-				moved: make(chan struct{}), granted: s.started.Add(s.Lease()), epoch: s.fence[i]}
+				moved: make(chan struct{}), granted: s.started.Add(s.LeaseDuration()), epoch: s.fence[i]}
 			for _, r := range s.loaded[i] {
 				s.put(p, r)
 			}
@@ -239,7 +239,7 @@
 			if x.Epoch == p.epoch {
 				for _, b := range x.Backups {
 					if r := p.replica(b.Store); r != nil {
-						r.inStep = b.InStep
+						r.inStep = b.InSync
 					}
 				}
 			}
@@ -261,13 +261,13 @@
 
 // writeFence puts the newest epochs on disk, ahead of what is taken under them.
 // The lock is held.
-func (s *Set) writeFence() {
+func (s *Manager) writeFence() {
 	s.disk.put(change{key: []byte("fence"), value: encodeFence(s.fence), meta: true})
 }
 
 // turn changes the roles of a partition; the fence is to be written before the
 // lock is given up. The lock is held.
-func (s *Set) turn(p *part, x placement.Partition) {
+func (s *Manager) turn(p *part, x placement.Partition) {
 	led, former := p.primary == s.Self, p.primary
 	p.epoch, p.primary, p.backs = x.Epoch, x.Primary, x.Backup(s.Self) >= 0
 	p.frozen, p.closed = false, false
@@ -279,7 +279,7 @@
 	p.replicas = nil
 	if leads {
 		for _, b := range x.Backups {
-			r := &replica{store: b.Store, disk: s.placement.Stores[b.Store].Disk, inStep: b.InStep, dirty: map[string]*Record{}}
+			r := &replica{store: b.Store, disk: s.placement.Stores[b.Store].Disk, inStep: b.InSync, dirty: map[string]*Record{}}
 			known := false
 			for _, old := range before {
 				if led && old.store == r.store && old.disk == r.disk { // what it lacks it still lacks
@@ -303,7 +303,7 @@
 			}
 		}
 		slices.SortFunc(pending, func(a, b *Record) int { return cmp.Compare(a.Order, b.Order) })
-		s.emit(Event{Partition: p.number, Lead: true, Records: pending})
+		s.emit(Event{Partition: p.number, BecamePrimary: true, Records: pending})
 		if _, known := s.placement.Stores[former]; known && x.Backup(former) < 0 {
 			s.succeed(p, former)
 		}
@@ -316,7 +316,7 @@
 		for id := range p.waiting {
 			delete(p.waiting, id) // those who wait learn of it by the move
 		}
-		s.emit(Event{Partition: p.number, Follow: true})
+		s.emit(Event{Partition: p.number, LostPrimary: true})
 	}
 	for _, r := range p.replicas {
 		s.startLink(r.store)
@@ -326,14 +326,14 @@
 // succeed takes over from a primary that was taken for dead: if it runs, it is
 // told to stop, and what it has done comes here before this store may deliver.
 // The lock is held.
-func (s *Set) succeed(p *part, former string) {
+func (s *Manager) succeed(p *part, former string) {
 	n, epoch, granted := p.number, p.epoch, p.granted
 	s.tasks.Go(func() {
 		if !s.compare(n, epoch, former) {
 			return
 		}
 		select { // what was under way there has ended by then
-		case <-time.After(time.Until(granted) - s.Contact/40):
+		case <-time.After(time.Until(granted) - s.ContactTimeout/40):
 			s.compare(n, epoch, former)
 		case <-s.ctx.Done():
 		}
@@ -341,7 +341,7 @@
 }
 
 // Leads tells whether this store may start deliveries of a partition now.
-func (s *Set) Leads(n int) bool {
+func (s *Manager) MayDeliver(n int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if n >= len(s.parts) {
@@ -362,7 +362,7 @@
 }
 
 // Unended tells whether a message has not ended, as far as is known here.
-func (s *Set) Unended(n int, id string) bool {
+func (s *Manager) IsPending(n int, id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.parts[n].records[id]
@@ -371,13 +371,13 @@
 
 // Mark notes on disk that this store acts just now, for what its next life may
 // take as time in which it did not.
-func (s *Set) Mark() {
+func (s *Manager) RecordActivity() {
 	s.disk.put(change{key: keyMark, value: strconv.AppendInt(nil, s.Now(), 10), meta: true})
 }
 
 // Paused is how long this store did nothing before this life, if it leads a
 // partition now that nobody else has led in between; else 0.
-func (s *Set) Paused(n int) time.Duration {
+func (s *Manager) DowntimeOf(n int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if n >= len(s.parts) || s.disk.marked.IsZero() || s.parts[n].primary != s.Self || s.parts[n].epoch != s.before[n] {
@@ -387,7 +387,7 @@
 }
 
 // Find gives the record of a message at its primary.
-func (s *Set) Find(ctx context.Context, n int, id string) (*Record, error) {
+func (s *Manager) Find(ctx context.Context, n int, id string) (*Record, error) {
 	s.mu.Lock()
 	if n < 0 || n >= len(s.parts) || s.parts[n].primary != s.Self {
 		s.mu.Unlock()
@@ -424,12 +424,12 @@
 }
 
 // Health tells what is wrong with the disk, if anything is.
-func (s *Set) Health() error { return s.disk.health(s.Contact/16, s.Contact/50) }
+func (s *Manager) Health() error { return s.disk.health(s.ContactTimeout/16, s.ContactTimeout/50) }
 
 // watch reports this store itself when its disk fails, and writes now and then
 // while it does, so that it is noticed when the disk is well again.
-func (s *Set) watch(ctx context.Context) {
-	tick := time.NewTicker(s.Contact / 40)
+func (s *Manager) watch(ctx context.Context) {
+	tick := time.NewTicker(s.ContactTimeout / 40)
 	defer tick.Stop()
 	ill := false
 	for {
@@ -440,7 +440,7 @@
 		}
 		err := s.Health()
 		if err != nil {
-			s.Suspect(s.Self, false)
+			s.ReportFailure(s.Self, false)
 			s.disk.put(change{key: []byte("probe"), value: []byte{}, meta: true})
 		}
 		if (err != nil) != ill {
@@ -451,7 +451,7 @@
 }
 
 // measure decides whether the store is full. The lock is held.
-func (s *Set) measure() {
+func (s *Manager) measure() {
 	disk := s.disk.used()
 	full := s.MaxDisk > 0 && disk > s.MaxDisk || s.MaxMemory > 0 && s.held > s.MaxMemory
 	if full != s.full {
@@ -461,8 +461,8 @@
 }
 
 // sweep forgets what is past its time.
-func (s *Set) sweep(ctx context.Context) {
-	tick := time.NewTicker(s.Contact / 4)
+func (s *Manager) sweep(ctx context.Context) {
+	tick := time.NewTicker(s.ContactTimeout / 4)
 	defer tick.Stop()
 	for {
 		select {
@@ -488,7 +488,7 @@
 }
 
 // Count tells how many records there are and how many of them are pending.
-func (s *Set) Count() (all, pending int) {
+func (s *Manager) Count() (all, pending int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range s.parts {
@@ -503,7 +503,7 @@
 }
 
 // Holds tells whether the placement gives this store any partition.
-func (s *Set) Holds() bool {
+func (s *Manager) HoldsAny() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, x := range s.placement.Partitions {
@@ -515,7 +515,7 @@
 }
 
 // LeadsAny tells whether this store leads any partition.
-func (s *Set) LeadsAny() bool {
+func (s *Manager) IsPrimaryOfAny() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range s.parts {
--- a/internal/placement/encoding.go
+++ b/internal/placement/encoding.go
@@ -29,7 +29,7 @@
 // MarshalJSON writes the short form: for each partition its epoch, its home and
 // the stores beside it, its primary and the backups, those in step with a plus.
 func (p Placement) MarshalJSON() ([]byte, error) {
-	out := stored{Version: p.Version, Term: p.Term, Founders: p.Founders, Stores: p.Stores}
+	out := stored{Version: p.Version, Term: p.Term, Founders: p.InitialStores, Stores: p.Stores}
 	number := map[string]int{}
 	for i, name := range slices.Sorted(maps.Keys(p.Stores)) {
 		number[name] = i
@@ -49,14 +49,14 @@
 			places = append(places, ';')
 		}
 		places = strconv.AppendInt(places, x.Epoch, 10)
-		put(' ', x.Home)
-		for _, name := range x.Beside {
+		put(' ', x.PreferredPrimary)
+		for _, name := range x.PreferredBackups {
 			put(',', name)
 		}
 		put(' ', x.Primary)
 		for _, b := range x.Backups {
 			put(',', b.Store)
-			if b.InStep {
+			if b.InSync {
 				places = append(places, '+')
 			}
 		}
@@ -71,7 +71,7 @@
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return err
 	}
-	out := Placement{Version: in.Version, Term: in.Term, Founders: in.Founders, Stores: in.Stores, Partitions: in.Partitions}
+	out := Placement{Version: in.Version, Term: in.Term, InitialStores: in.Founders, Stores: in.Stores, Partitions: in.Partitions}
 	if in.Places == "" {
 		*p = out
 		return nil
@@ -96,10 +96,10 @@
 			return fmt.Errorf("the place %q cannot be read", place)
 		}
 		first, beside, more := strings.Cut(home, ",")
-		x.Home = name(first)
+		x.PreferredPrimary = name(first)
 		for more {
 			first, beside, more = strings.Cut(beside, ",")
-			x.Beside = append(x.Beside, name(first))
+			x.PreferredBackups = append(x.PreferredBackups, name(first))
 		}
 		first, backups, more := strings.Cut(now, ",")
 		x.Primary = name(first)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -16,27 +16,27 @@
 
 // Placement says which stores hold each partition.
 type Placement struct {
-	Version    int64            `json:"version"`
-	Term       int64            `json:"term"`     // of the steward that wrote it
-	Founders   int              `json:"founders"` // how many stores it began with
-	Partitions []Partition      `json:"partitions"`
-	Stores     map[string]Store `json:"stores"`
+	Version       int64            `json:"version"`
+	Term          int64            `json:"term"`     // of the steward that wrote it
+	InitialStores int              `json:"founders"` // how many stores it began with
+	Partitions    []Partition      `json:"partitions"`
+	Stores        map[string]Store `json:"stores"`
 }
 
 // Partition is the place of one partition. A change of primary or backups has a
 // new epoch; copies refuse what comes under an older one.
 type Partition struct {
-	Epoch   int64    `json:"epoch"`
-	Home    string   `json:"home"`             // the store that leads it when all is well
-	Beside  []string `json:"beside,omitempty"` // those that back it up then
-	Primary string   `json:"primary"`
-	Backups []Backup `json:"backups,omitempty"`
+	Epoch            int64    `json:"epoch"`
+	PreferredPrimary string   `json:"home"`             // the store that leads it when all is well
+	PreferredBackups []string `json:"beside,omitempty"` // those that back it up then
+	Primary          string   `json:"primary"`
+	Backups          []Backup `json:"backups,omitempty"`
 }
 
 // Backup is a copy that follows the primary.
 type Backup struct {
 	Store  string `json:"store"`
-	InStep bool   `json:"in-step,omitempty"` // it holds everything and may succeed
+	InSync bool   `json:"in-step,omitempty"` // it holds everything and may succeed
 }
 
 // Backup finds the place of a store among the backups; -1 if it is none.
@@ -48,8 +48,8 @@
 func (p Partition) Has(store string) bool { return p.Primary == store || p.Backup(store) >= 0 }
 
 // InStep tells whether there are as many copies as asked for, all in step.
-func (p Partition) InStep(backups int) bool {
-	return len(p.Backups) >= backups && !slices.ContainsFunc(p.Backups, func(b Backup) bool { return !b.InStep })
+func (p Partition) InSync(backups int) bool {
+	return len(p.Backups) >= backups && !slices.ContainsFunc(p.Backups, func(b Backup) bool { return !b.InSync })
 }
 
 // without gives the backups but for one store, in a list of its own.
@@ -88,7 +88,7 @@
 // StoreStatus is what the steward knows of a store now.
 type StoreStatus struct {
 	membership.Node
-	Up bool
+	Alive bool
 }
 
 // order lists the stores that partitions belong to, whether up or not.
@@ -107,31 +107,31 @@
 }
 
 // Spread is how far copies must lie apart.
-type Spread struct {
+type Redundancy struct {
 	Backups int // copies beside the primary: the stores that may be lost at once
 	Zones   int // zones that may be lost at once
 	Regions int
 }
 
 // Found makes the first placement.
-func Found(stores map[string]StoreStatus, spread Spread) Placement {
+func Initial(stores map[string]StoreStatus, spread Redundancy) Placement {
 	p := Placement{Version: 1, Stores: map[string]Store{}}
 	for name, s := range stores {
 		p.Stores[name] = Store{Address: s.Address, Zone: s.Zone, Region: s.Region, Disk: s.Disk}
 	}
 	l := p.layout()
 	order := l.order
-	p.Founders = len(order)
+	p.InitialStores = len(order)
 	for i := range partitionsPerStore * len(order) {
-		p.Partitions = append(p.Partitions, Partition{Epoch: 1, Home: order[i%len(order)]})
+		p.Partitions = append(p.Partitions, Partition{Epoch: 1, PreferredPrimary: order[i%len(order)]})
 		x := &p.Partitions[i]
 		want := p.ideal(l, i, spread)
-		x.Primary, x.Beside = want[0], want[1:]
+		x.Primary, x.PreferredBackups = want[0], want[1:]
 	}
 	p.settleBeside(l, spread)
 	for i := range p.Partitions {
 		x := &p.Partitions[i]
-		for _, b := range x.Beside {
+		for _, b := range x.PreferredBackups {
 			x.Backups = append(x.Backups, Backup{b, true})
 		}
 	}
@@ -143,13 +143,13 @@
 func (p *Placement) settleHomes(order []string) (changed bool) {
 	load := map[string]int{}
 	for _, x := range p.Partitions {
-		load[x.Home]++
+		load[x.PreferredPrimary]++
 	}
 	far := p.far
 	move := func(i int, to string) {
-		load[p.Partitions[i].Home]--
+		load[p.Partitions[i].PreferredPrimary]--
 		load[to]++
-		p.Partitions[i].Home = to
+		p.Partitions[i].PreferredPrimary = to
 		changed = true
 	}
 	if len(order) == 0 {
@@ -160,11 +160,11 @@
 		belongs[name] = true
 	}
 	for i, x := range p.Partitions {
-		if belongs[x.Home] {
+		if belongs[x.PreferredPrimary] {
 			continue
 		}
 		move(i, slices.MinFunc(order, func(a, b string) int {
-			return cmp.Or(load[a]-load[b], far(x.Home, a)-far(x.Home, b), strings.Compare(a, b))
+			return cmp.Or(load[a]-load[b], far(x.PreferredPrimary, a)-far(x.PreferredPrimary, b), strings.Compare(a, b))
 		}))
 	}
 	share := len(p.Partitions) / len(order)
@@ -172,7 +172,7 @@
 		for load[name] < share {
 			at := -1
 			for i, x := range p.Partitions {
-				if load[x.Home] > share && (at < 0 || cmp.Or(load[p.Partitions[at].Home]-load[x.Home], far(name, x.Home)-far(name, p.Partitions[at].Home)) < 0) {
+				if load[x.PreferredPrimary] > share && (at < 0 || cmp.Or(load[p.Partitions[at].PreferredPrimary]-load[x.PreferredPrimary], far(name, x.PreferredPrimary)-far(name, p.Partitions[at].PreferredPrimary)) < 0) {
 					at = i
 				}
 			}
@@ -213,14 +213,14 @@
 // settleBeside keeps the backups of each partition where they are as long as
 // they lie as near as may be, and gives a store that was added its share of
 // them. What moves is what must, however many stores there are.
-func (p *Placement) settleBeside(l *layout, spread Spread) (changed bool) {
+func (p *Placement) settleBeside(l *layout, spread Redundancy) (changed bool) {
 	load, all := map[string]int{}, 0
 	belongs := map[string]bool{}
 	for _, name := range l.order {
 		belongs[name] = true
 	}
 	for _, x := range p.Partitions {
-		for _, name := range x.Beside {
+		for _, name := range x.PreferredBackups {
 			load[name]++
 			all++
 		}
@@ -231,36 +231,36 @@
 		if len(ideal) == 0 {
 			return false
 		}
-		gone := slices.ContainsFunc(x.Beside, func(name string) bool { return !belongs[name] || name == x.Home })
-		if !gone && slices.Equal(p.reach(x.Home, x.Beside), p.reach(ideal[0], ideal[1:])) {
+		gone := slices.ContainsFunc(x.PreferredBackups, func(name string) bool { return !belongs[name] || name == x.PreferredPrimary })
+		if !gone && slices.Equal(p.reach(x.PreferredPrimary, x.PreferredBackups), p.reach(ideal[0], ideal[1:])) {
 			continue
 		}
-		for _, name := range x.Beside {
+		for _, name := range x.PreferredBackups {
 			load[name]--
 		}
 		var beside []string
 		for _, pick := range ideal[1:] { // any store of its zone will do as well
 			best := ""
 			for _, name := range l.order {
-				if p.Stores[name].Zone == p.Stores[pick].Zone && name != x.Home && !slices.Contains(beside, name) && (best == "" || load[name] < load[best]) {
+				if p.Stores[name].Zone == p.Stores[pick].Zone && name != x.PreferredPrimary && !slices.Contains(beside, name) && (best == "" || load[name] < load[best]) {
 					best = name
 				}
 			}
 			beside = append(beside, best)
 			load[best]++
 		}
-		x.Beside, changed = beside, true
+		x.PreferredBackups, changed = beside, true
 	}
 	share := all / max(1, len(l.order))
 	for _, name := range l.order {
 		for load[name] < share {
 			from, at := -1, 0
 			for i, x := range p.Partitions {
-				if x.Home == name || slices.Contains(x.Beside, name) {
+				if x.PreferredPrimary == name || slices.Contains(x.PreferredBackups, name) {
 					continue
 				}
-				for j, b := range x.Beside {
-					if p.Stores[b].Zone == p.Stores[name].Zone && load[b] > share && (from < 0 || load[b] > load[p.Partitions[from].Beside[at]]) {
+				for j, b := range x.PreferredBackups {
+					if p.Stores[b].Zone == p.Stores[name].Zone && load[b] > share && (from < 0 || load[b] > load[p.Partitions[from].PreferredBackups[at]]) {
 						from, at = i, j
 					}
 				}
@@ -269,10 +269,10 @@
 				break
 			}
 			x := &p.Partitions[from]
-			load[x.Beside[at]]--
+			load[x.PreferredBackups[at]]--
 			load[name]++
-			x.Beside = slices.Clone(x.Beside)
-			x.Beside[at], changed = name, true
+			x.PreferredBackups = slices.Clone(x.PreferredBackups)
+			x.PreferredBackups[at], changed = name, true
 		}
 	}
 	return changed
@@ -339,8 +339,8 @@
 		if len(l.order) == 0 {
 			return
 		}
-		a := l.of(p.Partitions[i].Home)
-		k := a.at*partitionsPerStore + i/max(1, p.Founders)
+		a := l.of(p.Partitions[i].PreferredPrimary)
+		k := a.at*partitionsPerStore + i/max(1, p.InitialStores)
 		if !yield(l.order[a.at]) || !turn(a.zone, k, yield) || !turn(a.region, k, yield) {
 			return
 		}
@@ -351,7 +351,7 @@
 // ideal is where partition i belongs, the primary first. Primaries go round;
 // the backups lie as near as what may be lost at once allows, since bytes
 // between zones and regions are dear.
-func (p Placement) ideal(l *layout, i int, spread Spread) (out []string) {
+func (p Placement) ideal(l *layout, i int, spread Redundancy) (out []string) {
 	for len(out) <= spread.Backups {
 		var zones, regions []string // those that hold one already
 		for _, name := range out {
@@ -387,11 +387,11 @@
 // A copy that is to go stays until the one in its place holds everything.
 // Handovers are the partitions whose primary must stop before a backup may
 // succeed it; those in ready have stopped.
-func Plan(cur Placement, stores map[string]StoreStatus, ready map[int]int64, spread Spread) (next Placement, handovers []int, changed bool) {
+func Plan(cur Placement, stores map[string]StoreStatus, ready map[int]int64, spread Redundancy) (next Placement, handovers []int, changed bool) {
 	next = cur.Clone()
 	for name, s := range stores {
 		old, known := next.Stores[name]
-		if !known && s.Up && !s.Leaving {
+		if !known && s.Alive && !s.Draining {
 			next.Stores[name] = Store{Address: s.Address, Zone: s.Zone, Region: s.Region, Disk: s.Disk}
 			changed = true
 		} else if known && s.Disk != "" && old.Disk != s.Disk && !Holds(next, name) {
@@ -402,17 +402,17 @@
 	}
 	up := func(name string) bool {
 		s, ok := stores[name]
-		return ok && s.Up && s.Disk == next.Stores[name].Disk
+		return ok && s.Alive && s.Disk == next.Stores[name].Disk
 	}
 	usable := func(name string) bool {
-		return up(name) && !stores[name].Leaving && next.Stores[name].Retire == ""
+		return up(name) && !stores[name].Draining && next.Stores[name].Retire == ""
 	}
 	l := next.layout()
 	changed = next.settleHomes(l.order) || changed
 	changed = next.settleBeside(l, spread) || changed
 	// wanted is where a partition is to lie as things are, the primary first.
 	wanted := func(i int) (out []string) {
-		for _, name := range append([]string{next.Partitions[i].Home}, next.Partitions[i].Beside...) {
+		for _, name := range append([]string{next.Partitions[i].PreferredPrimary}, next.Partitions[i].PreferredBackups...) {
 			if usable(name) {
 				out = append(out, name)
 			}
@@ -430,7 +430,7 @@
 	// A store that is to be emptied still takes a copy where there is no other.
 	var last []string
 	for _, name := range slices.Sorted(maps.Keys(next.Stores)) {
-		if up(name) && !stores[name].Leaving && next.Stores[name].Retire == RetireActive {
+		if up(name) && !stores[name].Draining && next.Stores[name].Retire == RetireActive {
 			last = append(last, name)
 		}
 	}
@@ -441,7 +441,7 @@
 		primary := p.Primary
 		if !up(primary) {
 			mended = false
-			at := slices.IndexFunc(alive, func(b Backup) bool { return b.InStep })
+			at := slices.IndexFunc(alive, func(b Backup) bool { return b.InSync })
 			if at < 0 {
 				continue // nobody who holds everything is left: wait for the primary
 			}
@@ -458,15 +458,15 @@
 			}
 		}
 		if primary != p.Primary || !slices.Equal(alive, p.Backups) {
-			*p = Partition{Epoch: p.Epoch + 1, Home: p.Home, Beside: p.Beside, Primary: primary, Backups: alive}
+			*p = Partition{Epoch: p.Epoch + 1, PreferredPrimary: p.PreferredPrimary, PreferredBackups: p.PreferredBackups, Primary: primary, Backups: alive}
 			changed = true
 		}
-		mended = mended && p.InStep(spread.Backups)
+		mended = mended && p.InSync(spread.Backups)
 	}
 	for i := range next.Partitions {
 		p := &next.Partitions[i]
 		want := wanted(i)
-		if !p.InStep(0) || len(want) == 0 || !up(p.Primary) {
+		if !p.InSync(0) || len(want) == 0 || !up(p.Primary) {
 			continue
 		}
 		leaving := !usable(p.Primary)
@@ -481,7 +481,7 @@
 		}
 		if heir != "" { // the primary stops first
 			if ready[i] == p.Epoch {
-				*p = Partition{Epoch: p.Epoch + 1, Home: p.Home, Beside: p.Beside, Primary: heir, Backups: append(p.without(heir), Backup{p.Primary, true})}
+				*p = Partition{Epoch: p.Epoch + 1, PreferredPrimary: p.PreferredPrimary, PreferredBackups: p.PreferredBackups, Primary: heir, Backups: append(p.without(heir), Backup{p.Primary, true})}
 				changed = true
 			} else {
 				handovers = append(handovers, i)
@@ -499,13 +499,13 @@
 			}
 		}
 		if len(missing) > 0 {
-			*p = Partition{Epoch: p.Epoch + 1, Home: p.Home, Beside: p.Beside, Primary: p.Primary, Backups: append(slices.Clone(p.Backups), missing...)}
+			*p = Partition{Epoch: p.Epoch + 1, PreferredPrimary: p.PreferredPrimary, PreferredBackups: p.PreferredBackups, Primary: p.Primary, Backups: append(slices.Clone(p.Backups), missing...)}
 			changed = true
 			continue
 		}
 		keep := slices.DeleteFunc(slices.Clone(p.Backups), func(b Backup) bool { return !slices.Contains(want, b.Store) })
 		if len(keep) < len(p.Backups) && len(keep) >= spread.Backups && slices.Contains(want, p.Primary) {
-			*p = Partition{Epoch: p.Epoch + 1, Home: p.Home, Beside: p.Beside, Primary: p.Primary, Backups: keep}
+			*p = Partition{Epoch: p.Epoch + 1, PreferredPrimary: p.PreferredPrimary, PreferredBackups: p.PreferredBackups, Primary: p.Primary, Backups: keep}
 			changed = true
 		}
 	}
--- a/internal/placement/placement_bench_test.go
+++ b/internal/placement/placement_bench_test.go
@@ -14,20 +14,20 @@
 	out := map[string]StoreStatus{}
 	for i := range n {
 		name := fmt.Sprintf("store-zone-%d-%d", i%9, i)
-		out[name] = StoreStatus{Up: true, Node: membership.Node{Name: name, Role: "store", Address: fmt.Sprintf("10.%d.0.%d:7100", i%9, i), Zone: fmt.Sprintf("zone-%d", i%9),
+		out[name] = StoreStatus{Alive: true, Node: membership.Node{Name: name, Role: "store", Address: fmt.Sprintf("10.%d.0.%d:7100", i%9, i), Zone: fmt.Sprintf("zone-%d", i%9),
 			Region: fmt.Sprintf("region-%d", i%3), Disk: fmt.Sprintf("DISKDISKDISKDISKDISK%06d", i)}}
 	}
 	return out
 }
 
 var (
-	two        = Spread{Backups: 2}
+	two        = Redundancy{Backups: 2}
 	storeSizes = []int{6, 18, 60, 133}
 )
 
 func BenchmarkPlacement(b *testing.B) {
 	for _, n := range storeSizes {
-		p := Found(fleet(n), two)
+		p := Initial(fleet(n), two)
 		raw := journal.Encode(p)
 		b.Run(fmt.Sprintf("encode/stores=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
@@ -53,7 +53,7 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range storeSizes {
 		s := fleet(n)
-		p := Found(s, two)
+		p := Initial(s, two)
 		b.Run(fmt.Sprintf("calm/stores=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -62,7 +62,7 @@
 		})
 		lost := fleet(n)
 		for name, x := range lost {
-			x.Up = false
+			x.Alive = false
 			lost[name] = x
 			break
 		}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -13,7 +13,7 @@
 func stores(names ...string) map[string]StoreStatus {
 	out := map[string]StoreStatus{}
 	for _, n := range names {
-		out[n] = StoreStatus{Node: membership.Node{Name: n, Role: "store", Address: n + ":1", Zone: n, Disk: "disk-" + n}, Up: true}
+		out[n] = StoreStatus{Node: membership.Node{Name: n, Role: "store", Address: n + ":1", Zone: n, Disk: "disk-" + n}, Alive: true}
 	}
 	return out
 }
@@ -21,11 +21,11 @@
 // settle plans until nothing changes; copies come into step between steps. It
 // fails if a copy leads that is not in step, or if a copy is given up on
 // purpose before enough others hold everything.
-func settle(t *testing.T, p Placement, s map[string]StoreStatus, spread Spread, step func(before, after Placement)) Placement {
+func settle(t *testing.T, p Placement, s map[string]StoreStatus, spread Redundancy, step func(before, after Placement)) Placement {
 	t.Helper()
 	alive := func(x Partition) (n int) {
 		for _, b := range append([]Backup{{x.Primary, true}}, x.Backups...) {
-			if b.InStep && s[b.Store].Up && s[b.Store].Disk == p.Stores[b.Store].Disk {
+			if b.InSync && s[b.Store].Alive && s[b.Store].Disk == p.Stores[b.Store].Disk {
 				n++
 			}
 		}
@@ -55,7 +55,7 @@
 			if moved != (x.Epoch > old.Epoch) {
 				t.Fatalf("partition %d: %+v to %+v", i, old, x)
 			}
-			if at := old.Backup(x.Primary); x.Primary != old.Primary && (at < 0 || !old.Backups[at].InStep) {
+			if at := old.Backup(x.Primary); x.Primary != old.Primary && (at < 0 || !old.Backups[at].InSync) {
 				t.Fatalf("partition %d: %+v is led by a copy not in step: %+v", i, old, x)
 			}
 			if was, is := alive(old), alive(x); is < was && is < spread.Backups+1 {
@@ -68,7 +68,7 @@
 		p = next.Clone()
 		for i, x := range p.Partitions {
 			for j, b := range x.Backups {
-				p.Partitions[i].Backups[j].InStep = b.InStep || s[b.Store].Up && s[x.Primary].Up
+				p.Partitions[i].Backups[j].InSync = b.InSync || s[b.Store].Alive && s[x.Primary].Alive
 			}
 		}
 	}
@@ -76,15 +76,15 @@
 	return p
 }
 
-var one = Spread{Backups: 1}
+var one = Redundancy{Backups: 1}
 
 func TestPlacementMendsAndReturns(t *testing.T) {
 	s := stores("a", "b", "c")
-	first := Found(s, one)
+	first := Initial(s, one)
 	lead := map[string]int{}
 	for _, x := range first.Partitions {
 		lead[x.Primary]++
-		if x.Backup(x.Primary) >= 0 || !x.InStep(1) {
+		if x.Backup(x.Primary) >= 0 || !x.InSync(1) {
 			t.Fatalf("%+v", x)
 		}
 	}
@@ -94,11 +94,11 @@
 	for lost := range s {
 		down := stores("a", "b", "c")
 		x := down[lost]
-		x.Up = false
+		x.Alive = false
 		down[lost] = x
 		p := settle(t, first, down, one, nil)
 		for i, y := range p.Partitions {
-			if y.Has(lost) || !y.InStep(1) {
+			if y.Has(lost) || !y.InSync(1) {
 				t.Errorf("without %s: partition %d at %+v", lost, i, y)
 			}
 		}
@@ -112,13 +112,13 @@
 }
 
 func TestACopyBehindNeverLeads(t *testing.T) {
-	p := Found(stores("a", "b", "c"), one)
+	p := Initial(stores("a", "b", "c"), one)
 	for i := range p.Partitions {
-		p.Partitions[i].Backups[0].InStep = p.Partitions[i].Primary != "a"
+		p.Partitions[i].Backups[0].InSync = p.Partitions[i].Primary != "a"
 	}
 	s := stores("a", "b", "c")
 	x := s["a"]
-	x.Up = false
+	x.Alive = false
 	s["a"] = x
 	next, _, _ := Plan(p, s, nil, one)
 	for i, y := range next.Partitions {
@@ -129,7 +129,7 @@
 }
 
 func TestALostDiskIsAnEmptyStore(t *testing.T) {
-	p := Found(stores("a", "b", "c"), one)
+	p := Initial(stores("a", "b", "c"), one)
 	s := stores("a", "b", "c")
 	x := s["a"]
 	x.Disk = "disk-new"
@@ -147,7 +147,7 @@
 }
 
 func TestRetiredAndLeavingStoresAreEmptied(t *testing.T) {
-	p := Found(stores("a", "b", "c"), one)
+	p := Initial(stores("a", "b", "c"), one)
 	r := p.Stores["b"]
 	r.Retire = RetireActive
 	p.Stores["b"] = r
@@ -157,16 +157,16 @@
 	}
 	s := stores("a", "b", "c")
 	x := s["c"]
-	x.Up = false // no other store could take the copies of the retired one
+	x.Alive = false // no other store could take the copies of the retired one
 	s["c"] = x
 	for i, y := range settle(t, p, s, one, nil).Partitions {
 		if len(y.Backups) < 1 {
 			t.Errorf("partition %d is left with one copy: %+v", i, y)
 		}
 	}
-	x.Up, x.Leaving = true, true
+	x.Alive, x.Draining = true, true
 	s["c"] = x
-	if q := settle(t, Found(stores("a", "b", "c"), one), s, one, nil); Holds(q, "c") {
+	if q := settle(t, Initial(stores("a", "b", "c"), one), s, one, nil); Holds(q, "c") {
 		t.Errorf("leaving: %+v", q)
 	}
 	for _, n := range []int{1, 2, 4, 5} {
@@ -174,7 +174,7 @@
 		for i := range n {
 			names = append(names, fmt.Sprint("s", i))
 		}
-		for i, x := range Found(stores(names...), one).Partitions {
+		for i, x := range Initial(stores(names...), one).Partitions {
 			if x.Backup(x.Primary) >= 0 || len(x.Backups) != min(1, n-1) {
 				t.Errorf("%d stores, partition %d: %+v", n, i, x)
 			}
@@ -188,17 +188,17 @@
 		for z := range 6 {
 			for k := range 3 {
 				name := fmt.Sprintf("s%d%d", z, k)
-				s[name] = StoreStatus{Node: membership.Node{Name: name, Role: "store", Zone: fmt.Sprint("z", z), Region: fmt.Sprint("r", z/2), Disk: name}, Up: true}
+				s[name] = StoreStatus{Node: membership.Node{Name: name, Role: "store", Zone: fmt.Sprint("z", z), Region: fmt.Sprint("r", z/2), Disk: name}, Alive: true}
 			}
 		}
 		return s
 	}
 	for _, c := range []struct {
-		spread         Spread
+		spread         Redundancy
 		zones, regions int // that each partition lies in
-	}{{Spread{Backups: 2}, 1, 1}, {Spread{Backups: 2, Zones: 1}, 2, 1}, {Spread{Backups: 2, Zones: 2}, 3, 2}, {Spread{Backups: 2, Regions: 1}, 2, 2}, {Spread{Backups: 2, Regions: 2}, 3, 3}} {
+	}{{Redundancy{Backups: 2}, 1, 1}, {Redundancy{Backups: 2, Zones: 1}, 2, 1}, {Redundancy{Backups: 2, Zones: 2}, 3, 2}, {Redundancy{Backups: 2, Regions: 1}, 2, 2}, {Redundancy{Backups: 2, Regions: 2}, 3, 3}} {
 		s := fleet()
-		p := Found(s, c.spread)
+		p := Initial(s, c.spread)
 		held := map[string]int{}
 		for i, x := range p.Partitions {
 			zones, regions := map[string]bool{}, map[string]bool{}
@@ -222,11 +222,11 @@
 		}
 		q := settle(t, p, s, c.spread, nil)
 		for i, x := range q.Partitions {
-			if !x.InStep(2) || x.Primary != p.Partitions[i].Primary {
+			if !x.InSync(2) || x.Primary != p.Partitions[i].Primary {
 				t.Errorf("%+v: partition %d at %+v", c.spread, i, x)
 			}
 		}
-		s["s99"] = StoreStatus{Node: membership.Node{Name: "s99", Zone: "z0", Region: "r0", Disk: "d"}, Up: true}
+		s["s99"] = StoreStatus{Node: membership.Node{Name: "s99", Zone: "z0", Region: "r0", Disk: "d"}, Alive: true}
 		before := q
 		moved := 0
 		q = settle(t, q, s, c.spread, nil)
@@ -249,11 +249,11 @@
 		for z := range 6 {
 			for i := range each {
 				name := fmt.Sprintf("s%d-%d", z, i)
-				s[name] = StoreStatus{Node: membership.Node{Name: name, Role: "store", Zone: fmt.Sprint("z", z), Region: fmt.Sprint("r", z/2), Disk: "disk-" + name}, Up: true}
+				s[name] = StoreStatus{Node: membership.Node{Name: name, Role: "store", Zone: fmt.Sprint("z", z), Region: fmt.Sprint("r", z/2), Disk: "disk-" + name}, Alive: true}
 			}
 		}
-		spread := Spread{Backups: 2}
-		p := Found(s, spread)
+		spread := Redundancy{Backups: 2}
+		p := Initial(s, spread)
 		return testing.AllocsPerRun(3, func() {
 			if _, _, changed := Plan(p, s, nil, spread); changed {
 				t.Error("a placement that is as it should be is changed")
@@ -271,15 +271,15 @@
 		s := map[string]StoreStatus{}
 		add := func(z, i int) {
 			name := fmt.Sprintf("s%d-%d", z, i)
-			s[name] = StoreStatus{Node: membership.Node{Name: name, Role: "store", Zone: fmt.Sprint("z", z), Region: fmt.Sprint("r", z/2), Disk: "disk-" + name}, Up: true}
+			s[name] = StoreStatus{Node: membership.Node{Name: name, Role: "store", Zone: fmt.Sprint("z", z), Region: fmt.Sprint("r", z/2), Disk: "disk-" + name}, Alive: true}
 		}
 		for z := range 6 {
 			for i := range each {
 				add(z, i)
 			}
 		}
-		spread := Spread{Backups: 2}
-		p := Found(s, spread)
+		spread := Redundancy{Backups: 2}
+		p := Initial(s, spread)
 		add(1, 99)
 		add(4, 10)
 		q := settle(t, p, s, spread, func(Placement, Placement) {})
@@ -305,12 +305,12 @@
 	stores := map[string]StoreStatus{}
 	for i := range 60 {
 		name := fmt.Sprintf("storage-hall-%d", i)
-		stores[name] = StoreStatus{Node: membership.Node{Name: name, Role: "store", Address: "10.0.0.9:7000", Zone: fmt.Sprint(i % 6), Region: "r", Disk: "d"}, Up: true}
+		stores[name] = StoreStatus{Node: membership.Node{Name: name, Role: "store", Address: "10.0.0.9:7000", Zone: fmt.Sprint(i % 6), Region: "r", Disk: "d"}, Alive: true}
 	}
-	p := Found(stores, Spread{Backups: 2})
+	p := Initial(stores, Redundancy{Backups: 2})
 	p.Term = 3
-	p.Partitions[1] = Partition{Epoch: 7, Home: "gone", Primary: "storage-hall-3", Backups: []Backup{{"gone", false}, {"storage-hall-4", true}}}
-	p.Partitions[2] = Partition{Epoch: 8, Home: "storage-hall-1"}
+	p.Partitions[1] = Partition{Epoch: 7, PreferredPrimary: "gone", Primary: "storage-hall-3", Backups: []Backup{{"gone", false}, {"storage-hall-4", true}}}
+	p.Partitions[2] = Partition{Epoch: 8, PreferredPrimary: "storage-hall-1"}
 	short, err := json.Marshal(p)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/store/meter.go
+++ b/internal/store/meter.go
@@ -37,56 +37,56 @@
 }
 
 // Grant asks for grants by tenant.
-type Grant struct {
+type QuotaLeaseRequest struct {
 	Partitions int                `json:"partitions"`
-	Want       map[string]float64 `json:"want"`
-	Back       map[string]float64 `json:"back,omitempty"` // granted earlier and not used
+	Wanted     map[string]float64 `json:"want"`
+	Returned   map[string]float64 `json:"back,omitempty"` // granted earlier and not used
 	// Spent is what was let through while the meter did not answer.
 	Spent map[string]float64 `json:"spent,omitempty"`
 }
 
 // Granted gives them, and tells how long to wait for the next where nothing is left.
-type Granted struct {
-	Given  map[string]float64 `json:"given"`
-	WaitMs map[string]int64   `json:"wait,omitempty"`
+type QuotaLeaseResponse struct {
+	Granted map[string]float64 `json:"given"`
+	WaitMs  map[string]int64   `json:"wait,omitempty"`
 }
 
-func (m *meters) handle(ctx context.Context, in *Grant, _ []byte) (*Granted, error) {
+func (m *meters) handle(ctx context.Context, in *QuotaLeaseRequest, _ []byte) (*QuotaLeaseResponse, error) {
 	t := m.table()
 	if t == nil || in.Partitions <= 0 {
 		return nil, &rpc.StatusError{Code: 503, Text: "no configuration is known here"}
 	}
-	out := &Granted{Given: map[string]float64{}, WaitMs: map[string]int64{}}
+	out := &QuotaLeaseResponse{Granted: map[string]float64{}, WaitMs: map[string]int64{}}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if ctx.Err() != nil { // what is given to nobody is lost
 		return nil, &rpc.StatusError{Code: 503, Text: "the caller waits no longer"}
 	}
 	now := time.Now()
-	for name, want := range in.Want {
+	for name, want := range in.Wanted {
 		tenant := t.Tenant(name)
 		if tenant == nil {
 			continue
 		}
-		if !m.leads(MeterPartition(name, in.Partitions)) {
+		if !m.leads(LimiterPartition(name, in.Partitions)) {
 			delete(m.tenants, name)
 			return nil, &rpc.StatusError{Code: 421, Text: "the meter of " + name + " is not here"}
 		}
 		if tenant.RatePerS <= 0 {
-			out.Given[name] = want
+			out.Granted[name] = want
 			continue
 		}
 		x := m.meter(tenant, in.Partitions, now)
 		m.granted = true
 		most := math.Max(1, tenant.BurstSize) + max(0, m.share-tenant.RatePerS/10)
-		x.tokens = min(most, x.tokens+tenant.RatePerS*now.Sub(x.filled).Seconds()+in.Back[name])
+		x.tokens = min(most, x.tokens+tenant.RatePerS*now.Sub(x.filled).Seconds()+in.Returned[name])
 		x.filled = now
 		// What edges let through since this meter began was let through of what it
 		// has gathered; before, another one's.
 		x.tokens -= min(in.Spent[name], tenant.RatePerS*now.Sub(x.began).Seconds())
 		give := max(0, min(math.Floor(x.tokens), math.Ceil(want)))
 		x.tokens -= give
-		out.Given[name] = give
+		out.Granted[name] = give
 		if give < want {
 			out.WaitMs[name] = int64(1000 * (1 - x.tokens + 1) / tenant.RatePerS)
 		}
@@ -100,7 +100,7 @@
 func (m *meters) meter(t *configuration.Tenant, partitions int, now time.Time) *meter {
 	x := m.tenants[t.Name]
 	if x == nil {
-		paused := m.paused(MeterPartition(t.Name, partitions))
+		paused := m.paused(LimiterPartition(t.Name, partitions))
 		x = &meter{tokens: min(math.Max(t.BurstSize, m.share), m.share+t.RatePerS*paused.Seconds()), filled: now, began: now}
 		m.tenants[t.Name] = x
 	}
@@ -124,7 +124,7 @@
 		}
 		m.mu.Lock()
 		for _, x := range t.TenantTable {
-			if m.leads(MeterPartition(x.Name, n)) {
+			if m.leads(LimiterPartition(x.Name, n)) {
 				m.meter(x, n, time.Now())
 			} else {
 				delete(m.tenants, x.Name)
--- a/internal/store/meter_test.go
+++ b/internal/store/meter_test.go
@@ -27,11 +27,11 @@
 			var all []grant
 			ask := func(m *meters, d time.Duration) {
 				for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-					out, err := m.handle(t.Context(), &Grant{Partitions: 4, Want: map[string]float64{"a": 200}}, nil)
+					out, err := m.handle(t.Context(), &QuotaLeaseRequest{Partitions: 4, Wanted: map[string]float64{"a": 200}}, nil)
 					if err != nil {
 						t.Fatal(err)
 					}
-					all = append(all, grant{time.Now(), out.Given["a"]})
+					all = append(all, grant{time.Now(), out.Granted["a"]})
 				}
 			}
 			first := life(0)
@@ -67,11 +67,11 @@
 		m := &meters{share: 10, tenants: map[string]*meter{}, leads: func(int) bool { return true },
 			paused: func(int) time.Duration { return 0 }, mark: func() {}, table: func() *configuration.Table { return table }}
 		ask := func(spent float64) float64 {
-			out, err := m.handle(t.Context(), &Grant{Partitions: 4, Want: map[string]float64{"a": 1000}, Spent: map[string]float64{"a": spent}}, nil)
+			out, err := m.handle(t.Context(), &QuotaLeaseRequest{Partitions: 4, Wanted: map[string]float64{"a": 1000}, Spent: map[string]float64{"a": spent}}, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			return out.Given["a"]
+			return out.Granted["a"]
 		}
 		if got := ask(80); got != 10 {
 			t.Errorf("a new meter gives %v, not 10", got)
