--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -29,7 +29,7 @@
 	log     *log.Logger
 	network httpwire.Network
 	node    *node.Node
-	parts   *partition.Set
+	parts   *partition.Manager
 	deliver *delivery.Scheduler
 	bytes   *quota.Manager
 	meters  *meters
@@ -38,16 +38,16 @@
 // New opens the disk and makes the process.
 func New(set *settings.Settings, network httpwire.Network, logger *log.Logger) (*Store, error) {
 	s := &Store{set: set, log: logger, network: network, node: node.New(set, "store", network, logger)}
-	s.parts = &partition.Set{
-		Self: set.NodeName, Pool: s.node.Pool, Contact: set.Contact(), Log: logger,
-		Keep: settings.Seconds(set.Timers.StatusTtlS) + set.Contact(), Report: s.node.Report, Suspect: s.node.Suspect,
+	s.parts = &partition.Manager{
+		Self: set.NodeName, Client: s.node.Client, ContactTimeout: set.Contact(), Log: logger,
+		StateRetention: settings.Seconds(set.Timers.StatusTtlS) + set.Contact(), ReportInSync: s.node.ReportInSync, ReportFailure: s.node.ReportFailure,
 		Backups: int(set.FaultTolerance.HostFailures),
 		MaxDisk: set.Limits.DiskMb << 20 * 3 / 4, MaxMemory: set.Limits.MemoryMb << 20 / 3,
 	}
 	if err := s.parts.Open(set.DataPath); err != nil {
 		return nil, err
 	}
-	s.node.Self.Disk = s.parts.Identity()
+	s.node.Self.Disk = s.parts.DiskID()
 	s.node.Healthy = func() bool { return s.parts.Health() == nil }
 	s.bytes = quota.NewManager(quota.DeliveryBytes)
 	s.deliver = &delivery.Scheduler{
@@ -55,7 +55,7 @@
 		Pool: &httpwire.Pool{Network: network, Opening: set.Contact() / 16},
 	}
 	s.deliver.Init()
-	s.meters = &meters{share: set.Timers.QuotaAllowance / 2, leads: s.parts.Leads, paused: s.parts.Paused, mark: s.parts.Mark, table: s.node.Table, tenants: map[string]*meter{}}
+	s.meters = &meters{share: set.Timers.QuotaAllowance / 2, leads: s.parts.MayDeliver, paused: s.parts.DowntimeOf, mark: s.parts.RecordActivity, table: s.node.Table, tenants: map[string]*meter{}}
 	s.node.Journal.Fold(s.hear)
 	return s, nil
 }
@@ -63,7 +63,7 @@
 func (s *Store) hear(e journal.Event) {
 	switch e.Key {
 	case distribution.KeyPlacement:
-		s.parts.Place(*s.node.Placement()) // which the node has just decoded
+		s.parts.ApplyPlacement(*s.node.Placement()) // which the node has just decoded
 	case distribution.KeyConfiguration:
 		if t := s.node.Table(); t != nil {
 			s.bytes.Replace(ByteLimits(t))
@@ -92,11 +92,11 @@
 	}
 	life, end := context.WithCancel(context.Background())
 	defer end()
-	source := s.node.Source()
+	source := s.node.Publisher()
 	mux := rpc.Mux{
 		"/news":     source.Handle,
 		"/ping":     rpc.Handler(s.handlePing),
-		"/copy":     rpc.Handler(s.parts.HandleCopy),
+		"/copy":     rpc.Handler(s.parts.HandleBatch),
 		"/digest":   rpc.Handler(s.parts.HandleDigest),
 		"/fetch":    s.parts.HandleFetch,
 		"/accept":   rpc.Handler(s.handleAccept),
@@ -115,7 +115,7 @@
 	tasks.Go(func() { s.meters.tend(life, s.set.Contact()/16, s.partitions) })
 	failed := make(chan error, 1)
 	tasks.Go(func() { failed <- s.parts.Run(life) })
-	s.log.Printf("store: started, disk %s", s.parts.Identity())
+	s.log.Printf("store: started, disk %s", s.parts.DiskID())
 	select {
 	case <-ctx.Done():
 	case err := <-failed:
@@ -124,14 +124,14 @@
 		return err
 	}
 	// Leave in order: the steward hands every partition to another store.
-	s.node.Leave()
+	s.node.Drain()
 	grace := settings.Seconds(s.set.Timers.GraceS)
 	deadline := time.Now().Add(grace * 3 / 4)
-	for s.parts.Holds() && time.Now().Before(deadline) {
+	for s.parts.HoldsAny() && time.Now().Before(deadline) {
 		time.Sleep(s.set.Contact() / 200)
 	}
 	all, pending := s.parts.Count()
-	s.log.Printf("store: stopping, holds partitions: %v, %d records, %d pending", s.parts.Holds(), all, pending)
+	s.log.Printf("store: stopping, holds partitions: %v, %d records, %d pending", s.parts.HoldsAny(), all, pending)
 	stopDeliveries()
 	stop, cancel := context.WithTimeout(context.Background(), grace/16)
 	defer cancel()
@@ -159,7 +159,7 @@
 
 // Accept hands a message to the primary of its partition; the body stands
 // behind it.
-type Accept struct {
+type AcceptRequest struct {
 	Partition int              `json:"partition"`
 	Message   partition.Record `json:"message"`
 	DelayMs   int64            `json:"delay,omitempty"`
@@ -167,9 +167,9 @@
 }
 
 // Accepted says that two disks hold the message.
-type Accepted struct{}
+type AcceptResponse struct{}
 
-func (s *Store) handleAccept(ctx context.Context, in *Accept, raw []byte) (*Accepted, error) {
+func (s *Store) handleAccept(ctx context.Context, in *AcceptRequest, raw []byte) (*AcceptResponse, error) {
 	r := in.Message
 	now := s.parts.Now()
 	r.Body = raw
@@ -183,11 +183,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(in.WaitMs)*time.Millisecond)
 	defer cancel()
-	return &Accepted{}, s.parts.Accept(ctx, in.Partition, &r)
+	return &AcceptResponse{}, s.parts.Accept(ctx, in.Partition, &r)
 }
 
 // Ask asks for a message of a tenant.
-type Ask struct {
+type MessageQuery struct {
 	Partition int    `json:"partition"`
 	ID        string `json:"id"`
 	Tenant    string `json:"tenant"`
@@ -195,12 +195,12 @@
 }
 
 // Status tells how far it is.
-type Status struct {
+type MessageStatus struct {
 	State partition.State `json:"state"`
 	Seal  string          `json:"seal,omitempty"`
 }
 
-func (s *Store) find(ctx context.Context, in *Ask) (*partition.Record, error) {
+func (s *Store) find(ctx context.Context, in *MessageQuery) (*partition.Record, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.set.Contact()/4)
 	defer cancel()
 	r, err := s.parts.Find(ctx, in.Partition, in.ID)
@@ -213,17 +213,17 @@
 	return r, nil
 }
 
-func (s *Store) handleStatus(ctx context.Context, in *Ask, _ []byte) (*Status, error) {
+func (s *Store) handleStatus(ctx context.Context, in *MessageQuery, _ []byte) (*MessageStatus, error) {
 	r, err := s.find(ctx, in)
 	if err != nil {
 		return nil, err
 	}
-	return &Status{r.State, r.Seal}, nil
+	return &MessageStatus{r.State, r.Seal}, nil
 }
 
 func (s *Store) handleBody(ctx context.Context, r *httpwire.Request) *httpwire.Response {
 	var rec *partition.Record
-	res := rpc.Handler(func(ctx context.Context, in *Ask, _ []byte) (_ *struct{}, err error) {
+	res := rpc.Handler(func(ctx context.Context, in *MessageQuery, _ []byte) (_ *struct{}, err error) {
 		rec, err = s.find(ctx, in)
 		return &struct{}{}, err
 	})(ctx, r)
@@ -236,14 +236,14 @@
 	return &httpwire.Response{Status: 200, Body: rec.Body}
 }
 
-func (s *Store) handleHandover(ctx context.Context, in *placement.Handover, _ []byte) (*placement.Handover, error) {
+func (s *Store) handleHandover(ctx context.Context, in *placement.HandoverRequest, _ []byte) (*placement.HandoverRequest, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.set.Contact()*3/4)
 	defer cancel()
-	return &placement.Handover{Partitions: s.parts.Freeze(ctx, in.Partitions, s.deliver.Idle)}, nil
+	return &placement.HandoverRequest{Partitions: s.parts.Freeze(ctx, in.Partitions, s.deliver.Idle)}, nil
 }
 
 // MeterPartition is the partition whose primary meters a tenant.
-func MeterPartition(tenant string, partitions int) int {
+func LimiterPartition(tenant string, partitions int) int {
 	return int(ring.Hash("meter", tenant) % uint64(partitions))
 }
 
--- a/internal/store/store_bench_test.go
+++ b/internal/store/store_bench_test.go
@@ -13,12 +13,12 @@
 	for _, n := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("tenants=%d", n), func(b *testing.B) {
 			c := &configuration.Configuration{}
-			in := &Grant{Partitions: 520, Want: map[string]float64{}}
+			in := &QuotaLeaseRequest{Partitions: 520, Wanted: map[string]float64{}}
 			for i := range 1000 {
 				name := fmt.Sprintf("tenant-%d", i)
 				c.TenantTable = append(c.TenantTable, &configuration.Tenant{Name: name, RatePerS: 1e9, BurstSize: 1e9})
 				if i < n {
-					in.Want[name] = 20
+					in.Wanted[name] = 20
 				}
 			}
 			table := configuration.NewTable(c)
