--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -13,112 +13,183 @@
 	"go.etcd.io/bbolt"
 
 	"saltreel/internal/boltstore"
+	"saltreel/internal/httpwire"
 	"saltreel/internal/paxos"
 	"saltreel/internal/rpc"
 )
 
-const contact = 4 * time.Second
+const testContactTimeout = 4 * time.Second
 
-// open opens the chain of one core of a, b and c, whose disk is a file.
-func open(t *testing.T, path, self string) *Chain {
-	t.Helper()
-	c := &Chain{
-		Self: Member{Address: self}, MaxFailures: 1, ContactTimeout: contact, Log: log.New(io.Discard, "", 0), Acceptor: &paxos.Acceptor{},
-		OnUpdate: func(Documents) {}, OnCommit: func(Documents) {}, KnownCores: func() []Member { return nil }, VoterReady: func() bool { return true },
-	}
-	file := &boltstore.File{Path: path, Load: c.Load, Warn: t.Logf,
-		Prepare: func(tx *bbolt.Tx) error { return c.InitState(tx, []string{"a", "b", "c"}) }}
-	c.Open(file)
-	if err := file.Open(); err != nil {
-		t.Fatal(err)
+// testConfig is the configuration of a core that has no peers to call.
+func testConfig(tb testing.TB, path, address string) Config {
+	tb.Helper()
+	return Config{
+		Address:        address,
+		MaxFailures:    1,
+		ContactTimeout: testContactTimeout,
+		Client:         rpc.NewClient(&httpwire.Pool{}),
+		Log:            log.New(io.Discard, "", 0),
+		File:           &boltstore.File{Path: path, Warn: tb.Logf},
+		OnUpdate:       func(Documents) {},
+		OnCommit:       func(Documents) {},
+		KnownCores:     func() []Member { return nil },
+		VoterReady:     func() bool { return true },
+	}
+}
+
+// openChain opens the chain of one core on a file. Its owner closes the file.
+func openChain(tb testing.TB, config Config, founders ...string) *Chain {
+	tb.Helper()
+	c, err := New(config)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	config.File.Load = c.Load
+	config.File.Prepare = func(tx *bbolt.Tx) error { return c.InitState(tx, founders) }
+	if err := config.File.Open(); err != nil {
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() { file.Close() })
 	return c
 }
 
-func (c *Chain) take(t *testing.T, p UpdateRequest) (*UpdateResponse, error) {
+// openMember opens the chain of one of the founders a, b and c.
+func openMember(t *testing.T, path, address string) *Chain {
 	t.Helper()
-	return c.HandleUpdate(context.Background(), &p, nil)
+	c := openChain(t, testConfig(t, path, address), "a", "b", "c")
+	t.Cleanup(func() { closeFile(t, c.config.File) })
+	return c
 }
 
-func TestAWholeStateThatComesLateIsRefused(t *testing.T) {
-	for _, restarted := range []bool{false, true} {
-		for _, life := range []int64{7, 8} { // of the head: the same one, and one after a restart
-			path := filepath.Join(t.TempDir(), "core.db")
-			c := open(t, path, "c")
-			view := c.View()
-			whole := UpdateRequest{View: view, Sequence: 1, Snapshot: true, Set: Documents{"k": []byte("old")}, Position: StreamPosition{7, 1}}
-			write := UpdateRequest{View: view, Sequence: 2, Set: Documents{"k": []byte("new")}, Position: StreamPosition{life, 2}, CommittedThrough: 1}
-			for _, p := range []UpdateRequest{whole, write} {
-				if out, err := c.take(t, p); err != nil || out.Gap {
-					t.Fatalf("pass %d: %v %v", p.Sequence, out, err)
-				}
-			}
-			if restarted {
-				c.db.Close()
-				c = open(t, path, "c")
-			}
-			if out, err := c.take(t, whole); rpc.StatusCode(err) != 409 && (err != nil || !out.Ahead) {
-				t.Errorf("restarted %v, head %d: the whole state that came late: %+v, %v", restarted, life, out, err)
-			}
-			if got := string(c.docs["k"]); got != "new" || c.sequence != 2 {
-				t.Errorf("restarted %v, head %d: %q of write %d is held", restarted, life, got, c.sequence)
-			}
-			// The same pass once more, by a link that doubles, changes nothing.
-			if out, err := c.take(t, write); err != nil || !restarted && out.Gap {
-				t.Errorf("the last pass again: %v %v", out, err)
-			}
+func closeFile(tb testing.TB, file *boltstore.File) {
+	tb.Helper()
+	if err := file.Close(); err != nil {
+		tb.Error(err)
+	}
+}
+
+func handleUpdate(t *testing.T, c *Chain, u UpdateRequest) (*UpdateResponse, error) {
+	t.Helper()
+	return c.HandleUpdate(t.Context(), &u, nil)
+}
+
+func TestNewChecksConfig(t *testing.T) {
+	valid := testConfig(t, filepath.Join(t.TempDir(), "core.db"), "a")
+	if _, err := New(valid); err != nil {
+		t.Fatal(err)
+	}
+	for name, spoil := range map[string]func(*Config){
+		"no address":            func(c *Config) { c.Address = "" },
+		"no contact timeout":    func(c *Config) { c.ContactTimeout = 0 },
+		"negative failures":     func(c *Config) { c.MaxFailures = -1 },
+		"no client":             func(c *Config) { c.Client = nil },
+		"no log":                func(c *Config) { c.Log = nil },
+		"no file":               func(c *Config) { c.File = nil },
+		"no OnUpdate callback":  func(c *Config) { c.OnUpdate = nil },
+		"no OnCommit callback":  func(c *Config) { c.OnCommit = nil },
+		"no KnownCores":         func(c *Config) { c.KnownCores = nil },
+		"no VoterReady to call": func(c *Config) { c.VoterReady = nil },
+	} {
+		config := valid
+		spoil(&config)
+		if _, err := New(config); err == nil {
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
-func TestAPassThatLayInABufferIsNoContact(t *testing.T) {
+func TestStaleSnapshotIsRejected(t *testing.T) {
+	for _, test := range []struct {
+		name            string
+		restarted       bool  // the member, after the update
+		headIncarnation int64 // of the update; the snapshot is of 7
+	}{
+		{"same head", false, 7},
+		{"restarted head", false, 8},
+		{"restarted member", true, 7},
+		{"restarted member and head", true, 8},
+	} {
+		t.Run(test.name, func(t *testing.T) { testStaleSnapshot(t, test.restarted, test.headIncarnation) })
+	}
+}
+
+func testStaleSnapshot(t *testing.T, restarted bool, headIncarnation int64) {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "core.db")
+	c := openMember(t, path, "c")
+	view := c.View()
+	snapshot := UpdateRequest{View: view, Sequence: 1, Snapshot: true, Set: Documents{"k": []byte("old")}, Position: StreamPosition{7, 1}}
+	update := UpdateRequest{View: view, Sequence: 2, Set: Documents{"k": []byte("new")}, Position: StreamPosition{headIncarnation, 2}, CommittedThrough: 1}
+	for _, u := range []UpdateRequest{snapshot, update} {
+		if out, err := handleUpdate(t, c, u); err != nil || out.Gap {
+			t.Fatalf("update %d: %v %v", u.Sequence, out, err)
+		}
+	}
+	if restarted {
+		closeFile(t, c.config.File)
+		c = openMember(t, path, "c")
+	}
+	if out, err := handleUpdate(t, c, snapshot); StatusCode(err) != 409 && (err != nil || !out.Ahead) {
+		t.Errorf("the stale snapshot: %+v, %v", out, err)
+	}
+	if got := string(c.replica.docs["k"]); got != "new" || c.replica.sequence != 2 {
+		t.Errorf("%q of update %d is held", got, c.replica.sequence)
+	}
+	// The same update once more, by a link that duplicates, changes nothing.
+	if out, err := handleUpdate(t, c, update); err != nil || !restarted && out.Gap {
+		t.Errorf("the last update again: %v %v", out, err)
+	}
+}
+
+func TestBufferedUpdateProvesNoContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := open(t, filepath.Join(t.TempDir(), "core.db"), "c")
-		pass := func(n, back int64) UpdateRequest {
-			return UpdateRequest{View: c.View(), Sequence: 1, Snapshot: n == 1, Position: StreamPosition{7, n}, CommittedThrough: back}
+		c := openMember(t, filepath.Join(t.TempDir(), "core.db"), "c")
+		heartbeat := func(number, committedThrough int64) UpdateRequest {
+			return UpdateRequest{View: c.View(), Sequence: 1, Snapshot: number == 1, Position: StreamPosition{7, number}, CommittedThrough: committedThrough}
 		}
 		for n := range int64(5) {
-			if _, err := c.take(t, pass(n+1, n)); err != nil {
+			if _, err := handleUpdate(t, c, heartbeat(n+1, n)); err != nil {
 				t.Fatal(err)
 			}
 			if want := n > 0; c.InContact() != want {
-				t.Fatalf("after %d passes: steady %v", n+1, !want)
+				t.Fatalf("after %d updates: in contact %v", n+1, !want)
 			}
-			time.Sleep(contact / 16)
+			time.Sleep(testContactTimeout / 16)
 		}
-		time.Sleep(20 * time.Second) // frozen; the next pass lies in its buffer
+		time.Sleep(20 * time.Second) // the process is frozen; the next update is in its buffer
 		if c.InContact() {
-			t.Fatal("steady after 20 s without a pass")
+			t.Fatal("in contact after 20 s without an update")
 		}
-		if _, err := c.take(t, pass(6, 5)); err != nil {
+		if _, err := handleUpdate(t, c, heartbeat(6, 5)); err != nil {
 			t.Fatal(err)
 		}
 		if c.InContact() {
-			t.Error("steady by a pass that was sent 20 s ago")
+			t.Error("in contact by an update that was sent 20 s ago")
 		}
-		// Once the head has heard the answer it sends the next one.
-		if _, err := c.take(t, pass(7, 6)); err != nil || !c.InContact() {
-			t.Errorf("not steady again: %v", err)
+		// Once the head has the answer it sends the next one.
+		if _, err := handleUpdate(t, c, heartbeat(7, 6)); err != nil || !c.InContact() {
+			t.Errorf("not in contact again: %v", err)
 		}
 	})
 }
 
-func TestAPromiseOutlivesTheViewThatIsAdoptedMeanwhile(t *testing.T) {
-	c := open(t, filepath.Join(t.TempDir(), "core.db"), "b")
+func TestPromiseOutlastsViewInstalledMeanwhile(t *testing.T) {
+	c := openMember(t, filepath.Join(t.TempDir(), "core.db"), "b")
 	next := c.View()
 	next.Number = 2
-	promise := paxos.Request{Instance: 2, Number: paxos.ProposalNumber{Round: 5, Proposer: "x"}}
-	if r, err := c.Acceptor.Handle(promise); err != nil || !r.Granted {
-		t.Fatalf("promise: %v %v", r, err)
+	prepare := paxos.Request{Instance: 2, Number: paxos.ProposalNumber{Round: 5, Proposer: "x"}}
+	if r, err := c.acceptor.Handle(prepare); err != nil || !r.Granted {
+		t.Fatalf("prepare: %v %v", r, err)
 	}
-	// The call has passed the look at the number of the view when that changes.
+	// The request has passed the check of the view's number when that changes.
 	if err := c.InstallView(context.Background(), next); err != nil {
 		t.Fatal(err)
 	}
-	value, _ := json.Marshal(next)
-	late := paxos.Request{Instance: 2, Number: paxos.ProposalNumber{Round: 1, Proposer: "y"}, Value: value}
-	if r, err := c.Acceptor.Handle(late); err == nil {
-		t.Errorf("a vote below the promise, on a decree that is settled: %+v", r)
+	value, err := json.Marshal(next)
+	if err != nil {
+		t.Fatal(err)
+	}
+	stale := paxos.Request{Instance: 2, Number: paxos.ProposalNumber{Round: 1, Proposer: "y"}, Value: value}
+	if r, err := c.acceptor.Handle(stale); StatusCode(err) != 409 {
+		t.Errorf("a vote below the promise, on an instance that is chosen: %+v, %v", r, err)
 	}
 }
--- /dev/null
+++ b/internal/chain/forward.go
@@ -0,0 +1,126 @@
+package chain
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"saltreel/internal/httpwire"
+)
+
+// HandleUpdate takes an update of the predecessor. The answer comes once all
+// members behind this one hold it too.
+func (c *Chain) HandleUpdate(ctx context.Context, u *UpdateRequest, _ []byte) (*UpdateResponse, error) {
+	if err := c.acquire(ctx); err != nil {
+		return nil, err
+	}
+	defer c.release()
+	c.mu.Lock()
+	admitted, err := c.replica.admit(u)
+	c.mu.Unlock()
+	if err != nil {
+		return nil, err
+	}
+	switch admitted {
+	case admitAhead:
+		return &UpdateResponse{Ahead: true}, nil
+	case admitGap:
+		return &UpdateResponse{Gap: true}, nil
+	case admitApply:
+		if err := c.apply(u); err != nil {
+			return nil, err
+		}
+	}
+	if err := c.forward(ctx, *u); err != nil {
+		return nil, err
+	}
+	return &UpdateResponse{}, nil
+}
+
+// apply puts an update on disk, then into memory. If the disk refuses it, memory
+// stays as it was until the file is loaded again. The caller holds the right to
+// update.
+func (c *Chain) apply(u *UpdateRequest) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := &c.replica
+	before := r.durableState
+	c.enterViewLocked(u.View)
+	docs := r.documentsAfter(u)
+	r.sequence = u.Sequence
+	var removed Documents
+	if u.Snapshot {
+		r.completeForView = u.View.Number
+		removed = r.docs
+	}
+	if err := c.storage.writeUpdate(r.durableState, removed, u.Set); err != nil {
+		r.durableState = before
+		r.active = false
+		return fmt.Errorf("write control state: %w", err)
+	}
+	r.docs = docs
+	return nil
+}
+
+// forward sends an update to the successor, if there is one; when it returns nil,
+// the tail holds all that this machine holds. The caller holds the right to
+// update.
+func (c *Chain) forward(ctx context.Context, u UpdateRequest) error {
+	received := time.Now()
+	if successor, ok := u.View.successor(c.Self); ok {
+		if len(u.Set) > 0 {
+			go c.config.OnUpdate(u.Set)
+		}
+		if err := c.sendUpdate(ctx, successor, u); err != nil {
+			return err
+		}
+	}
+	c.mu.Lock()
+	c.replica.recordCommitted(&u, received, time.Now())
+	docs := c.replica.docs
+	c.mu.Unlock()
+	c.config.OnCommit(docs)
+	return nil
+}
+
+// sendUpdate sends an update, or a snapshot where the successor asks for one.
+func (c *Chain) sendUpdate(ctx context.Context, successor Member, u UpdateRequest) error {
+	ctx, cancel := context.WithTimeout(ctx, c.timing.forwardTimeout())
+	defer cancel()
+	c.mu.Lock()
+	c.cancelForward = cancel
+	c.mu.Unlock()
+	for {
+		var response UpdateResponse
+		if err := c.config.Client.Call(ctx, successor.Address, "/chain/pass", u, nil, &response); err != nil {
+			c.mu.Lock()
+			c.replica.successorDown = httpwire.ConnectionRefused(err)
+			c.mu.Unlock()
+			return fmt.Errorf("forward update: %w", err)
+		}
+		switch {
+		case response.Ahead:
+			return c.fallBehind(successor)
+		case !response.Gap:
+			return nil
+		case u.Snapshot:
+			return fmt.Errorf("forward update: %s does not take the snapshot", successor.Address)
+		}
+		u.Snapshot = true
+		u.Set = c.replica.docs
+	}
+}
+
+// fallBehind records that the successor holds more than this disk, so that this
+// member is not complete. The caller holds the right to update.
+func (c *Chain) fallBehind(successor Member) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.replica.completeForView != 0 {
+		c.config.Log.Printf("chain: %s holds more than this disk, which was put back", successor.Address)
+	}
+	c.replica.markIncomplete()
+	err := fmt.Errorf("forward update: %s holds more than this disk", successor.Address)
+	return errors.Join(err, c.storage.writeState(c.replica.durableState))
+}
--- /dev/null
+++ b/internal/chain/propose.go
@@ -0,0 +1,131 @@
+package chain
+
+import (
+	"context"
+	"fmt"
+
+	"saltreel/internal/quorum"
+)
+
+// Propose makes one update at the head. There decide sees the newest state and
+// gives the documents to set, or an error, which Propose returns. Without
+// documents nothing is written. Propose returns only once all that decide saw and
+// set is committed: a refusal must not rest on what may yet be lost. Other errors
+// than that of decide leave it open whether the update will be committed, but for
+// those that come before decide is called (ErrNotHead, ErrTooFewMembers, ErrBusy,
+// ErrDiskFailed).
+func (c *Chain) Propose(ctx context.Context, decide func(Documents) (Documents, error)) error {
+	if err := c.acquire(ctx); err != nil {
+		return err
+	}
+	defer c.release()
+	view, docs, err := c.prepareHead(ctx)
+	if err != nil {
+		return err
+	}
+	// What is decided must outlast MaxFailures losses, and so must what it rests
+	// on: also where nothing is written.
+	if needed := c.config.MaxFailures + 1; len(view.Members) < needed {
+		return fmt.Errorf("%w: there are %d, %d are needed", ErrTooFewMembers, len(view.Members), needed)
+	}
+	set, refused := decide(docs)
+	u := c.nextUpdate(view)
+	if refused == nil && len(set) > 0 {
+		u.Sequence++
+		u.Set = set
+		if err := c.apply(&u); err != nil {
+			return err
+		}
+	}
+	if err := c.forward(ctx, u); err != nil {
+		return err
+	}
+	return refused
+}
+
+// heartbeat sends an update that sets nothing down the chain.
+func (c *Chain) heartbeat(ctx context.Context) error {
+	if err := c.acquire(ctx); err != nil {
+		return err
+	}
+	defer c.release()
+	view, _, err := c.prepareHead(ctx)
+	if err != nil {
+		return err
+	}
+	return c.forward(ctx, c.nextUpdate(view))
+}
+
+// prepareHead gives the view and the state that the next update builds on.
+// Nothing is built on this disk before the other members hold what it holds: it
+// may have an old file. The caller holds the right to update.
+func (c *Chain) prepareHead(ctx context.Context) (View, Documents, error) {
+	c.mu.Lock()
+	view, docs := c.replica.view, c.replica.docs
+	ready, active := c.replica.isHead() && c.replica.isComplete(), c.replica.active
+	c.mu.Unlock()
+	if !ready {
+		return View{}, nil, ErrNotHead
+	}
+	if !active {
+		if err := c.forward(ctx, c.nextUpdate(view)); err != nil {
+			return View{}, nil, err
+		}
+	}
+	return view, docs, nil
+}
+
+// nextUpdate is the next request of this head, a heartbeat as it stands. The
+// caller holds the right to update.
+func (c *Chain) nextUpdate(view View) UpdateRequest {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.replica.nextUpdate(view)
+}
+
+// Read gives the committed state. It returns ErrNotTail elsewhere than at the
+// tail, ErrViewNotActive where the tail does not know yet what is committed, and
+// ErrNoQuorum unless a majority of the voters knows of no newer view.
+func (c *Chain) Read(ctx context.Context) (Documents, error) {
+	c.mu.Lock()
+	view, active, docs := c.replica.view, c.replica.active, c.replica.docs
+	c.mu.Unlock()
+	if _, more := view.successor(c.Self); more || view.indexOf(c.Self) < 0 {
+		return nil, ErrNotTail
+	}
+	if err := c.storage.err(); err != nil {
+		return nil, err
+	}
+	if !active {
+		return nil, ErrViewNotActive
+	}
+	if !c.confirmView(ctx, view) {
+		return nil, ErrNoQuorum
+	}
+	return docs, nil
+}
+
+// confirmView tells whether a majority of the voters knows of no newer view, and
+// has accepted none.
+func (c *Chain) confirmView(ctx context.Context, view View) bool {
+	ctx, cancel := context.WithTimeout(ctx, c.timing.readTimeout())
+	defer cancel()
+	answers := make(chan bool, len(view.Voters))
+	for _, v := range view.Voters {
+		go func() {
+			s, err := c.requestStatus(ctx, v, view)
+			answers <- err == nil && s.View.Number <= view.Number && !s.NextAccepted
+		}()
+	}
+	confirmed := 0
+	for range view.Voters {
+		if !<-answers {
+			continue
+		}
+		confirmed++
+		if quorum.Majority(confirmed, len(view.Voters)) {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/chain/reconfigure.go
@@ -0,0 +1,233 @@
+package chain
+
+import (
+	"context"
+	crand "crypto/rand"
+	"encoding/json"
+	"fmt"
+	"slices"
+	"sync"
+	"time"
+
+	"saltreel/internal/paxos"
+	"saltreel/internal/timeutil"
+)
+
+// reconfigurer changes the view. It belongs to one goroutine and has no lock.
+type reconfigurer struct {
+	chain *Chain
+	// answeredAt is when a core last answered a StatusRequest, or else when its
+	// answer was first missed.
+	answeredAt map[Member]time.Time
+	// replacedVoters are those that are logged as found with another disk.
+	replacedVoters map[Member]bool
+}
+
+func newReconfigurer(c *Chain) *reconfigurer {
+	return &reconfigurer{chain: c, answeredAt: map[Member]time.Time{}, replacedVoters: map[Member]bool{}}
+}
+
+// reconfigure asks all cores for their status, and installs a newer view that one
+// of them knows; else it proposes the view that follows from the answers.
+func (r *reconfigurer) reconfigure(ctx context.Context, view View) {
+	c := r.chain
+	statuses := r.collectStatuses(ctx, view)
+	if newest := newestView(view, statuses); newest.Number > view.Number {
+		c.installAndLog(ctx, newest)
+		return
+	}
+	if view.indexOf(c.Self) < 0 {
+		return
+	}
+	next, safe := r.decide(view, statuses)
+	if !safe {
+		return
+	}
+	begun := c.acceptor.HasAccepted(next.Number)
+	if next.sameMembership(view) && !begun {
+		return
+	}
+	// The first member that answers goes first; the others follow after a while.
+	if i := next.indexOf(c.Self); i > 0 {
+		timeutil.Sleep(ctx, c.timing.proposalStagger()*time.Duration(i))
+		if ctx.Err() != nil {
+			return
+		}
+	}
+	c.choose(ctx, view, next)
+}
+
+// collectStatuses asks the voters and the candidates for their status, all at
+// once, and notes who answered.
+func (r *reconfigurer) collectStatuses(ctx context.Context, view View) map[Member]*ReplicaStatus {
+	c := r.chain
+	ctx, cancel := context.WithTimeout(ctx, c.timing.statusTimeout())
+	defer cancel()
+	type answer struct {
+		who    Member
+		status *ReplicaStatus
+		err    error
+	}
+	asked := append(slices.Clone(view.Voters), c.candidates(view)...)
+	answers := make(chan answer, len(asked))
+	for _, who := range asked {
+		go func() {
+			status, err := c.requestStatus(ctx, who, view)
+			answers <- answer{who.identity(), status, err}
+		}()
+	}
+	statuses := map[Member]*ReplicaStatus{}
+	now := time.Now()
+	for range asked {
+		a := <-answers
+		if a.err != nil {
+			r.noteRefusal(a.who, a.err)
+			continue
+		}
+		statuses[a.who] = a.status
+		r.answeredAt[a.who] = now
+	}
+	return statuses
+}
+
+// noteRefusal logs a voter that has another disk than the view says, once.
+func (r *reconfigurer) noteRefusal(who Member, err error) {
+	if !isWrongDisk(err) || r.replacedVoters[who] {
+		return
+	}
+	r.replacedVoters[who] = true
+	r.chain.config.Log.Printf("chain: voter %s was replaced: %v", who.Address, err)
+}
+
+// newestView is the newest of the view known here and those of the answers.
+func newestView(view View, statuses map[Member]*ReplicaStatus) View {
+	for _, s := range statuses {
+		if s.View.Number > view.Number {
+			view = s.View
+		}
+	}
+	return view
+}
+
+// decide applies nextView to what is known now.
+func (r *reconfigurer) decide(view View, statuses map[Member]*ReplicaStatus) (next View, safe bool) {
+	c := r.chain
+	c.mu.Lock()
+	active := c.replica.active && time.Since(c.replica.lastUpdate) <= c.timing.neighborTimeout()
+	c.mu.Unlock()
+	now := time.Now()
+	d := nextView(viewInput{
+		view:        view,
+		self:        c.Self,
+		active:      active,
+		statuses:    statuses,
+		candidates:  c.candidates(view),
+		answeredAt:  r.answeredAt,
+		now:         now,
+		maxFailures: c.config.MaxFailures,
+		lostAfter:   c.timing.voterLostAfter(),
+	})
+	for _, who := range d.neverAnswered {
+		r.answeredAt[who] = now
+	}
+	return d.next, d.safe
+}
+
+// choose has the voters choose the view after this one, installs the one that is
+// chosen and announces it.
+func (c *Chain) choose(ctx context.Context, view, next View) {
+	chosen, err := c.proposeView(ctx, view, next)
+	if c.View().Number >= next.Number {
+		return // a peer announced it meanwhile
+	}
+	if err != nil {
+		c.config.Log.Printf("chain: propose view %d: %v", next.Number, err)
+		return
+	}
+	if c.installAndLog(ctx, chosen) {
+		c.announce(ctx, chosen)
+	}
+}
+
+// proposeView runs Paxos among the voters of a view and gives the next one that
+// was chosen. It ends early when that is learnt otherwise.
+func (c *Chain) proposeView(ctx context.Context, view, next View) (chosen View, err error) {
+	ctx, cancel := context.WithTimeout(ctx, c.timing.proposalTimeout())
+	defer cancel()
+	go func() {
+		c.awaitView(ctx, next.Number)
+		cancel()
+	}()
+	value, err := json.Marshal(next)
+	if err != nil {
+		return View{}, fmt.Errorf("encode the view: %w", err)
+	}
+	proposer := c.Self.Address + "/" + crand.Text()
+	raw, err := paxos.Propose(ctx, next.Number, proposer, 1, value, addresses(view.Voters), c.voteCaller(view))
+	if err != nil {
+		return View{}, err
+	}
+	if err := json.Unmarshal(raw, &chosen); err != nil {
+		return View{}, fmt.Errorf("decode the view: %w", err)
+	}
+	return chosen, nil
+}
+
+// awaitView waits until a view is installed here, or ctx ends. Peers that have
+// installed it answer no more votes on it.
+func (c *Chain) awaitView(ctx context.Context, number int64) {
+	for ctx.Err() == nil {
+		newest, changed := c.viewAndChange()
+		if newest >= number {
+			return
+		}
+		select {
+		case <-changed:
+		case <-ctx.Done():
+		}
+	}
+}
+
+// voteCaller sends Paxos requests to the voters of a view, to this core's own
+// acceptor without a call.
+func (c *Chain) voteCaller(view View) paxos.Caller {
+	disks := map[string]string{}
+	for _, v := range view.Voters {
+		disks[v.Address] = v.Disk
+	}
+	return func(ctx context.Context, voter string, request paxos.Request) (response paxos.Response, err error) {
+		vote := VoteRequest{Disk: disks[voter], Call: request}
+		if voter != c.Self.Address {
+			err = c.config.Client.Call(ctx, voter, "/ballot", vote, nil, &response)
+			return response, err
+		}
+		own, err := c.HandleVote(ctx, &vote, nil)
+		if err != nil {
+			return response, err
+		}
+		return *own, nil
+	}
+}
+
+// installAndLog installs a view and logs where that fails.
+func (c *Chain) installAndLog(ctx context.Context, v View) (installed bool) {
+	err := c.InstallView(ctx, v)
+	if err != nil {
+		c.config.Log.Printf("chain: install view %d: %v", v.Number, err)
+	}
+	return err == nil
+}
+
+// announce sends a chosen view to the other voters. Those that do not get it
+// learn it from the first update.
+func (c *Chain) announce(ctx context.Context, v View) {
+	ctx, cancel := context.WithTimeout(ctx, c.timing.statusTimeout())
+	defer cancel()
+	var calls sync.WaitGroup
+	for _, m := range v.Voters {
+		if !m.is(c.Self) {
+			calls.Go(func() { _ = c.config.Client.Call(ctx, m.Address, "/chain/adopt", v, nil, nil) })
+		}
+	}
+	calls.Wait()
+}
--- /dev/null
+++ b/internal/chain/status.go
@@ -0,0 +1,112 @@
+package chain
+
+import (
+	"context"
+	"fmt"
+
+	"saltreel/internal/paxos"
+)
+
+// HandleStatus installs the view of the request and tells what is known here.
+func (c *Chain) HandleStatus(ctx context.Context, request *StatusRequest, _ []byte) (*ReplicaStatus, error) {
+	if err := c.checkDisk(request.Disk); err != nil {
+		return nil, err
+	}
+	if err := c.InstallView(ctx, request.View); err != nil {
+		return nil, err
+	}
+	c.mu.Lock()
+	view := c.replica.view
+	complete := c.replica.isComplete() && view.indexOf(c.Self) >= 0
+	c.mu.Unlock()
+	if err := c.storage.err(); err != nil {
+		return nil, err
+	}
+	return &ReplicaStatus{
+		View:         view,
+		NextAccepted: c.acceptor.HasAccepted(view.Number + 1),
+		Complete:     complete,
+		Ready:        c.config.VoterReady(),
+	}, nil
+}
+
+// checkDisk refuses what is meant for another disk at this address.
+func (c *Chain) checkDisk(disk string) error {
+	if disk != c.Self.Disk {
+		return fmt.Errorf("%w: it is %s, not %s", ErrWrongDisk, c.Self.Disk, disk)
+	}
+	return nil
+}
+
+// requestStatus asks one core for its status.
+func (c *Chain) requestStatus(ctx context.Context, who Member, view View) (*ReplicaStatus, error) {
+	request := StatusRequest{Disk: who.Disk, View: view}
+	if who.is(c.Self) {
+		return c.HandleStatus(ctx, &request, nil)
+	}
+	status := &ReplicaStatus{}
+	if err := c.config.Client.Call(ctx, who.Address, "/chain/standing", request, nil, status); err != nil {
+		return nil, err
+	}
+	return status, nil
+}
+
+// HandleVote answers a step of Paxos for the view after the one in force.
+func (c *Chain) HandleVote(_ context.Context, vote *VoteRequest, _ []byte) (*paxos.Response, error) {
+	if err := c.checkDisk(vote.Disk); err != nil {
+		return nil, err
+	}
+	if newest := c.View().Number; vote.Call.Instance <= newest {
+		return nil, fmt.Errorf("%w: %d, the newest is %d", ErrViewChosen, vote.Call.Instance, newest)
+	}
+	response, err := c.acceptor.Handle(vote.Call)
+	return &response, err
+}
+
+// HandleInstallView takes a chosen view of a peer.
+func (c *Chain) HandleInstallView(ctx context.Context, v *View, _ []byte) (*struct{}, error) {
+	return &struct{}{}, c.InstallView(ctx, *v)
+}
+
+// InstallView puts a chosen view on disk and into force, if it is newer than the
+// one here. The error says that the disk refused, or that ctx ended before.
+func (c *Chain) InstallView(ctx context.Context, v View) error {
+	if v.Number <= c.View().Number {
+		return nil
+	}
+	if err := c.acquireForView(ctx); err != nil {
+		return err
+	}
+	defer c.release()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if v.Number <= c.replica.view.Number {
+		return nil
+	}
+	before := c.replica.durableState
+	c.enterViewLocked(v)
+	if err := c.storage.writeState(c.replica.durableState); err != nil {
+		c.replica.durableState = before // the view before is sealed only once this one is on disk
+		return fmt.Errorf("write the view: %w", err)
+	}
+	return nil
+}
+
+// acquireForView takes the right to change the view. An update of the view before
+// may be under way, and wait for a member that is lost: after a while it is
+// cancelled.
+func (c *Chain) acquireForView(ctx context.Context) error {
+	patient, cancel := context.WithTimeout(ctx, c.timing.installPatience())
+	err := c.acquire(patient)
+	cancel()
+	if err == nil {
+		return nil
+	}
+	c.mu.Lock()
+	cancelForward := c.cancelForward
+	c.mu.Unlock()
+	if cancelForward != nil {
+		cancelForward()
+	}
+	return c.acquire(ctx)
+}
--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -26,7 +26,6 @@
 	"saltreel/internal/journal"
 	"saltreel/internal/lease"
 	"saltreel/internal/membership"
-	"saltreel/internal/paxos"
 	"saltreel/internal/placement"
 	"saltreel/internal/rpc"
 	"saltreel/internal/settings"
@@ -50,7 +49,6 @@
 
 	pool     *rpc.Client
 	chain    *chain.Chain
-	acceptor *paxos.Acceptor
 	grantor  *lease.Grantor
 	lease    *lease.Lease
 	registry *registry
@@ -99,13 +97,17 @@
 	c.journal = journal.New(set.NodeName+"/"+life, 16*c.contact, distribution.PrefixNode)
 	c.registry = &registry{entries: map[string]*entry{}, journal: c.journal, late: c.contact / 2}
 	c.pool = rpc.NewClient(&httpwire.Pool{Network: network})
-	c.acceptor, c.grantor = &paxos.Acceptor{}, &lease.Grantor{}
-	c.chain = &chain.Chain{
-		Self: chain.Member{Address: c.self}, MaxFailures: int(set.FaultTolerance.HostFailures), Client: c.pool, ContactTimeout: c.contact, Log: logger,
-		Acceptor: c.acceptor, OnUpdate: c.prepare, OnCommit: c.committed, KnownCores: c.others, VoterReady: c.isReady,
-	}
+	c.grantor = &lease.Grantor{}
 	c.state = &boltstore.File{Path: filepath.Join(set.DataPath, "core.db"), BatchDelay: batchDelay, Prepare: c.prepareState, Load: c.loadState, Warn: logger.Printf}
-	c.chain.Open(c.state)
+	var err error
+	c.chain, err = chain.New(chain.Config{
+		Address: c.self, MaxFailures: int(set.FaultTolerance.HostFailures), ContactTimeout: c.contact, Client: c.pool, Log: logger, File: c.state,
+		OnUpdate: c.prepare, OnCommit: c.committed, KnownCores: c.others, VoterReady: c.isReady,
+	})
+	if err != nil {
+		c.end()
+		return nil, err
+	}
 	c.lease = &lease.Lease{Role: "steward", Self: c.self, Duration: c.contact / 4, Call: c.callLease, Go: c.tasks.Go}
 	return c, nil
 }
@@ -241,21 +243,21 @@
 		UpToDateWait: c.contact / 16, Warming: func() bool { return c.chain.InContactFor() < c.contact/8 }}
 	mux := rpc.Mux{
 		"/news":           source.Handle,
-		"/chain/pass":     rpc.Handler(c.chain.HandleUpdate),
-		"/chain/standing": rpc.Handler(c.chain.HandleStatus),
-		"/chain/adopt":    rpc.Handler(c.chain.HandleInstallView),
-		"/ballot":         rpc.Handler(c.chain.HandleVote),
+		"/chain/pass":     rpc.Handler(c.chain.HandleUpdate, chain.StatusCode),
+		"/chain/standing": rpc.Handler(c.chain.HandleStatus, chain.StatusCode),
+		"/chain/adopt":    rpc.Handler(c.chain.HandleInstallView, chain.StatusCode),
+		"/ballot":         rpc.Handler(c.chain.HandleVote, chain.StatusCode),
 		"/duty": rpc.Handler(func(_ context.Context, in *lease.Request, _ []byte) (*lease.Response, error) {
 			r := c.grantor.Handle(*in)
 			return &r, nil
 		}),
 		"/view":     rpc.Handler(c.handleView),
-		"/exchange": rpc.Handler(c.handleExchange),
+		"/exchange": rpc.Handler(c.handleExchange, chain.StatusCode),
 		"/beat":     rpc.Handler(c.handleNode),
 		"/suspect":  rpc.Handler(c.handleSuspect),
 		"/in-step":  rpc.Handler(c.handleInStep),
 		"/propose":  rpc.Handler(c.handlePropose),
-		"/read":     rpc.Handler(c.handleRead),
+		"/read":     rpc.Handler(c.handleRead, chain.StatusCode),
 		"/ping":     rpc.Handler(rpc.Ping),
 	}
 	server := &httpwire.Server{Handle: mux.Handle, Log: c.log}
