--- /dev/null
+++ b/internal/chain/nextview_test.go
@@ -0,0 +1,236 @@
+package chain
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// member is the founder at an address, since view 1.
+func member(address string) Member { return Member{Address: address, Disk: founderDisk, Since: 1} }
+
+func members(list ...string) []Member {
+	var out []Member
+	for _, address := range list {
+		out = append(out, member(address))
+	}
+	return out
+}
+
+// answered gives a status for each identity.
+func answered(status ReplicaStatus, list ...Member) map[Member]*ReplicaStatus {
+	out := map[Member]*ReplicaStatus{}
+	for _, m := range list {
+		out[m.identity()] = &status
+	}
+	return out
+}
+
+func merge(parts ...map[Member]*ReplicaStatus) map[Member]*ReplicaStatus {
+	out := map[Member]*ReplicaStatus{}
+	for _, part := range parts {
+		for m, s := range part {
+			out[m] = s
+		}
+	}
+	return out
+}
+
+func TestNextView(t *testing.T) {
+	complete := ReplicaStatus{Complete: true, Ready: true}
+	incomplete := ReplicaStatus{Ready: true}
+	notReady := ReplicaStatus{Complete: true}
+	now := time.Unix(1000, 0)
+	a, b, c := member("a"), member("b"), member("c")
+	newcomer := Member{Address: "d", Disk: "d1"}
+	replacement := Member{Address: "c", Disk: "c2"}
+	abc := View{Number: 4, Members: members("a", "b", "c"), Voters: members("a", "b", "c"), QuorumEpoch: 1}
+	ab := View{Number: 4, Members: members("a", "b"), Voters: members("a", "b", "c"), QuorumEpoch: 1}
+	four := View{Number: 4, Members: members("a", "b", "c"), Voters: members("a", "b", "c", "e"), QuorumEpoch: 3}
+	joined := func(m Member) Member {
+		m.Since = 5
+		return m
+	}
+	longAgo := map[Member]time.Time{c.identity(): now.Add(-time.Minute), member("e").identity(): now.Add(-time.Minute)}
+	justNow := map[Member]time.Time{c.identity(): now.Add(-time.Second), member("e").identity(): now.Add(-time.Second)}
+
+	for _, test := range []struct {
+		name          string
+		in            viewInput
+		safe          bool
+		members       []Member
+		voters        []Member
+		newEpoch      bool
+		neverAnswered []Member
+	}{
+		{
+			name:    "all answer and nothing changes",
+			in:      viewInput{view: abc, active: true, statuses: answered(complete, a, b, c)},
+			safe:    true,
+			members: abc.Members, voters: abc.Voters,
+		},
+		{
+			name:    "a lost member leaves the chain and keeps its vote",
+			in:      viewInput{view: abc, statuses: answered(complete, a, b)},
+			safe:    true,
+			members: members("a", "b"), voters: abc.Voters,
+		},
+		{
+			name:    "a minority may not go on alone",
+			in:      viewInput{view: abc, statuses: answered(complete, a)},
+			safe:    false,
+			members: members("a"), voters: abc.Voters,
+		},
+		{
+			name:    "an incomplete head goes behind the complete members",
+			in:      viewInput{view: abc, statuses: merge(answered(incomplete, a), answered(complete, b, c))},
+			safe:    true,
+			members: members("b", "c", "a"), voters: abc.Voters,
+		},
+		{
+			name:    "no view without a complete member",
+			in:      viewInput{view: abc, statuses: answered(incomplete, a, b, c)},
+			safe:    false,
+			members: nil, voters: abc.Voters,
+		},
+		{
+			name:    "no view of a core that did not answer itself",
+			in:      viewInput{view: abc, statuses: answered(complete, b, c)},
+			safe:    false,
+			members: members("b", "c"), voters: abc.Voters,
+		},
+		{
+			name:    "a voter that came back joins an active view at the tail",
+			in:      viewInput{view: ab, active: true, statuses: answered(complete, a, b, c)},
+			safe:    true,
+			members: []Member{a, b, joined(c)}, voters: ab.Voters,
+		},
+		{
+			name: "only one voter joins an active view at a time",
+			in: viewInput{view: View{Number: 4, Members: members("a"), Voters: members("a", "b", "c")}, active: true,
+				statuses: answered(complete, a, b, c)},
+			safe:    true,
+			members: []Member{a, joined(b)}, voters: members("a", "b", "c"),
+		},
+		{
+			name: "a broken view takes in as many voters as a majority needs",
+			in: viewInput{view: View{Number: 4, Members: members("a"), Voters: members("a", "b", "c", "d", "e")},
+				statuses: answered(complete, members("a", "b", "c", "d", "e")...)},
+			safe:    true,
+			members: []Member{a, joined(b), joined(c)}, voters: members("a", "b", "c", "d", "e"),
+		},
+		{
+			name:    "a broken view that has a majority takes in nobody",
+			in:      viewInput{view: ab, statuses: answered(complete, a, b, c)},
+			safe:    true,
+			members: ab.Members, voters: ab.Voters,
+		},
+		{
+			name: "a candidate that is ready becomes voter and member",
+			in: viewInput{view: abc, active: true, candidates: []Member{newcomer},
+				statuses: answered(complete, a, b, c, newcomer)},
+			safe:    true,
+			members: []Member{a, b, c, joined(newcomer)}, voters: append(members("a", "b", "c"), newcomer), newEpoch: true,
+		},
+		{
+			name: "a candidate that is not ready waits",
+			in: viewInput{view: abc, active: true, candidates: []Member{newcomer},
+				statuses: merge(answered(complete, a, b, c), answered(notReady, newcomer))},
+			safe:    true,
+			members: abc.Members, voters: abc.Voters,
+		},
+		{
+			name: "a candidate waits for an active view",
+			in: viewInput{view: abc, candidates: []Member{newcomer},
+				statuses: answered(complete, a, b, c, newcomer)},
+			safe:    true,
+			members: abc.Members, voters: abc.Voters,
+		},
+		{
+			name: "the voters change only when a majority of them is ready",
+			in: viewInput{view: abc, active: true, candidates: []Member{newcomer},
+				statuses: merge(answered(complete, a, newcomer), answered(notReady, b, c))},
+			safe:    true,
+			members: abc.Members, voters: abc.Voters,
+		},
+		{
+			name: "a new disk takes the vote of the one at its address",
+			in: viewInput{view: ab, active: true, candidates: []Member{replacement},
+				statuses: answered(complete, a, b, replacement), answeredAt: justNow},
+			safe:    true,
+			members: []Member{a, b, joined(replacement)}, voters: append(members("a", "b"), replacement), newEpoch: true,
+		},
+		{
+			name: "a candidate takes the vote of a voter lost for long",
+			in: viewInput{view: ab, active: true, candidates: []Member{newcomer},
+				statuses: answered(complete, a, b, newcomer), answeredAt: longAgo},
+			safe:    true,
+			members: []Member{a, b, joined(newcomer)}, voters: append(members("a", "b"), newcomer), newEpoch: true,
+		},
+		{
+			name: "a voter that answered lately keeps its vote",
+			in: viewInput{view: ab, active: true, candidates: []Member{newcomer},
+				statuses: answered(complete, a, b, newcomer), answeredAt: justNow},
+			safe:    true,
+			members: []Member{a, b, joined(newcomer)}, voters: append(members("a", "b", "c"), newcomer), newEpoch: true,
+			neverAnswered: []Member{a.identity(), b.identity()},
+		},
+		{
+			name: "the time of a voter that never answered begins now",
+			in: viewInput{view: ab, active: true, candidates: []Member{newcomer},
+				statuses: answered(complete, a, b, newcomer)},
+			safe:    true,
+			members: []Member{a, b, joined(newcomer)}, voters: append(members("a", "b", "c"), newcomer), newEpoch: true,
+			neverAnswered: []Member{a.identity(), b.identity(), c.identity()},
+		},
+		{
+			name: "a lost voter that is not needed loses its vote",
+			in: viewInput{view: four, active: true,
+				statuses: answered(complete, a, b, c), answeredAt: longAgo},
+			safe:    true,
+			members: four.Members, voters: members("a", "b", "c"), newEpoch: true,
+		},
+		{
+			name: "a lost voter that is needed keeps its vote",
+			in: viewInput{view: ab, active: true,
+				statuses: answered(complete, a, b), answeredAt: longAgo},
+			safe:    true,
+			members: ab.Members, voters: ab.Voters,
+		},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			in := test.in
+			in.self, in.now, in.maxFailures, in.lostAfter = a, now, 1, 2*time.Second
+			before := in.view.String()
+			d := nextView(in)
+			if d.safe != test.safe || d.next.Number != in.view.Number+1 {
+				t.Errorf("view %d, safe %v", d.next.Number, d.safe)
+			}
+			if !slices.Equal(d.next.Members, test.members) || !slices.Equal(d.next.Voters, test.voters) {
+				t.Errorf("members %v, voters %v", d.next.Members, d.next.Voters)
+			}
+			checkQuorumEpoch(t, in.view, d.next, test.newEpoch)
+			if test.neverAnswered != nil && !slices.Equal(d.neverAnswered, test.neverAnswered) {
+				t.Errorf("never answered: %v", d.neverAnswered)
+			}
+			if in.view.String() != before {
+				t.Errorf("the present view was changed to %v", in.view)
+			}
+		})
+	}
+}
+
+// checkQuorumEpoch checks that the voters before are known if, and only if, the
+// voters have changed.
+func checkQuorumEpoch(t *testing.T, view, next View, changed bool) {
+	t.Helper()
+	if !changed {
+		if next.QuorumEpoch != view.QuorumEpoch || next.PreviousVoters != nil {
+			t.Errorf("quorum epoch %d after %v", next.QuorumEpoch, next.PreviousVoters)
+		}
+		return
+	}
+	if next.QuorumEpoch != next.Number || next.PreviousQuorumEpoch != view.QuorumEpoch || !slices.Equal(next.PreviousVoters, view.Voters) {
+		t.Errorf("quorum epoch %d after %d of %v", next.QuorumEpoch, next.PreviousQuorumEpoch, next.PreviousVoters)
+	}
+}
