--- a/internal/chain/propose.go
+++ b/internal/chain/propose.go
@@ -10,10 +10,9 @@
 // Propose makes one update at the head. There decide sees the newest state and
 // gives the documents to set, or an error, which Propose returns. Without
 // documents nothing is written. Propose returns only once all that decide saw and
-// set is committed: a refusal must not rest on what may yet be lost. Other errors
-// than that of decide leave it open whether the update will be committed, but for
-// those that come before decide is called (ErrNotHead, ErrTooFewMembers, ErrBusy,
-// ErrDiskFailed).
+// set is committed: a refusal must not rest on what may yet be lost. After any
+// other error the update may still be committed later, unless decide was not
+// called: then it does not exist.
 func (c *Chain) Propose(ctx context.Context, decide func(Documents) (Documents, error)) error {
 	if err := c.acquire(ctx); err != nil {
 		return err
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -60,8 +60,9 @@
 	now := time.Now()
 	current := g.grants[request.Role]
 	vacant := now.After(current.expires) && now.After(g.quietUntil)
-	renewal := current.holder == request.Holder && current.term == request.Term && now.Before(current.expires)
-	if !renewal && !(vacant && request.Term > current.term) {
+	granted := vacant && request.Term > current.term
+	renewed := current.holder == request.Holder && current.term == request.Term && now.Before(current.expires)
+	if !granted && !renewed {
 		return Response{Granted: false, Holder: current.holder, Term: current.term}
 	}
 	if g.grants == nil {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -47,6 +47,29 @@
 	return c.grantors[voter].Handle(request), nil
 }
 
+// holders records who held the lease under which term.
+type holders map[int64]int
+
+// check has the candidates that hold the lease recorded and gives their number.
+func (h holders) check(t *testing.T, step int, candidates []*Lease) (held int) {
+	t.Helper()
+	for i, l := range candidates {
+		term, ok := l.Held()
+		if !ok {
+			continue
+		}
+		held++
+		if before, known := h[term]; known && before != i {
+			t.Fatalf("step %d: term %d has two holders", step, term)
+		}
+		h[term] = i
+	}
+	if held > 1 {
+		t.Fatalf("step %d: %d holders", step, held)
+	}
+	return held
+}
+
 func TestLeaseHasOneHolderPerTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(3)
@@ -54,26 +77,17 @@
 		for i := range 3 {
 			candidates = append(candidates, &Lease{Role: "d", Self: fmt.Sprint("c", i), Voters: c.names, Duration: time.Second, Call: c.call})
 		}
-		terms, vacant := map[int64]int{}, 0
+		seen := holders{}
+		vacant := 0
 		for step := range 200 {
-			holders := 0
 			for i, l := range candidates {
-				silent := i == 0 && step > 40 && step < 100 // it stops asking, and comes back
-				if !silent && (step+i)%3 == 0 || i > 0 && step%2 == 0 {
+				stopped := i == 0 && step > 40 && step < 100 // it stops asking, and comes back
+				if !stopped && (step+i)%3 == 0 || i > 0 && step%2 == 0 {
 					l.Acquire(t.Context(), 0)
 				}
-				if term, held := l.Held(); held {
-					holders++
-					if old, ok := terms[term]; ok && old != i {
-						t.Fatalf("term %d has two holders", term)
-					}
-					terms[term] = i
-				}
-			}
-			if holders > 1 {
-				t.Fatalf("step %d: %d holders", step, holders)
+				seen.check(t, step, candidates)
 			}
-			if holders == 0 {
+			if seen.check(t, step, candidates) == 0 {
 				vacant++
 			}
 			c.kill("v2", step > 120)
@@ -84,3 +98,55 @@
 		}
 	})
 }
+
+func TestGrantorHandle(t *testing.T) {
+	const second = 1000 // ms
+	request := func(holder string, term int64) Request {
+		return Request{Role: "r", Holder: holder, Term: term, DurationMs: second}
+	}
+	release := Request{Role: "r", Holder: "a", Term: 5}
+	held := Response{Granted: false, Holder: "a", Term: 5} // what is answered while a holds term 5
+	for _, test := range []struct {
+		name    string
+		quiet   time.Duration // after the start
+		first   []Request     // all at the start
+		wait    time.Duration
+		request Request
+		want    Response
+	}{
+		{name: "nobody holds it", wait: time.Millisecond, request: request("a", 1), want: Response{true, "a", 1}},
+		{name: "quiet after the start", quiet: time.Second, wait: time.Second / 2, request: request("a", 1), want: Response{false, "", 0}},
+		{name: "quiet no longer", quiet: time.Second, wait: time.Second + 1, request: request("a", 1), want: Response{true, "a", 1}},
+		{name: "renewed by its holder", first: []Request{request("a", 5)}, wait: time.Second / 2, request: request("a", 5), want: Response{true, "a", 5}},
+		{name: "another candidate while it runs", first: []Request{request("a", 5)}, wait: time.Second / 2, request: request("b", 6), want: held},
+		{name: "its holder under a higher term while it runs", first: []Request{request("a", 5)}, wait: time.Second / 2, request: request("a", 6), want: held},
+		{name: "another candidate under the same term", first: []Request{request("a", 5)}, wait: time.Second / 2, request: request("b", 5), want: held},
+		{name: "at the moment when it ends", first: []Request{request("a", 5)}, wait: time.Second, request: request("b", 6), want: held},
+		{name: "another candidate once it has expired", first: []Request{request("a", 5)}, wait: time.Second + 1, request: request("b", 6), want: Response{true, "b", 6}},
+		{name: "a term that was used, once it has expired", first: []Request{request("a", 5)}, wait: time.Second + 1, request: request("b", 5), want: held},
+		{name: "renewal once it has expired", first: []Request{request("a", 5)}, wait: time.Second + 1, request: request("a", 5), want: held},
+		{name: "released early", first: []Request{request("a", 5), release}, wait: 1, request: request("b", 6), want: Response{true, "b", 6}},
+		{name: "another role", first: []Request{{Role: "s", Holder: "a", Term: 5, DurationMs: second}}, wait: 1, request: request("b", 1), want: Response{true, "b", 1}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				g := &Grantor{}
+				if test.quiet > 0 {
+					g.StayQuiet(test.quiet)
+				}
+				for _, r := range test.first {
+					if !g.Handle(r).Granted {
+						t.Fatalf("%+v is refused", r)
+					}
+				}
+				time.Sleep(test.wait)
+				if got := g.Handle(test.request); got != test.want {
+					t.Errorf("%+v", got)
+				}
+				if test.want.Granted && g.Expired("r") {
+					t.Error("granted, and expired")
+				}
+			})
+		})
+	}
+}
--- a/internal/paxos/paxos_test.go
+++ b/internal/paxos/paxos_test.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"reflect"
 	"sync"
 	"testing"
 	"testing/synctest"
@@ -50,23 +51,23 @@
 	names     []string
 	acceptors map[string]*Acceptor
 	mu        sync.Mutex
-	gone      map[string]bool
+	down      map[string]bool
 }
 
-func (c *cluster) kill(acceptor string, gone bool) {
+func (c *cluster) kill(acceptor string, down bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.gone[acceptor] = gone
+	c.down[acceptor] = down
 }
 
 func (c *cluster) dead(acceptor string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.gone[acceptor]
+	return c.down[acceptor]
 }
 
 func newCluster(n int) *cluster {
-	c := &cluster{acceptors: map[string]*Acceptor{}, gone: map[string]bool{}}
+	c := &cluster{acceptors: map[string]*Acceptor{}, down: map[string]bool{}}
 	for i := range n {
 		name := fmt.Sprint("v", i)
 		c.names = append(c.names, name)
@@ -128,3 +129,81 @@
 		}
 	})
 }
+
+func TestAcceptorHandle(t *testing.T) {
+	number := func(round int64, proposer string) ProposalNumber {
+		return ProposalNumber{Round: round, Proposer: proposer}
+	}
+	prepare := func(n ProposalNumber) Request { return Request{Instance: 1, Number: n} }
+	accept := func(n ProposalNumber, value string) Request {
+		return Request{Instance: 1, Number: n, Value: json.RawMessage(value)}
+	}
+	promised := AcceptorState{Promised: number(5, "p")}
+	accepted := AcceptorState{Promised: number(5, "p"), Accepted: number(5, "p"), Value: json.RawMessage(`"x"`)}
+	for _, test := range []struct {
+		name    string
+		before  AcceptorState
+		request Request
+		granted bool
+		answer  AcceptorState // in the response
+		after   AcceptorState
+	}{
+		{"first prepare", AcceptorState{}, prepare(number(5, "p")), true, AcceptorState{}, promised},
+		{"prepare below the promise", promised, prepare(number(4, "q")), false, promised, promised},
+		{"prepare of a lower proposer in the same round", promised, prepare(number(5, "a")), false, promised, promised},
+		{"the same prepare again", promised, prepare(number(5, "p")), true, promised, promised},
+		{"higher prepare", promised, prepare(number(5, "q")), true, promised, AcceptorState{Promised: number(5, "q")}},
+		{"higher prepare learns the accepted value", accepted, prepare(number(6, "a")), true, accepted,
+			AcceptorState{Promised: number(6, "a"), Accepted: accepted.Accepted, Value: accepted.Value}},
+		{"accept as promised", promised, accept(number(5, "p"), `"x"`), true, accepted, accepted},
+		{"accept below the promise", promised, accept(number(4, "q"), `"y"`), false, promised, promised},
+		{"accept without a prepare", AcceptorState{}, accept(number(5, "p"), `"x"`), true, accepted, accepted},
+		{"the same accept again", accepted, accept(number(5, "p"), `"x"`), true, accepted, accepted},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			storage := &memory{states: map[int64]AcceptorState{1: test.before}}
+			a := &Acceptor{Storage: storage}
+			response, err := a.Handle(test.request)
+			if err != nil || response.Granted != test.granted || !reflect.DeepEqual(response.State, test.answer) {
+				t.Errorf("response %+v, %v", response, err)
+			}
+			if !reflect.DeepEqual(storage.states[1], test.after) {
+				t.Errorf("state %+v", storage.states[1])
+			}
+			if got := a.HasAccepted(1); got != (test.after.Value != nil) {
+				t.Errorf("has accepted: %v", got)
+			}
+			if a.HasAccepted(2) {
+				t.Error("has accepted a value for another instance")
+			}
+		})
+	}
+}
+
+// failing is a storage whose disk fails on reads or on writes.
+type failing struct {
+	memory
+	load, save error
+}
+
+func (f *failing) LoadState(instance int64) (AcceptorState, error) {
+	state, _ := f.memory.LoadState(instance)
+	return state, f.load
+}
+
+func (f *failing) SaveState(int64, AcceptorState) error { return f.save }
+
+func TestAcceptorGrantsNothingWhenStorageFails(t *testing.T) {
+	diskError := errors.New("disk")
+	for name, storage := range map[string]*failing{"load": {load: diskError}, "save": {save: diskError}} {
+		a := &Acceptor{Storage: storage}
+		response, err := a.Handle(Request{Instance: 1, Number: ProposalNumber{Round: 1}})
+		if !errors.Is(err, diskError) || response.Granted {
+			t.Errorf("%s: %+v, %v", name, response, err)
+		}
+		// Unread, it may have accepted a value.
+		if got, want := a.HasAccepted(1), storage.load != nil; got != want {
+			t.Errorf("%s: has accepted %v", name, got)
+		}
+	}
+}
