--- a/internal/partition/accept.go
+++ b/internal/partition/accept.go
@@ -9,20 +9,20 @@
 )
 
 // accepted is a message on its way to the disks.
-type accepted struct {
+type pendingAccept struct {
 	record *Record
-	local  bool
-	remote map[string]bool // by the disk of a backup
+	onLocalDisk  bool
+	onBackupDisk map[string]bool // by the disk of a backup
 	done   chan struct{}
 }
 
 // errors of an accept.
-func moved(n int) error {
+func notPrimary(n int) error {
 	return &rpc.StatusError{Code: 421, Text: fmt.Sprintf("partition %d is not led here", n)}
 }
 
 // unclear is the answer when a message may have been taken.
-func unclear(n int) error {
+func unconfirmed(n int) error {
 	return &rpc.StatusError{Code: 504, Text: fmt.Sprintf("partition %d: too few stores answered in time", n)}
 }
 
@@ -33,37 +33,37 @@
 	logged := false
 	for {
 		s.mu.Lock()
-		if n < 0 || n >= len(s.parts) || s.parts[n].primary != s.Self {
+		if n < 0 || n >= len(s.partitions) || s.partitions[n].primary != s.Self {
 			s.mu.Unlock()
 			if logged {
-				return unclear(n)
+				return unconfirmed(n)
 			}
-			return moved(n)
+			return notPrimary(n)
 		}
-		p := s.parts[n]
-		gone := p.moved
-		if p.closed && p.records[r.ID] == nil {
+		p := s.partitions[n]
+		gone := p.changed
+		if p.acceptsStopped && p.records[r.ID] == nil {
 			s.mu.Unlock()
 			select {
 			case <-gone:
 				continue
 			case <-ctx.Done():
 				if logged {
-					return unclear(n)
+					return unconfirmed(n)
 				}
-				return moved(n)
+				return notPrimary(n)
 			}
 		}
 		if old := p.records[r.ID]; old != nil && old.Tenant != r.Tenant {
 			s.mu.Unlock()
 			return &rpc.StatusError{Code: 409, Text: "another tenant's message has this id"}
 		}
-		w := p.waiting[r.ID]
+		w := p.unconfirmed[r.ID]
 		if p.records[r.ID] != nil && w == nil { // taken before
 			certain := len(p.replicas) >= s.Backups && p.verified()
 			here := make(chan struct{})
 			if certain { // but it may not be on this disk yet
-				s.disk.synced(func() { close(here) })
+				s.storage.afterSync(func() { close(here) })
 			}
 			s.mu.Unlock()
 			logged = true
@@ -73,7 +73,7 @@
 			case <-time.After(s.ContactTimeout / 200):
 				continue
 			case <-ctx.Done():
-				return unclear(n)
+				return unconfirmed(n)
 			}
 		}
 		if w == nil {
@@ -81,7 +81,7 @@
 				s.mu.Unlock()
 				return &rpc.StatusError{Code: 503, Text: fmt.Sprintf("partition %d has %d backups, %d are needed", n, len(p.replicas), s.Backups)}
 			}
-			if s.disk.refuses() { // others lead soon: worth waiting for
+			if s.storage.refuses() { // others lead soon: worth waiting for
 				s.mu.Unlock()
 				return &rpc.StatusError{Code: 421, Text: "this store's disk takes no writes"}
 			}
@@ -91,13 +91,13 @@
 			}
 			r.Partition = n
 			r.Order = p.sequence + 1
-			w = &accepted{record: r, remote: map[string]bool{}, done: make(chan struct{})}
-			p.waiting[r.ID] = w
-			s.change(p, r, func() {
+			w = &pendingAccept{record: r, onBackupDisk: map[string]bool{}, done: make(chan struct{})}
+			p.unconfirmed[r.ID] = w
+			s.commitLocked(p, r, func() {
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				w.local = true
-				s.settle(p, w)
+				w.onLocalDisk = true
+				s.confirmLocked(p, w)
 			})
 		}
 		logged = true
@@ -108,25 +108,25 @@
 		case <-gone:
 			// The same message may be in the new epoch: look again.
 		case <-ctx.Done():
-			return unclear(n)
+			return unconfirmed(n)
 		}
 	}
 }
 
 // settle ends the wait of a message that enough disks hold. The lock is held.
-func (s *Manager) settle(p *part, w *accepted) {
-	if !w.local || len(p.replicas) < s.Backups || p.waiting[w.record.ID] != w {
+func (s *Manager) confirmLocked(p *partition, w *pendingAccept) {
+	if !w.onLocalDisk || len(p.replicas) < s.Backups || p.unconfirmed[w.record.ID] != w {
 		return
 	}
 	for _, r := range p.replicas {
-		if !w.remote[r.disk] {
+		if !w.onBackupDisk[r.disk] {
 			return
 		}
 	}
-	delete(p.waiting, w.record.ID)
+	delete(p.unconfirmed, w.record.ID)
 	close(w.done)
 	if r := p.records[w.record.ID]; r != nil && r.State == Pending {
-		s.emit(Event{Partition: p.number, Records: []*Record{r}})
+		s.emitLocked(Event{Partition: p.number, Records: []*Record{r}})
 	}
 }
 
@@ -134,19 +134,19 @@
 func (s *Manager) Finish(n int, id string, state State, seal string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.parts[n]
+	p := s.partitions[n]
 	r := p.records[id]
 	if r == nil || r.State != Pending {
 		return
 	}
-	end := r.ended(state, seal, s.Now()+s.StateRetention.Milliseconds())
+	end := r.outcome(state, seal, s.Now()+s.StateRetention.Milliseconds())
 	if p.primary == s.Self {
-		s.change(p, end, nil)
+		s.commitLocked(p, end, nil)
 		return
 	}
 	// Not the primary any more: what is known is kept and told when asked.
 	p.sequence++
 	end.Sequence, end.Epoch = p.sequence, r.Epoch
-	s.put(p, end)
-	s.write(p, end, nil)
+	s.putLocked(p, end)
+	s.writeLocked(p, end, nil)
 }
--- a/internal/partition/disk.go
+++ b/internal/partition/disk.go
@@ -19,23 +19,23 @@
 var (
 	bucketRecords = []byte("records")
 	bucketMeta    = []byte("meta")
-	keyMark       = []byte("mark")
+	keyActivity       = []byte("mark")
 )
 
 // disk is the file of a store. One writer groups all that waits into one
 // transaction.
-type disk struct {
+type storage struct {
 	db       *bbolt.DB
 	identity string
-	marked   time.Time // the last mark of an earlier life
+	lastActivity   time.Time // the last mark of an earlier life
 
 	mu      sync.Mutex
 	queue   []change
 	wake    chan struct{}
-	busy    bool          // a batch is taken and not yet on disk
-	after   []func()      // to be called once it is
-	began   time.Time     // of the write under way; zero if there is none
-	usual   time.Duration // smoothed time of a write
+	writing    bool          // a batch is taken and not yet on disk
+	afterWrite   []func()      // to be called once it is
+	writeStarted   time.Time     // of the write under way; zero if there is none
+	writeTime   time.Duration // smoothed time of a write
 	refused error         // of the last write, if the disk did not take it
 }
 
@@ -48,9 +48,9 @@
 
 // openDisk opens the file in dir. A damaged one is moved aside: the copies on
 // the other stores fill a new one. One that the disk can't read is left alone.
-func openDisk(dir string, warn func(format string, args ...any)) (*disk, []*Record, FencingEpochs, error) {
+func openStorage(dir string, warn func(format string, args ...any)) (*storage, []*Record, fencingEpochs, error) {
 	path := filepath.Join(dir, "store.db")
-	d, records, fence, err := tryDisk(path)
+	d, records, fence, err := readStorage(path)
 	if !errors.Is(err, boltstore.ErrDamaged) {
 		return d, records, fence, err
 	}
@@ -59,19 +59,19 @@
 		return nil, nil, nil, errors.Join(err, moved)
 	}
 	warn("disk: %s is damaged, moved to %s: %v", path, aside, err)
-	return tryDisk(path)
+	return readStorage(path)
 }
 
 // Fence is the newest epoch seen of each partition.
-type FencingEpochs map[int]int64
+type fencingEpochs map[int]int64
 
-func tryDisk(path string) (d *disk, records []*Record, fence FencingEpochs, err error) {
+func readStorage(path string) (d *storage, records []*Record, fence fencingEpochs, err error) {
 	db, err := boltstore.OpenDatabase(path)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	d = &disk{db: db, wake: make(chan struct{}, 1)}
-	fence = FencingEpochs{}
+	d = &storage{db: db, wake: make(chan struct{}, 1)}
+	fence = fencingEpochs{}
 	read := func(tx *bbolt.Tx) error {
 		b, err := tx.CreateBucketIfNotExists(bucketRecords)
 		if err != nil {
@@ -89,8 +89,8 @@
 				return err
 			}
 		}
-		if ms, err := strconv.ParseInt(string(m.Get(keyMark)), 10, 64); err == nil {
-			d.marked = time.UnixMilli(ms)
+		if ms, err := strconv.ParseInt(string(m.Get(keyActivity)), 10, 64); err == nil {
+			d.lastActivity = time.UnixMilli(ms)
 		}
 		if raw := m.Get([]byte("fence")); raw != nil {
 			if err := json.Unmarshal(raw, &fence); err != nil {
@@ -98,7 +98,7 @@
 			}
 		}
 		return b.ForEach(func(k, v []byte) error {
-			r, err := decode(k, v)
+			r, err := decodeRecord(k, v)
 			if err != nil {
 				return fmt.Errorf("%w: %w", boltstore.ErrDamaged, err)
 			}
@@ -122,7 +122,7 @@
 // used is the size of the file without its free pages. All of it is asked in a
 // transaction: outside of one the writer may be mapping the file anew, and a
 // look at the map ends the process.
-func (d *disk) used() int64 {
+func (d *storage) usedBytes() int64 {
 	var size int64
 	_ = d.db.View(func(tx *bbolt.Tx) error {
 		st := tx.DB().Stats()
@@ -132,7 +132,7 @@
 	return size
 }
 
-func (d *disk) put(c change) {
+func (d *storage) put(c change) {
 	d.mu.Lock()
 	d.queue = append(d.queue, c)
 	d.mu.Unlock()
@@ -144,13 +144,13 @@
 
 // synced calls done once all that was put before is on disk: at once where
 // nothing waits.
-func (d *disk) synced(done func()) {
+func (d *storage) afterSync(done func()) {
 	d.mu.Lock()
 	switch {
 	case len(d.queue) > 0:
 		d.queue = append(d.queue, change{done: done})
-	case d.busy:
-		d.after = append(d.after, done)
+	case d.writing:
+		d.afterWrite = append(d.afterWrite, done)
 	default:
 		defer done()
 	}
@@ -158,7 +158,7 @@
 }
 
 // refuses tells whether the last write was refused, as by a full disk.
-func (d *disk) refuses() bool {
+func (d *storage) refuses() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.refused != nil
@@ -166,31 +166,31 @@
 
 // health tells what is wrong with the disk: a write that is under way for too
 // long, writes that have been slow of late, or one that was refused.
-func (d *disk) health(most, usual time.Duration) error {
+func (d *storage) health(most, usual time.Duration) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	age := time.Duration(0)
-	if !d.began.IsZero() {
-		age = time.Since(d.began)
+	if !d.writeStarted.IsZero() {
+		age = time.Since(d.writeStarted)
 	}
 	switch {
 	case d.refused != nil:
 		return fmt.Errorf("the disk refuses writes: %w", d.refused)
 	case age > most:
 		return fmt.Errorf("the disk has not answered for %v", age.Round(time.Millisecond))
-	case d.usual > usual:
-		return fmt.Errorf("the disk takes %v for a write", d.usual.Round(time.Millisecond))
+	case d.writeTime > usual:
+		return fmt.Errorf("the disk takes %v for a write", d.writeTime.Round(time.Millisecond))
 	}
 	return nil
 }
 
 // run writes until ctx ends and nothing is left to write. What the disk
 // refuses is tried again: the messages wait, and nothing is told of them.
-func (d *disk) run(ctx context.Context, pause time.Duration, warn func(format string, args ...any)) error {
+func (d *storage) run(ctx context.Context, pause time.Duration, warn func(format string, args ...any)) error {
 	for {
 		d.mu.Lock()
 		batch := d.queue
-		d.queue, d.busy = nil, len(batch) > 0
+		d.queue, d.writing = nil, len(batch) > 0
 		d.mu.Unlock()
 		if len(batch) == 0 {
 			select {
@@ -217,8 +217,8 @@
 		if d.refused != nil {
 			warn("disk: writes again")
 		}
-		after := d.after
-		d.refused, d.busy, d.after = nil, false, nil
+		after := d.afterWrite
+		d.refused, d.writing, d.afterWrite = nil, false, nil
 		d.mu.Unlock()
 		for _, c := range batch {
 			if c.done != nil {
@@ -232,15 +232,15 @@
 }
 
 // commit makes one transaction of a batch.
-func (d *disk) commit(batch []change) error {
+func (d *storage) commit(batch []change) error {
 	began := time.Now()
 	d.mu.Lock()
-	d.began = began
+	d.writeStarted = began
 	d.mu.Unlock()
 	defer func() {
 		d.mu.Lock()
-		d.began = time.Time{}
-		d.usual += (time.Since(began) - d.usual) / 4
+		d.writeStarted = time.Time{}
+		d.writeTime += (time.Since(began) - d.writeTime) / 4
 		d.mu.Unlock()
 	}()
 	return d.db.Update(func(tx *bbolt.Tx) error {
--- a/internal/partition/handover.go
+++ b/internal/partition/handover.go
@@ -11,11 +11,11 @@
 func (s *Manager) Freeze(ctx context.Context, want map[int]int64, idle func(n int) bool) map[int]int64 {
 	out := map[int]int64{}
 	s.mu.Lock()
-	s.freezes++
-	freeze := s.freezes
+	s.handovers++
+	freeze := s.handovers
 	for n, epoch := range want {
-		if n < len(s.parts) && s.parts[n].epoch == epoch && s.parts[n].primary == s.Self {
-			s.parts[n].frozen, s.parts[n].freeze = true, freeze
+		if n < len(s.partitions) && s.partitions[n].epoch == epoch && s.partitions[n].primary == s.Self {
+			s.partitions[n].deliveriesStopped, s.partitions[n].handover = true, freeze
 		} else {
 			delete(want, n)
 		}
@@ -25,22 +25,22 @@
 	for len(want) > 0 && ctx.Err() == nil {
 		s.mu.Lock()
 		for n, epoch := range want {
-			p := s.parts[n]
+			p := s.partitions[n]
 			switch {
 			case p.epoch != epoch:
 				delete(want, n)
-			case !p.closed && idle(n):
-				p.closed = true
+			case !p.acceptsStopped && idle(n):
+				p.acceptsStopped = true
 				for _, r := range p.replicas {
-					s.wakeLink(r.store)
+					s.wakeReplicatorLocked(r.store)
 				}
-			case p.closed && p.given():
+			case p.acceptsStopped && p.released():
 				out[n] = epoch
 				delete(want, n)
 			}
 		}
 		s.mu.Unlock()
-		if len(want) == 0 || len(out) > 0 && len(want) > 0 && s.patience(want) {
+		if len(want) == 0 || len(out) > 0 && len(want) > 0 && s.noneStoppedAccepting(want) {
 			break
 		}
 		select {
@@ -48,17 +48,17 @@
 		case <-time.After(step):
 		}
 	}
-	s.thaw(freeze, out, s.ContactTimeout/4) // longer than the steward relies on it
-	s.thaw(freeze, want, 0)
+	s.resumeAfter(freeze, out, s.ContactTimeout/4) // longer than the steward relies on it
+	s.resumeAfter(freeze, want, 0)
 	return out
 }
 
 // given tells whether all backups that may succeed hold everything and took
 // the lease back. One that answered may be in step by now, though the news of
 // it are still on their way here.
-func (p *part) given() bool {
+func (p *partition) released() bool {
 	for _, r := range p.replicas {
-		if r.mayLead() && (len(r.dirty) > 0 || !r.released) {
+		if r.mayBecomePrimary() && (len(r.unreplicated) > 0 || !r.leaseReleased) {
 			return false
 		}
 	}
@@ -67,11 +67,11 @@
 
 // patience tells whether what is left is far from ready: some deliveries take
 // long, and the partitions that are ready do not wait for them.
-func (s *Manager) patience(want map[int]int64) bool {
+func (s *Manager) noneStoppedAccepting(want map[int]int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for n := range want {
-		if s.parts[n].closed {
+		if s.partitions[n].acceptsStopped {
 			return false
 		}
 	}
@@ -80,7 +80,7 @@
 
 // thaw lets partitions go on that are still led here after a while, unless they
 // were asked for again: the steward may rely on that answer for longer.
-func (s *Manager) thaw(freeze int64, list map[int]int64, after time.Duration) {
+func (s *Manager) resumeAfter(freeze int64, list map[int]int64, after time.Duration) {
 	if len(list) == 0 {
 		return
 	}
@@ -88,13 +88,13 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for n, epoch := range list {
-			if p := s.parts[n]; p.epoch == epoch && p.frozen && p.freeze == freeze {
-				p.frozen, p.closed = false, false
+			if p := s.partitions[n]; p.epoch == epoch && p.deliveriesStopped && p.handover == freeze {
+				p.deliveriesStopped, p.acceptsStopped = false, false
 				for _, r := range p.replicas {
-					r.released = false
+					r.leaseReleased = false
 				}
-				close(p.moved)
-				p.moved = make(chan struct{})
+				close(p.changed)
+				p.changed = make(chan struct{})
 			}
 		}
 	})
--- a/internal/partition/partition_bench_test.go
+++ b/internal/partition/partition_bench_test.go
@@ -36,7 +36,7 @@
 	b.Run("decode", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			if _, err := decode(key(0, r.ID), raw); err != nil {
+			if _, err := decodeRecord(recordKey(0, r.ID), raw); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -53,11 +53,11 @@
 			for b.Loop() {
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				p, s := &part{records: map[string]*Record{}}, &Manager{}
+				p, s := &partition{records: map[string]*Record{}}, &Manager{}
 				for i := range n {
 					r := message(i)
 					r.Body = make([]byte, size)
-					s.put(p, r)
+					s.putLocked(p, r)
 				}
 				runtime.GC()
 				runtime.ReadMemStats(&after)
@@ -96,12 +96,12 @@
 					share.Records = append(share.Records, r)
 					raw = append(raw, r.Body...)
 				}
-				batch.Parts = []PartitionBatch{share}
+				batch.Partitions = []PartitionBatch{share}
 				if _, err := s.HandleBatch(ctx, &batch, raw); err != nil {
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(s.disk.used())/float64(at), "file-B/message")
+			b.ReportMetric(float64(s.storage.usedBytes())/float64(at), "file-B/message")
 		})
 	}
 }
--- a/internal/partition/partition_test.go
+++ b/internal/partition/partition_test.go
@@ -24,22 +24,22 @@
 func TestTheLaterStateWinsWhereCopiesDiffer(t *testing.T) {
 	pending := &Record{State: Pending, Epoch: 9, Sequence: 9}
 	complete := &Record{State: Complete, Epoch: 1, Sequence: 1}
-	if pending.newer(complete) || !complete.newer(pending) || !pending.newer(nil) {
+	if pending.supersedes(complete) || !complete.supersedes(pending) || !pending.supersedes(nil) {
 		t.Error("an ended message runs again")
 	}
-	if !(&Record{Epoch: 2, Sequence: 1}).newer(&Record{Epoch: 1, Sequence: 5}) || pending.newer(pending) {
+	if !(&Record{Epoch: 2, Sequence: 1}).supersedes(&Record{Epoch: 1, Sequence: 5}) || pending.supersedes(pending) {
 		t.Error("the newer epoch does not win")
 	}
-	p, s := &part{records: map[string]*Record{}}, &Manager{}
-	s.put(p, &Record{ID: "a"})
-	before, held := p.digest, s.held
-	s.put(p, &Record{ID: "b", Sequence: 1, Body: make([]byte, 100)})
-	s.put(p, &Record{ID: "b", State: Complete, Sequence: 2})
-	if p.digest == before || p.count != 2 {
+	p, s := &partition{records: map[string]*Record{}}, &Manager{}
+	s.putLocked(p, &Record{ID: "a"})
+	before, held := p.checksum, s.memoryBytes
+	s.putLocked(p, &Record{ID: "b", Sequence: 1, Body: make([]byte, 100)})
+	s.putLocked(p, &Record{ID: "b", State: Complete, Sequence: 2})
+	if p.checksum == before || p.count != 2 {
 		t.Error("the digest does not tell the copies apart")
 	}
-	s.put(p, &Record{ID: "b", State: Forgotten, Sequence: 3})
-	if p.digest != before || p.count != 1 || p.sequence != 3 || s.held != held {
+	s.putLocked(p, &Record{ID: "b", State: Deleted, Sequence: 3})
+	if p.checksum != before || p.count != 1 || p.sequence != 3 || s.memoryBytes != held {
 		t.Error("a forgotten record is still counted")
 	}
 }
@@ -69,8 +69,8 @@
 		epoch int64
 		stale bool
 	}{{"other", 4, true}, {"third", 5, true}, {"other", 5, false}, {"third", 7, false}, {"other", 5, true}, {"third", 7, false}} {
-		out, err := s.HandleBatch(t.Context(), &BatchRequest{From: c.from, Parts: []PartitionBatch{{Number: 0, Epoch: c.epoch, Records: []*Record{{ID: "x", Epoch: c.epoch, Sequence: 1}}}}}, nil)
-		if err != nil || len(out.Parts) != 1 || out.Parts[0].Stale != c.stale {
+		out, err := s.HandleBatch(t.Context(), &BatchRequest{From: c.from, Partitions: []PartitionBatch{{Partition: 0, Epoch: c.epoch, Records: []*Record{{ID: "x", Epoch: c.epoch, Sequence: 1}}}}}, nil)
+		if err != nil || len(out.Partitions) != 1 || out.Partitions[0].Stale != c.stale {
 			t.Errorf("%+v: %+v %v", c, out, err)
 		}
 	}
@@ -86,7 +86,7 @@
 // only says nothing until its disk has it, whoever asks.
 func TestACopyAnswersOnlyForWhatIsOnDisk(t *testing.T) {
 	s := open(t)
-	tx, err := s.disk.db.Begin(true) // the disk hangs
+	tx, err := s.storage.db.Begin(true) // the disk hangs
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,10 +96,10 @@
 		_, err := s.HandleBatch(ctx, b, nil)
 		return err
 	}
-	if copied(&BatchRequest{From: "other", Parts: []PartitionBatch{{Epoch: 5, Records: []*Record{{ID: "x", Epoch: 5, Sequence: 1}}}}}, 50*time.Millisecond) == nil {
+	if copied(&BatchRequest{From: "other", Partitions: []PartitionBatch{{Epoch: 5, Records: []*Record{{ID: "x", Epoch: 5, Sequence: 1}}}}}, 50*time.Millisecond) == nil {
 		t.Error("a message is said to be on a disk that hangs")
 	}
-	next := &BatchRequest{From: "third", Parts: []PartitionBatch{{Epoch: 6}}}
+	next := &BatchRequest{From: "third", Partitions: []PartitionBatch{{Epoch: 6}}}
 	if copied(next, 50*time.Millisecond) == nil {
 		t.Error("the next primary is told of a message that is on no disk here")
 	}
@@ -115,11 +115,11 @@
 	s := open(t)
 	hour := time.Hour.Milliseconds()
 	now := s.Now()
-	_, err := s.HandleBatch(t.Context(), &BatchRequest{From: "other", Now: now + hour, Parts: []PartitionBatch{{Epoch: 5, Records: []*Record{{ID: "x", Sequence: 1, Due: now + hour + 2000, Expires: now + hour + 90000}}}}}, nil)
+	_, err := s.HandleBatch(t.Context(), &BatchRequest{From: "other", Now: now + hour, Partitions: []PartitionBatch{{Epoch: 5, Records: []*Record{{ID: "x", Sequence: 1, Due: now + hour + 2000, Expires: now + hour + 90000}}}}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := s.parts[0].records["x"]
+	r := s.partitions[0].records["x"]
 	if d := r.Due - now; d < 1900 || d > 3000 {
 		t.Errorf("due in %d ms, not 2000, behind a clock that is an hour ahead", d)
 	}
@@ -133,27 +133,27 @@
 	s.ApplyPlacement(placement.Placement{Version: 2, Stores: map[string]placement.Store{"me": {Disk: s.DiskID()}},
 		Partitions: []placement.Partition{{Epoch: 6, Primary: "me", Backups: []placement.Backup{{Store: "other"}}}}})
 	s.mu.Lock()
-	s.put(s.parts[0], &Record{ID: "z", Tenant: "a"})
+	s.putLocked(s.partitions[0], &Record{ID: "z", Tenant: "a"})
 	s.mu.Unlock()
 	if err := s.Accept(t.Context(), 0, &Record{ID: "z", Tenant: "b"}); rpc.StatusCode(err) != 409 {
 		t.Errorf("another tenant's id: %v", err)
 	}
-	s.disk.mu.Lock()
-	s.disk.refused = os.ErrClosed
-	s.disk.mu.Unlock()
+	s.storage.mu.Lock()
+	s.storage.refused = os.ErrClosed
+	s.storage.mu.Unlock()
 	if err := s.Accept(t.Context(), 0, &Record{ID: "y"}); rpc.StatusCode(err) != 421 {
 		t.Errorf("a disk that takes no writes: %v", err)
 	}
-	s.disk.mu.Lock()
-	s.disk.refused = nil
-	s.disk.mu.Unlock()
+	s.storage.mu.Lock()
+	s.storage.refused = nil
+	s.storage.mu.Unlock()
 	s.mu.Lock()
-	if s.parts[0].records["y"] != nil {
+	if s.partitions[0].records["y"] != nil {
 		t.Error("a message was taken for a disk that takes no writes")
 	}
 	s.MaxMemory = 1
-	s.held = 2
-	s.measure()
+	s.memoryBytes = 2
+	s.measureLocked()
 	s.mu.Unlock()
 	if err := s.Accept(t.Context(), 0, &Record{ID: "y"}); rpc.StatusCode(err) != 503 {
 		t.Errorf("a full store: %v", err)
@@ -162,13 +162,13 @@
 
 func TestADamagedFileIsMovedAsideAndNamed(t *testing.T) {
 	dir := t.TempDir()
-	d, records, _, err := openDisk(dir, t.Logf)
+	d, records, _, err := openStorage(dir, t.Logf)
 	if err != nil || len(records) != 0 {
 		t.Fatal(err)
 	}
 	identity := d.identity
 	d.db.Close()
-	if d, _, _, err = openDisk(dir, t.Logf); err != nil || d.identity != identity {
+	if d, _, _, err = openStorage(dir, t.Logf); err != nil || d.identity != identity {
 		t.Fatalf("opened again: %v", err)
 	}
 	d.db.Close()
@@ -184,7 +184,7 @@
 		t.Fatal(err)
 	}
 	warned := ""
-	d, _, _, err = openDisk(dir, func(format string, args ...any) { warned = format })
+	d, _, _, err = openStorage(dir, func(format string, args ...any) { warned = format })
 	if err != nil || d.identity == identity || !strings.Contains(warned, "damaged") {
 		t.Errorf("damaged file: %v, warned %q", err, warned)
 	}
@@ -204,15 +204,15 @@
 		outcomes, given  int
 	}{{true, true, 1, 0}, {true, false, 0, 0}, {true, true, 0, 1}, {false, false, 1, 1}} {
 		s.mu.Lock()
-		p := s.parts[0]
+		p := s.partitions[0]
 		r := p.replicas[0]
-		r.paired, r.released, r.dirty = c.paired, c.released, map[string]*Record{}
-		p.frozen, p.closed = true, true
+		r.connected, r.leaseReleased, r.unreplicated = c.paired, c.released, map[string]*Record{}
+		p.deliveriesStopped, p.acceptsStopped = true, true
 		for range c.outcomes {
-			r.dirty["x"] = &Record{ID: "x", State: Complete}
+			r.unreplicated["x"] = &Record{ID: "x", State: Complete}
 		}
-		given := p.given()
-		p.frozen, p.closed = false, false
+		given := p.released()
+		p.deliveriesStopped, p.acceptsStopped = false, false
 		s.mu.Unlock()
 		if given != (c.given == 1) {
 			t.Errorf("%+v: given %v", c, given)
@@ -221,7 +221,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	s.mu.Lock()
-	s.parts[0].replicas[0].paired = true
+	s.partitions[0].replicas[0].connected = true
 	s.mu.Unlock()
 	if out := s.Freeze(ctx, map[int]int64{0: 6}, idle); len(out) != 0 {
 		t.Errorf("handed over without an answer: %v", out)
@@ -231,15 +231,15 @@
 func TestALateBatchGivesNoLeaseBack(t *testing.T) {
 	s := open(t)
 	granted := func(number int64, release bool) bool {
-		b := &BatchRequest{From: "other", Number: number, Parts: []PartitionBatch{{Number: 0, Epoch: 5, Release: release}}}
-		if out, err := s.HandleBatch(t.Context(), b, nil); err != nil || out.Parts[0].Stale {
+		b := &BatchRequest{From: "other", Number: number, Partitions: []PartitionBatch{{Partition: 0, Epoch: 5, ReleaseLease: release}}}
+		if out, err := s.HandleBatch(t.Context(), b, nil); err != nil || out.Partitions[0].Stale {
 			t.Fatalf("batch %d: %+v %v", number, out, err)
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return time.Now().Before(s.parts[0].granted)
+		return time.Now().Before(s.partitions[0].leaseExpires)
 	}
-	const other = 7 * lives
+	const other = 7 * batchesPerIncarnation
 	for _, c := range []struct {
 		number        int64
 		release, want bool
@@ -269,7 +269,7 @@
 		frozen := func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			return s.parts[0].frozen && s.parts[0].closed
+			return s.partitions[0].deliveriesStopped && s.partitions[0].acceptsStopped
 		}
 		for _, which := range []string{"first", "second"} {
 			if out := s.Freeze(t.Context(), map[int]int64{0: 6}, func(int) bool { return true }); len(out) != 1 {
@@ -288,13 +288,13 @@
 }
 
 func TestADiskThatHangsOrSlowsDownIsIll(t *testing.T) {
-	d := &disk{}
+	d := &storage{}
 	for what, c := range map[string]struct {
 		began time.Time
 		usual time.Duration
 		ill   bool
 	}{"idle": {ill: false}, "writing": {time.Now(), time.Millisecond, false}, "hangs": {time.Now().Add(-time.Second), time.Millisecond, true}, "slow": {usual: 200 * time.Millisecond, ill: true}} {
-		d.began, d.usual = c.began, c.usual
+		d.writeStarted, d.writeTime = c.began, c.usual
 		if err := d.health(250*time.Millisecond, 80*time.Millisecond); (err != nil) != c.ill {
 			t.Errorf("%s: %v", what, err)
 		}
@@ -316,7 +316,7 @@
 	if err := os.Mkdir(filepath.Join(dir, "store.db"), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, _, err := openDisk(dir, t.Logf); err == nil {
+	if _, _, _, err := openStorage(dir, t.Logf); err == nil {
 		t.Error("opened a folder")
 	}
 	if left, _ := filepath.Glob(filepath.Join(dir, "*.damaged-*")); len(left) != 0 {
@@ -326,7 +326,7 @@
 
 // A store measures its file while the writer grows it or closes it.
 func TestAFileIsMeasuredWhileItGrowsAndCloses(t *testing.T) {
-	d, _, _, err := openDisk(t.TempDir(), t.Logf)
+	d, _, _, err := openStorage(t.TempDir(), t.Logf)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -335,7 +335,7 @@
 	tasks.Go(func() {
 		for i := range 64 {
 			value := bytes.Repeat([]byte{byte(i)}, 64<<10)
-			if err := d.commit([]change{{key: key(0, strconv.Itoa(i)), value: value}}); err != nil {
+			if err := d.commit([]change{{key: recordKey(0, strconv.Itoa(i)), value: value}}); err != nil {
 				t.Error(err)
 			}
 		}
@@ -344,10 +344,10 @@
 	})
 	most := int64(0)
 	for ctx.Err() == nil {
-		most = max(most, d.used())
+		most = max(most, d.usedBytes())
 	}
 	tasks.Wait()
-	if most < 1<<20 || d.used() != 0 {
-		t.Errorf("at most %d bytes were seen in use, %d after the end", most, d.used())
+	if most < 1<<20 || d.usedBytes() != 0 {
+		t.Errorf("at most %d bytes were seen in use, %d after the end", most, d.usedBytes())
 	}
 }
--- a/internal/partition/record.go
+++ b/internal/partition/record.go
@@ -20,7 +20,7 @@
 	Pending State = iota
 	Dead
 	Complete
-	Forgotten // past its time; the record goes away
+	Deleted // past its time; the record goes away
 )
 
 // Record is a message as a store holds it. Records that are shared between
@@ -47,7 +47,7 @@
 }
 
 // newer tells whether r is to replace old.
-func (r *Record) newer(old *Record) bool {
+func (r *Record) supersedes(old *Record) bool {
 	if old == nil {
 		return true
 	}
@@ -59,7 +59,7 @@
 
 // ended is the record that remains of a message that has ended. The body of a
 // dead letter is kept: it may be asked for.
-func (r *Record) ended(state State, seal string, expires int64) *Record {
+func (r *Record) outcome(state State, seal string, expires int64) *Record {
 	n := *r
 	n.State, n.Seal, n.Expires = state, seal, expires
 	if state != Dead {
@@ -69,18 +69,18 @@
 }
 
 // mark is a record's share of the digest of its partition.
-func (r *Record) mark() uint64 {
-	if r.State == Forgotten {
+func (r *Record) checksum() uint64 {
+	if r.State == Deleted {
 		return 0
 	}
 	return ring.Hash(r.ID, strconv.Itoa(int(r.State)))
 }
 
 // memory estimates what a record takes.
-func (r *Record) memory() int64 { return 400 + int64(len(r.Body)) }
+func (r *Record) memoryBytes() int64 { return 400 + int64(len(r.Body)) }
 
 // shift moves the times of a record from another machine's clock to this one's.
-func (r *Record) shift(ms int64) {
+func (r *Record) shiftTimes(ms int64) {
 	if r.Due != 0 {
 		r.Due += ms
 	}
@@ -89,7 +89,7 @@
 	}
 }
 
-func key(partition int, id string) []byte {
+func recordKey(partition int, id string) []byte {
 	return append(binary.BigEndian.AppendUint16(nil, uint16(partition)), id...)
 }
 
@@ -101,7 +101,7 @@
 	return append(append(front, '\n'), r.Body...)
 }
 
-func decode(k, v []byte) (*Record, error) {
+func decodeRecord(k, v []byte) (*Record, error) {
 	if len(k) < 3 {
 		return nil, fmt.Errorf("record key %x is too short", k)
 	}
--- a/internal/partition/repair.go
+++ b/internal/partition/repair.go
@@ -14,7 +14,7 @@
 // Digest asks a copy what it holds.
 type DigestRequest struct {
 	From   string `json:"from"`
-	Number int    `json:"n"`
+	Partition int    `json:"n"`
 	Epoch  int64  `json:"e"`
 }
 
@@ -27,16 +27,16 @@
 func (s *Manager) HandleDigest(_ context.Context, in *DigestRequest, _ []byte) (*DigestResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if in.Number < 0 || in.Number >= len(s.parts) {
-		return nil, moved(in.Number)
+	if in.Partition < 0 || in.Partition >= len(s.partitions) {
+		return nil, notPrimary(in.Partition)
 	}
 	// The news may come later: whoever asks under a newer epoch leads it.
-	if p := s.parts[in.Number]; in.From != "" && p.epoch < in.Epoch && p.primary == s.Self {
-		s.turn(p, placement.Partition{Epoch: in.Epoch, Primary: in.From})
-		s.writeFence()
+	if p := s.partitions[in.Partition]; in.From != "" && p.epoch < in.Epoch && p.primary == s.Self {
+		s.applyAssignmentLocked(p, placement.Partition{Epoch: in.Epoch, Primary: in.From})
+		s.writeEpochsLocked()
 	}
 	out := &DigestResponse{IDs: map[State][]string{}}
-	for id, r := range s.parts[in.Number].records {
+	for id, r := range s.partitions[in.Partition].records {
 		out.IDs[r.State] = append(out.IDs[r.State], id)
 	}
 	return out, nil
@@ -45,9 +45,9 @@
 // compare finds in what the copies of a partition differ and mends both; of a
 // store that is no backup it only takes what it lacks. It tells whether the
 // other one answered.
-func (s *Manager) compare(n int, epoch int64, backup string) bool {
+func (s *Manager) reconcile(n int, epoch int64, backup string) bool {
 	s.mu.Lock()
-	p := s.parts[n]
+	p := s.partitions[n]
 	addr := s.placement.Stores[backup].Address
 	s.mu.Unlock()
 	ctx, cancel := context.WithTimeout(s.ctx, s.ContactTimeout/2)
@@ -71,20 +71,20 @@
 	}
 	more := 0
 	if to := p.replica(backup); to != nil {
-		more = p.lacking(to, theirs)
+		more = p.queueMissing(to, theirs)
 	}
 	for id, state := range theirs {
 		if r := p.records[id]; r == nil || r.State < state {
 			wanted = append(wanted, id)
 		}
 	}
-	s.wakeLink(backup)
+	s.wakeReplicatorLocked(backup)
 	s.mu.Unlock()
 	if more+len(wanted) > 0 {
 		s.Log.Printf("repair: partition %d: %d records to %s, %d from it", n, more, backup, len(wanted))
 	}
 	if len(wanted) > 0 {
-		if err := s.fetch(ctx, n, backup, wanted); err != nil {
+		if err := s.fetchRecords(ctx, n, backup, wanted); err != nil {
 			s.Log.Printf("repair: partition %d: %v", n, err)
 		}
 	}
@@ -92,15 +92,15 @@
 }
 
 // lacking puts on a backup's list what it does not have, pending messages first.
-func (p *part) lacking(to *replica, theirs map[string]State) int {
+func (p *partition) queueMissing(to *replica, theirs map[string]State) int {
 	queued := map[string]bool{}
-	for _, id := range to.extra {
+	for _, id := range to.missing {
 		queued[id] = true
 	}
 	var pending, rest []string
 	for id, r := range p.records {
 		state, ok := theirs[id]
-		if (!ok || state < r.State) && !queued[id] && to.dirty[id] == nil {
+		if (!ok || state < r.State) && !queued[id] && to.unreplicated[id] == nil {
 			if r.State == Complete {
 				rest = append(rest, id)
 			} else {
@@ -108,13 +108,13 @@
 			}
 		}
 	}
-	to.extra = append(append(to.extra, pending...), rest...)
+	to.missing = append(append(to.missing, pending...), rest...)
 	return len(pending) + len(rest)
 }
 
 // Fetch asks a copy for records.
 type FetchRequest struct {
-	Number int      `json:"n"`
+	Partition int      `json:"n"`
 	IDs    []string `json:"ids"`
 }
 
@@ -126,13 +126,13 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if in.Number < 0 || in.Number >= len(s.parts) {
+	if in.Partition < 0 || in.Partition >= len(s.partitions) {
 		return httpwire.Problem(421, "no such partition here")
 	}
-	sh := PartitionBatch{Number: in.Number, Now: s.Now()}
+	sh := PartitionBatch{Partition: in.Partition, Now: s.Now()}
 	var raw []byte
 	for _, id := range in.IDs {
-		if x := s.parts[in.Number].records[id]; x != nil && len(raw) < 4*batchBytes {
+		if x := s.partitions[in.Partition].records[id]; x != nil && len(raw) < 4*maxBatchBytes {
 			sh.Records = append(sh.Records, x)
 			raw = append(raw, x.Body...)
 		}
@@ -145,9 +145,9 @@
 }
 
 // fetch takes records from a backup and makes them the primary's own.
-func (s *Manager) fetch(ctx context.Context, n int, backup string, ids []string) error {
+func (s *Manager) fetchRecords(ctx context.Context, n int, backup string, ids []string) error {
 	s.mu.Lock()
-	p := s.parts[n]
+	p := s.partitions[n]
 	epoch, addr := p.epoch, s.placement.Stores[backup].Address
 	s.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, s.ContactTimeout/8)
@@ -171,22 +171,22 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p.epoch != epoch || p.primary != s.Self {
-		return moved(n)
+		return notPrimary(n)
 	}
 	for _, r := range sh.Records {
 		if r.Length > len(raw) {
 			return &httpwire.Error{Step: "decode fetch", Peer: addr, Sent: true, Err: fmt.Errorf("the bodies are cut short")}
 		}
 		r.Partition = n
-		r.shift(s.Now() - sh.Now)
+		r.shiftTimes(s.Now() - sh.Now)
 		r.Body, raw = slices.Clone(raw[:r.Length]), raw[r.Length:]
 		old := p.records[r.ID]
 		if old != nil && r.State <= old.State {
 			continue
 		}
-		s.change(p, r, nil)
+		s.commitLocked(p, r, nil)
 		if r.State == Pending {
-			s.emit(Event{Partition: n, Records: []*Record{r}})
+			s.emitLocked(Event{Partition: n, Records: []*Record{r}})
 		}
 	}
 	return nil
--- a/internal/partition/set.go
+++ b/internal/partition/set.go
@@ -36,23 +36,23 @@
 	MaxDisk, MaxMemory int64
 	Backups            int // how many other stores must hold a message before it is taken
 
-	disk   *disk
+	storage   *storage
 	events chan struct{}
 
 	mu        sync.Mutex
 	placement placement.Placement
-	parts     []*part
+	partitions     []*partition
 	loaded    map[int][]*Record // read from disk before the placement is known
-	fence     FencingEpochs
-	before    FencingEpochs // as the last life left it
+	epochs     fencingEpochs
+	previousEpochs    fencingEpochs // as the last life left it
 	queue     []Event
-	links     map[string]*link
+	replicators     map[string]*replicator
 	ctx       context.Context // of what the set does on its own
 	stop      context.CancelFunc
 	started   time.Time
-	held      int64 // memory of the records, about
+	memoryBytes      int64 // memory of the records, about
 	full      bool
-	freezes   int64 // calls that froze partitions
+	handovers   int64 // calls that froze partitions
 	tasks     sync.WaitGroup
 }
 
@@ -61,48 +61,48 @@
 func (s *Manager) Now() int64 { return s.started.Add(time.Since(s.started)).UnixMilli() }
 
 // part is one partition on this store.
-type part struct {
+type partition struct {
 	number  int
 	epoch   int64
 	primary string
-	backs   bool // this store is a backup
+	isBackup   bool // this store is a backup
 
 	records  map[string]*Record
 	sequence int64
-	digest   uint64
+	checksum   uint64
 	count    int
 
 	// At the primary:
 	replicas []*replica
-	waiting  map[string]*accepted // accepted here, not yet certain
-	frozen   bool                 // no new deliveries
-	closed   bool                 // no new messages either
-	freeze   int64                // which call froze it last
-	moved    chan struct{}
+	unconfirmed  map[string]*pendingAccept // accepted here, not yet certain
+	deliveriesStopped   bool                 // no new deliveries
+	acceptsStopped   bool                 // no new messages either
+	handover   int64                // which call froze it last
+	changed    chan struct{}
 
 	// At the backup:
-	granted time.Time // the primary may deliver until then
-	batch   int64     // the newest that granted it or gave it back
+	leaseExpires time.Time // the primary may deliver until then
+	leaseBatch   int64     // the newest that granted it or gave it back
 }
 
 // replica is what the primary knows of one backup.
 type replica struct {
 	store, disk string
-	inStep      bool               // it may succeed
-	dirty       map[string]*Record // not yet there
-	extra       []string           // older records that it lacks
-	paired      bool               // it answered in this epoch
+	inSync      bool               // it may succeed
+	unreplicated       map[string]*Record // not yet there
+	missing       []string           // older records that it lacks
+	connected      bool               // it answered in this epoch
 	verified    bool               // it was seen to hold the same in this epoch
-	released    bool               // it took the lease back
-	lease       time.Time
-	compared    time.Time
-	reported    time.Time
+	leaseReleased    bool               // it took the lease back
+	leaseExpires       time.Time
+	lastCompared    time.Time
+	lastReported    time.Time
 }
 
 // mayLead tells whether the backup may succeed, as far as can be known here.
-func (r *replica) mayLead() bool { return r.inStep || r.paired }
+func (r *replica) mayBecomePrimary() bool { return r.inSync || r.connected }
 
-func (p *part) replica(store string) *replica {
+func (p *partition) replica(store string) *replica {
 	for _, r := range p.replicas {
 		if r.store == store {
 			return r
@@ -112,7 +112,7 @@
 }
 
 // verified tells whether all backups were seen to hold the same.
-func (p *part) verified() bool {
+func (p *partition) verified() bool {
 	for _, r := range p.replicas {
 		if !r.verified {
 			return false
@@ -126,13 +126,13 @@
 
 // Open reads the disk.
 func (s *Manager) Open(dir string) error {
-	d, records, fence, err := openDisk(dir, s.Log.Printf)
+	d, records, fence, err := openStorage(dir, s.Log.Printf)
 	if err != nil {
 		return err
 	}
-	s.disk, s.fence, s.before = d, fence, maps.Clone(fence)
+	s.storage, s.epochs, s.previousEpochs = d, fence, maps.Clone(fence)
 	s.events = make(chan struct{}, 1)
-	s.links = map[string]*link{}
+	s.replicators = map[string]*replicator{}
 	s.loaded = map[int][]*Record{}
 	for _, r := range records {
 		s.loaded[r.Partition] = append(s.loaded[r.Partition], r)
@@ -143,14 +143,14 @@
 }
 
 // Identity names the disk.
-func (s *Manager) DiskID() string { return s.disk.identity }
+func (s *Manager) DiskID() string { return s.storage.identity }
 
 // Run writes, replicates and sweeps until ctx ends.
 func (s *Manager) Run(ctx context.Context) error {
 	defer context.AfterFunc(ctx, s.stop)()
-	s.tasks.Go(func() { s.sweep(ctx) })
-	s.tasks.Go(func() { s.watch(ctx) })
-	err := s.disk.run(ctx, s.ContactTimeout/40, s.Log.Printf)
+	s.tasks.Go(func() { s.deleteExpired(ctx) })
+	s.tasks.Go(func() { s.monitorDisk(ctx) })
+	err := s.storage.run(ctx, s.ContactTimeout/40, s.Log.Printf)
 	s.tasks.Wait()
 	return err
 }
@@ -165,7 +165,7 @@
 	return out, s.events
 }
 
-func (s *Manager) emit(e Event) {
+func (s *Manager) emitLocked(e Event) {
 	s.queue = append(s.queue, e)
 	select {
 	case s.events <- struct{}{}:
@@ -174,43 +174,43 @@
 }
 
 // put makes a record the newest of its id. The lock is held.
-func (s *Manager) put(p *part, r *Record) {
+func (s *Manager) putLocked(p *partition, r *Record) {
 	if old := p.records[r.ID]; old != nil {
-		p.digest ^= old.mark()
+		p.checksum ^= old.checksum()
 		p.count--
-		s.held -= old.memory()
+		s.memoryBytes -= old.memoryBytes()
 	}
 	p.sequence = max(p.sequence, r.Sequence)
-	if r.State == Forgotten {
+	if r.State == Deleted {
 		delete(p.records, r.ID)
 		return
 	}
 	p.records[r.ID] = r
-	p.digest ^= r.mark()
+	p.checksum ^= r.checksum()
 	p.count++
-	s.held += r.memory()
+	s.memoryBytes += r.memoryBytes()
 }
 
 // write puts a record on disk. The lock is held.
-func (s *Manager) write(p *part, r *Record, done func()) {
-	c := change{key: key(p.number, r.ID), done: done}
-	if r.State != Forgotten {
+func (s *Manager) writeLocked(p *partition, r *Record, done func()) {
+	c := change{key: recordKey(p.number, r.ID), done: done}
+	if r.State != Deleted {
 		c.value = r.encode()
 	}
-	s.disk.put(c)
+	s.storage.put(c)
 }
 
 // change makes a change as the primary: it gets the next sequence number and
 // goes to the disk and the backup. The lock is held.
-func (s *Manager) change(p *part, r *Record, done func()) {
+func (s *Manager) commitLocked(p *partition, r *Record, done func()) {
 	p.sequence++
 	r.Sequence, r.Epoch, r.Length = p.sequence, p.epoch, len(r.Body)
-	s.put(p, r)
-	s.write(p, r, done)
+	s.putLocked(p, r)
+	s.writeLocked(p, r, done)
 	for _, x := range p.replicas {
-		x.dirty[r.ID] = r
+		x.unreplicated[r.ID] = r
 		if r.State == Pending {
-			s.wakeLink(x.store)
+			s.wakeReplicatorLocked(x.store)
 		}
 	}
 }
@@ -223,23 +223,23 @@
 		return
 	}
 	s.placement = next
-	mine, turned := next.Stores[s.Self].Disk == s.disk.identity, false
+	mine, turned := next.Stores[s.Self].Disk == s.storage.identity, false
 	for i, x := range next.Partitions {
-		if i >= len(s.parts) {
-			p := &part{number: i, records: map[string]*Record{}, waiting: map[string]*accepted{},
-				moved: make(chan struct{}), granted: s.started.Add(s.LeaseDuration()), epoch: s.fence[i]}
+		if i >= len(s.partitions) {
+			p := &partition{number: i, records: map[string]*Record{}, unconfirmed: map[string]*pendingAccept{},
+				changed: make(chan struct{}), leaseExpires: s.started.Add(s.LeaseDuration()), epoch: s.epochs[i]}
 			for _, r := range s.loaded[i] {
-				s.put(p, r)
+				s.putLocked(p, r)
 			}
 			delete(s.loaded, i)
-			s.parts = append(s.parts, p)
+			s.partitions = append(s.partitions, p)
 		}
-		p := s.parts[i]
+		p := s.partitions[i]
 		if x.Epoch < p.epoch || x.Epoch == p.epoch && p.primary != "" {
 			if x.Epoch == p.epoch {
 				for _, b := range x.Backups {
 					if r := p.replica(b.Store); r != nil {
-						r.inStep = b.InSync
+						r.inSync = b.InSync
 					}
 				}
 			}
@@ -248,47 +248,47 @@
 		if !mine {
 			x.Primary, x.Backups = "", nil
 		}
-		s.turn(p, x)
+		s.applyAssignmentLocked(p, x)
 		turned = true
 	}
 	if turned {
-		s.writeFence()
+		s.writeEpochsLocked()
 	}
-	for _, l := range s.links {
-		l.nudge()
+	for _, l := range s.replicators {
+		l.wake()
 	}
 }
 
 // writeFence puts the newest epochs on disk, ahead of what is taken under them.
 // The lock is held.
-func (s *Manager) writeFence() {
-	s.disk.put(change{key: []byte("fence"), value: encodeFence(s.fence), meta: true})
+func (s *Manager) writeEpochsLocked() {
+	s.storage.put(change{key: []byte("fence"), value: encodeEpochs(s.epochs), meta: true})
 }
 
 // turn changes the roles of a partition; the fence is to be written before the
 // lock is given up. The lock is held.
-func (s *Manager) turn(p *part, x placement.Partition) {
+func (s *Manager) applyAssignmentLocked(p *partition, x placement.Partition) {
 	led, former := p.primary == s.Self, p.primary
-	p.epoch, p.primary, p.backs = x.Epoch, x.Primary, x.Backup(s.Self) >= 0
-	p.frozen, p.closed = false, false
-	s.fence[p.number] = p.epoch
-	close(p.moved)
-	p.moved = make(chan struct{})
+	p.epoch, p.primary, p.isBackup = x.Epoch, x.Primary, x.Backup(s.Self) >= 0
+	p.deliveriesStopped, p.acceptsStopped = false, false
+	s.epochs[p.number] = p.epoch
+	close(p.changed)
+	p.changed = make(chan struct{})
 	leads := p.primary == s.Self
 	before := p.replicas
 	p.replicas = nil
 	if leads {
 		for _, b := range x.Backups {
-			r := &replica{store: b.Store, disk: s.placement.Stores[b.Store].Disk, inStep: b.InSync, dirty: map[string]*Record{}}
+			r := &replica{store: b.Store, disk: s.placement.Stores[b.Store].Disk, inSync: b.InSync, unreplicated: map[string]*Record{}}
 			known := false
 			for _, old := range before {
 				if led && old.store == r.store && old.disk == r.disk { // what it lacks it still lacks
-					r.dirty, r.extra, known = old.dirty, old.extra, true
+					r.unreplicated, r.missing, known = old.unreplicated, old.missing, true
 				}
 			}
-			for id := range p.waiting { // what is not certain goes to a new one
+			for id := range p.unconfirmed { // what is not certain goes to a new one
 				if !known {
-					r.dirty[id] = p.records[id]
+					r.unreplicated[id] = p.records[id]
 				}
 			}
 			p.replicas = append(p.replicas, r)
@@ -303,38 +303,38 @@
 			}
 		}
 		slices.SortFunc(pending, func(a, b *Record) int { return cmp.Compare(a.Order, b.Order) })
-		s.emit(Event{Partition: p.number, BecamePrimary: true, Records: pending})
+		s.emitLocked(Event{Partition: p.number, BecamePrimary: true, Records: pending})
 		if _, known := s.placement.Stores[former]; known && x.Backup(former) < 0 {
-			s.succeed(p, former)
+			s.recoverFromLocked(p, former)
 		}
 	case leads: // with fewer backups a message may be certain now
-		for _, w := range p.waiting {
-			s.settle(p, w)
+		for _, w := range p.unconfirmed {
+			s.confirmLocked(p, w)
 		}
 	case led:
-		p.granted = time.Time{}
-		for id := range p.waiting {
-			delete(p.waiting, id) // those who wait learn of it by the move
+		p.leaseExpires = time.Time{}
+		for id := range p.unconfirmed {
+			delete(p.unconfirmed, id) // those who wait learn of it by the move
 		}
-		s.emit(Event{Partition: p.number, LostPrimary: true})
+		s.emitLocked(Event{Partition: p.number, LostPrimary: true})
 	}
 	for _, r := range p.replicas {
-		s.startLink(r.store)
+		s.startReplicatorLocked(r.store)
 	}
 }
 
 // succeed takes over from a primary that was taken for dead: if it runs, it is
 // told to stop, and what it has done comes here before this store may deliver.
 // The lock is held.
-func (s *Manager) succeed(p *part, former string) {
-	n, epoch, granted := p.number, p.epoch, p.granted
+func (s *Manager) recoverFromLocked(p *partition, former string) {
+	n, epoch, granted := p.number, p.epoch, p.leaseExpires
 	s.tasks.Go(func() {
-		if !s.compare(n, epoch, former) {
+		if !s.reconcile(n, epoch, former) {
 			return
 		}
 		select { // what was under way there has ended by then
 		case <-time.After(time.Until(granted) - s.ContactTimeout/40):
-			s.compare(n, epoch, former)
+			s.reconcile(n, epoch, former)
 		case <-s.ctx.Done():
 		}
 	})
@@ -344,17 +344,17 @@
 func (s *Manager) MayDeliver(n int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n >= len(s.parts) {
+	if n >= len(s.partitions) {
 		return false
 	}
-	p := s.parts[n]
+	p := s.partitions[n]
 	now := time.Now()
-	if p.primary != s.Self || p.frozen || now.Before(p.granted) {
+	if p.primary != s.Self || p.deliveriesStopped || now.Before(p.leaseExpires) {
 		return false
 	}
 	// Each backup that may succeed must have let this store deliver.
 	for _, r := range p.replicas {
-		if r.mayLead() && !now.Before(r.lease) {
+		if r.mayBecomePrimary() && !now.Before(r.leaseExpires) {
 			return false
 		}
 	}
@@ -365,14 +365,14 @@
 func (s *Manager) IsPending(n int, id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.parts[n].records[id]
+	r := s.partitions[n].records[id]
 	return r != nil && r.State == Pending
 }
 
 // Mark notes on disk that this store acts just now, for what its next life may
 // take as time in which it did not.
 func (s *Manager) RecordActivity() {
-	s.disk.put(change{key: keyMark, value: strconv.AppendInt(nil, s.Now(), 10), meta: true})
+	s.storage.put(change{key: keyActivity, value: strconv.AppendInt(nil, s.Now(), 10), meta: true})
 }
 
 // Paused is how long this store did nothing before this life, if it leads a
@@ -380,20 +380,20 @@
 func (s *Manager) DowntimeOf(n int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n >= len(s.parts) || s.disk.marked.IsZero() || s.parts[n].primary != s.Self || s.parts[n].epoch != s.before[n] {
+	if n >= len(s.partitions) || s.storage.lastActivity.IsZero() || s.partitions[n].primary != s.Self || s.partitions[n].epoch != s.previousEpochs[n] {
 		return 0
 	}
-	return max(0, s.started.Sub(s.disk.marked))
+	return max(0, s.started.Sub(s.storage.lastActivity))
 }
 
 // Find gives the record of a message at its primary.
 func (s *Manager) Find(ctx context.Context, n int, id string) (*Record, error) {
 	s.mu.Lock()
-	if n < 0 || n >= len(s.parts) || s.parts[n].primary != s.Self {
+	if n < 0 || n >= len(s.partitions) || s.partitions[n].primary != s.Self {
 		s.mu.Unlock()
-		return nil, moved(n)
+		return nil, notPrimary(n)
 	}
-	p := s.parts[n]
+	p := s.partitions[n]
 	r := p.records[id]
 	var backups []string
 	for _, x := range p.replicas {
@@ -406,7 +406,7 @@
 			break
 		}
 		// A read mends: another copy may hold what this one lacks.
-		if err := s.fetch(ctx, n, b, []string{id}); err != nil {
+		if err := s.fetchRecords(ctx, n, b, []string{id}); err != nil {
 			last = err
 			continue
 		}
@@ -424,11 +424,11 @@
 }
 
 // Health tells what is wrong with the disk, if anything is.
-func (s *Manager) Health() error { return s.disk.health(s.ContactTimeout/16, s.ContactTimeout/50) }
+func (s *Manager) Health() error { return s.storage.health(s.ContactTimeout/16, s.ContactTimeout/50) }
 
 // watch reports this store itself when its disk fails, and writes now and then
 // while it does, so that it is noticed when the disk is well again.
-func (s *Manager) watch(ctx context.Context) {
+func (s *Manager) monitorDisk(ctx context.Context) {
 	tick := time.NewTicker(s.ContactTimeout / 40)
 	defer tick.Stop()
 	ill := false
@@ -441,7 +441,7 @@
 		err := s.Health()
 		if err != nil {
 			s.ReportFailure(s.Self, false)
-			s.disk.put(change{key: []byte("probe"), value: []byte{}, meta: true})
+			s.storage.put(change{key: []byte("probe"), value: []byte{}, meta: true})
 		}
 		if (err != nil) != ill {
 			ill = err != nil
@@ -451,17 +451,17 @@
 }
 
 // measure decides whether the store is full. The lock is held.
-func (s *Manager) measure() {
-	disk := s.disk.used()
-	full := s.MaxDisk > 0 && disk > s.MaxDisk || s.MaxMemory > 0 && s.held > s.MaxMemory
+func (s *Manager) measureLocked() {
+	disk := s.storage.usedBytes()
+	full := s.MaxDisk > 0 && disk > s.MaxDisk || s.MaxMemory > 0 && s.memoryBytes > s.MaxMemory
 	if full != s.full {
-		s.Log.Printf("store: full: %v, %d MB on disk, %d MB in memory", full, disk>>20, s.held>>20)
+		s.Log.Printf("store: full: %v, %d MB on disk, %d MB in memory", full, disk>>20, s.memoryBytes>>20)
 	}
 	s.full = full
 }
 
 // sweep forgets what is past its time.
-func (s *Manager) sweep(ctx context.Context) {
+func (s *Manager) deleteExpired(ctx context.Context) {
 	tick := time.NewTicker(s.ContactTimeout / 4)
 	defer tick.Stop()
 	for {
@@ -472,14 +472,14 @@
 		}
 		now := s.Now()
 		s.mu.Lock()
-		s.measure()
-		for _, p := range s.parts {
+		s.measureLocked()
+		for _, p := range s.partitions {
 			if p.primary != s.Self {
 				continue
 			}
 			for _, r := range p.records {
 				if r.State != Pending && r.Expires < now {
-					s.change(p, &Record{ID: r.ID, Partition: p.number, State: Forgotten}, nil)
+					s.commitLocked(p, &Record{ID: r.ID, Partition: p.number, State: Deleted}, nil)
 				}
 			}
 		}
@@ -491,7 +491,7 @@
 func (s *Manager) Count() (all, pending int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, p := range s.parts {
+	for _, p := range s.partitions {
 		for _, r := range p.records {
 			all++
 			if r.State == Pending {
@@ -518,7 +518,7 @@
 func (s *Manager) IsPrimaryOfAny() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, p := range s.parts {
+	for _, p := range s.partitions {
 		if p.primary == s.Self {
 			return true
 		}
