--- a/internal/partition/accept.go
+++ b/internal/partition/accept.go
@@ -2,151 +2,171 @@
 
 import (
 	"context"
-	"fmt"
 	"time"
-
-	"saltreel/internal/rpc"
 )
 
-// accepted is a message on its way to the disks.
+// pendingAccept is a message that the disks of this store and of all backups are
+// to confirm.
 type pendingAccept struct {
-	record *Record
+	record       *Record
 	onLocalDisk  bool
-	onBackupDisk map[string]bool // by the disk of a backup
-	done   chan struct{}
-}
-
-// errors of an accept.
-func notPrimary(n int) error {
-	return &rpc.StatusError{Code: 421, Text: fmt.Sprintf("partition %d is not led here", n)}
+	onBackupDisk map[string]bool // by the identity of the disk
+	done         chan struct{}   // closed once it is confirmed
 }
 
-// unclear is the answer when a message may have been taken.
-func unconfirmed(n int) error {
-	return &rpc.StatusError{Code: 504, Text: fmt.Sprintf("partition %d: too few stores answered in time", n)}
+// acceptWait is what an accept waits for, outside of the lock. Any of the
+// channels may be nil.
+type acceptWait struct {
+	confirmed   <-chan struct{} // closed: the message is accepted
+	changed     <-chan struct{} // closed: look again
+	retryAfter  time.Duration   // look again then; 0 means never
+	mayBeStored bool            // some disk may have the message
 }
 
-// Accept takes a message: it returns nil once it is on as many disks as may be
-// lost, and one more. After a 421
-// or a 503 it is certain that it was not taken; any other error is unclear.
-func (s *Manager) Accept(ctx context.Context, n int, r *Record) error {
-	logged := false
+// Accept stores a message. It returns nil once the disks of the primary and of
+// all backups, Config.Backups or more, hold it. An *UnconfirmedError says that it
+// may have been stored; after any other error it was not stored.
+func (m *Manager) Accept(ctx context.Context, n int, r *Record) error {
+	mayBeStored := false
 	for {
-		s.mu.Lock()
-		if n < 0 || n >= len(s.partitions) || s.partitions[n].primary != s.Self {
-			s.mu.Unlock()
-			if logged {
-				return unconfirmed(n)
-			}
-			return notPrimary(n)
-		}
-		p := s.partitions[n]
-		gone := p.changed
-		if p.acceptsStopped && p.records[r.ID] == nil {
-			s.mu.Unlock()
-			select {
-			case <-gone:
-				continue
-			case <-ctx.Done():
-				if logged {
-					return unconfirmed(n)
-				}
-				return notPrimary(n)
-			}
+		wait, err := m.tryAccept(n, r, mayBeStored)
+		if err != nil {
+			return err
 		}
-		if old := p.records[r.ID]; old != nil && old.Tenant != r.Tenant {
-			s.mu.Unlock()
-			return &rpc.StatusError{Code: 409, Text: "another tenant's message has this id"}
+		mayBeStored = mayBeStored || wait.mayBeStored
+		var retry <-chan time.Time
+		if wait.retryAfter > 0 {
+			retry = time.After(wait.retryAfter)
 		}
-		w := p.unconfirmed[r.ID]
-		if p.records[r.ID] != nil && w == nil { // taken before
-			certain := len(p.replicas) >= s.Backups && p.verified()
-			here := make(chan struct{})
-			if certain { // but it may not be on this disk yet
-				s.storage.afterSync(func() { close(here) })
-			}
-			s.mu.Unlock()
-			logged = true
-			select { // until the backups are seen to hold it too
-			case <-here:
-				return nil
-			case <-time.After(s.ContactTimeout / 200):
-				continue
-			case <-ctx.Done():
-				return unconfirmed(n)
-			}
-		}
-		if w == nil {
-			if len(p.replicas) < s.Backups {
-				s.mu.Unlock()
-				return &rpc.StatusError{Code: 503, Text: fmt.Sprintf("partition %d has %d backups, %d are needed", n, len(p.replicas), s.Backups)}
-			}
-			if s.storage.refuses() { // others lead soon: worth waiting for
-				s.mu.Unlock()
-				return &rpc.StatusError{Code: 421, Text: "this store's disk takes no writes"}
-			}
-			if s.full {
-				s.mu.Unlock()
-				return &rpc.StatusError{Code: 503, Text: "this store is full"}
-			}
-			r.Partition = n
-			r.Order = p.sequence + 1
-			w = &pendingAccept{record: r, onBackupDisk: map[string]bool{}, done: make(chan struct{})}
-			p.unconfirmed[r.ID] = w
-			s.commitLocked(p, r, func() {
-				s.mu.Lock()
-				defer s.mu.Unlock()
-				w.onLocalDisk = true
-				s.confirmLocked(p, w)
-			})
-		}
-		logged = true
-		s.mu.Unlock()
 		select {
-		case <-w.done:
+		case <-wait.confirmed:
 			return nil
-		case <-gone:
-			// The same message may be in the new epoch: look again.
+		case <-wait.changed: // the message may be in the new epoch
+		case <-retry:
 		case <-ctx.Done():
-			return unconfirmed(n)
+			return notAccepted(n, mayBeStored)
 		}
 	}
 }
 
-// settle ends the wait of a message that enough disks hold. The lock is held.
-func (s *Manager) confirmLocked(p *partition, w *pendingAccept) {
-	if !w.onLocalDisk || len(p.replicas) < s.Backups || p.unconfirmed[w.record.ID] != w {
-		return
+// notAccepted is the error of an accept that ends without a confirmation.
+func notAccepted(n int, mayBeStored bool) error {
+	if mayBeStored {
+		return &UnconfirmedError{n}
+	}
+	return &NotPrimaryError{n}
+}
+
+// tryAccept stores a message, unless it is stored already or cannot be now, and
+// returns what to wait for.
+func (m *Manager) tryAccept(n int, r *Record, mayBeStored bool) (acceptWait, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.isPrimaryLocked(n) {
+		return acceptWait{}, notAccepted(n, mayBeStored)
+	}
+	p := m.partitions[n]
+	stored, accept := p.records.byID[r.ID], p.unconfirmed[r.ID]
+	switch {
+	case stored == nil && p.handover.acceptsStopped:
+		return acceptWait{changed: p.changed}, nil
+	case stored != nil && stored.Tenant != r.Tenant:
+		return acceptWait{}, ErrIDConflict
+	case stored != nil && accept == nil:
+		return m.awaitVerificationLocked(p), nil
+	case accept == nil:
+		if err := m.checkAcceptLocked(p); err != nil {
+			return acceptWait{}, err
+		}
+		accept = m.startAcceptLocked(p, r)
+	}
+	return acceptWait{confirmed: accept.done, changed: p.changed, mayBeStored: true}, nil
+}
+
+// awaitVerificationLocked is the wait for a message that was stored earlier: it
+// is accepted once all backups are known to hold the same records, and this disk
+// has what is in memory here.
+func (m *Manager) awaitVerificationLocked(p *partition) acceptWait {
+	wait := acceptWait{retryAfter: m.timing.verificationPoll(), mayBeStored: true}
+	if len(p.replicas) >= m.config.Backups && p.allVerified() {
+		onDisk := make(chan struct{})
+		m.storage.afterSync(func() { close(onDisk) })
+		wait.confirmed = onDisk
+	}
+	return wait
+}
+
+// checkAcceptLocked is the reason why the partition takes no new message now.
+func (m *Manager) checkAcceptLocked(p *partition) error {
+	switch {
+	case len(p.replicas) < m.config.Backups:
+		return &TooFewBackupsError{p.number, len(p.replicas), m.config.Backups}
+	case m.storage.refusesWrites():
+		return ErrDiskRefusesWrites
+	case m.usage.full:
+		return ErrStoreFull
+	}
+	return nil
+}
+
+// startAcceptLocked sends a message to this disk and to the backups.
+func (m *Manager) startAcceptLocked(p *partition, r *Record) *pendingAccept {
+	r.Partition = p.number
+	r.Order = p.records.sequence + 1
+	accept := &pendingAccept{record: r, onBackupDisk: map[string]bool{}, done: make(chan struct{})}
+	p.unconfirmed[r.ID] = accept
+	m.commitLocked(p, r, func() {
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		accept.onLocalDisk = true
+		m.confirmLocked(p, accept)
+	})
+	return accept
+}
+
+// isConfirmed reports whether enough disks hold a message that waits for them.
+func (p *partition) isConfirmed(accept *pendingAccept, backups int) bool {
+	if !accept.onLocalDisk || len(p.replicas) < backups || p.unconfirmed[accept.record.ID] != accept {
+		return false
 	}
 	for _, r := range p.replicas {
-		if !w.onBackupDisk[r.disk] {
-			return
+		if !accept.onBackupDisk[r.disk] {
+			return false
 		}
 	}
-	delete(p.unconfirmed, w.record.ID)
-	close(w.done)
-	if r := p.records[w.record.ID]; r != nil && r.State == Pending {
-		s.emitLocked(Event{Partition: p.number, Records: []*Record{r}})
+	return true
+}
+
+// confirmLocked ends the wait for a message that enough disks hold, and gives it
+// to the delivery.
+func (m *Manager) confirmLocked(p *partition, accept *pendingAccept) {
+	if !p.isConfirmed(accept, m.config.Backups) {
+		return
+	}
+	id := accept.record.ID
+	delete(p.unconfirmed, id)
+	close(accept.done)
+	if p.records.isPending(id) {
+		m.events.push(Event{Partition: p.number, Records: []*Record{p.records.byID[id]}})
 	}
 }
 
-// Finish writes how a message ended.
-func (s *Manager) Finish(n int, id string, state State, seal string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	p := s.partitions[n]
-	r := p.records[id]
-	if r == nil || r.State != Pending {
+// Finish stores the outcome of a message: Complete or Dead.
+func (m *Manager) Finish(n int, id string, state State, seal string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	p := m.partitions[n]
+	if !p.records.isPending(id) {
 		return
 	}
-	end := r.outcome(state, seal, s.Now()+s.StateRetention.Milliseconds())
-	if p.primary == s.Self {
-		s.commitLocked(p, end, nil)
+	r := p.records.byID[id]
+	outcome := r.outcome(state, seal, m.Now()+m.config.StateRetention.Milliseconds())
+	if m.leadsLocked(p) {
+		m.commitLocked(p, outcome, nil)
 		return
 	}
-	// Not the primary any more: what is known is kept and told when asked.
-	p.sequence++
-	end.Sequence, end.Epoch = p.sequence, r.Epoch
-	s.putLocked(p, end)
-	s.writeLocked(p, end, nil)
+	// This store is the primary no longer: the new one finds the outcome when it
+	// compares its records with those here.
+	outcome.Sequence, outcome.Epoch = p.records.sequence+1, r.Epoch
+	m.storeLocked(p, outcome, nil)
 }
--- /dev/null
+++ b/internal/partition/accept_test.go
@@ -0,0 +1,134 @@
+package partition
+
+import (
+	"context"
+	"errors"
+	"os"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"saltreel/internal/placement"
+)
+
+func TestPrimaryRefusesWhatItMustNotAccept(t *testing.T) {
+	m := startPrimary(t, placement.Backup{Store: "other"})
+	m.mu.Lock()
+	m.partitions[0].records.put(&Record{ID: "z", Tenant: "a"})
+	m.mu.Unlock()
+	if err := m.Accept(t.Context(), 0, &Record{ID: "z", Tenant: "b"}); !errors.Is(err, ErrIDConflict) || StatusCode(err) != 409 {
+		t.Errorf("another tenant's id: %v", err)
+	}
+	m.storage.mu.Lock()
+	m.storage.health.refused = os.ErrClosed
+	m.storage.mu.Unlock()
+	if err := m.Accept(t.Context(), 0, &Record{ID: "y"}); !errors.Is(err, ErrDiskRefusesWrites) || StatusCode(err) != 421 {
+		t.Errorf("a disk that refuses writes: %v", err)
+	}
+	m.storage.mu.Lock()
+	m.storage.health.refused = nil
+	m.storage.mu.Unlock()
+	m.mu.Lock()
+	if m.partitions[0].records.byID["y"] != nil {
+		t.Error("a message was stored for a disk that refuses writes")
+	}
+	m.config.MaxMemory = 1
+	m.usage.memoryBytes = 2
+	m.measureUsageLocked()
+	m.mu.Unlock()
+	if err := m.Accept(t.Context(), 0, &Record{ID: "y"}); !errors.Is(err, ErrStoreFull) || StatusCode(err) != 503 {
+		t.Errorf("a full store: %v", err)
+	}
+}
+
+func TestAcceptNeedsEnoughBackups(t *testing.T) {
+	m := startPrimary(t)
+	m.mu.Lock()
+	m.config.Backups = 1
+	m.mu.Unlock()
+	var tooFew *TooFewBackupsError
+	if err := m.Accept(t.Context(), 0, &Record{ID: "x"}); !errors.As(err, &tooFew) || *tooFew != (TooFewBackupsError{0, 0, 1}) {
+		t.Errorf("no backup: %v", err)
+	}
+}
+
+// Without a confirmation the error says whether the message may be stored.
+func TestAcceptWithoutConfirmationSaysWhetherItMayBeStored(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		m := startPrimary(t, placement.Backup{Store: "other"})
+		accept := func(id string) error {
+			ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
+			defer cancel()
+			return m.Accept(ctx, 0, &Record{ID: id})
+		}
+		var unconfirmed *UnconfirmedError
+		for _, which := range []string{"first", "second"} {
+			if err := accept("x"); !errors.As(err, &unconfirmed) {
+				t.Errorf("the %s accept, and the backup does not answer: %v", which, err)
+			}
+		}
+		m.mu.Lock()
+		m.partitions[0].handover.acceptsStopped = true
+		m.mu.Unlock()
+		var notPrimary *NotPrimaryError
+		if err := accept("y"); !errors.As(err, &notPrimary) {
+			t.Errorf("in a handover: %v", err)
+		}
+		if err := accept("x"); !errors.As(err, &unconfirmed) {
+			t.Errorf("in a handover, stored before: %v", err)
+		}
+	})
+}
+
+func TestAcceptIsConfirmedByThisDiskAndAllBackups(t *testing.T) {
+	accept := &pendingAccept{record: &Record{ID: "x"}}
+	for name, c := range map[string]struct {
+		local    bool
+		disks    []string
+		replicas []*replica
+		backups  int
+		waiting  bool
+		want     bool
+	}{
+		"all disks":          {true, []string{"d1", "d2"}, []*replica{{disk: "d1"}, {disk: "d2"}}, 2, true, true},
+		"not on this disk":   {false, []string{"d1"}, []*replica{{disk: "d1"}}, 1, true, false},
+		"one backup misses":  {true, []string{"d1"}, []*replica{{disk: "d1"}, {disk: "d2"}}, 1, true, false},
+		"a replaced disk":    {true, []string{"d1"}, []*replica{{disk: "d9"}}, 1, true, false},
+		"too few backups":    {true, []string{"d1"}, []*replica{{disk: "d1"}}, 2, true, false},
+		"no backups needed":  {true, nil, nil, 0, true, true},
+		"waits no longer":    {true, nil, nil, 0, false, false},
+		"one backup removed": {true, []string{"d1", "d2"}, []*replica{{disk: "d1"}}, 1, true, true},
+	} {
+		accept.onLocalDisk, accept.onBackupDisk = c.local, map[string]bool{}
+		for _, disk := range c.disks {
+			accept.onBackupDisk[disk] = true
+		}
+		p := &partition{replicas: c.replicas, unconfirmed: map[string]*pendingAccept{}}
+		if c.waiting {
+			p.unconfirmed["x"] = accept
+		}
+		if got := p.isConfirmed(accept, c.backups); got != c.want {
+			t.Errorf("%s: confirmed %v", name, got)
+		}
+	}
+}
+
+func TestUsageBounds(t *testing.T) {
+	for _, c := range []struct {
+		disk, memory, maxDisk, maxMemory int64
+		want                             bool
+	}{
+		{0, 0, 0, 0, false},
+		{9, 9, 0, 0, false},
+		{9, 0, 9, 0, false},
+		{10, 0, 9, 0, true},
+		{0, 9, 0, 9, false},
+		{0, 10, 0, 9, true},
+		{0, 10, 9, 0, false},
+	} {
+		u := usage{memoryBytes: c.memory}
+		if got := u.exceeds(c.disk, c.maxDisk, c.maxMemory); got != c.want {
+			t.Errorf("%+v: %v", c, got)
+		}
+	}
+}
--- /dev/null
+++ b/internal/partition/antientropy.go
@@ -0,0 +1,260 @@
+package partition
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+
+	"saltreel/internal/httpwire"
+	"saltreel/internal/placement"
+	"saltreel/internal/rpc"
+)
+
+// HandleDigest lists what is held here of a partition. It returns a
+// *NotPrimaryError if the partition is not known here.
+func (m *Manager) HandleDigest(_ context.Context, in *DigestRequest, _ []byte) (*DigestResponse, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.knowsLocked(in.Partition) {
+		return nil, &NotPrimaryError{in.Partition}
+	}
+	p := m.partitions[in.Partition]
+	// The placement may arrive later: who asks under a newer epoch is its primary.
+	if in.From != "" && p.epoch < in.Epoch && m.leadsLocked(p) {
+		m.applyAssignmentLocked(p, placement.Partition{Epoch: in.Epoch, Primary: in.From})
+		m.saveEpochsLocked()
+	}
+	out := &DigestResponse{IDs: map[State][]string{}}
+	for id, r := range p.records.byID {
+		out.IDs[r.State] = append(out.IDs[r.State], id)
+	}
+	return out, nil
+}
+
+// reconcile compares the records of a partition, which this store leads in the
+// given epoch, with those of another store, and exchanges what differs
+// (anti-entropy, Demers and others 1987). From a store that is no backup it only
+// takes what is missing here. It reports whether the other store answered.
+func (m *Manager) reconcile(n int, epoch int64, peer string) bool {
+	m.mu.Lock()
+	p, address := m.partitions[n], m.placement.Stores[peer].Address
+	m.mu.Unlock()
+	ctx, cancel := context.WithTimeout(m.background.ctx, m.timing.reconcileTimeout())
+	defer cancel()
+	var digest DigestResponse
+	request := DigestRequest{From: m.config.Self, Partition: n, Epoch: epoch}
+	if err := m.config.Client.Call(ctx, address, "/digest", request, nil, &digest); err != nil {
+		m.config.Log.Printf("repair: partition %d: %v", n, err)
+		return false
+	}
+	toSend, toFetch := m.compare(p, epoch, peer, digest)
+	if toSend+len(toFetch) > 0 {
+		m.config.Log.Printf("repair: partition %d: %d records to %s, %d from it", n, toSend, peer, len(toFetch))
+	}
+	if len(toFetch) > 0 {
+		if err := m.fetchRecords(ctx, n, peer, toFetch); err != nil {
+			m.config.Log.Printf("repair: partition %d: %v", n, err)
+		}
+	}
+	return true
+}
+
+// compare queues for a backup what it lacks, and returns how many records these
+// are and the identifiers of those to fetch. It does nothing if this store leads
+// the partition in that epoch no longer.
+func (m *Manager) compare(p *partition, epoch int64, peer string, digest DigestResponse) (toSend int, toFetch []string) {
+	theirs := digest.states()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.leadsInLocked(p, epoch) {
+		return 0, nil
+	}
+	if r := p.replica(peer); r != nil {
+		toSend = r.queueMissing(&p.records, theirs)
+	}
+	toFetch = p.records.lacking(theirs)
+	m.wakeReplicatorLocked(peer)
+	return toSend, toFetch
+}
+
+// states is the state of each record by its identifier.
+func (d *DigestResponse) states() map[string]State {
+	states := map[string]State{}
+	for state, ids := range d.IDs {
+		for _, id := range ids {
+			states[id] = state
+		}
+	}
+	return states
+}
+
+// lacking lists the records that are not here, or only in an earlier state.
+func (s *recordSet) lacking(theirs map[string]State) []string {
+	var lacking []string
+	for id, state := range theirs {
+		if r := s.byID[id]; r == nil || r.State < state {
+			lacking = append(lacking, id)
+		}
+	}
+	return lacking
+}
+
+// maxFetchBytes bounds the bodies in the answer to a FetchRequest.
+const maxFetchBytes = 4 * maxBatchBytes
+
+// HandleFetch answers a FetchRequest with the records that are here, as a
+// PartitionBatch and their bodies. What is over maxFetchBytes is left out.
+func (m *Manager) HandleFetch(_ context.Context, r *httpwire.Request) *httpwire.Response {
+	var in FetchRequest
+	if err := json.Unmarshal(r.Body, &in); err != nil {
+		return httpwire.Problem(400, err.Error())
+	}
+	body, err := m.encodeRecords(in)
+	if err != nil {
+		if code := StatusCode(err); code != 0 {
+			return httpwire.Problem(code, err.Error())
+		}
+		return httpwire.Problem(500, err.Error())
+	}
+	return &httpwire.Response{Status: 200, Body: body}
+}
+
+func (m *Manager) encodeRecords(in FetchRequest) ([]byte, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.knowsLocked(in.Partition) {
+		return nil, ErrUnknownPartition
+	}
+	records := &m.partitions[in.Partition].records
+	batch := PartitionBatch{Partition: in.Partition, Now: m.Now()}
+	var bodies []byte
+	for _, id := range in.IDs {
+		if r := records.byID[id]; r != nil && len(bodies) < maxFetchBytes {
+			batch.Records = append(batch.Records, r)
+			bodies = append(bodies, r.Body...)
+		}
+	}
+	front, err := json.Marshal(batch)
+	if err != nil {
+		return nil, err
+	}
+	return append(append(front, '\n'), bodies...), nil
+}
+
+// errTruncatedFetch says that the answer of another store is not whole. It is not
+// ErrTruncatedBatch, which blames the one who called this store.
+var errTruncatedFetch = errors.New("the bodies are cut short")
+
+// fetchRecords takes records from another store and makes them the primary's own.
+func (m *Manager) fetchRecords(ctx context.Context, n int, peer string, ids []string) error {
+	m.mu.Lock()
+	p := m.partitions[n]
+	epoch, address := p.epoch, m.placement.Stores[peer].Address
+	m.mu.Unlock()
+	batch, bodies, err := m.callFetch(ctx, address, FetchRequest{n, ids})
+	if err != nil {
+		return err
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.leadsInLocked(p, epoch) {
+		return &NotPrimaryError{n}
+	}
+	if !m.adoptLocked(p, batch, bodies) {
+		return &httpwire.Error{Step: "decode fetch", Peer: address, Sent: true, Err: errTruncatedFetch}
+	}
+	return nil
+}
+
+func (m *Manager) callFetch(ctx context.Context, address string, request FetchRequest) (batch PartitionBatch, bodies []byte, err error) {
+	ctx, cancel := context.WithTimeout(ctx, m.timing.fetchTimeout())
+	defer cancel()
+	body, err := json.Marshal(request)
+	if err != nil {
+		return batch, nil, err
+	}
+	answer, err := m.config.Client.Send(ctx, address, "/fetch", body)
+	if err != nil {
+		return batch, nil, fmt.Errorf("fetch: %w", err)
+	}
+	if answer.Status != 200 {
+		status := &rpc.StatusError{Code: answer.Status, Text: string(answer.Body)}
+		return batch, nil, &httpwire.Error{Step: "fetch", Peer: address, Sent: true, Err: status}
+	}
+	front, bodies := rpc.SplitBody(answer.Body)
+	if err := json.Unmarshal(front, &batch); err != nil {
+		return batch, nil, &httpwire.Error{Step: "decode fetch", Peer: address, Sent: true, Err: err}
+	}
+	return batch, bodies, nil
+}
+
+// adoptLocked makes records of another store the primary's own, as changes of its
+// epoch, where they are further than those here. It reports whether all bodies
+// were there; it ends at the first that is not.
+func (m *Manager) adoptLocked(p *partition, batch PartitionBatch, bodies []byte) bool {
+	for _, r := range batch.Records {
+		if r.Length > len(bodies) {
+			return false
+		}
+		r.Partition = p.number
+		r.shiftTimes(m.Now() - batch.Now)
+		r.Body, bodies = slices.Clone(bodies[:r.Length]), bodies[r.Length:]
+		if old := p.records.byID[r.ID]; old != nil && r.State <= old.State {
+			continue
+		}
+		m.commitLocked(p, r, nil)
+		if r.State == Pending {
+			m.events.push(Event{Partition: p.number, Records: []*Record{r}})
+		}
+	}
+	return true
+}
+
+// Find returns the record of a message, as its primary. One that is not here is
+// looked for at the backups, and taken from there. It returns a *NotPrimaryError,
+// ErrUnknownMessage, or the error of the last backup that did not answer.
+func (m *Manager) Find(ctx context.Context, n int, id string) (*Record, error) {
+	r, backups, err := m.lookUp(n, id)
+	if err != nil || r != nil {
+		return r, err
+	}
+	var lastErr error
+	for _, backup := range backups {
+		if err := m.fetchRecords(ctx, n, backup, []string{id}); err != nil {
+			lastErr = err
+			continue
+		}
+		if r := m.record(n, id); r != nil {
+			return r, nil
+		}
+	}
+	if lastErr != nil {
+		return nil, lastErr
+	}
+	return nil, ErrUnknownMessage
+}
+
+// lookUp returns a record that is here, or else the backups to ask for it.
+func (m *Manager) lookUp(n int, id string) (r *Record, backups []string, err error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.isPrimaryLocked(n) {
+		return nil, nil, &NotPrimaryError{n}
+	}
+	p := m.partitions[n]
+	if r := p.records.byID[id]; r != nil {
+		return r, nil, nil
+	}
+	for _, r := range p.replicas {
+		backups = append(backups, r.store)
+	}
+	return nil, backups, nil
+}
+
+func (m *Manager) record(n int, id string) *Record {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.partitions[n].records.byID[id]
+}
--- /dev/null
+++ b/internal/partition/backup_test.go
@@ -0,0 +1,95 @@
+package partition
+
+import (
+	"context"
+	"errors"
+	"testing"
+	"time"
+)
+
+func TestBackupRejectsOlderEpochsAndFollowsNewerOnes(t *testing.T) {
+	m := startBackup(t)
+	for _, c := range []struct {
+		from  string
+		epoch int64
+		stale bool
+	}{
+		{"other", 4, true},
+		{"third", 5, true},
+		{"other", 5, false},
+		{"third", 7, false},
+		{"other", 5, true},
+		{"third", 7, false},
+	} {
+		out, err := m.HandleBatch(t.Context(), &BatchRequest{From: c.from, Partitions: []PartitionBatch{{Partition: 0, Epoch: c.epoch, Records: []*Record{{ID: "x", Epoch: c.epoch, Sequence: 1}}}}}, nil)
+		if err != nil || len(out.Partitions) != 1 || out.Partitions[0].Stale != c.stale {
+			t.Errorf("%+v: %+v %v", c, out, err)
+		}
+	}
+	var notPrimary *NotPrimaryError
+	if err := m.Accept(t.Context(), 0, &Record{ID: "y"}); !errors.As(err, &notPrimary) || StatusCode(err) != 421 {
+		t.Errorf("a backup accepts messages: %v", err)
+	}
+	if m.MayDeliver(0) {
+		t.Error("a backup delivers")
+	}
+}
+
+// A message that a checksum covers may be answered with 202, so a backup that
+// has it in memory only does not answer until its disk has it, whoever asks.
+func TestBackupAnswersOnlyForWhatIsOnDisk(t *testing.T) {
+	m := startBackup(t)
+	tx, err := m.storage.db.Begin(true) // the disk stalls
+	if err != nil {
+		t.Fatal(err)
+	}
+	handle := func(batch *BatchRequest, limit time.Duration) error {
+		ctx, cancel := context.WithTimeout(t.Context(), limit)
+		defer cancel()
+		_, err := m.HandleBatch(ctx, batch, nil)
+		return err
+	}
+	if handle(&BatchRequest{From: "other", Partitions: []PartitionBatch{{Epoch: 5, Records: []*Record{{ID: "x", Epoch: 5, Sequence: 1}}}}}, 50*time.Millisecond) == nil {
+		t.Error("a message is said to be on a disk that stalls")
+	}
+	next := &BatchRequest{From: "third", Partitions: []PartitionBatch{{Epoch: 6}}}
+	if handle(next, 50*time.Millisecond) == nil {
+		t.Error("the next primary gets the checksum of a message that is on no disk here")
+	}
+	if err := tx.Rollback(); err != nil {
+		t.Fatal(err)
+	}
+	if err := handle(next, time.Minute); err != nil { // a real disk, on a busy machine
+		t.Errorf("the disk works again: %v", err)
+	}
+}
+
+func TestBackupShiftsTimesToItsOwnClock(t *testing.T) {
+	m := startBackup(t)
+	hour := time.Hour.Milliseconds()
+	now := m.Now()
+	_, err := m.HandleBatch(t.Context(), &BatchRequest{From: "other", Now: now + hour, Partitions: []PartitionBatch{{Epoch: 5, Records: []*Record{{ID: "x", Sequence: 1, Due: now + hour + 2000, Expires: now + hour + 90000}}}}}, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := m.partitions[0].records.byID["x"]
+	if d := r.Due - now; d < 1900 || d > 3000 {
+		t.Errorf("due in %d ms, not 2000, behind a clock that is an hour ahead", d)
+	}
+	if d := r.Expires - now; d < 89000 || d > 91000 {
+		t.Errorf("expires in %d ms, not 90000", d)
+	}
+}
+
+func TestBackupRefusesATruncatedBatch(t *testing.T) {
+	m := startBackup(t)
+	batch := &BatchRequest{From: "other", Partitions: []PartitionBatch{{Epoch: 5, Records: []*Record{{ID: "x", Sequence: 1, Length: 3}}}}}
+	if _, err := m.HandleBatch(t.Context(), batch, []byte("ab")); !errors.Is(err, ErrTruncatedBatch) {
+		t.Errorf("two bytes of three: %v", err)
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.partitions[0].records.count != 0 {
+		t.Error("the record was stored")
+	}
+}
--- /dev/null
+++ b/internal/partition/events.go
@@ -0,0 +1,34 @@
+package partition
+
+// Event tells the delivery what changed, in order.
+type Event struct {
+	Partition     int
+	BecamePrimary bool      // this store is the primary from now on; Records are all that are pending
+	LostPrimary   bool      // it is the primary no longer
+	Records       []*Record // messages to deliver
+}
+
+// eventQueue is the events that the delivery has not yet received. It has no
+// lock: the Manager's mu guards it, so events are in the order of the changes.
+type eventQueue struct {
+	queue []Event
+	ready chan struct{}
+}
+
+func (q *eventQueue) push(e Event) {
+	q.queue = append(q.queue, e)
+	select {
+	case q.ready <- struct{}{}:
+	default:
+	}
+}
+
+// Events returns the events since the last call, and a channel that receives a
+// value when there may be more.
+func (m *Manager) Events() ([]Event, <-chan struct{}) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	events := m.events.queue
+	m.events.queue = nil
+	return events, m.events.ready
+}
--- a/internal/partition/handover.go
+++ b/internal/partition/handover.go
@@ -5,58 +5,90 @@
 	"time"
 )
 
-// Freeze stops the deliveries of partitions, waits until those under way have
-// ended, stops taking messages, and gives back the partitions whose backups
-// hold everything. If no new placement comes, all goes on as before.
-func (s *Manager) Freeze(ctx context.Context, want map[int]int64, idle func(n int) bool) map[int]int64 {
-	out := map[int]int64{}
-	s.mu.Lock()
-	s.handovers++
-	freeze := s.handovers
-	for n, epoch := range want {
-		if n < len(s.partitions) && s.partitions[n].epoch == epoch && s.partitions[n].primary == s.Self {
-			s.partitions[n].deliveriesStopped, s.partitions[n].handover = true, freeze
-		} else {
-			delete(want, n)
-		}
-	}
-	s.mu.Unlock()
-	step := s.ContactTimeout / 800
-	for len(want) > 0 && ctx.Err() == nil {
-		s.mu.Lock()
-		for n, epoch := range want {
-			p := s.partitions[n]
-			switch {
-			case p.epoch != epoch:
-				delete(want, n)
-			case !p.acceptsStopped && idle(n):
-				p.acceptsStopped = true
-				for _, r := range p.replicas {
-					s.wakeReplicatorLocked(r.store)
-				}
-			case p.acceptsStopped && p.released():
-				out[n] = epoch
-				delete(want, n)
-			}
-		}
-		s.mu.Unlock()
-		if len(want) == 0 || len(out) > 0 && len(want) > 0 && s.noneStoppedAccepting(want) {
+// handoverState says what a handover has stopped in a partition.
+type handoverState struct {
+	deliveriesStopped bool
+	acceptsStopped    bool
+	request           int64 // the last call of Freeze that asked for the partition
+}
+
+func (h *handoverState) stopDeliveries(request int64) {
+	h.deliveriesStopped = true
+	h.request = request
+}
+
+// resume lets the partition deliver and accept again.
+func (h *handoverState) resume() {
+	h.deliveriesStopped = false
+	h.acceptsStopped = false
+}
+
+// Freeze prepares the handover of partitions to their backups: it stops their
+// deliveries, waits until those under way have ended, stops accepting messages,
+// and returns the partitions whose backups hold all records and have their lease
+// back. The partitions go on as before if no new placement comes. wanted gives
+// the epoch of each partition; Freeze changes it. idle reports whether no delivery
+// of a partition is under way.
+func (m *Manager) Freeze(ctx context.Context, wanted map[int]int64, idle func(n int) bool) map[int]int64 {
+	ready := map[int]int64{}
+	request := m.stopDeliveries(wanted)
+	for len(wanted) > 0 && ctx.Err() == nil {
+		if m.advanceHandover(wanted, ready, idle) {
 			break
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(step):
+		case <-time.After(m.timing.handoverPoll()):
 		}
 	}
-	s.resumeAfter(freeze, out, s.ContactTimeout/4) // longer than the steward relies on it
-	s.resumeAfter(freeze, want, 0)
-	return out
+	m.resumeAfter(m.timing.handoverValidity(), request, ready)
+	m.resumeAfter(0, request, wanted)
+	return ready
 }
 
-// given tells whether all backups that may succeed hold everything and took
-// the lease back. One that answered may be in step by now, though the news of
-// it are still on their way here.
-func (p *partition) released() bool {
+// stopDeliveries stops the deliveries of the partitions that this store leads in
+// the wanted epochs, and removes the others from wanted. It returns the number of
+// the request.
+func (m *Manager) stopDeliveries(wanted map[int]int64) int64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.handovers++
+	for n, epoch := range wanted {
+		if n < len(m.partitions) && m.leadsInLocked(m.partitions[n], epoch) {
+			m.partitions[n].handover.stopDeliveries(m.handovers)
+		} else {
+			delete(wanted, n)
+		}
+	}
+	return m.handovers
+}
+
+// advanceHandover takes each wanted partition one step on, and moves those that
+// can be handed over to ready. It reports whether to wait no longer.
+func (m *Manager) advanceHandover(wanted, ready map[int]int64, idle func(n int) bool) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for n, epoch := range wanted {
+		p := m.partitions[n]
+		switch {
+		case p.epoch != epoch:
+			delete(wanted, n)
+		case !p.handover.acceptsStopped && idle(n):
+			p.handover.acceptsStopped = true
+			for _, r := range p.replicas {
+				m.wakeReplicatorLocked(r.store)
+			}
+		case p.handover.acceptsStopped && p.isReadyForHandover():
+			ready[n] = epoch
+			delete(wanted, n)
+		}
+	}
+	return len(wanted) == 0 || len(ready) > 0 && !m.anyStoppedAcceptingLocked(wanted)
+}
+
+// isReadyForHandover reports whether all backups that may become primary hold all
+// records and have their lease back.
+func (p *partition) isReadyForHandover() bool {
 	for _, r := range p.replicas {
 		if r.mayBecomePrimary() && (len(r.unreplicated) > 0 || !r.leaseReleased) {
 			return false
@@ -65,37 +97,42 @@
 	return true
 }
 
-// patience tells whether what is left is far from ready: some deliveries take
-// long, and the partitions that are ready do not wait for them.
-func (s *Manager) noneStoppedAccepting(want map[int]int64) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for n := range want {
-		if s.partitions[n].acceptsStopped {
-			return false
+// anyStoppedAcceptingLocked reports whether any of the partitions is close to its
+// handover. Where none is, some deliveries take long, and the partitions that are
+// ready do not wait for them.
+func (m *Manager) anyStoppedAcceptingLocked(wanted map[int]int64) bool {
+	for n := range wanted {
+		if m.partitions[n].handover.acceptsStopped {
+			return true
 		}
 	}
-	return true
+	return false
 }
 
-// thaw lets partitions go on that are still led here after a while, unless they
-// were asked for again: the steward may rely on that answer for longer.
-func (s *Manager) resumeAfter(freeze int64, list map[int]int64, after time.Duration) {
-	if len(list) == 0 {
+// resumeAfter lets partitions that are led here in the same epoch go on after a
+// delay, unless a later request asked for them: the controller may rely on the
+// answer to that one for longer.
+func (m *Manager) resumeAfter(delay time.Duration, request int64, epochs map[int]int64) {
+	if len(epochs) == 0 {
 		return
 	}
-	time.AfterFunc(after, func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		for n, epoch := range list {
-			if p := s.partitions[n]; p.epoch == epoch && p.deliveriesStopped && p.handover == freeze {
-				p.deliveriesStopped, p.acceptsStopped = false, false
-				for _, r := range p.replicas {
-					r.leaseReleased = false
-				}
-				close(p.changed)
-				p.changed = make(chan struct{})
+	time.AfterFunc(delay, func() {
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		for n, epoch := range epochs {
+			p := m.partitions[n]
+			if p.epoch == epoch && p.handover.deliveriesStopped && p.handover.request == request {
+				p.resume()
 			}
 		}
 	})
 }
+
+// resume ends a handover that did not take place.
+func (p *partition) resume() {
+	p.handover.resume()
+	for _, r := range p.replicas {
+		r.leaseReleased = false
+	}
+	p.announceChange()
+}
--- /dev/null
+++ b/internal/partition/maintenance.go
@@ -0,0 +1,82 @@
+package partition
+
+import (
+	"context"
+	"time"
+)
+
+// usage is what the records of a store occupy, against its bounds.
+type usage struct {
+	memoryBytes int64 // estimated
+	full        bool  // as last measured
+}
+
+// exceeds reports whether the records are over a bound; a bound of 0 is none.
+func (u *usage) exceeds(diskBytes, maxDisk, maxMemory int64) bool {
+	return maxDisk > 0 && diskBytes > maxDisk || maxMemory > 0 && u.memoryBytes > maxMemory
+}
+
+// measureUsageLocked decides whether the store is full.
+func (m *Manager) measureUsageLocked() {
+	diskBytes := m.storage.usedBytes()
+	full := m.usage.exceeds(diskBytes, m.config.MaxDisk, m.config.MaxMemory)
+	if full != m.usage.full {
+		m.config.Log.Printf("store: full: %v, %d MB on disk, %d MB in memory", full, diskBytes>>20, m.usage.memoryBytes>>20)
+	}
+	m.usage.full = full
+}
+
+// deleteExpired deletes the records of ended messages that are past their time,
+// until ctx ends.
+func (m *Manager) deleteExpired(ctx context.Context) {
+	ticker := time.NewTicker(m.timing.expirySweep())
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		now := m.Now()
+		m.mu.Lock()
+		m.measureUsageLocked()
+		for _, p := range m.partitions {
+			if m.leadsLocked(p) {
+				m.deleteExpiredLocked(p, now)
+			}
+		}
+		m.mu.Unlock()
+	}
+}
+
+func (m *Manager) deleteExpiredLocked(p *partition, now int64) {
+	for _, r := range p.records.byID {
+		if r.State != Pending && r.Expires < now {
+			m.commitLocked(p, &Record{ID: r.ID, Partition: p.number, State: Deleted}, nil)
+		}
+	}
+}
+
+// monitorDisk reports this store itself while its disk is not healthy, until ctx
+// ends. It writes then, so that it sees when the disk is healthy again.
+func (m *Manager) monitorDisk(ctx context.Context) {
+	ticker := time.NewTicker(m.timing.diskCheck())
+	defer ticker.Stop()
+	unhealthy := false
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		err := m.Health()
+		if err != nil {
+			m.config.ReportFailure(m.config.Self, false)
+			m.storage.putMeta(keyProbe, []byte{})
+		}
+		if (err != nil) != unhealthy {
+			unhealthy = err != nil
+			m.config.Log.Printf("disk: ill: %v: %v", unhealthy, err) // as docs/operations.md names it
+		}
+	}
+}
--- a/internal/partition/partition_bench_test.go
+++ b/internal/partition/partition_bench_test.go
@@ -2,19 +2,9 @@
 
 import (
 	"bytes"
-	"context"
 	"fmt"
-	"io"
-	"log"
-	"net"
 	"runtime"
 	"testing"
-	"time"
-
-	"saltreel/internal/rpc"
-
-	"saltreel/internal/httpwire"
-	"saltreel/internal/placement"
 )
 
 func message(i int) *Record {
@@ -43,9 +33,9 @@
 	})
 }
 
-// BenchmarkHeld is what a message takes in memory while it waits, without and
-// with its body.
-func BenchmarkHeld(b *testing.B) {
+// BenchmarkMemory measures the memory of a pending message, without and with its
+// body.
+func BenchmarkMemory(b *testing.B) {
 	const n = 100000
 	for _, size := range []int{0, 1500} {
 		b.Run(fmt.Sprintf("body=%d", size), func(b *testing.B) {
@@ -53,55 +43,45 @@
 			for b.Loop() {
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				p, s := &partition{records: map[string]*Record{}}, &Manager{}
+				records := newRecordSet()
 				for i := range n {
 					r := message(i)
 					r.Body = make([]byte, size)
-					s.putLocked(p, r)
+					records.put(r)
 				}
 				runtime.GC()
 				runtime.ReadMemStats(&after)
-				runtime.KeepAlive(p)
+				runtime.KeepAlive(&records)
 			}
-			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/n, "held-B/message")
+			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/n, "memory-B/message")
 		})
 	}
 }
 
-// BenchmarkCopies takes batches of messages as a backup, each on disk before
-// the answer, and tells how large the file is then.
-func BenchmarkCopies(b *testing.B) {
+// BenchmarkHandleBatch applies batches of messages as a backup, each on disk
+// before the answer, and measures how large the file is then.
+func BenchmarkHandleBatch(b *testing.B) {
 	for _, n := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("messages=%d", n), func(b *testing.B) {
-			s := &Manager{Self: "me", ContactTimeout: 4 * time.Second, Log: log.New(io.Discard, "", 0), StateRetention: time.Minute,
-				ReportFailure: func(string, bool) {}, ReportInSync: func(context.Context, placement.InSyncReport) error { return nil },
-				Client: rpc.NewClient(&httpwire.Pool{Network: httpwire.Network{Dial: func(context.Context, string) (net.Conn, error) { return nil, io.EOF }}})}
-			if err := s.Open(b.TempDir()); err != nil {
-				b.Fatal(err)
-			}
-			ctx, cancel := context.WithCancel(b.Context())
-			done := make(chan struct{})
-			go func() { _ = s.Run(ctx); close(done) }()
-			defer func() { cancel(); <-done }()
-			s.ApplyPlacement(placement.Placement{Version: 1, Stores: map[string]placement.Store{"me": {Disk: s.DiskID()}},
-				Partitions: []placement.Partition{{Epoch: 5, Primary: "other", Backups: []placement.Backup{{Store: "me", InSync: true}}}}})
+			m := startBackup(b)
 			b.ReportAllocs()
-			at := 0
+			next := 0
 			for b.Loop() {
-				batch, raw := BatchRequest{From: "other", Now: s.Now()}, []byte{}
-				share := PartitionBatch{Epoch: 5}
+				batch := BatchRequest{From: "other", Now: m.Now()}
+				raw := []byte{}
+				part := PartitionBatch{Epoch: 5}
 				for range n {
-					r := message(at)
-					at++
-					share.Records = append(share.Records, r)
+					r := message(next)
+					next++
+					part.Records = append(part.Records, r)
 					raw = append(raw, r.Body...)
 				}
-				batch.Partitions = []PartitionBatch{share}
-				if _, err := s.HandleBatch(ctx, &batch, raw); err != nil {
+				batch.Partitions = []PartitionBatch{part}
+				if _, err := m.HandleBatch(b.Context(), &batch, raw); err != nil {
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(s.storage.usedBytes())/float64(at), "file-B/message")
+			b.ReportMetric(float64(m.storage.usedBytes())/float64(next), "file-B/message")
 		})
 	}
 }
--- a/internal/partition/record.go
+++ b/internal/partition/record.go
@@ -1,5 +1,3 @@
-// Package partition owns the messages that a store holds: their records on
-// disk and in memory, the copies at a backup, epochs, leases and repair.
 package partition
 
 import (
@@ -12,24 +10,25 @@
 	"saltreel/internal/ring"
 )
 
-// State is how far a message is. Later states win where two copies differ.
+// State is how far a message is. Of two records of a message the one with the
+// higher state wins, so an ended message never becomes pending again.
 type State int
 
-// The states of a message.
+// The states of a message, in the order of their precedence.
 const (
 	Pending State = iota
 	Dead
 	Complete
-	Deleted // past its time; the record goes away
+	Deleted // expired; replicas that receive it remove the record
 )
 
-// Record is a message as a store holds it. Records that are shared between
-// goroutines do not change: a change makes a new one.
+// Record is a message as a store holds it. Records are shared between
+// goroutines and immutable: a change makes a new one.
 type Record struct {
 	ID        string `json:"id"`
 	Sequence  int64  `json:"q"`           // of the last change
 	Epoch     int64  `json:"e"`           // under which it was made
-	Order     int64  `json:"o,omitempty"` // the place among the messages of its partition
+	Order     int64  `json:"o,omitempty"` // the position among the messages of its partition
 	State     State  `json:"st,omitempty"`
 	Tenant    string `json:"t,omitempty"`
 	Method    string `json:"m,omitempty"`
@@ -38,15 +37,15 @@
 	Type      string `json:"c,omitempty"` // content type
 	OrderKey  string `json:"k,omitempty"`
 	Due       int64  `json:"d,omitempty"` // wall clock, ms
-	Expires   int64  `json:"x,omitempty"` // end of retention, or of the time that an ended state is kept
+	Expires   int64  `json:"x,omitempty"` // end of retention, or of the time that an ended state is retained; wall clock, ms
 	Revision  int64  `json:"r,omitempty"` // configuration under which it was accepted
 	Seal      string `json:"s,omitempty"`
-	Length    int    `json:"n,omitempty"` // of the body, which travels behind the JSON
+	Length    int    `json:"n,omitempty"` // of the body, which follows the JSON
 	Body      []byte `json:"-"`
 	Partition int    `json:"-"`
 }
 
-// newer tells whether r is to replace old.
+// supersedes reports whether r is to replace old.
 func (r *Record) supersedes(old *Record) bool {
 	if old == nil {
 		return true
@@ -57,18 +56,20 @@
 	return r.Epoch > old.Epoch || r.Epoch == old.Epoch && r.Sequence > old.Sequence
 }
 
-// ended is the record that remains of a message that has ended. The body of a
-// dead letter is kept: it may be asked for.
+// outcome is the record that remains of a message that has ended. The body of a
+// dead letter remains, since it may be asked for.
 func (r *Record) outcome(state State, seal string, expires int64) *Record {
-	n := *r
-	n.State, n.Seal, n.Expires = state, seal, expires
 	if state != Dead {
-		n = Record{ID: r.ID, Partition: r.Partition, State: state, Tenant: r.Tenant, Seal: seal, Expires: expires}
+		return &Record{ID: r.ID, Partition: r.Partition, State: state, Tenant: r.Tenant, Seal: seal, Expires: expires}
 	}
-	return &n
+	dead := *r
+	dead.State, dead.Seal, dead.Expires = state, seal, expires
+	return &dead
 }
 
-// mark is a record's share of the digest of its partition.
+// checksum is what a record adds, by exclusive or, to the checksum of its
+// partition. It covers the identifier and the state: records that agree in both
+// need no reconciliation.
 func (r *Record) checksum() uint64 {
 	if r.State == Deleted {
 		return 0
@@ -76,10 +77,14 @@
 	return ring.Hash(r.ID, strconv.Itoa(int(r.State)))
 }
 
-// memory estimates what a record takes.
-func (r *Record) memoryBytes() int64 { return 400 + int64(len(r.Body)) }
+// recordOverhead estimates the bytes of memory of a record without its body.
+const recordOverhead = 400
 
-// shift moves the times of a record from another machine's clock to this one's.
+// memoryBytes estimates the memory that a record occupies.
+func (r *Record) memoryBytes() int64 { return recordOverhead + int64(len(r.Body)) }
+
+// shiftTimes moves the times of a record from another machine's clock to this
+// machine's.
 func (r *Record) shiftTimes(ms int64) {
 	if r.Due != 0 {
 		r.Due += ms
@@ -89,10 +94,12 @@
 	}
 }
 
+// recordKey is the key of a record on disk.
 func recordKey(partition int, id string) []byte {
 	return append(binary.BigEndian.AppendUint16(nil, uint16(partition)), id...)
 }
 
+// encode is the record's value on disk: one line of JSON and the body.
 func (r *Record) encode() []byte {
 	front, err := json.Marshal(r)
 	if err != nil {
@@ -101,18 +108,56 @@
 	return append(append(front, '\n'), r.Body...)
 }
 
-func decodeRecord(k, v []byte) (*Record, error) {
-	if len(k) < 3 {
-		return nil, fmt.Errorf("record key %x is too short", k)
+func decodeRecord(key, value []byte) (*Record, error) {
+	if len(key) < 3 {
+		return nil, fmt.Errorf("record key %x is too short", key)
+	}
+	front, body, ok := bytes.Cut(value, []byte{'\n'})
+	r := &Record{Partition: int(binary.BigEndian.Uint16(key))}
+	if err := json.Unmarshal(front, r); err != nil {
+		return nil, fmt.Errorf("record %q cannot be read: %w", key[2:], err)
 	}
-	front, body, ok := bytes.Cut(v, []byte{'\n'})
-	r := &Record{Partition: int(binary.BigEndian.Uint16(k))}
-	if err := json.Unmarshal(front, r); err != nil || !ok {
-		return nil, fmt.Errorf("record %q cannot be read: %v", k[2:], err)
+	if !ok {
+		return nil, fmt.Errorf("record %q cannot be read: no end of line", key[2:])
 	}
-	if r.Length != len(body) || r.ID != string(k[2:]) {
-		return nil, fmt.Errorf("record %q is damaged", k[2:])
+	if r.Length != len(body) || r.ID != string(key[2:]) {
+		return nil, fmt.Errorf("record %q is damaged", key[2:])
 	}
 	r.Body = bytes.Clone(body)
 	return r, nil
 }
+
+// recordSet is the records that a store holds of one partition.
+type recordSet struct {
+	byID     map[string]*Record
+	sequence int64  // the highest seen
+	checksum uint64 // of all records; equal sets have equal checksums
+	count    int
+}
+
+func newRecordSet() recordSet { return recordSet{byID: map[string]*Record{}} }
+
+// put makes r the record of its identifier, or removes it if r is a deletion.
+// It returns by how many bytes the memory in use grew.
+func (s *recordSet) put(r *Record) (growth int64) {
+	if old := s.byID[r.ID]; old != nil {
+		s.checksum ^= old.checksum()
+		s.count--
+		growth -= old.memoryBytes()
+	}
+	s.sequence = max(s.sequence, r.Sequence)
+	if r.State == Deleted {
+		delete(s.byID, r.ID)
+		return growth
+	}
+	s.byID[r.ID] = r
+	s.checksum ^= r.checksum()
+	s.count++
+	return growth + r.memoryBytes()
+}
+
+// isPending reports whether a message is here and has not ended.
+func (s *recordSet) isPending(id string) bool {
+	r := s.byID[id]
+	return r != nil && r.State == Pending
+}
--- /dev/null
+++ b/internal/partition/replica.go
@@ -0,0 +1,110 @@
+package partition
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"saltreel/internal/placement"
+)
+
+// replica is what the primary of a partition knows of one backup.
+type replica struct {
+	store string
+	disk  string
+
+	inSync    bool // the placement says that it may become primary
+	connected bool // it answered in this epoch
+	verified  bool // it was seen to hold the same records in this epoch
+
+	unreplicated map[string]*Record // changed since, and not known to be there
+	missing      []string           // identifiers of older records that it lacks
+
+	leaseExpires  time.Time // the lease that it granted
+	leaseReleased bool      // it has the lease back
+
+	lastReconciled time.Time
+	lastReported   time.Time // as in sync
+}
+
+func newReplica(backup placement.Backup, disk string) *replica {
+	return &replica{store: backup.Store, disk: disk, inSync: backup.InSync, unreplicated: map[string]*Record{}}
+}
+
+// mayBecomePrimary reports whether the backup may become primary, as far as can
+// be known here: one that answered may be in sync by now, though the placement
+// that says so is still on its way here.
+func (r *replica) mayBecomePrimary() bool { return r.inSync || r.connected }
+
+// hasBacklog reports whether records are to be sent.
+func (r *replica) hasBacklog() bool { return len(r.unreplicated) > 0 || len(r.missing) > 0 }
+
+// needsBatch reports whether the partition is to be in the next batch. Bytes
+// between regions are expensive: one with nothing to send is left out until its
+// lease is to be renewed.
+func (r *replica) needsBatch(now time.Time, release bool, renewal time.Duration) bool {
+	if r.hasBacklog() || !r.connected || release && !r.leaseReleased {
+		return true
+	}
+	return r.leaseExpires.Sub(now) <= renewal
+}
+
+// maxBatchBytes bounds a batch, so that its memory is bounded too.
+const maxBatchBytes = 256 << 10
+
+// selectRecords chooses what the next batch holds for the replica: the changed
+// records in the order of their changes, then the missing ones. size is the bytes
+// that the batch holds already; complete reports that nothing was left out. What
+// is selected of missing is removed from it.
+func (r *replica) selectRecords(records *recordSet, size int64) (selected []*Record, complete bool) {
+	for _, record := range r.unreplicated {
+		selected = append(selected, record)
+	}
+	slices.SortFunc(selected, func(a, b *Record) int { return cmp.Compare(a.Sequence, b.Sequence) })
+	for i, record := range selected {
+		if i > 0 && size > maxBatchBytes {
+			return selected[:i], false
+		}
+		size += record.memoryBytes()
+	}
+	for len(r.missing) > 0 && size < maxBatchBytes {
+		record := records.byID[r.missing[0]]
+		r.missing = r.missing[1:]
+		if record != nil && r.unreplicated[record.ID] == nil {
+			selected = append(selected, record)
+			size += record.memoryBytes()
+		}
+	}
+	return selected, len(r.missing) == 0
+}
+
+// acknowledge notes that the replica holds a record: unless it has changed again
+// since it was sent.
+func (r *replica) acknowledge(record *Record) {
+	if r.unreplicated[record.ID] == record {
+		delete(r.unreplicated, record.ID)
+	}
+}
+
+// queueMissing notes which records the replica lacks, given the states of those
+// that it holds: pending messages first. It returns how many there are.
+func (r *replica) queueMissing(records *recordSet, held map[string]State) int {
+	queued := map[string]bool{}
+	for _, id := range r.missing {
+		queued[id] = true
+	}
+	var urgent, rest []string
+	for id, record := range records.byID {
+		state, ok := held[id]
+		if ok && state >= record.State || queued[id] || r.unreplicated[id] != nil {
+			continue
+		}
+		if record.State == Complete {
+			rest = append(rest, id)
+		} else {
+			urgent = append(urgent, id)
+		}
+	}
+	r.missing = append(append(r.missing, urgent...), rest...)
+	return len(urgent) + len(rest)
+}
--- /dev/null
+++ b/internal/partition/replicator.go
@@ -0,0 +1,312 @@
+package partition
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"saltreel/internal/httpwire"
+	"saltreel/internal/placement"
+)
+
+// replicator sends to one backup what it lacks of all partitions, one batch at a
+// time, and so renews the leases that the backup grants. It is woken for new
+// messages. Outcomes, for which nobody waits, go with the next of them or with
+// the next renewal: a call for each would be most of the calls in a large fleet.
+//
+// Its fields belong to the goroutine of run, except for wakeup.
+type replicator struct {
+	manager   *Manager
+	peer      string // name of the backup
+	wakeup    chan struct{}
+	lastBatch int64
+	failedAt  time.Time // of the last batch, if it failed; else zero
+}
+
+// wake makes the replicator look for work.
+func (r *replicator) wake() {
+	select {
+	case r.wakeup <- struct{}{}:
+	default:
+	}
+}
+
+func (m *Manager) wakeReplicatorLocked(peer string) {
+	if r := m.replicators[peer]; r != nil {
+		r.wake()
+	}
+}
+
+// startReplicatorLocked wakes the replicator to a peer, and starts it if there is
+// none yet. It runs until the Manager ends.
+func (m *Manager) startReplicatorLocked(peer string) {
+	if r := m.replicators[peer]; r != nil {
+		r.wake()
+		return
+	}
+	r := &replicator{
+		manager:   m,
+		peer:      peer,
+		wakeup:    make(chan struct{}, 1),
+		lastBatch: rand.Int64N(1<<20) * batchesPerIncarnation,
+	}
+	m.replicators[peer] = r
+	r.wake()
+	m.background.tasks.Go(func() { r.run(m.background.ctx) })
+}
+
+func (r *replicator) run(ctx context.Context) {
+	ticker := time.NewTicker(r.manager.timing.leaseTick())
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-r.wakeup:
+		case <-ticker.C:
+		}
+		if !r.waitForBackoff(ctx) {
+			return
+		}
+		r.sendNext(ctx)
+	}
+}
+
+// waitForBackoff waits if a batch has just failed. It reports whether to go on.
+func (r *replicator) waitForBackoff(ctx context.Context) bool {
+	backoff := r.manager.timing.replicationBackoff()
+	if r.failedAt.IsZero() || time.Since(r.failedAt) >= backoff {
+		return true
+	}
+	select {
+	case <-ctx.Done():
+		return false
+	case <-time.After(backoff):
+		return true
+	}
+}
+
+// sendNext sends the next batch, unless there is nothing to send, and handles the
+// response.
+func (r *replicator) sendNext(ctx context.Context) {
+	m := r.manager
+	batch := m.nextBatch(r.peer)
+	if len(batch.sent) == 0 {
+		return
+	}
+	r.lastBatch++
+	batch.request.Number = r.lastBatch
+	// The lease counts from before the call: the backup grants it later.
+	started := time.Now()
+	var response BatchResponse
+	if err := r.call(ctx, &batch, &response); err != nil {
+		r.handleFailure(ctx, err)
+		return
+	}
+	r.failedAt = time.Time{}
+	m.handleResponse(r, started, batch.sent, response)
+}
+
+func (r *replicator) call(ctx context.Context, batch *outgoingBatch, response *BatchResponse) error {
+	m := r.manager
+	ctx, cancel := context.WithTimeout(ctx, m.timing.lease())
+	defer cancel()
+	early := time.AfterFunc(m.timing.slowBackup(), func() { m.config.ReportFailure(r.peer, false) })
+	defer early.Stop()
+	return m.config.Client.Call(ctx, batch.address, "/copy", batch.request, batch.bodies, response)
+}
+
+// handleFailure reports a backup that did not answer, and makes the replicator
+// try again.
+func (r *replicator) handleFailure(ctx context.Context, err error) {
+	m := r.manager
+	if r.failedAt.IsZero() && ctx.Err() == nil {
+		m.config.Log.Printf("copy: %s: %v", r.peer, err)
+	}
+	r.failedAt = time.Now()
+	m.config.ReportFailure(r.peer, httpwire.ConnectionRefused(err))
+	r.wake()
+}
+
+// outgoingBatch is a batch with what its sender remembers of it.
+type outgoingBatch struct {
+	request BatchRequest
+	bodies  []byte
+	sent    []sentPartition
+	address string
+}
+
+// sentPartition is what the primary remembers of one partition in a batch, as it
+// was when the batch was made.
+type sentPartition struct {
+	partition    *partition
+	replica      *replica
+	epoch        int64
+	records      []*Record
+	checksum     uint64
+	count        int
+	complete     bool // nothing was left out
+	releaseLease bool
+}
+
+// isCurrent reports whether the partition has the same epoch still, with the same
+// backup.
+func (s *sentPartition) isCurrent() bool {
+	return s.partition.epoch == s.epoch && s.partition.replica(s.replica.store) == s.replica
+}
+
+// inSync reports whether the backup holds the same records as were here when the
+// batch was made.
+func (s *sentPartition) inSync(result PartitionResult) bool {
+	return s.complete && result.Checksum == s.checksum && result.Count == s.count
+}
+
+// nextBatch makes the next batch for a peer.
+func (m *Manager) nextBatch(peer string) outgoingBatch {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	batch := outgoingBatch{
+		request: BatchRequest{From: m.config.Self, Now: m.Now()},
+		bodies:  []byte{},
+		address: m.placement.Stores[peer].Address,
+	}
+	now := time.Now()
+	for _, p := range m.partitions {
+		if !m.leadsLocked(p) {
+			continue
+		}
+		r := p.replica(peer)
+		if r != nil && r.needsBatch(now, p.handover.acceptsStopped, m.timing.leaseRenewal()) {
+			batch.add(p, r)
+		}
+	}
+	return batch
+}
+
+// add puts one partition into the batch.
+func (b *outgoingBatch) add(p *partition, r *replica) {
+	release := p.handover.acceptsStopped
+	records, complete := r.selectRecords(&p.records, int64(len(b.bodies)))
+	for _, record := range records {
+		b.bodies = append(b.bodies, record.Body...)
+	}
+	b.request.Partitions = append(b.request.Partitions, PartitionBatch{
+		Partition:    p.number,
+		Epoch:        p.epoch,
+		Records:      records,
+		ReleaseLease: release,
+	})
+	b.sent = append(b.sent, sentPartition{
+		partition:    p,
+		replica:      r,
+		epoch:        p.epoch,
+		records:      records,
+		checksum:     p.records.checksum,
+		count:        p.records.count,
+		complete:     complete,
+		releaseLease: release,
+	})
+}
+
+// handleResponse takes over what a backup answered to a batch, which was sent at
+// the given time.
+func (m *Manager) handleResponse(r *replicator, sentAt time.Time, batch []sentPartition, response BatchResponse) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	results := map[int]PartitionResult{}
+	for _, result := range response.Partitions {
+		results[result.Partition] = result
+	}
+	var report placement.InSyncReport
+	for i := range batch {
+		sent := &batch[i]
+		result, ok := results[sent.partition.number]
+		if !ok || !sent.isCurrent() {
+			continue
+		}
+		if result.Stale {
+			m.handleNewerEpochLocked(sent)
+			continue
+		}
+		m.acknowledgeLocked(sent)
+		m.renewLeaseLocked(sent, sentAt)
+		if m.verifyLocked(sent, result) {
+			report.Replicas = append(report.Replicas, placement.Replica{
+				Partition: sent.partition.number,
+				Epoch:     sent.epoch,
+				Store:     sent.replica.store,
+			})
+		}
+		if sent.replica.hasBacklog() {
+			r.wake()
+		}
+	}
+	if len(report.Replicas) > 0 {
+		m.background.tasks.Go(func() { m.reportInSync(report) })
+	}
+}
+
+// handleNewerEpochLocked notes that the backup obeys another primary: it grants
+// this one no lease.
+func (m *Manager) handleNewerEpochLocked(sent *sentPartition) {
+	p, replica := sent.partition, sent.replica
+	if replica.connected {
+		m.config.Log.Printf("copy: partition %d: %s knows a newer epoch than %d", p.number, replica.store, p.epoch)
+	}
+	replica.leaseExpires = time.Time{}
+	replica.connected = false
+}
+
+// acknowledgeLocked notes that the backup has the records of a batch on its disk.
+func (m *Manager) acknowledgeLocked(sent *sentPartition) {
+	p, replica := sent.partition, sent.replica
+	replica.connected = true
+	for _, record := range sent.records {
+		replica.acknowledge(record)
+		if accept := p.unconfirmed[record.ID]; accept != nil {
+			accept.onBackupDisk[replica.disk] = true
+			m.confirmLocked(p, accept)
+		}
+	}
+}
+
+// renewLeaseLocked notes the lease that the backup granted, or that it has its
+// lease back.
+func (m *Manager) renewLeaseLocked(sent *sentPartition, sentAt time.Time) {
+	replica := sent.replica
+	replica.leaseReleased = sent.releaseLease
+	if sent.partition.handover.acceptsStopped {
+		replica.leaseExpires = time.Time{}
+	} else {
+		replica.leaseExpires = sentAt.Add(m.timing.lease())
+	}
+}
+
+// verifyLocked compares what the backup holds with what is here, and starts a
+// reconciliation if they differ. It reports whether the backup is newly in sync
+// and this is to be reported.
+func (m *Manager) verifyLocked(sent *sentPartition, result PartitionResult) bool {
+	p, replica := sent.partition, sent.replica
+	if sent.inSync(result) {
+		replica.verified = true
+		if replica.inSync || time.Since(replica.lastReported) <= m.timing.inSyncReportInterval() {
+			return false
+		}
+		replica.lastReported = time.Now()
+		return true
+	}
+	if sent.complete && time.Since(replica.lastReconciled) > m.timing.reconcileInterval() {
+		replica.lastReconciled = time.Now()
+		n, epoch := p.number, p.epoch
+		m.background.tasks.Go(func() { m.reconcile(n, epoch, replica.store) })
+	}
+	return false
+}
+
+func (m *Manager) reportInSync(report placement.InSyncReport) {
+	ctx, cancel := context.WithTimeout(m.background.ctx, m.timing.inSyncReportTimeout())
+	defer cancel()
+	if err := m.config.ReportInSync(ctx, report); err != nil && m.background.ctx.Err() == nil {
+		m.config.Log.Printf("copy: report of partitions in sync: %v", err)
+	}
+}
--- /dev/null
+++ b/internal/partition/storage.go
@@ -0,0 +1,244 @@
+package partition
+
+import (
+	"crypto/rand"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"path/filepath"
+	"strconv"
+	"sync"
+	"time"
+
+	"go.etcd.io/bbolt"
+
+	"saltreel/internal/boltstore"
+)
+
+// Buckets and keys of the file. They are the format on disk.
+var (
+	bucketRecords = []byte("records")
+	bucketMeta    = []byte("meta")
+	keyIdentity   = []byte("identity")
+	keyEpochs     = []byte("fence")
+	keyActivity   = []byte("mark")
+	keyProbe      = []byte("probe")
+)
+
+// storage is the file of a store. Writes are queued; the goroutine of run groups
+// all that wait into one transaction.
+type storage struct {
+	db           *bbolt.DB
+	identity     string
+	lastActivity time.Time // of an earlier process; zero if there was none
+
+	mu         sync.Mutex
+	queue      []change
+	wake       chan struct{}
+	writing    bool     // a batch was dequeued and is not yet on disk
+	afterWrite []func() // to be called once it is
+	health     writeHealth
+}
+
+// change is one write.
+type change struct {
+	key, value []byte // a nil value deletes; a nil key writes nothing
+	meta       bool   // in the bucket of what is not a record
+	done       func() // called when it is on disk; may be nil
+}
+
+// savedState is what the file holds when it is opened.
+type savedState struct {
+	identity     string
+	lastActivity time.Time
+	epochs       fencingEpochs
+	records      []*Record
+}
+
+// fencingEpochs is the newest epoch seen of each partition. They are on disk so
+// that a store that starts again does not obey a deposed primary.
+type fencingEpochs map[int]int64
+
+func (f fencingEpochs) encode() []byte {
+	raw, err := json.Marshal(f)
+	if err != nil {
+		panic("partition: the epochs cannot be encoded: " + err.Error())
+	}
+	return raw
+}
+
+// openStorage opens the file in dir. A damaged one is moved aside: the replicas
+// on the other stores fill a new one. One that the disk can't read is left alone.
+func openStorage(dir string, warn func(format string, args ...any)) (*storage, *savedState, error) {
+	path := filepath.Join(dir, "store.db")
+	s, saved, err := readStorage(path)
+	if !errors.Is(err, boltstore.ErrDamaged) {
+		return s, saved, err
+	}
+	aside, moveErr := boltstore.MoveAside(path)
+	if moveErr != nil {
+		return nil, nil, errors.Join(err, moveErr)
+	}
+	warn("disk: %s is damaged, moved to %s: %v", path, aside, err)
+	return readStorage(path)
+}
+
+func readStorage(path string) (*storage, *savedState, error) {
+	db, err := boltstore.OpenDatabase(path)
+	if err != nil {
+		return nil, nil, err
+	}
+	saved := &savedState{epochs: fencingEpochs{}}
+	err = boltstore.Guard(path, func() error {
+		err := db.Update(saved.load)
+		if err != nil { // not after a panic: it may hold the locks that closing needs
+			_ = db.Close() // the error that matters is the one of reading
+		}
+		return err
+	})
+	if err != nil {
+		return nil, nil, fmt.Errorf("read %s: %w", path, err)
+	}
+	s := &storage{db: db, identity: saved.identity, lastActivity: saved.lastActivity, wake: make(chan struct{}, 1)}
+	return s, saved, nil
+}
+
+// load reads the file; a new one gets its buckets and its identity.
+func (saved *savedState) load(tx *bbolt.Tx) error {
+	records, err := tx.CreateBucketIfNotExists(bucketRecords)
+	if err != nil {
+		return err
+	}
+	meta, err := tx.CreateBucketIfNotExists(bucketMeta)
+	if err != nil {
+		return err
+	}
+	if err := saved.loadMeta(meta); err != nil {
+		return err
+	}
+	return records.ForEach(func(key, value []byte) error {
+		r, err := decodeRecord(key, value)
+		if err != nil {
+			return fmt.Errorf("%w: %w", boltstore.ErrDamaged, err)
+		}
+		saved.records = append(saved.records, r)
+		return nil
+	})
+}
+
+func (saved *savedState) loadMeta(meta *bbolt.Bucket) error {
+	if identity := meta.Get(keyIdentity); identity != nil {
+		saved.identity = string(identity)
+	} else {
+		saved.identity = rand.Text()
+		if err := meta.Put(keyIdentity, []byte(saved.identity)); err != nil {
+			return err
+		}
+	}
+	if ms, err := strconv.ParseInt(string(meta.Get(keyActivity)), 10, 64); err == nil {
+		saved.lastActivity = time.UnixMilli(ms)
+	}
+	if raw := meta.Get(keyEpochs); raw != nil {
+		if err := json.Unmarshal(raw, &saved.epochs); err != nil {
+			return fmt.Errorf("%w: the epochs: %w", boltstore.ErrDamaged, err)
+		}
+	}
+	return nil
+}
+
+// usedBytes is the size of the file without its free pages; 0 once it is closed.
+// All of it is read in a transaction: outside of one the writer may be mapping
+// the file anew, and reading the map then ends the process.
+func (s *storage) usedBytes() int64 {
+	var size int64
+	_ = s.db.View(func(tx *bbolt.Tx) error { // fails only once the file is closed
+		stats := tx.DB().Stats()
+		free := int64(stats.FreePageN+stats.PendingPageN) * int64(tx.DB().Info().PageSize)
+		size = tx.Size() - free
+		return nil
+	})
+	return size
+}
+
+// putRecord queues a record; done, unless nil, is called when it is on disk.
+func (s *storage) putRecord(partition int, r *Record, done func()) {
+	c := change{key: recordKey(partition, r.ID), done: done}
+	if r.State != Deleted {
+		c.value = r.encode()
+	}
+	s.put(c)
+}
+
+// putMeta queues a value that is not a record.
+func (s *storage) putMeta(key, value []byte) { s.put(change{key: key, value: value, meta: true}) }
+
+func (s *storage) put(c change) {
+	s.mu.Lock()
+	s.queue = append(s.queue, c)
+	s.mu.Unlock()
+	select {
+	case s.wake <- struct{}{}:
+	default:
+	}
+}
+
+// afterSync calls done once all that was put before is on disk: before it
+// returns where nothing waits.
+func (s *storage) afterSync(done func()) {
+	s.mu.Lock()
+	switch {
+	case len(s.queue) > 0:
+		s.queue = append(s.queue, change{done: done})
+	case s.writing:
+		s.afterWrite = append(s.afterWrite, done)
+	default:
+		defer done()
+	}
+	s.mu.Unlock()
+}
+
+// refusesWrites reports whether the last write failed, as on a full disk.
+func (s *storage) refusesWrites() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.health.refused != nil
+}
+
+// check is the error of a disk that is not healthy; see writeHealth.check.
+func (s *storage) check(stalled, slow time.Duration) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.health.check(time.Now(), stalled, slow)
+}
+
+// writeHealth is what the writes say of the disk.
+type writeHealth struct {
+	started time.Time     // of the write under way; zero if there is none
+	average time.Duration // of the time of a write, smoothed
+	refused error         // of the last write, if it failed
+}
+
+// check is an error if a write has been under way for longer than stalled, if
+// writes have recently taken longer than slow, or if the last one was refused.
+func (h *writeHealth) check(now time.Time, stalled, slow time.Duration) error {
+	var age time.Duration
+	if !h.started.IsZero() {
+		age = now.Sub(h.started)
+	}
+	switch {
+	case h.refused != nil:
+		return fmt.Errorf("the disk refuses writes: %w", h.refused)
+	case age > stalled:
+		return fmt.Errorf("the disk has not answered for %v", age.Round(time.Millisecond))
+	case h.average > slow:
+		return fmt.Errorf("the disk takes %v for a write", h.average.Round(time.Millisecond))
+	}
+	return nil
+}
+
+// finish ends the write under way, which took the given time.
+func (h *writeHealth) finish(took time.Duration) {
+	const weight = 4 // a single slow write moves the average by a quarter
+	h.started = time.Time{}
+	h.average += (took - h.average) / weight
+}
--- /dev/null
+++ b/internal/partition/storage_test.go
@@ -0,0 +1,165 @@
+package partition
+
+import (
+	"bytes"
+	"context"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"saltreel/internal/boltstore"
+)
+
+func closeDB(t *testing.T, s *storage) {
+	t.Helper()
+	if err := s.db.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+func TestDamagedFileIsMovedAside(t *testing.T) {
+	dir := t.TempDir()
+	s, saved, err := openStorage(dir, t.Logf)
+	if err != nil || len(saved.records) != 0 {
+		t.Fatal(err)
+	}
+	identity := s.identity
+	closeDB(t, s)
+	if s, _, err = openStorage(dir, t.Logf); err != nil || s.identity != identity {
+		t.Fatalf("opened again: %v", err)
+	}
+	closeDB(t, s)
+	path := filepath.Join(dir, "store.db")
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := 2 * os.Getpagesize(); i < len(raw); i++ { // all but the first two pages
+		raw[i] = byte(i * 7)
+	}
+	if err := os.WriteFile(path, raw, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	warned := ""
+	s, _, err = openStorage(dir, func(format string, _ ...any) { warned = format })
+	if err != nil || s.identity == identity || !strings.Contains(warned, "damaged") {
+		t.Errorf("damaged file: %v, warned %q", err, warned)
+	}
+	closeDB(t, s)
+	if left, _ := filepath.Glob(filepath.Join(dir, "*.damaged-*")); len(left) != 1 {
+		t.Errorf("moved aside: %v", left)
+	}
+}
+
+// What the disk cannot read may be undamaged: it is not moved aside.
+func TestUnreadableFileIsNotMovedAside(t *testing.T) {
+	dir := t.TempDir()
+	if err := os.Mkdir(filepath.Join(dir, "store.db"), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if _, _, err := openStorage(dir, t.Logf); err == nil {
+		t.Error("opened a folder")
+	}
+	if left, _ := filepath.Glob(filepath.Join(dir, "*.damaged-*")); len(left) != 0 {
+		t.Errorf("moved aside: %v", left)
+	}
+}
+
+func TestStateIsReadBackFromDisk(t *testing.T) {
+	dir := t.TempDir()
+	s, _, err := openStorage(dir, t.Logf)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.putRecord(2, &Record{ID: "a", Length: 1, Body: []byte("b")}, nil)
+	s.putRecord(2, &Record{ID: "deleted"}, nil)
+	s.putRecord(2, &Record{ID: "deleted", State: Deleted}, nil)
+	s.putMeta(keyEpochs, fencingEpochs{2: 9}.encode())
+	s.putMeta(keyActivity, []byte("1700000000000"))
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	if err := s.run(ctx, time.Millisecond, t.Logf); err != nil {
+		t.Fatal(err)
+	}
+	s, saved, err := openStorage(dir, t.Logf)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer closeDB(t, s)
+	if len(saved.records) != 1 || saved.records[0].ID != "a" || saved.records[0].Partition != 2 || string(saved.records[0].Body) != "b" {
+		t.Errorf("records: %+v", saved.records)
+	}
+	if len(saved.epochs) != 1 || saved.epochs[2] != 9 || !s.lastActivity.Equal(time.UnixMilli(1700000000000)) {
+		t.Errorf("epochs %v, active at %v", saved.epochs, s.lastActivity)
+	}
+}
+
+func TestStalledOrSlowDiskIsUnhealthy(t *testing.T) {
+	now := time.Now()
+	for name, c := range map[string]struct {
+		health    writeHealth
+		unhealthy bool
+	}{
+		"idle":    {writeHealth{}, false},
+		"writing": {writeHealth{started: now, average: time.Millisecond}, false},
+		"stalled": {writeHealth{started: now.Add(-time.Second), average: time.Millisecond}, true},
+		"slow":    {writeHealth{average: 200 * time.Millisecond}, true},
+		"refuses": {writeHealth{refused: os.ErrClosed}, true},
+	} {
+		s := &storage{health: c.health}
+		if err := s.check(250*time.Millisecond, 80*time.Millisecond); (err != nil) != c.unhealthy {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+	closed, err := boltstore.OpenDatabase(filepath.Join(t.TempDir(), "other.db"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &storage{db: closed} // refuses every write
+	closeDB(t, s)
+	if err := s.commit([]change{{key: []byte("k")}}); err == nil {
+		t.Error("a refused write is not reported")
+	}
+}
+
+func TestAverageWriteTimeMovesByAQuarter(t *testing.T) {
+	h := writeHealth{started: time.Now()}
+	for _, want := range []time.Duration{100, 175} {
+		h.finish(400 * time.Millisecond)
+		if h.average != want*time.Millisecond || !h.started.IsZero() {
+			t.Errorf("%+v, want %v", h, want*time.Millisecond)
+		}
+	}
+}
+
+// A store measures its file while the writer grows it or closes it.
+func TestUsedBytesWhileTheFileGrowsAndCloses(t *testing.T) {
+	s, _, err := openStorage(t.TempDir(), t.Logf)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	var tasks sync.WaitGroup
+	tasks.Go(func() {
+		for i := range 64 {
+			value := bytes.Repeat([]byte{byte(i)}, 64<<10)
+			if err := s.commit([]change{{key: recordKey(0, strconv.Itoa(i)), value: value}}); err != nil {
+				t.Error(err)
+			}
+		}
+		cancel()
+		_ = s.run(ctx, time.Millisecond, t.Logf)
+	})
+	most := int64(0)
+	for ctx.Err() == nil {
+		most = max(most, s.usedBytes())
+	}
+	tasks.Wait()
+	if most < 1<<20 || s.usedBytes() != 0 {
+		t.Errorf("at most %d bytes were seen in use, %d after the end", most, s.usedBytes())
+	}
+}
--- /dev/null
+++ b/internal/partition/writer.go
@@ -0,0 +1,120 @@
+package partition
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"go.etcd.io/bbolt"
+)
+
+// run writes until ctx ends and nothing is left to write, and closes the file.
+// What the disk refuses is tried again: the messages wait, unconfirmed.
+func (s *storage) run(ctx context.Context, retry time.Duration, warn func(format string, args ...any)) error {
+	for {
+		batch := s.dequeue()
+		if len(batch) == 0 {
+			select {
+			case <-s.wake:
+				continue
+			case <-ctx.Done():
+				return s.db.Close()
+			}
+		}
+		if err := s.commitWithRetry(ctx, batch, retry, warn); err != nil {
+			return errors.Join(fmt.Errorf("write to disk: %w", err), s.db.Close())
+		}
+		s.reportWritten(batch, warn)
+	}
+}
+
+// dequeue returns all changes that wait.
+func (s *storage) dequeue() []change {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	batch := s.queue
+	s.queue = nil
+	s.writing = len(batch) > 0
+	return batch
+}
+
+// commitWithRetry writes a batch. It returns an error only if ctx ends while the
+// disk refuses the batch.
+func (s *storage) commitWithRetry(ctx context.Context, batch []change, retry time.Duration, warn func(format string, args ...any)) error {
+	for {
+		err := s.commit(batch)
+		if err == nil {
+			return nil
+		}
+		s.mu.Lock()
+		if s.health.refused == nil {
+			warn("disk: %d changes are not written: %v", len(batch), err)
+		}
+		s.health.refused = err
+		s.mu.Unlock()
+		select {
+		case <-time.After(retry):
+		case <-ctx.Done():
+			return err
+		}
+	}
+}
+
+// reportWritten calls those who wait for a batch that is on disk.
+func (s *storage) reportWritten(batch []change, warn func(format string, args ...any)) {
+	s.mu.Lock()
+	if s.health.refused != nil {
+		warn("disk: writes again")
+	}
+	afterWrite := s.afterWrite
+	s.afterWrite = nil
+	s.writing = false
+	s.health.refused = nil
+	s.mu.Unlock()
+	for _, c := range batch {
+		if c.done != nil {
+			c.done()
+		}
+	}
+	for _, done := range afterWrite {
+		done()
+	}
+}
+
+// commit writes a batch in one transaction.
+func (s *storage) commit(batch []change) error {
+	started := time.Now()
+	s.mu.Lock()
+	s.health.started = started
+	s.mu.Unlock()
+	defer func() {
+		s.mu.Lock()
+		s.health.finish(time.Since(started))
+		s.mu.Unlock()
+	}()
+	return s.db.Update(func(tx *bbolt.Tx) error {
+		records, meta := tx.Bucket(bucketRecords), tx.Bucket(bucketMeta)
+		for _, c := range batch {
+			bucket := records
+			if c.meta {
+				bucket = meta
+			}
+			if err := c.apply(bucket); err != nil {
+				return err
+			}
+		}
+		return nil
+	})
+}
+
+func (c *change) apply(bucket *bbolt.Bucket) error {
+	switch {
+	case c.key == nil:
+		return nil
+	case c.value == nil:
+		return bucket.Delete(c.key)
+	default:
+		return bucket.Put(c.key, c.value)
+	}
+}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -38,13 +38,14 @@
 // New opens the disk and makes the process.
 func New(set *settings.Settings, network httpwire.Network, logger *log.Logger) (*Store, error) {
 	s := &Store{set: set, log: logger, network: network, node: node.New(set, "store", network, logger)}
-	s.parts = &partition.Manager{
-		Self: set.NodeName, Client: s.node.Client, ContactTimeout: set.Contact(), Log: logger,
+	var err error
+	s.parts, err = partition.New(partition.Config{
+		Dir: set.DataPath, Self: set.NodeName, Client: s.node.Client, ContactTimeout: set.Contact(), Log: logger,
 		StateRetention: settings.Seconds(set.Timers.StatusTtlS) + set.Contact(), ReportInSync: s.node.ReportInSync, ReportFailure: s.node.ReportFailure,
 		Backups: int(set.FaultTolerance.HostFailures),
 		MaxDisk: set.Limits.DiskMb << 20 * 3 / 4, MaxMemory: set.Limits.MemoryMb << 20 / 3,
-	}
-	if err := s.parts.Open(set.DataPath); err != nil {
+	})
+	if err != nil {
 		return nil, err
 	}
 	s.node.Self.Disk = s.parts.DiskID()
@@ -96,11 +97,11 @@
 	mux := rpc.Mux{
 		"/news":     source.Handle,
 		"/ping":     rpc.Handler(s.handlePing),
-		"/copy":     rpc.Handler(s.parts.HandleBatch),
-		"/digest":   rpc.Handler(s.parts.HandleDigest),
+		"/copy":     rpc.Handler(s.parts.HandleBatch, partition.StatusCode),
+		"/digest":   rpc.Handler(s.parts.HandleDigest, partition.StatusCode),
 		"/fetch":    s.parts.HandleFetch,
-		"/accept":   rpc.Handler(s.handleAccept),
-		"/status":   rpc.Handler(s.handleStatus),
+		"/accept":   rpc.Handler(s.handleAccept, partition.StatusCode),
+		"/status":   rpc.Handler(s.handleStatus, partition.StatusCode),
 		"/body":     s.handleBody,
 		"/grant":    rpc.Handler(s.meters.handle),
 		"/handover": rpc.Handler(s.handleHandover),
@@ -226,7 +227,7 @@
 	res := rpc.Handler(func(ctx context.Context, in *MessageQuery, _ []byte) (_ *struct{}, err error) {
 		rec, err = s.find(ctx, in)
 		return &struct{}{}, err
-	})(ctx, r)
+	}, partition.StatusCode)(ctx, r)
 	if rec == nil {
 		return res
 	}
