--- a/internal/partition/assignment_test.go
+++ b/internal/partition/assignment_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestInSyncIsTakenFromTheSameEpochOnly(t *testing.T) {
+func TestInSyncFollowsTheSameEpochOnly(t *testing.T) {
 	for _, c := range []struct {
 		epoch int64
 		want  bool
--- a/internal/partition/errors_test.go
+++ b/internal/partition/errors_test.go
@@ -37,7 +37,7 @@
 }
 
 // What another store answered to this one is passed on as it is.
-func TestStatusCodeLeavesTheAnswerOfAnotherStore(t *testing.T) {
+func TestStatusCodeDoesNotMapTheAnswerOfAnotherStore(t *testing.T) {
 	answered := &httpwire.Error{Step: "fetch", Sent: true, Err: &rpc.StatusError{Code: 421, Text: "no such partition here"}}
 	if code := StatusCode(answered); code != 0 || rpc.StatusCode(answered) != 421 {
 		t.Errorf("%d, %d", code, rpc.StatusCode(answered))
--- a/internal/partition/handover_test.go
+++ b/internal/partition/handover_test.go
@@ -72,7 +72,7 @@
 	})
 }
 
-func TestHandoverLeavesOtherEpochsAndRoles(t *testing.T) {
+func TestHandoverDoesNotStopOtherEpochs(t *testing.T) {
 	m := startPrimary(t)
 	idle := func(int) bool { return true }
 	for name, wanted := range map[string]map[int]int64{
--- a/internal/partition/replica_test.go
+++ b/internal/partition/replica_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestAcknowledgeLeavesARecordThatChangedSince(t *testing.T) {
+func TestAcknowledgeRetainsARecordThatChangedSince(t *testing.T) {
 	sent, changed := &Record{ID: "x"}, &Record{ID: "x", State: Complete}
 	r := &replica{unreplicated: map[string]*Record{"x": changed}}
 	if r.acknowledge(sent); r.unreplicated["x"] != changed {
