--- a/internal/partition/partition_bench_test.go
+++ b/internal/partition/partition_bench_test.go
@@ -5,6 +5,9 @@
 	"fmt"
 	"runtime"
 	"testing"
+	"time"
+
+	"saltreel/internal/placement"
 )
 
 func message(i int) *Record {
@@ -85,3 +88,33 @@
 		})
 	}
 }
+
+// BenchmarkReplicate makes a batch of 100 messages, in 10 of 64 partitions, and
+// handles the response: what a primary does for one call to a backup.
+func BenchmarkReplicate(b *testing.B) {
+	m := startBackup(b)
+	assignments := make([]placement.Partition, 64)
+	for i := range assignments {
+		assignments[i] = placement.Partition{Epoch: 6, Primary: "me", Backups: []placement.Backup{{Store: "other", InSync: true}}}
+	}
+	m.ApplyPlacement(placement.Placement{Version: 2, Stores: map[string]placement.Store{"me": {Disk: m.DiskID()}}, Partitions: assignments})
+	to := &replicator{manager: m, peer: "other", wakeup: make(chan struct{}, 1)}
+	messages := make([]*Record, 100)
+	for i := range messages {
+		messages[i] = message(i)
+	}
+	b.ReportAllocs()
+	for b.Loop() {
+		m.mu.Lock()
+		for i, r := range messages {
+			m.partitions[i%10].replicas[0].unreplicated[r.ID] = r
+		}
+		m.mu.Unlock()
+		batch := m.nextBatch("other")
+		var response BatchResponse
+		for _, sent := range batch.sent {
+			response.Partitions = append(response.Partitions, PartitionResult{Partition: sent.partition.number, Checksum: sent.checksum, Count: sent.count})
+		}
+		m.handleResponse(to, time.Now(), batch.sent, response)
+	}
+}
