--- a/internal/partition/antientropy.go
+++ b/internal/partition/antientropy.go
@@ -143,7 +143,7 @@
 	return append(append(front, '\n'), bodies...), nil
 }
 
-// errTruncatedFetch says that the answer of another store is not whole. It is not
+// errTruncatedFetch says that the answer of another store is incomplete. It is not
 // ErrTruncatedBatch, which blames the one who called this store.
 var errTruncatedFetch = errors.New("the bodies are cut short")
 
