--- a/internal/partition/partition_bench_test.go
+++ b/internal/partition/partition_bench_test.go
@@ -2,18 +2,11 @@
 
 import (
 	"bytes"
-	"context"
 	"fmt"
-	"io"
-	"log"
-	"net"
 	"runtime"
 	"testing"
 	"time"
 
-	"saltreel/internal/rpc"
-
-	"saltreel/internal/httpwire"
 	"saltreel/internal/placement"
 )
 
@@ -36,16 +29,16 @@
 	b.Run("decode", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			if _, err := decode(key(0, r.ID), raw); err != nil {
+			if _, err := decodeRecord(recordKey(0, r.ID), raw); err != nil {
 				b.Fatal(err)
 			}
 		}
 	})
 }
 
-// BenchmarkHeld is what a message takes in memory while it waits, without and
-// with its body.
-func BenchmarkHeld(b *testing.B) {
+// BenchmarkMemory measures the memory of a pending message, without and with its
+// body.
+func BenchmarkMemory(b *testing.B) {
 	const n = 100000
 	for _, size := range []int{0, 1500} {
 		b.Run(fmt.Sprintf("body=%d", size), func(b *testing.B) {
@@ -53,55 +46,75 @@
 			for b.Loop() {
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				p, s := &part{records: map[string]*Record{}}, &Manager{}
+				records := newRecordSet()
 				for i := range n {
 					r := message(i)
 					r.Body = make([]byte, size)
-					s.put(p, r)
+					records.put(r)
 				}
 				runtime.GC()
 				runtime.ReadMemStats(&after)
-				runtime.KeepAlive(p)
+				runtime.KeepAlive(&records)
 			}
-			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/n, "held-B/message")
+			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/n, "memory-B/message")
 		})
 	}
 }
 
-// BenchmarkCopies takes batches of messages as a backup, each on disk before
-// the answer, and tells how large the file is then.
-func BenchmarkCopies(b *testing.B) {
+// BenchmarkHandleBatch applies batches of messages as a backup, each on disk
+// before the answer, and measures how large the file is then.
+func BenchmarkHandleBatch(b *testing.B) {
 	for _, n := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("messages=%d", n), func(b *testing.B) {
-			s := &Manager{Self: "me", ContactTimeout: 4 * time.Second, Log: log.New(io.Discard, "", 0), StateRetention: time.Minute,
-				ReportFailure: func(string, bool) {}, ReportInSync: func(context.Context, placement.InSyncReport) error { return nil },
-				Client: rpc.NewClient(&httpwire.Pool{Network: httpwire.Network{Dial: func(context.Context, string) (net.Conn, error) { return nil, io.EOF }}})}
-			if err := s.Open(b.TempDir()); err != nil {
-				b.Fatal(err)
-			}
-			ctx, cancel := context.WithCancel(b.Context())
-			done := make(chan struct{})
-			go func() { _ = s.Run(ctx); close(done) }()
-			defer func() { cancel(); <-done }()
-			s.ApplyPlacement(placement.Placement{Version: 1, Stores: map[string]placement.Store{"me": {Disk: s.DiskID()}},
-				Partitions: []placement.Partition{{Epoch: 5, Primary: "other", Backups: []placement.Backup{{Store: "me", InSync: true}}}}})
+			m := startBackup(b)
 			b.ReportAllocs()
-			at := 0
+			next := 0
 			for b.Loop() {
-				batch, raw := BatchRequest{From: "other", Now: s.Now()}, []byte{}
-				share := PartitionBatch{Epoch: 5}
+				batch := BatchRequest{From: "other", Now: m.Now()}
+				raw := []byte{}
+				part := PartitionBatch{Epoch: 5}
 				for range n {
-					r := message(at)
-					at++
-					share.Records = append(share.Records, r)
+					r := message(next)
+					next++
+					part.Records = append(part.Records, r)
 					raw = append(raw, r.Body...)
 				}
-				batch.Parts = []PartitionBatch{share}
-				if _, err := s.HandleBatch(ctx, &batch, raw); err != nil {
+				batch.Partitions = []PartitionBatch{part}
+				if _, err := m.HandleBatch(b.Context(), &batch, raw); err != nil {
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(s.disk.used())/float64(at), "file-B/message")
+			b.ReportMetric(float64(m.storage.usedBytes())/float64(next), "file-B/message")
 		})
 	}
 }
+
+// BenchmarkReplicate makes a batch of 100 messages, in 10 of 64 partitions, and
+// handles the response: what a primary does for one call to a backup.
+func BenchmarkReplicate(b *testing.B) {
+	m := startBackup(b)
+	assignments := make([]placement.Partition, 64)
+	for i := range assignments {
+		assignments[i] = placement.Partition{Epoch: 6, Primary: "me", Backups: []placement.Backup{{Store: "other", InSync: true}}}
+	}
+	m.ApplyPlacement(placement.Placement{Version: 2, Stores: map[string]placement.Store{"me": {Disk: m.DiskID()}}, Partitions: assignments})
+	to := &replicator{manager: m, peer: "other", wakeup: make(chan struct{}, 1)}
+	messages := make([]*Record, 100)
+	for i := range messages {
+		messages[i] = message(i)
+	}
+	b.ReportAllocs()
+	for b.Loop() {
+		m.mu.Lock()
+		for i, r := range messages {
+			m.partitions[i%10].replicas[0].unreplicated[r.ID] = r
+		}
+		m.mu.Unlock()
+		batch := m.nextBatch("other")
+		var response BatchResponse
+		for _, sent := range batch.sent {
+			response.Partitions = append(response.Partitions, PartitionResult{Partition: sent.partition.number, Checksum: sent.checksum, Count: sent.count})
+		}
+		m.handleResponse(to, time.Now(), batch.sent, response)
+	}
+}
