--- a/internal/cluster/path_test.go
+++ b/internal/cluster/path_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"saltreel/internal/httpwire"
-	"saltreel/internal/store"
+	"saltreel/internal/ratelimit"
 )
 
 func TestMessageIsTakenDeliveredAndToldOf(t *testing.T) {
@@ -328,7 +328,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			meter := s.Placement.Partitions[store.LimiterPartition("one", len(s.Placement.Partitions))].Primary
+			meter := s.Placement.Partitions[ratelimit.LimiterPartition("one", len(s.Placement.Partitions))].Primary
 			var mu sync.Mutex
 			var taken []time.Time
 			var wg sync.WaitGroup
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -22,6 +22,7 @@
 	"saltreel/internal/partition"
 	"saltreel/internal/platform"
 	"saltreel/internal/quota"
+	"saltreel/internal/ratelimit"
 	"saltreel/internal/rpc"
 	"saltreel/internal/settings"
 	"saltreel/internal/store"
@@ -33,7 +34,7 @@
 	log     *log.Logger
 	network httpwire.Network
 	node    *node.Node
-	grants  *grants
+	leases  *ratelimit.Leases
 	waning  atomic.Bool
 
 	bytes    *quota.Manager
@@ -53,7 +54,7 @@
 	}
 	// One tenant may have half of what this node's processor can do.
 	e.time.Limit(quota.Entity{Tenant: quota.Default}, set.Limits.CpuShare*max(1, set.Limits.CoreCount)/2)
-	e.grants = &grants{node: e.node, tenants: map[string]*grant{}}
+	e.leases = ratelimit.NewLeases(e.node.Client, e.node.Placement, set.Contact())
 	return e
 }
 
@@ -98,7 +99,7 @@
 		func() { _ = clients.Serve(life, outer) },
 		func() { _ = platform.ServeReadiness(life, asked, e.ready) },
 		func() { e.node.Run(life) },
-		func() { e.grants.run(life) },
+		func() { e.leases.Run(life) },
 		func() { e.bytes.Reap(life) },
 		func() { e.time.Reap(life) },
 		func() { e.accepted.Reap(life) },
@@ -224,10 +225,10 @@
 		// What is asked is recorded, then checked. The limit binds over all
 		// nodes, so here a grant decides, and X follows from what was granted.
 		m.Throttle = e.accepted.Record(m.Tenant, route.Name, 1)
-		if wait := e.grants.take(ctx, tenant); wait > 0 {
+		if wait := e.leases.Acquire(ctx, tenant); wait > 0 {
 			// The connection is held until the next grant only: the tenant is
 			// still owed its limit, also on the connections it has.
-			x := max(wait, e.grants.excess(tenant, e.accepted.Rate(m.Tenant, route.Name)))
+			x := max(wait, e.leases.ThrottleTime(tenant, e.accepted.Rate(m.Tenant, route.Name)))
 			m.Throttle = min(wait, x)
 			return later(httpwire.Problem(429, "tenant "+m.Tenant+" is over its limit"), x), waited()
 		}
--- a/internal/store/store_bench_test.go
+++ b/internal/ratelimit/limiter_bench_test.go
@@ -1,14 +1,13 @@
-package store
+package ratelimit
 
 import (
 	"fmt"
 	"testing"
-	"time"
 
 	"saltreel/internal/configuration"
 )
 
-// BenchmarkGrant answers one question of an edge for grants of n tenants.
+// BenchmarkGrant answers one edge's request for leases of n tenants.
 func BenchmarkGrant(b *testing.B) {
 	for _, n := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("tenants=%d", n), func(b *testing.B) {
@@ -21,12 +20,10 @@
 					in.Wanted[name] = 20
 				}
 			}
-			table := configuration.NewTable(c)
-			m := &meters{share: 10, tenants: map[string]*meter{}, leads: func(int) bool { return true },
-				paused: func(int) time.Duration { return 0 }, mark: func() {}, table: func() *configuration.Table { return table }}
+			l := limiterOf(b, configuration.NewTable(c), 0)
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := m.handle(b.Context(), in, nil); err != nil {
+				if _, err := l.Handle(b.Context(), in, nil); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -4,8 +4,10 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log"
+	"net/http"
 	"sync"
 	"time"
 
@@ -18,7 +20,7 @@
 	"saltreel/internal/partition"
 	"saltreel/internal/placement"
 	"saltreel/internal/quota"
-	"saltreel/internal/ring"
+	"saltreel/internal/ratelimit"
 	"saltreel/internal/rpc"
 	"saltreel/internal/settings"
 )
@@ -32,7 +34,7 @@
 	parts   *partition.Manager
 	deliver *delivery.Scheduler
 	bytes   *quota.Manager
-	meters  *meters
+	limiter *ratelimit.Limiter
 }
 
 // New opens the disk and makes the process.
@@ -55,7 +57,19 @@
 		Pool: &httpwire.Pool{Network: network, Opening: set.Contact() / 16},
 	}
 	s.deliver.Init()
-	s.meters = &meters{share: set.Timers.QuotaAllowance / 2, leads: s.parts.MayDeliver, paused: s.parts.DowntimeOf, mark: s.parts.RecordActivity, table: s.node.Table, tenants: map[string]*meter{}}
+	var err error
+	s.limiter, err = ratelimit.NewLimiter(ratelimit.LimiterConfig{
+		Allowance:      set.Timers.QuotaAllowance / 2,
+		Interval:       set.Contact() / 16,
+		Table:          s.node.Table,
+		Partitions:     s.partitions,
+		IsOwner:        s.parts.MayDeliver,
+		Downtime:       s.parts.DowntimeOf,
+		RecordActivity: s.parts.RecordActivity,
+	})
+	if err != nil {
+		return nil, err
+	}
 	s.node.Journal.Fold(s.hear)
 	return s, nil
 }
@@ -102,7 +116,7 @@
 		"/accept":   rpc.Handler(s.handleAccept),
 		"/status":   rpc.Handler(s.handleStatus),
 		"/body":     s.handleBody,
-		"/grant":    rpc.Handler(s.meters.handle),
+		"/grant":    rpc.Handler(s.limiter.Handle, statusCode),
 		"/handover": rpc.Handler(s.handleHandover),
 	}
 	server := &httpwire.Server{Handle: mux.Handle, Log: s.log}
@@ -112,7 +126,7 @@
 	tasks.Go(func() { s.node.Run(life) })
 	tasks.Go(func() { s.deliver.Run(deliveries) })
 	tasks.Go(func() { s.bytes.Reap(life) })
-	tasks.Go(func() { s.meters.tend(life, s.set.Contact()/16, s.partitions) })
+	tasks.Go(func() { s.limiter.Run(life) })
 	failed := make(chan error, 1)
 	tasks.Go(func() { failed <- s.parts.Run(life) })
 	s.log.Printf("store: started, disk %s", s.parts.DiskID())
@@ -242,9 +256,17 @@
 	return &placement.HandoverRequest{Partitions: s.parts.Freeze(ctx, in.Partitions, s.deliver.Idle)}, nil
 }
 
-// MeterPartition is the partition whose primary meters a tenant.
-func LimiterPartition(tenant string, partitions int) int {
-	return int(ring.Hash("meter", tenant) % uint64(partitions))
+// statusCode maps the errors of the calls that are served here to the status
+// codes of their answers; 0 leaves it to rpc.Handler.
+func statusCode(err error) int {
+	var notOwner *ratelimit.NotOwnerError
+	switch {
+	case errors.As(err, &notOwner):
+		return http.StatusMisdirectedRequest
+	case errors.Is(err, ratelimit.ErrNoConfiguration), errors.Is(err, ratelimit.ErrCallerTimedOut):
+		return http.StatusServiceUnavailable
+	}
+	return 0
 }
 
 // Reload takes over what may change while the process runs.
