--- /dev/null
+++ b/internal/delivery/attempt.go
@@ -0,0 +1,118 @@
+package delivery
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"saltreel/internal/configuration"
+	"saltreel/internal/handler"
+	"saltreel/internal/partition"
+)
+
+// attempt makes one delivery and draws the consequences.
+func (s *Scheduler) attempt(ctx context.Context, m *message, e *endpoint, route *configuration.Route) {
+	result := s.deliver(ctx, m, e, route)
+	dead := isDead(result.Outcome, m.failedAttempts, int(route.MaxAttempts))
+	switch {
+	case dead:
+		s.config.Partitions.Finish(m.record.Partition, m.record.ID, partition.Dead, "")
+	case result.Outcome == handler.Done:
+		s.config.Partitions.Finish(m.record.Partition, m.record.ID, partition.Complete, result.Seal)
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	defer s.wakeUp()
+	defer s.endDelivery(m)
+	now := time.Now()
+	e.inFlight--
+	m.running = false
+	if !result.Kept {
+		s.recordOutcomeLocked(e, m.queue, result.Outcome, now)
+	}
+	if m.ended {
+		return
+	}
+	if result.Outcome == handler.Done || dead {
+		s.endLocked(m)
+		return
+	}
+	if result.Outcome == handler.Failed {
+		m.failedAttempts++
+	}
+	m.due = now.Add(s.retryDelay(m, result.Outcome, route))
+	s.enqueueLocked(m)
+}
+
+// deliver hands a message to an endpoint. A delivery in flight ends in its own
+// time, even when the process stops.
+func (s *Scheduler) deliver(ctx context.Context, m *message, e *endpoint, route *configuration.Route) handler.Result {
+	r := m.record
+	began := time.Now()
+	result := handler.Deliver(context.WithoutCancel(ctx), s.config.Pool, handler.Delivery{
+		Address:  e.Address,
+		Instance: e.ID,
+		ID:       r.ID,
+		Tenant:   r.Tenant,
+		OrderKey: r.OrderKey,
+		Method:   r.Method,
+		Target:   r.Target,
+		Host:     r.Host,
+		Type:     r.Type,
+		Body:     r.Body,
+		Timeout:  time.Duration(route.TimeoutMs) * time.Millisecond,
+	})
+	switch result.Outcome {
+	case handler.Done, handler.Refused, handler.Failed: // the handler's word
+	default:
+		s.config.Log.Printf("delivery: %s to %s: %v %d after %v: %v", r.ID, e.Address, result.Outcome, result.Status, time.Since(began).Round(time.Millisecond), result.Err)
+	}
+	return result
+}
+
+// isDead reports whether an outcome makes a message a dead letter: its handler
+// has refused it for good, or this was the last attempt that its route allows.
+func isDead(o handler.Outcome, failedBefore, maxAttempts int) bool {
+	switch o {
+	case handler.Refused:
+		return true
+	case handler.Failed:
+		return failedBefore+1 >= maxAttempts
+	default:
+		return false
+	}
+}
+
+// recordOutcomeLocked takes an outcome into account for the endpoint and its
+// service.
+func (s *Scheduler) recordOutcomeLocked(e *endpoint, q *serviceQueue, o handler.Outcome, now time.Time) {
+	if o != handler.NotRun {
+		q.failureRate = smooth(q.failureRate, o, 16)
+	}
+	e.health.recordOutcome(o, now, s.timing)
+	switch o {
+	case handler.Wrong: // another endpoint has its address: it does not run any more
+		s.endpoints.removeIfCurrent(e, q.service)
+	case handler.Silent:
+		s.config.Pool.Forget(e.Address) // its connections may be stalled
+	default:
+	}
+}
+
+// maxRetryDoublings bounds the backoff of a message.
+const maxRetryDoublings = 4
+
+// retryDelay is the time before a message is tried again: exponential backoff
+// where the attempt may have run, and jitter of one half in any case. The last
+// attempt of a message is not spent on a service that fails just now.
+func (s *Scheduler) retryDelay(m *message, o handler.Outcome, route *configuration.Route) time.Duration {
+	mean := s.timing.baseRetry()
+	lastAttempt := m.failedAttempts+1 >= int(route.MaxAttempts)
+	switch {
+	case o == handler.Failed && lastAttempt && m.queue.failureRate > 2*ordinaryFailureRate:
+		mean = s.timing.lastRetry()
+	case o == handler.Failed, o == handler.Unclear, o == handler.Silent:
+		mean <<= min(m.tries-1, maxRetryDoublings)
+	}
+	return mean/2 + rand.N(mean)
+}
--- /dev/null
+++ b/internal/delivery/attempt_test.go
@@ -0,0 +1,64 @@
+package delivery
+
+import (
+	"testing"
+	"time"
+
+	"saltreel/internal/configuration"
+	"saltreel/internal/handler"
+)
+
+func TestOutcomesThatMakeDeadLetters(t *testing.T) {
+	for _, c := range []struct {
+		o            handler.Outcome
+		failedBefore int
+		want         bool
+	}{
+		{handler.Refused, 0, true},
+		{handler.Failed, 0, false},
+		{handler.Failed, 1, false},
+		{handler.Failed, 2, true},
+		{handler.Failed, 3, true},
+		{handler.Done, 2, false},
+		{handler.NotRun, 9, false},
+		{handler.Wrong, 9, false},
+		{handler.Unclear, 9, false},
+		{handler.Silent, 9, false},
+	} {
+		if got := isDead(c.o, c.failedBefore, 3); got != c.want {
+			t.Errorf("%v after %d failures: %v", c.o, c.failedBefore, got)
+		}
+	}
+}
+
+func TestRetryDelay(t *testing.T) {
+	s := newScheduler(t, 1)
+	for name, c := range map[string]struct {
+		o           handler.Outcome
+		tries       int
+		failed      int // attempts, this one included
+		failureRate float64
+		mean        time.Duration
+	}{
+		"first failure":                {handler.Failed, 1, 1, 0, 20},
+		"second failure":               {handler.Failed, 2, 1, 0, 40},
+		"no answer, third try":         {handler.Silent, 3, 0, 0, 80},
+		"unclear, fourth try":          {handler.Unclear, 4, 0, 0, 160},
+		"bounded":                      {handler.Failed, 50, 1, 0, 320},
+		"declined":                     {handler.NotRun, 9, 0, 0, 20},
+		"wrong handler":                {handler.Wrong, 9, 0, 0, 20},
+		"last attempt, service fails":  {handler.Failed, 2, 2, 0.21, 2000},
+		"last attempt, service works":  {handler.Failed, 2, 2, 0.2, 40},
+		"not the last, service fails":  {handler.Failed, 1, 1, 0.9, 20},
+		"no answer before the last":    {handler.Silent, 3, 2, 0.9, 80},
+		"declined before the last one": {handler.NotRun, 3, 2, 0.9, 20},
+	} {
+		m := &message{tries: c.tries, failedAttempts: c.failed, queue: &serviceQueue{failureRate: c.failureRate}}
+		mean := c.mean * time.Millisecond
+		for range 50 {
+			if got := s.retryDelay(m, c.o, &configuration.Route{MaxAttempts: 3}); got < mean/2 || got >= mean*3/2 {
+				t.Errorf("%s: %v, not about %v", name, got, mean)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/delivery/message.go
@@ -0,0 +1,120 @@
+package delivery
+
+import (
+	"time"
+
+	"saltreel/internal/configuration"
+	"saltreel/internal/partition"
+	"saltreel/internal/settings"
+)
+
+// message is a message to deliver. There are many, so its size counts.
+type message struct {
+	record         *partition.Record
+	partition      *partitionMessages
+	key            *keyQueue     // nil without an order key
+	queue          *serviceQueue // that it is or was on
+	due            time.Time     // no attempt before then, by the monotonic clock
+	eligibleSince  time.Time     // when it could first have started
+	failedAttempts int           // that count against the route's limit
+	tries          int           // attempts of any outcome
+	running        bool          // an attempt is in flight
+	queued         bool          // on the queue of its service
+	ended          bool
+	priority       int32
+	lastEndpoint   string    // the instance of the last attempt
+	startBy        time.Time // the latest start that is in time
+	overdueAt      time.Time // from then on it goes before all others
+}
+
+// applyRoute sets what the route of the message says of its order in the queue.
+func (m *message) applyRoute(route *configuration.Route) {
+	m.priority = route.Priority
+	m.startBy = m.eligibleSince.Add(time.Duration(route.StartTargetMs) * time.Millisecond)
+	m.overdueAt = m.eligibleSince.Add(settings.Seconds(route.RetentionS / 2))
+}
+
+// expired reports whether the retention of the message is over; now is the wall
+// clock in milliseconds.
+func (m *message) expired(now int64) bool { return m.record.Expires > 0 && m.record.Expires < now }
+
+// partitionMessages are the pending messages of one partition.
+type partitionMessages struct {
+	byID  map[string]*message
+	byKey map[string]*keyQueue // by tenant and order key
+}
+
+func newPartitionMessages() *partitionMessages {
+	return &partitionMessages{byID: map[string]*message{}, byKey: map[string]*keyQueue{}}
+}
+
+// add takes over a message and reports whether it may be queued: only the first
+// of its order key may.
+func (p *partitionMessages) add(m *message) bool {
+	p.byID[m.record.ID] = m
+	if m.record.OrderKey == "" {
+		return true
+	}
+	name := keyQueueName(m.record)
+	q := p.byKey[name]
+	if q == nil {
+		q = &keyQueue{}
+		p.byKey[name] = q
+	}
+	m.key = q
+	return q.insert(m)
+}
+
+// remove takes a message out and returns the one of its order key that is first
+// now, if any.
+func (p *partitionMessages) remove(m *message) *message {
+	delete(p.byID, m.record.ID)
+	if m.key == nil {
+		return nil
+	}
+	next := m.key.remove(m)
+	if next == nil {
+		delete(p.byKey, keyQueueName(m.record))
+	}
+	return next
+}
+
+// endAll marks all messages as ended, so that the queues drop them.
+func (p *partitionMessages) endAll() {
+	for _, m := range p.byID {
+		m.ended = true
+	}
+}
+
+func keyQueueName(r *partition.Record) string { return r.Tenant + "\x00" + r.OrderKey }
+
+// keyQueue is the messages that share a tenant and an order key, in the order of
+// their acceptance: only the first may run.
+type keyQueue struct{ messages []*message }
+
+// insert puts a message in its place, but never before one whose attempt is in
+// flight, and reports whether it is the first.
+func (q *keyQueue) insert(m *message) bool {
+	at := len(q.messages)
+	for at > 0 && q.messages[at-1].record.Order > m.record.Order && !q.messages[at-1].running {
+		at--
+	}
+	q.messages = append(q.messages, nil)
+	copy(q.messages[at+1:], q.messages[at:])
+	q.messages[at] = m
+	return at == 0
+}
+
+// remove takes a message out and returns the first that remains, if any.
+func (q *keyQueue) remove(m *message) *message {
+	for i, other := range q.messages {
+		if other == m {
+			q.messages = append(q.messages[:i], q.messages[i+1:]...)
+			break
+		}
+	}
+	if len(q.messages) == 0 {
+		return nil
+	}
+	return q.messages[0]
+}
--- /dev/null
+++ b/internal/delivery/pick.go
@@ -0,0 +1,131 @@
+package delivery
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"saltreel/internal/configuration"
+	"saltreel/internal/settings"
+)
+
+// What counts against an endpoint, as a multiple of its own full load: the one
+// with the lowest sum is picked.
+const (
+	costOtherZone   = 2.0
+	costOtherRegion = 1.0 // beside that of another zone
+	costLastAttempt = 4.0 // rather another than the one that failed
+	costSlowStart   = 0.5
+	costProbing     = 1.0
+	costFailureRate = 4.0       // for each failure above the ordinary rate
+	costJitter      = 1.0 / 8.0 // at most; so that stores do not all pick the same
+)
+
+// pickEndpointLocked finds the endpoint for a message: the one with the least
+// load, own zone first. If none is free now, it returns nil and when to look
+// again.
+func (s *Scheduler) pickEndpointLocked(service *configuration.Service, m *message, now time.Time) (*endpoint, time.Duration) {
+	endpoints := s.endpoints.ofService(service)
+	static := service.StaticEndpoint != ""
+	pick := picker{settings: s.config.Settings, timing: s.timing, now: now, message: m}
+	pick.localAvailable = pick.hasLocal(endpoints)
+	var best *endpoint
+	bestCost := 0.0
+	wait := s.timing.endpointRecheck()
+	for _, e := range endpoints {
+		if e.static != static {
+			continue
+		}
+		cost, recheck, free := pick.cost(e)
+		if !free {
+			wait = min(wait, recheck)
+			continue
+		}
+		if best == nil || cost < bestCost {
+			best = e
+			bestCost = cost
+		}
+	}
+	return best, wait
+}
+
+// picker compares the endpoints for one message.
+type picker struct {
+	settings       *settings.Settings
+	timing         timing
+	now            time.Time
+	message        *message
+	localAvailable bool // an endpoint of this zone is healthy or in slow start
+}
+
+// hasLocal reports whether an endpoint of this zone can be relied on.
+func (p *picker) hasLocal(endpoints map[string]*endpoint) bool {
+	for _, e := range endpoints {
+		if e.static || e.Zone != p.settings.Zone {
+			continue
+		}
+		if state := e.health.state(p.now); state == healthy || state == slowStart {
+			return true
+		}
+	}
+	return false
+}
+
+// cost is what counts against an endpoint, or when to look again if it is not
+// free for the message.
+func (p *picker) cost(e *endpoint) (cost float64, recheck time.Duration, free bool) {
+	state := e.health.state(p.now)
+	if !state.available() {
+		return 0, e.health.blockedUntil.Sub(p.now), false
+	}
+	remote := !e.static && e.Zone != p.settings.Zone
+	limit := p.limit(e, state, remote)
+	if e.inFlight >= limit {
+		return 0, p.timing.endpointRecheck(), false
+	}
+	if remote && p.localAvailable && p.now.Sub(p.message.eligibleSince) < p.timing.localPreference() {
+		return 0, p.timing.localRecheck(), false
+	}
+	cost = float64(e.inFlight) / float64(limit)
+	if remote {
+		cost += p.distance(e)
+	}
+	if e.ID != "" && e.ID == p.message.lastEndpoint {
+		cost += costLastAttempt
+	}
+	cost += e.health.cost(p.now)
+	return cost + rand.Float64()*costJitter, 0, true
+}
+
+// limit is how many deliveries may be in flight to an endpoint. While this zone
+// has endpoints of its own, half of the others is left to the stores there.
+func (p *picker) limit(e *endpoint, state endpointState, remote bool) int {
+	switch {
+	case state == probing:
+		return 1
+	case remote && p.localAvailable:
+		return max(1, e.capacity()/2)
+	}
+	return e.capacity()
+}
+
+// distance is the cost of an endpoint of another zone.
+func (p *picker) distance(e *endpoint) float64 {
+	if p.settings.Zones[e.Zone] != p.settings.Region {
+		return costOtherZone + costOtherRegion
+	}
+	return costOtherZone
+}
+
+// cost is what the health of an endpoint counts against it. One that often fails
+// is for the messages for which there is no other. One that was ejected within
+// its slow start counts for both.
+func (h *endpointHealth) cost(now time.Time) float64 {
+	cost := costFailureRate * max(0, h.failureRate-ordinaryFailureRate)
+	if now.Before(h.slowStartUntil) {
+		cost += costSlowStart
+	}
+	if h.unproven {
+		cost += costProbing
+	}
+	return cost
+}
--- a/internal/delivery/queue.go
+++ b/internal/delivery/queue.go
@@ -5,50 +5,84 @@
 	"time"
 )
 
-// service is the queue of one service.
-type service struct {
-	name   string
-	later  timeHeap
-	ready  readyHeap // may still start in time
-	late   lateHeap  // cannot any more: after those that can, oldest first
-	tokens float64
-	filled time.Time
-	paced  bool
-	bad    float64 // smoothed share of attempts that came to nothing
+// serviceQueue is the queue of one service, with what is known of the service as
+// a whole.
+type serviceQueue struct {
+	service     string
+	scheduled   dueHeap   // not due yet
+	ready       readyHeap // may still start in time
+	late        lateHeap  // cannot any more
+	pacer       tokenBucket
+	failureRate float64 // smoothed part of the attempts that failed
 }
 
-// next takes the item that is to start first. A backlog of items that are late
-// in any case does not make the fresh ones late too, unless it waited for long.
-func (svc *service) next(now time.Time) *item {
-	if len(svc.late) > 0 && now.After(svc.late[0].patience) {
-		return heap.Pop(&svc.late).(*item)
+func newServiceQueue(service string, now time.Time) *serviceQueue {
+	return &serviceQueue{service: service, pacer: tokenBucket{filled: now}}
+}
+
+// schedule queues a message until it is due.
+func (q *serviceQueue) schedule(m *message) { heap.Push(&q.scheduled, m) }
+
+// putBack queues a message that is due and could not start.
+func (q *serviceQueue) putBack(m *message) { heap.Push(&q.ready, m) }
+
+// releaseDue makes the scheduled messages that are due ready.
+func (q *serviceQueue) releaseDue(now time.Time) {
+	for len(q.scheduled) > 0 && !q.scheduled[0].due.After(now) {
+		if m := heap.Pop(&q.scheduled).(*message); !m.ended {
+			heap.Push(&q.ready, m)
+		}
+	}
+}
+
+// untilNextDue is how long the next scheduled message is not due yet, at most
+// most.
+func (q *serviceQueue) untilNextDue(now time.Time, most time.Duration) time.Duration {
+	if len(q.scheduled) == 0 {
+		return most
+	}
+	return min(most, q.scheduled[0].due.Sub(now))
+}
+
+// dueCount is how many messages are due.
+func (q *serviceQueue) dueCount() int { return len(q.ready) + len(q.late) }
+
+// pop takes the message that is to start first; nil if none is due. Messages
+// that are late in any case go after those that can still start in time, oldest
+// first, so that a backlog does not make the fresh ones late too, unless one is
+// overdue.
+func (q *serviceQueue) pop(now time.Time) *message {
+	if len(q.late) > 0 && now.After(q.late[0].overdueAt) {
+		return heap.Pop(&q.late).(*message)
 	}
-	for len(svc.ready) > 0 {
-		it := heap.Pop(&svc.ready).(*item)
-		if it.ended || !now.After(it.target) {
-			return it
+	for len(q.ready) > 0 {
+		m := heap.Pop(&q.ready).(*message)
+		if m.ended || !now.After(m.startBy) {
+			return m
 		}
-		heap.Push(&svc.late, it)
+		heap.Push(&q.late, m)
 	}
-	if len(svc.late) > 0 {
-		return heap.Pop(&svc.late).(*item)
+	if len(q.late) > 0 {
+		return heap.Pop(&q.late).(*message)
 	}
 	return nil
 }
 
-type timeHeap []*item
+// dueHeap orders messages by when they are due.
+type dueHeap []*message
 
-func (h timeHeap) Len() int { return len(h) }
+func (h dueHeap) Len() int { return len(h) }
 
-func (h timeHeap) Less(i, j int) bool { return h[i].due.Before(h[j].due) }
+func (h dueHeap) Less(i, j int) bool { return h[i].due.Before(h[j].due) }
 
-func (h timeHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h dueHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (h *timeHeap) Push(x any) { *h = append(*h, x.(*item)) }
+func (h *dueHeap) Push(x any) { *h = append(*h, x.(*message)) }
 
-func (h *timeHeap) Pop() any { return pop((*[]*item)(h)) }
+func (h *dueHeap) Pop() any { return popLast((*[]*message)(h)) }
 
-type readyHeap []*item
+// readyHeap orders messages by priority, then by the latest start in time.
+type readyHeap []*message
 
 func (h readyHeap) Len() int { return len(h) }
 
@@ -56,31 +90,32 @@
 	if h[i].priority != h[j].priority {
 		return h[i].priority < h[j].priority
 	}
-	return h[i].target.Before(h[j].target)
+	return h[i].startBy.Before(h[j].startBy)
 }
 
 func (h readyHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (h *readyHeap) Push(x any) { *h = append(*h, x.(*item)) }
+func (h *readyHeap) Push(x any) { *h = append(*h, x.(*message)) }
 
-func (h *readyHeap) Pop() any { return pop((*[]*item)(h)) }
+func (h *readyHeap) Pop() any { return popLast((*[]*message)(h)) }
 
-type lateHeap []*item
+// lateHeap orders messages by how long they could have started.
+type lateHeap []*message
 
 func (h lateHeap) Len() int { return len(h) }
 
-func (h lateHeap) Less(i, j int) bool { return h[i].since.Before(h[j].since) }
+func (h lateHeap) Less(i, j int) bool { return h[i].eligibleSince.Before(h[j].eligibleSince) }
 
 func (h lateHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (h *lateHeap) Push(x any) { *h = append(*h, x.(*item)) }
+func (h *lateHeap) Push(x any) { *h = append(*h, x.(*message)) }
 
-func (h *lateHeap) Pop() any { return pop((*[]*item)(h)) }
+func (h *lateHeap) Pop() any { return popLast((*[]*message)(h)) }
 
-func pop(h *[]*item) *item {
+func popLast(h *[]*message) *message {
 	old := *h
-	it := old[len(old)-1]
+	m := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	return it
+	return m
 }
--- /dev/null
+++ b/internal/delivery/scheduler.go
@@ -0,0 +1,207 @@
+// Package delivery schedules the messages of the partitions that a store is
+// primary of: what is due, in which order, to which endpoint of its service, how
+// fast, and when again after a failure. Endpoints that fail are ejected for a
+// while, as the outlier detection of Envoy does it.
+package delivery
+
+import (
+	"context"
+	"errors"
+	"log"
+	"sync"
+	"time"
+
+	"saltreel/internal/configuration"
+	"saltreel/internal/httpwire"
+	"saltreel/internal/partition"
+	"saltreel/internal/quota"
+	"saltreel/internal/settings"
+)
+
+// Partitions is what the scheduler needs of the partitions of its store.
+type Partitions interface {
+	// Events returns the changes since the last call, in order, and a channel
+	// that receives when there may be more.
+	Events() ([]partition.Event, <-chan struct{})
+	// Now is the wall clock in milliseconds, without its steps.
+	Now() int64
+	// MayDeliver reports whether deliveries of a partition may start here now.
+	MayDeliver(partition int) bool
+	// IsPending reports whether a message has not ended, as far as is known here.
+	IsPending(partition int, id string) bool
+	// Finish records how a message ended.
+	Finish(partition int, id string, state partition.State, seal string)
+}
+
+// Config is what a Scheduler needs; all fields must be set.
+type Config struct {
+	Partitions Partitions
+	Pool       *httpwire.Pool // to the endpoints
+	Settings   *settings.Settings
+	Log        *log.Logger
+	Table      func() *configuration.Table // the newest configuration; nil before the first
+	Bytes      *quota.Manager              // delivery bytes
+}
+
+func (c *Config) check() error {
+	if c.Partitions == nil || c.Pool == nil || c.Settings == nil || c.Log == nil || c.Table == nil || c.Bytes == nil {
+		return errors.New("delivery: the configuration of the scheduler is incomplete")
+	}
+	if c.Settings.Contact() <= 0 {
+		return errors.New("delivery: the contact timeout must be above 0")
+	}
+	return nil
+}
+
+// Scheduler delivers the messages of the partitions that this store is primary of.
+type Scheduler struct {
+	config   Config
+	timing   timing
+	inFlight inFlightCounter
+	wake     chan struct{}
+	attempts sync.WaitGroup
+
+	mu         sync.Mutex
+	queues     map[string]*serviceQueue // by service
+	endpoints  endpointTable
+	partitions map[int]*partitionMessages
+}
+
+// New makes a scheduler without messages.
+func New(config Config) (*Scheduler, error) {
+	if err := config.check(); err != nil {
+		return nil, err
+	}
+	return &Scheduler{
+		config:     config,
+		timing:     timing{config.Settings.Contact()},
+		wake:       make(chan struct{}, 1),
+		queues:     map[string]*serviceQueue{},
+		endpoints:  endpointTable{},
+		partitions: map[int]*partitionMessages{},
+	}, nil
+}
+
+// wakeUp makes Run look at the queues soon.
+func (s *Scheduler) wakeUp() {
+	select {
+	case s.wake <- struct{}{}:
+	default:
+	}
+}
+
+// Idle reports whether no delivery of a partition is in flight.
+func (s *Scheduler) Idle(partition int) bool { return s.inFlight.count(partition) == 0 }
+
+// Run schedules until ctx ends, then waits for the deliveries in flight.
+func (s *Scheduler) Run(ctx context.Context) {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for {
+		events, more := s.config.Partitions.Events()
+		timer.Reset(s.step(ctx, events))
+		select {
+		case <-ctx.Done():
+			s.attempts.Wait()
+			return
+		case <-more:
+		case <-s.wake:
+		case <-timer.C:
+		}
+	}
+}
+
+// step applies events, starts what can be started, and returns when to look again.
+func (s *Scheduler) step(ctx context.Context, events []partition.Event) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := time.Now()
+	for _, e := range events {
+		s.applyPartitionEventLocked(e, now)
+	}
+	next := s.timing.idle()
+	if ctx.Err() == nil {
+		for _, q := range s.queues {
+			next = min(next, s.dispatchLocked(ctx, q, now))
+		}
+	}
+	return max(next, time.Millisecond)
+}
+
+// applyPartitionEventLocked follows the role of this store in a partition, and
+// takes over new messages.
+func (s *Scheduler) applyPartitionEventLocked(e partition.Event, now time.Time) {
+	if e.BecamePrimary || e.LostPrimary {
+		if p := s.partitions[e.Partition]; p != nil {
+			p.endAll()
+		}
+		delete(s.partitions, e.Partition)
+	}
+	if e.LostPrimary {
+		return
+	}
+	p := s.partitions[e.Partition]
+	if p == nil {
+		p = newPartitionMessages()
+		s.partitions[e.Partition] = p
+	}
+	for _, r := range e.Records {
+		s.addLocked(p, r, now)
+	}
+}
+
+// addLocked takes over one message; one that is known already is ignored.
+func (s *Scheduler) addLocked(p *partitionMessages, r *partition.Record, now time.Time) {
+	if p.byID[r.ID] != nil {
+		return
+	}
+	due := now.Add(time.Duration(r.Due-s.config.Partitions.Now()) * time.Millisecond)
+	if due.Before(now) {
+		due = now
+	}
+	m := &message{record: r, partition: p, due: due, eligibleSince: due}
+	if p.add(m) {
+		s.enqueueLocked(m)
+	}
+}
+
+// enqueueLocked puts a message on the queue of its service.
+func (s *Scheduler) enqueueLocked(m *message) {
+	if m.ended || m.running || m.queued {
+		return
+	}
+	service := ""
+	if table := s.config.Table(); table != nil {
+		if route := table.Route(m.record.Host, m.record.Target); route != nil {
+			service = route.Service
+			m.applyRoute(route)
+		}
+	}
+	q := s.queues[service]
+	if q == nil {
+		q = newServiceQueue(service, time.Now())
+		s.queues[service] = q
+	}
+	m.queue = q
+	m.queued = true
+	q.schedule(m)
+}
+
+// endLocked removes a message and lets the next of its order key go.
+func (s *Scheduler) endLocked(m *message) {
+	m.ended = true
+	if next := m.partition.remove(m); next != nil {
+		s.enqueueLocked(next)
+	}
+}
+
+// Pending returns how many messages wait here.
+func (s *Scheduler) Pending() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	n := 0
+	for _, p := range s.partitions {
+		n += len(p.byID)
+	}
+	return n
+}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -52,12 +52,18 @@
 	s.node.Self.Disk = s.parts.DiskID()
 	s.node.Healthy = func() bool { return s.parts.Health() == nil }
 	s.bytes = quota.NewManager(quota.DeliveryBytes)
-	s.deliver = &delivery.Scheduler{
-		Set: s.parts, Settings: set, Log: logger, Table: s.node.Table, Bytes: s.bytes,
-		Pool: &httpwire.Pool{Network: network, Opening: set.Contact() / 16},
-	}
-	s.deliver.Init()
 	var err error
+	s.deliver, err = delivery.New(delivery.Config{
+		Partitions: s.parts,
+		Pool:       &httpwire.Pool{Network: network, Opening: set.Contact() / 16},
+		Settings:   set,
+		Log:        logger,
+		Table:      s.node.Table,
+		Bytes:      s.bytes,
+	})
+	if err != nil {
+		return nil, err
+	}
 	s.limiter, err = ratelimit.NewLimiter(ratelimit.LimiterConfig{
 		Allowance:      set.Timers.QuotaAllowance / 2,
 		Interval:       set.Contact() / 16,
@@ -83,7 +89,7 @@
 			s.bytes.Replace(ByteLimits(t))
 		}
 	}
-	s.deliver.Hear(e)
+	s.deliver.ApplyEvent(e)
 }
 
 // ByteLimits are the bounds of bytes: what a tenant's rate allows in messages
