--- /dev/null
+++ b/internal/store/errors.go
@@ -0,0 +1,44 @@
+package store
+
+import (
+	"errors"
+	"net/http"
+
+	"saltreel/internal/ratelimit"
+)
+
+// Errors of the calls that a store answers itself.
+var (
+	// ErrNoSuchMessage means that the tenant has no message of that id.
+	ErrNoSuchMessage = errors.New("no such message")
+	// ErrBodyDeleted means that the message is complete, so its body was deleted.
+	ErrBodyDeleted = errors.New("the message is complete; its body is gone")
+)
+
+// UnhealthyError means that the disk of the store does not work.
+type UnhealthyError struct{ Err error }
+
+func (e *UnhealthyError) Error() string { return e.Err.Error() }
+
+// Unwrap returns what is wrong with the disk.
+func (e *UnhealthyError) Unwrap() error { return e.Err }
+
+// statusCode maps the errors of the calls that a store serves to the status codes
+// of their answers; 0 leaves an error to rpc.Handler.
+func statusCode(err error) int {
+	var unhealthy *UnhealthyError
+	var notOwner *ratelimit.NotOwnerError
+	switch {
+	case errors.Is(err, ErrNoSuchMessage):
+		return http.StatusNotFound
+	case errors.Is(err, ErrBodyDeleted):
+		return http.StatusGone
+	case errors.As(err, &notOwner):
+		return http.StatusMisdirectedRequest
+	case errors.As(err, &unhealthy),
+		errors.Is(err, ratelimit.ErrNoConfiguration),
+		errors.Is(err, ratelimit.ErrCallerTimedOut):
+		return http.StatusServiceUnavailable
+	}
+	return 0
+}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,13 +1,12 @@
-// Package store owns the role of a storage machine, and what other processes
-// say to it.
+// Package store is the process of a storage machine: it holds partitions of the
+// messages, accepts messages for those that it is primary of, delivers them, and
+// answers the calls of the system's other processes about them.
 package store
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"log"
-	"net/http"
 	"sync"
 	"time"
 
@@ -18,262 +17,200 @@
 	"saltreel/internal/journal"
 	"saltreel/internal/node"
 	"saltreel/internal/partition"
-	"saltreel/internal/placement"
 	"saltreel/internal/quota"
 	"saltreel/internal/ratelimit"
 	"saltreel/internal/rpc"
 	"saltreel/internal/settings"
 )
 
-// Store is one storage machine's process.
+// Store is the process of one storage machine.
 type Store struct {
-	set     *settings.Settings
-	log     *log.Logger
-	network httpwire.Network
-	node    *node.Node
-	parts   *partition.Manager
-	deliver *delivery.Scheduler
-	bytes   *quota.Manager
-	limiter *ratelimit.Limiter
+	settings      *settings.Settings
+	timing        timing
+	log           *log.Logger
+	network       httpwire.Network
+	node          *node.Node
+	partitions    *partition.Manager
+	scheduler     *delivery.Scheduler
+	deliveryBytes *quota.Manager
+	limiter       *ratelimit.Limiter
 }
 
 // New opens the disk and makes the process.
 func New(set *settings.Settings, network httpwire.Network, logger *log.Logger) (*Store, error) {
-	s := &Store{set: set, log: logger, network: network, node: node.New(set, "store", network, logger)}
-	s.parts = &partition.Manager{
-		Self: set.NodeName, Client: s.node.Client, ContactTimeout: set.Contact(), Log: logger,
-		StateRetention: settings.Seconds(set.Timers.StatusTtlS) + set.Contact(), ReportInSync: s.node.ReportInSync, ReportFailure: s.node.ReportFailure,
-		Backups: int(set.FaultTolerance.HostFailures),
-		MaxDisk: set.Limits.DiskMb << 20 * 3 / 4, MaxMemory: set.Limits.MemoryMb << 20 / 3,
-	}
-	if err := s.parts.Open(set.DataPath); err != nil {
+	s := &Store{
+		settings:      set,
+		timing:        timing{contactTimeout: set.Contact(), grace: settings.Seconds(set.Timers.GraceS)},
+		log:           logger,
+		network:       network,
+		node:          node.New(set, "store", network, logger),
+		deliveryBytes: quota.NewManager(quota.DeliveryBytes),
+	}
+	if err := s.openPartitions(); err != nil {
 		return nil, err
 	}
-	s.node.Self.Disk = s.parts.DiskID()
-	s.node.Healthy = func() bool { return s.parts.Health() == nil }
-	s.bytes = quota.NewManager(quota.DeliveryBytes)
-	var err error
-	s.deliver, err = delivery.New(delivery.Config{
-		Partitions: s.parts,
-		Pool:       &httpwire.Pool{Network: network, Opening: set.Contact() / 16},
-		Settings:   set,
-		Log:        logger,
-		Table:      s.node.Table,
-		Bytes:      s.bytes,
-	})
-	if err != nil {
+	if err := s.newScheduler(); err != nil {
 		return nil, err
 	}
-	s.limiter, err = ratelimit.NewLimiter(ratelimit.LimiterConfig{
-		Allowance:      set.Timers.QuotaAllowance / 2,
-		Interval:       set.Contact() / 16,
-		Table:          s.node.Table,
-		Partitions:     s.partitions,
-		IsOwner:        s.parts.MayDeliver,
-		Downtime:       s.parts.DowntimeOf,
-		RecordActivity: s.parts.RecordActivity,
-	})
-	if err != nil {
+	if err := s.newLimiter(); err != nil {
 		return nil, err
 	}
-	s.node.Journal.Fold(s.hear)
+	s.node.Journal.Fold(s.applyEvent)
 	return s, nil
 }
 
-func (s *Store) hear(e journal.Event) {
+// openPartitions reads the disk, whose health and identity are the node's.
+func (s *Store) openPartitions() error {
+	set := s.settings
+	s.partitions = &partition.Manager{
+		Self:           set.NodeName,
+		Client:         s.node.Client,
+		ContactTimeout: set.Contact(),
+		Log:            s.log,
+		StateRetention: settings.Seconds(set.Timers.StatusTtlS) + set.Contact(),
+		ReportInSync:   s.node.ReportInSync,
+		ReportFailure:  s.node.ReportFailure,
+		Backups:        int(set.FaultTolerance.HostFailures),
+		MaxDisk:        set.Limits.DiskMb << 20 * 3 / 4,
+		MaxMemory:      set.Limits.MemoryMb << 20 / 3,
+	}
+	if err := s.partitions.Open(set.DataPath); err != nil {
+		return err
+	}
+	s.node.Self.Disk = s.partitions.DiskID()
+	s.node.Healthy = func() bool { return s.partitions.Health() == nil }
+	return nil
+}
+
+func (s *Store) newScheduler() error {
+	scheduler, err := delivery.New(delivery.Config{
+		Partitions: s.partitions,
+		Pool:       &httpwire.Pool{Network: s.network, Opening: s.timing.dial()},
+		Settings:   s.settings,
+		Log:        s.log,
+		Table:      s.node.Table,
+		Bytes:      s.deliveryBytes,
+	})
+	s.scheduler = scheduler
+	return err
+}
+
+func (s *Store) newLimiter() error {
+	limiter, err := ratelimit.NewLimiter(ratelimit.LimiterConfig{
+		Allowance:      s.settings.Timers.QuotaAllowance / 2,
+		Interval:       s.timing.limiterInterval(),
+		Table:          s.node.Table,
+		Partitions:     s.partitionCount,
+		IsOwner:        s.partitions.MayDeliver,
+		Downtime:       s.partitions.DowntimeOf,
+		RecordActivity: s.partitions.RecordActivity,
+	})
+	s.limiter = limiter
+	return err
+}
+
+// applyEvent follows what the control plane distributes.
+func (s *Store) applyEvent(e journal.Event) {
 	switch e.Key {
 	case distribution.KeyPlacement:
-		s.parts.ApplyPlacement(*s.node.Placement()) // which the node has just decoded
+		s.partitions.ApplyPlacement(*s.node.Placement()) // which the node has just decoded
 	case distribution.KeyConfiguration:
 		if t := s.node.Table(); t != nil {
-			s.bytes.Replace(ByteLimits(t))
+			s.deliveryBytes.Replace(ByteLimits(t))
 		}
 	}
-	s.deliver.ApplyEvent(e)
+	s.scheduler.ApplyEvent(e)
 }
 
-// ByteLimits are the bounds of bytes: what a tenant's rate allows in messages
-// of the largest size.
+// ByteLimits returns the limits of tenants in bytes a second: what their rates
+// allow in messages of the largest size.
 func ByteLimits(t *configuration.Table) map[quota.Entity]float64 {
 	out := map[quota.Entity]float64{}
-	for _, x := range t.TenantTable {
-		if x.RatePerS > 0 && t.Limits.GetMaxBodyBytes() > 0 {
-			out[quota.Entity{Tenant: x.Name}] = x.RatePerS * float64(t.Limits.MaxBodyBytes)
+	for _, tenant := range t.TenantTable {
+		if tenant.RatePerS > 0 && t.Limits.GetMaxBodyBytes() > 0 {
+			out[quota.Entity{Tenant: tenant.Name}] = tenant.RatePerS * float64(t.Limits.MaxBodyBytes)
 		}
 	}
 	return out
 }
 
-// Run serves until ctx ends, hands its partitions over, and returns.
-func (s *Store) Run(ctx context.Context) error {
-	l, err := s.network.Listen(s.set.Internal())
-	if err != nil {
-		return fmt.Errorf("listen for our own processes: %w", err)
+// partitionCount is how many partitions there are; 0 before the placement is known.
+func (s *Store) partitionCount() int {
+	if p := s.node.Placement(); p != nil {
+		return len(p.Partitions)
 	}
-	life, end := context.WithCancel(context.Background())
-	defer end()
+	return 0
+}
+
+// calls are the calls that a store serves. docs/calls.md lists them.
+func (s *Store) calls() rpc.Mux {
 	source := s.node.Publisher()
-	mux := rpc.Mux{
+	return rpc.Mux{
 		"/news":     source.Handle,
-		"/ping":     rpc.Handler(s.handlePing),
-		"/copy":     rpc.Handler(s.parts.HandleBatch),
-		"/digest":   rpc.Handler(s.parts.HandleDigest),
-		"/fetch":    s.parts.HandleFetch,
-		"/accept":   rpc.Handler(s.handleAccept),
-		"/status":   rpc.Handler(s.handleStatus),
+		"/ping":     rpc.Handler(s.handlePing, statusCode),
+		"/copy":     rpc.Handler(s.partitions.HandleBatch, statusCode),
+		"/digest":   rpc.Handler(s.partitions.HandleDigest, statusCode),
+		"/fetch":    s.partitions.HandleFetch,
+		"/accept":   rpc.Handler(s.handleAccept, statusCode),
+		"/status":   rpc.Handler(s.handleStatus, statusCode),
 		"/body":     s.handleBody,
 		"/grant":    rpc.Handler(s.limiter.Handle, statusCode),
-		"/handover": rpc.Handler(s.handleHandover),
+		"/handover": rpc.Handler(s.handleHandover, statusCode),
 	}
-	server := &httpwire.Server{Handle: mux.Handle, Log: s.log}
+}
+
+// Run serves until ctx ends, hands its partitions over, and returns. If the disk
+// fails for good, it returns at once.
+func (s *Store) Run(ctx context.Context) error {
+	listener, err := s.network.Listen(s.settings.Internal())
+	if err != nil {
+		return fmt.Errorf("listen for our own processes: %w", err)
+	}
+	serving, stop := context.WithCancel(context.Background())
+	defer stop()
+	delivering, stopDeliveries := context.WithCancel(serving)
+	defer stopDeliveries()
+	server := &httpwire.Server{Handle: s.calls().Handle, Log: s.log}
 	var tasks sync.WaitGroup
-	deliveries, stopDeliveries := context.WithCancel(life)
-	tasks.Go(func() { _ = server.Serve(life, l) })
-	tasks.Go(func() { s.node.Run(life) })
-	tasks.Go(func() { s.deliver.Run(deliveries) })
-	tasks.Go(func() { s.bytes.Reap(life) })
-	tasks.Go(func() { s.limiter.Run(life) })
+	tasks.Go(func() { _ = server.Serve(serving, listener) })
+	tasks.Go(func() { s.node.Run(serving) })
+	tasks.Go(func() { s.scheduler.Run(delivering) })
+	tasks.Go(func() { s.deliveryBytes.Reap(serving) })
+	tasks.Go(func() { s.limiter.Run(serving) })
 	failed := make(chan error, 1)
-	tasks.Go(func() { failed <- s.parts.Run(life) })
-	s.log.Printf("store: started, disk %s", s.parts.DiskID())
+	tasks.Go(func() { failed <- s.partitions.Run(serving) })
+	s.log.Printf("store: started, disk %s", s.partitions.DiskID())
 	select {
 	case <-ctx.Done():
 	case err := <-failed:
-		stopDeliveries()
-		end()
 		return err
 	}
-	// Leave in order: the steward hands every partition to another store.
-	s.node.Drain()
-	grace := settings.Seconds(s.set.Timers.GraceS)
-	deadline := time.Now().Add(grace * 3 / 4)
-	for s.parts.HoldsAny() && time.Now().Before(deadline) {
-		time.Sleep(s.set.Contact() / 200)
-	}
-	all, pending := s.parts.Count()
-	s.log.Printf("store: stopping, holds partitions: %v, %d records, %d pending", s.parts.HoldsAny(), all, pending)
+	s.drain()
 	stopDeliveries()
-	stop, cancel := context.WithTimeout(context.Background(), grace/16)
-	defer cancel()
-	server.Shutdown(stop)
-	end()
+	s.shutdown(server)
+	stop()
 	tasks.Wait()
 	return <-failed
 }
 
-// handlePing answers that the process runs and its disk works.
-func (s *Store) handlePing(context.Context, *struct{}, []byte) (*struct{}, error) {
-	if err := s.parts.Health(); err != nil {
-		return nil, &rpc.StatusError{Code: 503, Text: err.Error()}
-	}
-	return &struct{}{}, nil
-}
-
-// partitions is how many there are, 0 before the placement is known.
-func (s *Store) partitions() int {
-	if p := s.node.Placement(); p != nil {
-		return len(p.Partitions)
-	}
-	return 0
-}
-
-// Accept hands a message to the primary of its partition; the body stands
-// behind it.
-type AcceptRequest struct {
-	Partition int              `json:"partition"`
-	Message   partition.Record `json:"message"`
-	DelayMs   int64            `json:"delay,omitempty"`
-	WaitMs    int64            `json:"wait"` // how long the edge waits
-}
-
-// Accepted says that two disks hold the message.
-type AcceptResponse struct{}
-
-func (s *Store) handleAccept(ctx context.Context, in *AcceptRequest, raw []byte) (*AcceptResponse, error) {
-	r := in.Message
-	now := s.parts.Now()
-	r.Body = raw
-	r.Due = now + in.DelayMs
-	if t := s.node.Table(); t != nil {
-		if route := t.Route(r.Host, r.Target); route != nil && route.RetentionS > 0 {
-			// The client sent it a little earlier; it is kept a little longer, so
-			// that a time of day that jumps over a restart ends nothing too soon.
-			r.Expires = now + (settings.Seconds(route.RetentionS) + s.set.Contact()).Milliseconds()
-		}
-	}
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(in.WaitMs)*time.Millisecond)
-	defer cancel()
-	return &AcceptResponse{}, s.parts.Accept(ctx, in.Partition, &r)
-}
-
-// Ask asks for a message of a tenant.
-type MessageQuery struct {
-	Partition int    `json:"partition"`
-	ID        string `json:"id"`
-	Tenant    string `json:"tenant"`
-	Host      string `json:"host"`
-}
-
-// Status tells how far it is.
-type MessageStatus struct {
-	State partition.State `json:"state"`
-	Seal  string          `json:"seal,omitempty"`
-}
-
-func (s *Store) find(ctx context.Context, in *MessageQuery) (*partition.Record, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.set.Contact()/4)
-	defer cancel()
-	r, err := s.parts.Find(ctx, in.Partition, in.ID)
-	if err != nil {
-		return nil, err
-	}
-	if r.Tenant != in.Tenant {
-		return nil, &rpc.StatusError{Code: 404, Text: "no such message"}
-	}
-	return r, nil
-}
-
-func (s *Store) handleStatus(ctx context.Context, in *MessageQuery, _ []byte) (*MessageStatus, error) {
-	r, err := s.find(ctx, in)
-	if err != nil {
-		return nil, err
-	}
-	return &MessageStatus{r.State, r.Seal}, nil
-}
-
-func (s *Store) handleBody(ctx context.Context, r *httpwire.Request) *httpwire.Response {
-	var rec *partition.Record
-	res := rpc.Handler(func(ctx context.Context, in *MessageQuery, _ []byte) (_ *struct{}, err error) {
-		rec, err = s.find(ctx, in)
-		return &struct{}{}, err
-	})(ctx, r)
-	if rec == nil {
-		return res
-	}
-	if rec.State == partition.Complete {
-		return httpwire.Problem(410, "the message is complete; its body is gone")
+// drain announces that this store ends, and waits until the controller has given
+// all its partitions to other stores, or the time for it is over.
+func (s *Store) drain() {
+	s.node.Drain()
+	deadline := time.Now().Add(s.timing.drain())
+	for s.partitions.HoldsAny() && time.Now().Before(deadline) {
+		time.Sleep(s.timing.drainPoll())
 	}
-	return &httpwire.Response{Status: 200, Body: rec.Body}
+	all, pending := s.partitions.Count()
+	s.log.Printf("store: stopping, holds partitions: %v, %d records, %d pending", s.partitions.HoldsAny(), all, pending)
 }
 
-func (s *Store) handleHandover(ctx context.Context, in *placement.HandoverRequest, _ []byte) (*placement.HandoverRequest, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.set.Contact()*3/4)
+// shutdown lets the server answer what it has read.
+func (s *Store) shutdown(server *httpwire.Server) {
+	ctx, cancel := context.WithTimeout(context.Background(), s.timing.shutdown())
 	defer cancel()
-	return &placement.HandoverRequest{Partitions: s.parts.Freeze(ctx, in.Partitions, s.deliver.Idle)}, nil
-}
-
-// statusCode maps the errors of the calls that are served here to the status
-// codes of their answers; 0 leaves it to rpc.Handler.
-func statusCode(err error) int {
-	var notOwner *ratelimit.NotOwnerError
-	switch {
-	case errors.As(err, &notOwner):
-		return http.StatusMisdirectedRequest
-	case errors.Is(err, ratelimit.ErrNoConfiguration), errors.Is(err, ratelimit.ErrCallerTimedOut):
-		return http.StatusServiceUnavailable
-	}
-	return 0
+	server.Shutdown(ctx)
 }
 
-// Reload takes over what may change while the process runs.
+// Reload applies those settings that may change while the process runs.
 func (s *Store) Reload(set *settings.Settings) { s.node.Reload(set) }
