--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -48,7 +48,7 @@
 // New makes the process.
 func New(set *settings.Settings, network httpwire.Network, logger *log.Logger) *Edge {
 	e := &Edge{
-		set: set, log: logger, network: network, node: node.New(set, "edge", network, logger), hangs: map[int]hang{},
+		set: set, log: logger, network: network, node: node.New(node.Config{Settings: set, Role: "edge", Network: network, Log: logger}), hangs: map[int]hang{},
 		bytes: quota.NewManager(quota.RequestBytes), time: quota.NewManager(quota.RequestTime), accepted: quota.NewManager(quota.Accepted),
 	}
 	// One tenant may have half of what this node's processor can do.
--- /dev/null
+++ b/internal/node/background.go
@@ -0,0 +1,37 @@
+package node
+
+import (
+	"context"
+	"sync"
+)
+
+// background runs short tasks that nobody waits for, until it is stopped.
+type background struct {
+	ctx    context.Context // of the tasks
+	cancel context.CancelFunc
+
+	mu    sync.Mutex // no task starts while ctx is cancelled
+	tasks sync.WaitGroup
+}
+
+func newBackground() background {
+	ctx, cancel := context.WithCancel(context.Background())
+	return background{ctx: ctx, cancel: cancel}
+}
+
+// start runs a task, unless stop was called.
+func (b *background) start(task func()) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.ctx.Err() == nil {
+		b.tasks.Go(task)
+	}
+}
+
+// stop cancels the tasks and waits for their end.
+func (b *background) stop() {
+	b.mu.Lock()
+	b.cancel()
+	b.mu.Unlock()
+	b.tasks.Wait()
+}
--- /dev/null
+++ b/internal/node/failure_report.go
@@ -0,0 +1,128 @@
+package node
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"saltreel/internal/placement"
+)
+
+// controllerAddress remembers the core that last answered as the controller, the
+// one that reassigns partitions; "" while it is not known.
+type controllerAddress struct {
+	mu      sync.Mutex
+	address string
+}
+
+func (c *controllerAddress) get() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.address
+}
+
+func (c *controllerAddress) set(address string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.address = address
+}
+
+// reportRate bounds the failure reports of a node. When much is slow at once,
+// hundreds of nodes suspect dozens of others: each then reports one of them in an
+// interval. Where a machine answers that no process listens, the report is sure
+// and waits only for an earlier one of the same node.
+type reportRate struct {
+	interval time.Duration
+
+	mu         sync.Mutex
+	lastByNode map[string]time.Time
+	last       time.Time
+}
+
+func newReportRate(interval time.Duration) reportRate {
+	return reportRate{interval: interval, lastByNode: map[string]time.Time{}}
+}
+
+// allow tells whether a node may be reported now, and if so counts the report.
+func (r *reportRate) allow(node string, refused bool) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := time.Now()
+	if now.Sub(r.lastByNode[node]) < r.interval {
+		return false
+	}
+	if !refused && now.Sub(r.last) < r.interval {
+		return false
+	}
+	r.lastByNode[node] = now
+	r.last = now
+	return true
+}
+
+// ReportFailure reports to the controller that a node cannot be reached, without
+// waiting for the answer; refused says that its machine answered that no process
+// listens. While the controller is not known, or does not answer, all cores get
+// the report. Reports that come too often are dropped.
+func (n *Node) ReportFailure(node string, refused bool) {
+	if !n.reportRate.allow(node, refused) {
+		return
+	}
+	report := placement.FailureReport{Node: node, Refused: refused}
+	controller := n.controller.get()
+	n.subscriber.SuspectParent() // it may be the node, or cut off like it
+	if controller == "" {
+		n.reportToAllCores(report)
+		return
+	}
+	n.background.start(func() {
+		if !n.sendFailureReport(controller, report) {
+			n.controller.set("")
+			n.reportToAllCores(report)
+		}
+	})
+}
+
+// reportToAllCores sends a failure report to each core and remembers the one that
+// answers as the controller.
+func (n *Node) reportToAllCores(report placement.FailureReport) {
+	for _, core := range n.Cores() {
+		n.background.start(func() {
+			if n.sendFailureReport(core, report) {
+				n.controller.set(core)
+			}
+		})
+	}
+}
+
+// sendFailureReport tells whether the core answered as the controller.
+func (n *Node) sendFailureReport(core string, report placement.FailureReport) bool {
+	ctx, cancel := context.WithTimeout(n.background.ctx, n.timing.reportTimeout())
+	defer cancel()
+	var response placement.FailureReportResponse
+	err := n.Client.Call(ctx, core, "/suspect", report, nil, &response)
+	return err == nil && response.Controller
+}
+
+// ReportInSync reports to the controller which replicas are in sync. The cores
+// are asked in turn, the last known controller first, until one accepts the
+// report; the error is that of the last one asked.
+func (n *Node) ReportInSync(ctx context.Context, report placement.InSyncReport) error {
+	var last error
+	for _, core := range append([]string{n.controller.get()}, n.Cores()...) {
+		if core == "" {
+			continue
+		}
+		last = n.sendInSync(ctx, core, report)
+		if last == nil {
+			n.controller.set(core)
+			return nil
+		}
+	}
+	return last
+}
+
+func (n *Node) sendInSync(ctx context.Context, core string, report placement.InSyncReport) error {
+	ctx, cancel := context.WithTimeout(ctx, n.timing.inSyncTimeout())
+	defer cancel()
+	return n.Client.Call(ctx, core, "/in-step", report, nil, nil)
+}
--- /dev/null
+++ b/internal/node/heartbeat.go
@@ -0,0 +1,106 @@
+package node
+
+import (
+	"context"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"saltreel/internal/httpwire"
+	"saltreel/internal/membership"
+	"saltreel/internal/ring"
+	"saltreel/internal/timeutil"
+)
+
+// watchersPerNode is how many cores a node sends its heartbeats to.
+const watchersPerNode = 2
+
+// heartbeats is what differs between the heartbeats of a node.
+type heartbeats struct {
+	sendNow chan struct{} // holds a value when the next one shall be sent at once
+
+	mu       sync.Mutex
+	sequence int64
+	draining bool
+}
+
+func newHeartbeats() heartbeats { return heartbeats{sendNow: make(chan struct{}, 1)} }
+
+// next gives the next heartbeat of a node.
+func (h *heartbeats) next(self membership.Node) membership.Node {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.sequence++
+	self.Sequence = h.sequence
+	self.Draining = h.draining
+	return self
+}
+
+func (h *heartbeats) setDraining() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.draining = true
+}
+
+// sendSoon has the next heartbeat sent without waiting for its time.
+func (h *heartbeats) sendSoon() {
+	select {
+	case h.sendNow <- struct{}{}:
+	default:
+	}
+}
+
+// runHeartbeats sends a heartbeat to the watchers in each interval, until ctx
+// ends, and logs the traffic now and then.
+func (n *Node) runHeartbeats(ctx context.Context) {
+	ticker := time.NewTicker(n.timing.heartbeatInterval(n.self.Role))
+	defer ticker.Stop()
+	lastTraffic := time.Now()
+	var acknowledged atomic.Bool // some watcher got one
+	for {
+		if time.Since(lastTraffic) > n.timing.trafficInterval() {
+			lastTraffic = time.Now()
+			n.logTraffic()
+		}
+		heartbeat := n.heartbeats.next(n.self)
+		for _, watcher := range n.watchers() {
+			n.background.start(func() { n.sendHeartbeat(ctx, watcher, heartbeat, &acknowledged) })
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-n.heartbeats.sendNow:
+		case <-ticker.C:
+		}
+	}
+}
+
+// watchers gives the addresses of the cores that watch this node, by their order
+// on the ring; none while it is not healthy.
+func (n *Node) watchers() []string {
+	if n.healthy != nil && !n.healthy() {
+		return nil
+	}
+	return ring.Watchers(n.self.Name, n.Cores(), watchersPerNode)
+}
+
+// sendHeartbeat sends one heartbeat to one watcher. Stores and cores start
+// together; a store whose first heartbeat finds no process there tries again
+// soon, since edges wait for the stores.
+func (n *Node) sendHeartbeat(ctx context.Context, watcher string, heartbeat membership.Node, acknowledged *atomic.Bool) {
+	callCtx, cancel := context.WithTimeout(ctx, n.timing.heartbeatTimeout(n.self.Role))
+	defer cancel()
+	err := n.Client.Call(callCtx, watcher, "/beat", heartbeat, nil, nil)
+	if err == nil {
+		acknowledged.Store(true)
+		return
+	}
+	if n.self.Role == "store" && !acknowledged.Load() && httpwire.ConnectionRefused(err) {
+		timeutil.Sleep(ctx, n.timing.startupRetryDelay())
+		n.heartbeats.sendSoon()
+	}
+}
+
+func (n *Node) logTraffic() {
+	n.log.Printf("traffic: in %v: %s; from the parent: %s", n.timing.trafficInterval(), n.Client.Traffic(), n.watchClient.Traffic())
+}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -37,7 +37,8 @@
 
 // New opens the disk and makes the process.
 func New(set *settings.Settings, network httpwire.Network, logger *log.Logger) (*Store, error) {
-	s := &Store{set: set, log: logger, network: network, node: node.New(set, "store", network, logger)}
+	s := &Store{set: set, log: logger, network: network}
+	s.node = node.New(node.Config{Settings: set, Role: "store", Network: network, Log: logger, Healthy: func() bool { return s.parts.Health() == nil }})
 	s.parts = &partition.Manager{
 		Self: set.NodeName, Client: s.node.Client, ContactTimeout: set.Contact(), Log: logger,
 		StateRetention: settings.Seconds(set.Timers.StatusTtlS) + set.Contact(), ReportInSync: s.node.ReportInSync, ReportFailure: s.node.ReportFailure,
@@ -47,8 +48,7 @@
 	if err := s.parts.Open(set.DataPath); err != nil {
 		return nil, err
 	}
-	s.node.Self.Disk = s.parts.DiskID()
-	s.node.Healthy = func() bool { return s.parts.Health() == nil }
+	s.node.SetDisk(s.parts.DiskID())
 	s.bytes = quota.NewManager(quota.DeliveryBytes)
 	s.deliver = &delivery.Scheduler{
 		Set: s.parts, Settings: set, Log: logger, Table: s.node.Table, Bytes: s.bytes,
