--- a/internal/node/failure_report.go
+++ b/internal/node/failure_report.go
@@ -104,7 +104,7 @@
 }
 
 // ReportInSync reports to the controller which replicas are in sync. The cores
-// are asked in turn, the last known controller first, until one accepts the
+// are asked one after the other, the last known controller first, until one accepts the
 // report; the error is that of the last one asked.
 func (n *Node) ReportInSync(ctx context.Context, report placement.InSyncReport) error {
 	var last error
