--- /dev/null
+++ b/internal/edge/candidates.go
@@ -0,0 +1,80 @@
+package edge
+
+import (
+	"saltreel/internal/configuration"
+	"saltreel/internal/partition"
+	"saltreel/internal/placement"
+	"saltreel/internal/ring"
+	"saltreel/internal/settings"
+)
+
+// Tiers of the partitions that may have a message, the best first.
+const (
+	tierZone            = iota // the primary is in the edge's zone
+	tierRegion                 // ... in its region
+	tierRemote                 // ... elsewhere
+	tierUnderReplicated        // backups are missing: the primary declines for now
+	tiers
+)
+
+// candidatePartitions lists the partitions that may have a message, the nearest
+// first and within a tier from one that the message's id names on, so that the
+// messages of an edge are distributed over all. Where only one partition may have the
+// message, because one node paces a service or orders a key, it is alone in the
+// list. The list is empty if there are no partitions.
+func candidatePartitions(p *placement.Placement, set *settings.Settings, route *configuration.Route, service *configuration.Service, r *partition.Record) []int {
+	n := uint64(len(p.Partitions))
+	if n == 0 {
+		return nil
+	}
+	if service != nil && service.RatePerS > 0 {
+		return []int{int(ring.Hash("service", service.Name) % n)}
+	}
+	if route.InOrder && r.OrderKey != "" {
+		return []int{int(ring.Hash("order", r.Tenant, r.OrderKey) % n)}
+	}
+	first := int(ring.Hash(r.ID) % n)
+	var byTier [tiers][]int
+	for i := range p.Partitions {
+		candidate := (first + i) % len(p.Partitions)
+		tier := tierOf(p, candidate, set)
+		byTier[tier] = append(byTier[tier], candidate)
+	}
+	ordered := byTier[tierZone]
+	for _, further := range byTier[tierZone+1:] {
+		ordered = append(ordered, further...)
+	}
+	return ordered
+}
+
+// tierOf gives the tier of a partition, as an edge with these settings sees it.
+func tierOf(p *placement.Placement, candidate int, set *settings.Settings) int {
+	assigned := &p.Partitions[candidate]
+	if len(assigned.Backups) < int(set.FaultTolerance.HostFailures) {
+		return tierUnderReplicated
+	}
+	primary := p.Stores[assigned.Primary]
+	switch {
+	case primary.Zone == set.Zone:
+		return tierZone
+	case primary.Region == set.Region:
+		return tierRegion
+	default:
+		return tierRemote
+	}
+}
+
+// allDeclined tells whether each store that leads a candidate also leads a
+// partition that declined, so that none is left to be asked.
+func allDeclined(p *placement.Placement, declined map[int]bool, candidates []int) bool {
+	stores := map[string]bool{}
+	for i := range declined {
+		stores[p.Partitions[i].Primary] = true
+	}
+	for _, candidate := range candidates {
+		if !stores[p.Partitions[candidate].Primary] {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/edge/query.go
@@ -0,0 +1,109 @@
+package edge
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"strings"
+
+	"saltreel/internal/client"
+	"saltreel/internal/configuration"
+	"saltreel/internal/httpwire"
+	"saltreel/internal/rpc"
+	"saltreel/internal/store"
+)
+
+// errNoSuchMessage says that a name cannot be that of a message.
+var errNoSuchMessage = errors.New("no such message")
+
+// answerQuery answers a query about a message: for its state (kind "status") or
+// its body (kind "body").
+func (e *Edge) answerQuery(ctx context.Context, r *httpwire.Request, table *configuration.Table, kind, name string) *httpwire.Response {
+	if !table.HasHost(r.Host) {
+		return httpwire.Problem(404, "no route has this host")
+	}
+	tenant, ok := queryTenant(table, r.Header.Get("Saltreel-Key"))
+	if !ok {
+		return httpwire.Problem(401, "the key is unknown")
+	}
+	partition, id, ok := client.ParseName(name)
+	if !ok {
+		return httpwire.Problem(404, errNoSuchMessage.Error())
+	}
+	ctx, cancel := context.WithTimeout(ctx, e.timing.queryDeadline())
+	defer cancel()
+	answer, err := e.queryPrimary(ctx, "/"+kind, store.MessageQuery{Partition: partition, ID: id, Tenant: tenant, Host: r.Host})
+	if errors.Is(err, errNoSuchMessage) {
+		return httpwire.Problem(404, err.Error())
+	}
+	if err != nil {
+		e.log.Printf("edge: %s of %s: %v", kind, name, err)
+		return withRetryAfter(httpwire.Problem(503, "the store of the message does not answer"), e.timing.unavailableRetryAfter())
+	}
+	return queryResponse(kind, answer)
+}
+
+// queryTenant gives the name of the tenant that asks; "" where the configuration
+// has no tenants and the client no key. It is not ok if the key is unknown.
+func queryTenant(table *configuration.Table, key string) (name string, ok bool) {
+	if tenant := table.Holder(key); tenant != nil {
+		return tenant.Name, true
+	}
+	return "", key == "" && len(table.TenantTable) == 0
+}
+
+// queryResponse turns the final answer of a store into that for the client.
+func queryResponse(kind string, answer *httpwire.Answer) *httpwire.Response {
+	if answer.Status != 200 {
+		return httpwire.Problem(answer.Status, strings.TrimSpace(string(answer.Body)))
+	}
+	if kind == "body" {
+		return &httpwire.Response{Status: 200, Header: []string{"Content-Type", "application/octet-stream"}, Body: answer.Body}
+	}
+	var status store.MessageStatus
+	if err := json.Unmarshal(answer.Body, &status); err != nil {
+		return httpwire.Problem(502, "the store's answer cannot be read")
+	}
+	return httpwire.JSON(200, client.Status(status.State, status.Seal))
+}
+
+// queryPrimary asks the primary of a message's partition, whoever that is, until
+// it gives a final answer (200, 404 or 410) or ctx ends. The error is then that of
+// the last attempt; errNoSuchMessage if there is no such partition.
+func (e *Edge) queryPrimary(ctx context.Context, path string, query store.MessageQuery) (*httpwire.Answer, error) {
+	body, err := json.Marshal(query)
+	if err != nil {
+		return nil, fmt.Errorf("encode %s: %w", path, err)
+	}
+	for {
+		p := e.node.Placement()
+		if p == nil || query.Partition < 0 || query.Partition >= len(p.Partitions) {
+			return nil, errNoSuchMessage
+		}
+		placementChanged := e.node.PlacementChanged()
+		primary := p.Partitions[query.Partition].Primary
+		answer, err := e.sendQuery(ctx, p.Stores[primary].Address, path, body)
+		if err == nil && isFinal(answer.Status) {
+			return answer, nil
+		}
+		if err != nil {
+			e.node.ReportFailure(primary, httpwire.ConnectionRefused(err))
+		} else {
+			err = &rpc.StatusError{Code: answer.Status, Text: string(answer.Body)}
+		}
+		waitForChange(ctx, e.timing.queryRetryDelay(), placementChanged)
+		if ctx.Err() != nil {
+			return nil, err
+		}
+	}
+}
+
+func (e *Edge) sendQuery(ctx context.Context, address, path string, body []byte) (*httpwire.Answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, e.timing.queryAttemptTimeout())
+	defer cancel()
+	return e.node.Client.Send(ctx, address, path, body)
+}
+
+// isFinal tells whether a store's answer to a query will not change by asking again.
+func isFinal(status int) bool { return status == 200 || status == 404 || status == 410 }
