--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -43,9 +43,15 @@
 		timing:        timing{contactTimeout: set.Contact(), grace: settings.Seconds(set.Timers.GraceS)},
 		log:           logger,
 		network:       network,
-		node:          node.New(set, "store", network, logger),
 		deliveryBytes: quota.NewManager(quota.DeliveryBytes),
 	}
+	s.node = node.New(node.Config{
+		Settings: set,
+		Role:     "store",
+		Network:  network,
+		Log:      logger,
+		Healthy:  func() bool { return s.partitions.Health() == nil },
+	})
 	if err := s.openPartitions(); err != nil {
 		return nil, err
 	}
@@ -79,8 +85,7 @@
 		return err
 	}
 	s.partitions = partitions
-	s.node.Self.Disk = s.partitions.DiskID()
-	s.node.Healthy = func() bool { return s.partitions.Health() == nil }
+	s.node.SetDisk(s.partitions.DiskID())
 	return nil
 }
 
