--- a/internal/controlplane/beats.go
+++ b/internal/controlplane/beats.go
@@ -5,7 +5,6 @@
 	"net"
 	"net/http"
 	"slices"
-	"time"
 
 	"saltreel/internal/chain"
 	"saltreel/internal/handler"
@@ -22,7 +21,7 @@
 }
 
 func (c *Server) handleBeat(ctx context.Context, r *httpwire.Request, id string) *httpwire.Response {
-	if !c.inTouch() {
+	if !c.registry.InContactWithQuorum() {
 		return httpwire.Problem(503, "this core is not in touch with the others")
 	}
 	var err error
@@ -34,10 +33,10 @@
 			c.log.Printf("core: beat of %s from %s is refused: %v", id, r.Conn.RemoteAddr(), bad)
 			return httpwire.Problem(400, bad.Error())
 		}
-		err = c.beat(ctx, in)
+		err = c.registry.RecordInstance(ctx, in)
 		out.Target = c.nearest(in)
 	case http.MethodDelete:
-		err = c.leave(ctx, id)
+		err = c.registry.Deregister(ctx, id)
 	default:
 		return httpwire.Problem(405, "instances take PUT and DELETE")
 	}
@@ -71,35 +70,14 @@
 		}
 	}
 	consider(c.self, c.set.Zone, c.set.Region)
-	for _, n := range c.coresHeard() {
-		if n.age < c.contact*3/8 && slices.ContainsFunc(view.Members, func(m chain.Member) bool { return m.Address == n.Address }) {
+	for _, n := range c.registry.RecentCores() {
+		if n.Age < c.contact*3/8 && slices.ContainsFunc(view.Members, func(m chain.Member) bool { return m.Address == n.Address }) {
 			consider(n.Address, n.Zone, n.Region)
 		}
 	}
 	return c.controlOf(best.address)
 }
 
-// coresHeard are the other cores as they were heard of a moment ago: each beat of
-// a handler asks for them, and the list of all nodes goes through all handlers.
-func (c *Server) coresHeard() []nodeAge {
-	c.mu.Lock()
-	list, fresh := c.cores, time.Since(c.coresAt) < c.contact/40
-	c.mu.Unlock()
-	if fresh {
-		return list
-	}
-	list = nil
-	for _, n := range c.registry.nodes() {
-		if n.Role == "core" && n.Address != c.self {
-			list = append(list, n)
-		}
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.cores, c.coresAt = list, time.Now()
-	return list
-}
-
 // controlOf is the control-plane address of the core at an internal address:
 // ports are alike on all machines. It is "" if there is none.
 func (c *Server) controlOf(internal string) string {
--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -28,6 +28,7 @@
 	"saltreel/internal/membership"
 	"saltreel/internal/paxos"
 	"saltreel/internal/placement"
+	"saltreel/internal/registry"
 	"saltreel/internal/rpc"
 	"saltreel/internal/settings"
 	"saltreel/internal/timeutil"
@@ -53,33 +54,24 @@
 	acceptor *paxos.Acceptor
 	grantor  *lease.Grantor
 	lease    *lease.Lease
-	registry *registry
+	registry *registry.Registry
 	journal  *journal.Journal
 	state    *boltstore.File
 
 	mu        sync.Mutex
 	placement placement.Placement
 	dead      map[string]time.Time       // nodes found dead, and when
-	loaded    bool                       // a majority of the voters told its registry
-	behind    bool                       // it was out of touch since
-	complete  int64                      // the electorate before whose time this disk keeps every leaving that was acknowledged
 	ready     map[int]stopped            // partitions whose primary stopped
 	inStep    map[placement.Replica]bool // reports for the next placement
 	handing   map[string]bool            // stores asked to stop partitions
-	sentAt    map[string]time.Time
-	sent      map[string]map[string]journal.Version
-	published chain.Documents // as last told to the nodes
-	decoded   []byte          // a placement as the chain holds it, and what it says
+	published chain.Documents            // as last told to the nodes
+	decoded   []byte                     // a placement as the chain holds it, and what it says
 	decodedAs placement.Placement
 	refusing  map[string]time.Time // cores whose machine said that none runs there, and when
-	spreading []Item               // what the other cores are to hear next
-	kept      map[string]int64     // leavings on this disk: 1 draining, 2 gone
 
 	wake    chan struct{}
 	probing map[string]time.Time // since when a node is asked whether it runs
-	cores   []nodeAge            // the other cores, as last listed
-	coresAt time.Time
-	life    context.Context // of what the core does on its own
+	life    context.Context      // of what the core does on its own
 	end     context.CancelFunc
 	tasks   sync.WaitGroup
 	opened  atomic.Bool // the state on disk is read
@@ -90,22 +82,40 @@
 	c := &Server{
 		set: set, log: logger, net: network, self: set.Internal(), contact: set.Contact(),
 		dead: map[string]time.Time{}, ready: map[int]stopped{}, inStep: map[placement.Replica]bool{},
-		handing: map[string]bool{}, sentAt: map[string]time.Time{}, sent: map[string]map[string]journal.Version{}, kept: map[string]int64{},
-		wake: make(chan struct{}, 1), probing: map[string]time.Time{},
+		handing: map[string]bool{},
+		wake:    make(chan struct{}, 1), probing: map[string]time.Time{},
 	}
 	c.life, c.end = context.WithCancel(context.Background())
 	life := rand.Text()
 	c.node = membership.Node{Name: set.NodeName, Role: "core", Address: c.self, Zone: set.Zone, Region: set.Region, Incarnation: life}
 	c.journal = journal.New(set.NodeName+"/"+life, 16*c.contact, distribution.PrefixNode)
-	c.registry = &registry{entries: map[string]*entry{}, journal: c.journal, late: c.contact / 2}
 	c.pool = rpc.NewClient(&httpwire.Pool{Network: network})
 	c.acceptor, c.grantor = &paxos.Acceptor{}, &lease.Grantor{}
 	c.chain = &chain.Chain{
 		Self: chain.Member{Address: c.self}, MaxFailures: int(set.FaultTolerance.HostFailures), Client: c.pool, ContactTimeout: c.contact, Log: logger,
-		Acceptor: c.acceptor, OnUpdate: c.prepare, OnCommit: c.committed, KnownCores: c.others, VoterReady: c.isReady,
+		Acceptor: c.acceptor, OnUpdate: c.prepare, OnCommit: c.committed, KnownCores: func() []chain.Member { return c.registry.KnownCores() }, VoterReady: func() bool { return c.registry.VoterReady() },
 	}
-	c.state = &boltstore.File{Path: filepath.Join(set.DataPath, "core.db"), BatchDelay: batchDelay, Prepare: c.prepareState, Load: c.loadState, Warn: logger.Printf}
+	c.state = &boltstore.File{Path: filepath.Join(set.DataPath, "core.db"), BatchDelay: registry.TombstoneBatchDelay, Prepare: c.prepareState, Load: c.loadState, Warn: logger.Printf}
 	c.chain.Open(c.state)
+	var err error
+	c.registry, err = registry.New(registry.Config{
+		Address:        c.self,
+		Seeds:          set.Cores,
+		Self:           func() chain.Member { return c.chain.Self },
+		Chain:          c.chain,
+		Client:         c.pool,
+		Storage:        c.state,
+		Journal:        c.journal,
+		HostFailures:   int(set.FaultTolerance.HostFailures),
+		ContactTimeout: c.contact,
+		Keepalive:      settings.Ms(float64(max(set.KeepaliveMs, 1))),
+		Log:            logger,
+		Go:             c.goBackground,
+		OnNodeChanged:  c.nudge, // the controller may wait for this one
+	})
+	if err != nil {
+		return nil, err
+	}
 	c.lease = &lease.Lease{Role: "steward", Self: c.self, Duration: c.contact / 4, Call: c.callLease, Go: c.tasks.Go}
 	return c, nil
 }
@@ -139,34 +149,30 @@
 	if c.set.Bootstrap && !boltstore.Replaced(c.state.Path) {
 		founders = c.set.Cores()
 	}
-	for _, b := range [][]byte{bucketLeavings, bucketComplete} {
-		if _, err := tx.CreateBucketIfNotExists(b); err != nil {
-			return err
-		}
+	if err := c.registry.InitState(tx); err != nil {
+		return err
 	}
 	return c.chain.InitState(tx, founders)
 }
 
 // loadState reads the state on disk.
 func (c *Server) loadState(tx *bbolt.Tx) (func(), error) {
-	install, err := c.chain.Load(tx)
+	installChain, err := c.chain.Load(tx)
 	if err != nil {
 		return nil, err
 	}
-	leavings, complete, err := loadLeavings(tx)
+	installRegistry, err := c.registry.LoadState(tx)
 	return func() {
-		install()
-		kept := map[string]int64{}
-		for _, it := range leavings {
-			c.registry.put(it)
-			kept[it.Key] = it.Version.Major / drains
-		}
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		c.kept, c.complete = kept, complete
+		installChain()
+		installRegistry()
 	}, err
 }
 
+// goBackground runs a task that ends with the process at the latest.
+func (c *Server) goBackground(task func(ctx context.Context)) {
+	c.tasks.Go(func() { task(c.life) })
+}
+
 func (c *Server) callLease(ctx context.Context, voter string, request lease.Request) (response lease.Response, err error) {
 	if voter == c.self {
 		return c.grantor.Handle(request), nil
@@ -237,7 +243,7 @@
 	if err != nil {
 		return fmt.Errorf("listen for our own processes: %w", err)
 	}
-	source := &distribution.Publisher{Journal: c.journal, MaxWait: c.contact / 2, BatchDelay: c.contact / 32, UpToDate: c.inTouch,
+	source := &distribution.Publisher{Journal: c.journal, MaxWait: c.contact / 2, BatchDelay: c.contact / 32, UpToDate: c.registry.InContactWithQuorum,
 		UpToDateWait: c.contact / 16, Warming: func() bool { return c.chain.InContactFor() < c.contact/8 }}
 	mux := rpc.Mux{
 		"/news":           source.Handle,
@@ -250,7 +256,7 @@
 			return &r, nil
 		}),
 		"/view":     rpc.Handler(c.handleView),
-		"/exchange": rpc.Handler(c.handleExchange),
+		"/exchange": rpc.Handler(c.registry.HandleSync, registry.StatusCode),
 		"/beat":     rpc.Handler(c.handleNode),
 		"/suspect":  rpc.Handler(c.handleSuspect),
 		"/in-step":  rpc.Handler(c.handleInStep),
@@ -261,7 +267,7 @@
 	server := &httpwire.Server{Handle: mux.Handle, Log: c.log}
 	for _, f := range []func(context.Context){
 		func(ctx context.Context) { _ = server.Serve(ctx, inner) },
-		c.learn, c.chain.Run, c.gossip, c.steward,
+		c.registry.RunLoader, c.chain.Run, c.gossip, c.steward,
 		func(ctx context.Context) { c.state.Recover(ctx, c.contact/40) },
 	} {
 		c.tasks.Go(func() { f(c.life) })
@@ -284,64 +290,22 @@
 	return &v, nil
 }
 
-// isLoaded tells whether a majority of the voters told this core what they know.
-func (c *Server) isLoaded() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.loaded
-}
-
-// others are the cores heard of lately, but this one.
-func (c *Server) others() []chain.Member {
-	var out []chain.Member
-	for _, n := range c.registry.nodes() {
-		if n.Role == "core" && n.Address != c.self && n.Disk != "" && n.age < c.contact/2 {
-			out = append(out, chain.Member{Address: n.Address, Disk: n.Disk})
-		}
-	}
-	slices.SortFunc(out, func(a, b chain.Member) int { return strings.Compare(a.Address, b.Address) })
-	return out
-}
-
-// peers are the addresses of the other cores: the voters, those heard of
-// lately, and as long as there are none the seeds.
-func (c *Server) peers() []string {
-	all := c.chain.Voters()
-	for _, m := range c.others() {
-		all = append(all, m.Address)
-	}
-	if len(all) == 0 || !c.isLoaded() {
-		all = append(all, c.set.Cores()...)
-	}
-	slices.Sort(all)
-	return slices.DeleteFunc(slices.Compact(all), func(p string) bool { return p == c.self })
-}
-
-// gossip exchanges the registry with the other cores and drops what is silent.
+// gossip exchanges the registry with the other cores every so often, and expires
+// what sends no heartbeats.
 func (c *Server) gossip(ctx context.Context) {
 	tick := time.NewTicker(c.contact / 4)
 	defer tick.Stop()
-	keepalive := settings.Ms(float64(max(c.set.KeepaliveMs, 1)))
-	told := time.Now()
+	logged := time.Now()
 	for n := int64(1); ; n++ {
-		if time.Since(told) > 4*c.contact {
-			told = time.Now()
+		if time.Since(logged) > 4*c.contact {
+			logged = time.Now()
 			c.log.Printf("traffic: in %v: %s", 4*c.contact, c.pool.Traffic())
 		}
 		self := c.node
 		self.Sequence = n
-		c.registry.beat(self)
-		for _, peer := range c.peers() {
-			c.tasks.Go(func() { c.exchange(ctx, peer) })
-		}
-		// Who was out of touch itself cannot tell that others are silent.
-		if c.chain.InContactFor() > max(c.contact, 3*keepalive) {
-			silent, forgotten := c.registry.expire(3*keepalive, c.contact*3/4)
-			for _, key := range silent {
-				c.log.Printf("core: silent and taken off the list: %s", key)
-			}
-			c.forget(forgotten)
-		}
+		c.registry.RecordSelf(self)
+		c.registry.SyncWithPeers()
+		c.registry.Expire()
 		select {
 		case <-ctx.Done():
 			return
@@ -350,77 +314,8 @@
 	}
 }
 
-func (c *Server) exchange(ctx context.Context, peer string) {
-	c.mu.Lock()
-	after := c.sentAt[peer]
-	sent := c.sent[peer]
-	if sent == nil {
-		sent = map[string]journal.Version{}
-		c.sent[peer] = sent
-	}
-	c.mu.Unlock()
-	items, now := c.registry.since(after, func(key string) journal.Version {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		if v, ok := sent[key]; ok {
-			return v
-		}
-		return journal.Version{Major: -1}
-	})
-	ctx, cancel := context.WithTimeout(ctx, c.contact/8)
-	defer cancel()
-	var out Exchanged
-	if err := c.pool.Call(ctx, peer, "/exchange", Exchange{From: c.self, Items: items}, nil, &out); err != nil {
-		c.mu.Lock()
-		delete(c.sent, peer) // it may have started anew
-		delete(c.sentAt, peer)
-		c.mu.Unlock()
-		return
-	}
-	c.mu.Lock()
-	c.sentAt[peer] = now
-	for _, it := range items {
-		sent[it.Key] = it.Version
-	}
-	for _, key := range out.Want {
-		delete(sent, key)
-	}
-	c.mu.Unlock()
-}
-
-// spread tells all other cores of an item and does not wait for them; what is
-// lost goes with the next exchange. What comes within a moment goes together:
-// when many nodes start at once, each core hears of all of them.
-func (c *Server) spread(it Item) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.spreading = append(c.spreading, it); len(c.spreading) == 1 {
-		c.tasks.Go(func() {
-			timeutil.Sleep(c.life, c.contact/400)
-			c.spreadAll()
-		})
-	}
-}
-
-func (c *Server) spreadAll() {
-	c.mu.Lock()
-	items := c.spreading
-	c.spreading = nil
-	c.mu.Unlock()
-	for _, peer := range c.peers() {
-		c.tasks.Go(func() {
-			ctx, cancel := context.WithTimeout(c.life, c.contact/8)
-			defer cancel()
-			_ = c.pool.Call(ctx, peer, "/exchange", Exchange{From: c.self, Items: items}, nil, nil)
-		})
-	}
-}
-
 func (c *Server) handleNode(_ context.Context, n *membership.Node, _ []byte) (*struct{}, error) {
-	if it, changed := c.registry.beat(*n); changed {
-		c.nudge()
-		c.spread(it)
-	}
+	c.registry.RecordNode(*n)
 	return &struct{}{}, nil
 }
 
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -28,7 +28,7 @@
 // that is not in touch answers 503: what it knows of handlers may be old.
 func (c *Server) Status(ctx context.Context) (Overview, error) {
 	o := Overview{View: c.chain.View()}
-	if !c.inTouch() {
+	if !c.registry.InContactWithQuorum() {
 		return o, &rpc.StatusError{Code: 503, Text: "this core is not in touch with the others"}
 	}
 	s, err := c.Read(ctx)
--- a/internal/controlplane/steward.go
+++ b/internal/controlplane/steward.go
@@ -38,7 +38,7 @@
 // long as it does not beat again. Where many are asked at once, one late answer
 // is not a death.
 func (c *Server) probe(ctx context.Context, name string) {
-	n, ok := c.registry.nodes()[name]
+	n, ok := c.registry.Nodes()[name]
 	if !ok {
 		return
 	}
@@ -225,10 +225,10 @@
 // missed reports the stores that this core watches and that fell silent to
 // whichever core is the steward.
 func (c *Server) missed(ctx context.Context) {
-	for _, name := range c.registry.silent(c.contact/8, c.contact) {
+	for _, name := range c.registry.OverdueStores(c.contact/8, c.contact) {
 		in := placement.FailureReport{Node: name}
 		_, _ = c.handleSuspect(ctx, &in, nil)
-		for _, peer := range c.peers() {
+		for _, peer := range c.registry.Peers() {
 			c.tasks.Go(func() {
 				ctx, cancel := context.WithTimeout(c.life, c.contact/8)
 				defer cancel()
@@ -242,22 +242,22 @@
 func (c *Server) watch(ctx context.Context) map[string]placement.StoreStatus {
 	out := map[string]placement.StoreStatus{}
 	var probes sync.WaitGroup
-	for name, n := range c.registry.nodes() {
+	for name, n := range c.registry.Nodes() {
 		if n.Role != "store" {
 			continue
 		}
-		if n.age > c.contact/2 {
+		if n.Age > c.contact/2 {
 			probes.Go(func() { c.probe(ctx, name) })
 		}
 	}
 	probes.Wait()
-	for name, n := range c.registry.nodes() {
+	for name, n := range c.registry.Nodes() {
 		if n.Role != "store" {
 			continue
 		}
 		c.mu.Lock()
 		deadAt, dead := c.dead[name]
-		if dead && time.Now().Add(-n.age).After(deadAt) {
+		if dead && time.Now().Add(-n.Age).After(deadAt) {
 			delete(c.dead, name) // it has beaten since
 			dead = false
 			c.log.Printf("steward: %s is back", name)
--- /dev/null
+++ b/internal/registry/quorum_epoch_test.go
@@ -0,0 +1,74 @@
+package registry
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+
+	"saltreel/internal/chain"
+)
+
+func members(names ...string) []chain.Member {
+	var out []chain.Member
+	for _, name := range names {
+		out = append(out, chain.Member{Address: name, Disk: "disk-" + name})
+	}
+	return out
+}
+
+func TestCompletenessNeedsAQuorumOfCompleteVoters(t *testing.T) {
+	const self = "a"
+	view := chain.View{Voters: members("a", "b", "c"), QuorumEpoch: 9, PreviousVoters: members("a", "x", "y"), PreviousQuorumEpoch: 4}
+	type response struct {
+		from            string
+		inForce, isFrom int64
+	}
+	for name, c := range map[string]struct {
+		own       int64
+		responses []response
+		n         int
+		complete  bool
+	}{
+		"nobody":                                      {0, nil, 0, false},
+		"one complete voter":                          {0, []response{{"b", 9, 9}}, 1, false},
+		"two complete voters":                         {0, []response{{"b", 9, 9}, {"c", 9, 9}}, 2, true},
+		"itself and one":                              {9, []response{{"b", 9, 9}}, 2, true},
+		"a voter that is not complete":                {9, []response{{"b", 9, 8}}, 1, false},
+		"a voter that has not installed the view":     {9, []response{{"b", 8, 9}}, 1, false},
+		"the voters before":                           {0, []response{{"x", 9, 4}, {"y", 9, 4}}, 2, true},
+		"the voters before, one still in their epoch": {0, []response{{"x", 9, 4}, {"y", 4, 4}}, 1, false},
+		"itself, complete for the epoch before":       {4, []response{{"x", 9, 4}}, 2, true},
+		"a core that is no voter":                     {9, []response{{"z", 9, 9}}, 1, false},
+		"another disk":                                {9, []response{{"b/other", 9, 9}}, 1, false},
+	} {
+		responses := completeResponses{}
+		for _, r := range c.responses {
+			member := members(r.from)[0]
+			if r.from == "b/other" {
+				member = chain.Member{Address: "b", Disk: "other"}
+			}
+			responses[member] = &SyncResponse{View: &chain.View{QuorumEpoch: r.inForce}, CompleteEpoch: r.isFrom}
+		}
+		if n, ok := responses.areQuorum(view, members(self)[0], c.own); ok != c.complete || ok && n != c.n {
+			t.Errorf("%s: %v, %d cores", name, ok, n)
+		}
+	}
+}
+
+func TestStatusCodesOfErrors(t *testing.T) {
+	wrongEpoch := &WrongEpochError{Requested: 1, InForce: 2, Complete: 2}
+	for _, c := range []struct {
+		err  error
+		code int
+	}{
+		{wrongEpoch, 409},
+		{fmt.Errorf("wrapped: %w", wrongEpoch), 409},
+		{&NoQuorumError{wrongEpoch}, 503},
+		{errors.New("other"), 0},
+		{errNotComplete, 0},
+	} {
+		if got := StatusCode(c.err); got != c.code {
+			t.Errorf("%v: %d, not %d", c.err, got, c.code)
+		}
+	}
+}
--- /dev/null
+++ b/internal/registry/table.go
@@ -0,0 +1,204 @@
+package registry
+
+import (
+	"strings"
+	"sync"
+	"time"
+
+	"saltreel/internal/distribution"
+	"saltreel/internal/journal"
+	"saltreel/internal/membership"
+)
+
+// table holds the records of all instances and nodes in memory, and appends
+// each change to the journal. Each core receives some heartbeats itself and gets
+// the rest from the other cores by anti-entropy.
+type table struct {
+	journal     *journal.Journal
+	staleWindow time.Duration // how long heartbeats of earlier incarnations are ignored
+
+	mu      sync.Mutex
+	records map[string]*record
+}
+
+func newTable(events *journal.Journal, staleWindow time.Duration) *table {
+	return &table{journal: events, staleWindow: staleWindow, records: map[string]*record{}}
+}
+
+// merge takes an entry that another core sent; it says whether the value changed.
+func (t *table) merge(in Entry) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.mergeLocked(in, time.Now())
+}
+
+func (t *table) mergeLocked(in Entry, now time.Time) bool {
+	r := t.records[in.Key]
+	if r == nil {
+		if in.Value == nil {
+			return false
+		}
+		r = &record{}
+		t.records[in.Key] = r
+	}
+	changed := r.merge(in, now)
+	if changed {
+		t.journal.Append(journal.Event{Key: in.Key, Version: in.Version, Value: in.Value, Scope: r.node.Scope()})
+	}
+	return changed
+}
+
+// heartbeat takes an entry made of a heartbeat that this core itself received.
+func (t *table) heartbeat(in Entry) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.heartbeatLocked(in, time.Now())
+}
+
+func (t *table) heartbeatLocked(in Entry, now time.Time) bool {
+	changed := t.mergeLocked(in, now)
+	if r := t.records[in.Key]; r != nil {
+		r.lastHeartbeat = now
+		r.updated = now
+	}
+	return changed
+}
+
+// nodeHeartbeat takes a heartbeat of one of our own processes. It gives the
+// entry made of it, and whether its value changed.
+func (t *table) nodeHeartbeat(n membership.Node) (Entry, bool) {
+	in := Entry{Key: distribution.PrefixNode + n.Name, Value: journal.Encode(n)}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := time.Now()
+	r := t.records[in.Key]
+	version, current := r.heartbeatVersion(n, now, t.staleWindow)
+	in.Version = version
+	if !current {
+		return in, false
+	}
+	if r != nil {
+		r.recordReplaced(n.Incarnation)
+	}
+	return in, t.heartbeatLocked(in, now)
+}
+
+// overdueStores are the names of the stores that used to send their heartbeats
+// to this core and sent none for longer than after, but less than before. Each
+// is named once in that time.
+func (t *table) overdueStores(after, before time.Duration) []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := time.Now()
+	var out []string
+	for key, r := range t.records {
+		name, ok := strings.CutPrefix(key, distribution.PrefixNode)
+		if ok && r.isOverdue(now, after, before) {
+			r.reportedAt = now
+			out = append(out, name)
+		}
+	}
+	return out
+}
+
+// updatedSince lists the entries received or changed after a moment, and gives
+// the moment now. Those that did not change since the version that the receiver
+// has carry no value.
+func (t *table) updatedSince(after time.Time, sentVersion func(key string) journal.Version) ([]Entry, time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := time.Now()
+	var out []Entry
+	for key, r := range t.records {
+		if !r.updated.After(after) {
+			continue
+		}
+		entry := Entry{Key: key, Version: r.version, AgeMs: now.Sub(r.lastSeen).Milliseconds(), Changed: r.changed}
+		if sentVersion(key).Less(r.changed) {
+			entry.Value = r.value
+		}
+		out = append(out, entry)
+	}
+	return out, now
+}
+
+// unsent is the version of what a receiver never got.
+var unsent = journal.Version{Major: -1}
+
+// all lists all entries with their values.
+func (t *table) all() []Entry {
+	entries, _ := t.updatedSince(time.Time{}, func(string) journal.Version { return unsent })
+	return entries
+}
+
+// NodeStatus is a node as its newest heartbeat describes it, and how long ago
+// any core received that.
+type NodeStatus struct {
+	membership.Node
+	Age time.Duration
+}
+
+// nodes lists our own processes that have not expired, by name.
+func (t *table) nodes() map[string]NodeStatus {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	out := map[string]NodeStatus{}
+	for key, r := range t.records {
+		if name, ok := strings.CutPrefix(key, distribution.PrefixNode); ok && !isNull(r.value) {
+			out[name] = NodeStatus{r.node, time.Since(r.lastSeen)}
+		}
+	}
+	return out
+}
+
+// expire marks what had no heartbeat for longer than its expiry as no longer
+// there, and forgets what has not been there for much longer. It gives the keys
+// of both.
+func (t *table) expire(instanceExpiry, nodeExpiry time.Duration) (expired, forgotten []string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := time.Now()
+	for key, r := range t.records {
+		expiry := nodeExpiry
+		if isInstance(key) {
+			expiry = instanceExpiry
+		}
+		switch r.expiryAction(now, expiry) {
+		case expiryForget:
+			delete(t.records, key)
+			forgotten = append(forgotten, key)
+		case expiryExpire:
+			r.expire()
+			t.journal.Append(journal.Event{Key: key, Version: r.version, Value: r.value})
+			expired = append(expired, key)
+		case expiryNone:
+		}
+	}
+	return expired, forgotten
+}
+
+// lacksValueOf says whether an entry came without a value that this core does
+// not know.
+func (t *table) lacksValueOf(in Entry) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.records[in.Key].lacksValueOf(in)
+}
+
+// isConfirmed says whether a tombstone of this stage is known to be on the
+// disks of a quorum.
+func (t *table) isConfirmed(in Entry) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.records[in.Key]
+	return r != nil && r.confirmedStage >= in.stage()
+}
+
+// confirm notes that a tombstone is on the disks of a quorum.
+func (t *table) confirm(in Entry) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if r := t.records[in.Key]; r != nil {
+		r.confirmedStage = max(r.confirmedStage, in.stage())
+	}
+}
--- /dev/null
+++ b/internal/registry/table_test.go
@@ -0,0 +1,162 @@
+package registry
+
+import (
+	"encoding/json"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"saltreel/internal/distribution"
+	"saltreel/internal/journal"
+	"saltreel/internal/membership"
+)
+
+func newTestTable(name string) *table {
+	return newTable(journal.New(name, time.Hour, ""), time.Second)
+}
+
+// valueOf is the value of an entry that is there, else nil.
+func valueOf(table *table, key string) json.RawMessage {
+	table.mu.Lock()
+	defer table.mu.Unlock()
+	r := table.records[key]
+	if r == nil || isNull(r.value) {
+		return nil
+	}
+	return r.value
+}
+
+// The newer incarnation of a node is the one that the cores see later, whatever
+// their clocks and its own say; a late heartbeat of an earlier one changes nothing.
+func TestOrderOfIncarnationsDoesNotDependOnClocks(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ahead, other := newTestTable("ahead"), newTestTable("other")
+		current := func(table *table) string { return table.nodes()["edge-1"].Incarnation }
+		heartbeat := func(table *table, incarnation string, sequence int64) Entry {
+			entry, _ := table.nodeHeartbeat(membership.Node{Name: "edge-1", Incarnation: incarnation, Sequence: sequence})
+			return entry
+		}
+		first := heartbeat(ahead, "one", 5)
+		first.Version.Major += 1 << 40 // as from a core whose clock is far ahead
+		ahead.merge(first)
+		other.merge(first)
+		second := heartbeat(other, "two", 1)
+		if current(other) != "two" || !first.Version.Less(second.Version) {
+			t.Fatalf("the second incarnation is not the newer one: %q, %+v", current(other), second.Version)
+		}
+		for n, late := range []time.Duration{0, 20 * time.Second, time.Hour} { // as long as a link may delay it
+			time.Sleep(late)
+			heartbeat(other, "two", int64(n+2))
+			if heartbeat(other, "one", 6); current(other) != "two" {
+				t.Errorf("a heartbeat of the first incarnation that came %v late brought it back", late)
+			}
+		}
+		// Where it looks like the newer one, since this core never heard it, the
+		// real one comes back with a heartbeat of its own.
+		heartbeat(other, "zero", 9)
+		time.Sleep(2 * time.Second)
+		if heartbeat(other, "two", 5); current(other) != "two" {
+			t.Errorf("after a late heartbeat of an unknown incarnation it is %q", current(other))
+		}
+		// The other core saw only the first incarnation so far: the second wins
+		// there too, and a third that both see at once is the same for both.
+		ahead.merge(second)
+		third := [2]Entry{heartbeat(ahead, "three", 1), heartbeat(other, "three", 1)}
+		ahead.merge(third[1])
+		other.merge(third[0])
+		if current(ahead) != "three" || current(other) != "three" {
+			t.Errorf("the cores disagree: %q and %q", current(ahead), current(other))
+		}
+		// An outdated entry in which the incarnation before is newer does not last.
+		stale := first
+		stale.Version.Major += 1 << 40
+		other.merge(stale)
+		time.Sleep(2 * time.Second)
+		if heartbeat(other, "three", 2); current(other) != "three" {
+			t.Errorf("after an outdated entry the incarnation is %q", current(other))
+		}
+	})
+}
+
+// sentVersions is what a receiver has, for updatedSince.
+type sentVersions map[string]journal.Version
+
+func (s sentVersions) of(key string) journal.Version {
+	if v, ok := s[key]; ok {
+		return v
+	}
+	return unsent
+}
+
+// A store that froze for longer than one core waits, but not another, is known
+// to both again, though nothing about it has changed; so is a handler. What was
+// deregistered does not come back.
+func TestExpiredEntryReturnsWithNextHeartbeatUnlessDeregistered(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		near, far := newTestTable("near"), newTestTable("far")
+		sent := sentVersions{}
+		exchange := func() {
+			entries, _ := near.updatedSince(time.Time{}, sent.of)
+			for _, entry := range entries {
+				if far.lacksValueOf(entry) {
+					delete(sent, entry.Key) // it is asked for
+				} else {
+					far.merge(entry)
+					sent[entry.Key] = entry.Version
+				}
+			}
+		}
+		const instance = distribution.PrefixInstance + "one"
+		heartbeat := func(n int64) {
+			near.nodeHeartbeat(membership.Node{Name: "store-1", Role: "store", Incarnation: "a", Sequence: n})
+			near.heartbeat(Entry{Key: instance, Version: journal.Version{Major: n}, Value: json.RawMessage(`{"state":"ready"}`)})
+		}
+		heartbeat(1)
+		exchange()
+		time.Sleep(4 * time.Second)
+		if expired, _ := far.expire(3*time.Second, 3*time.Second); len(expired) != 2 {
+			t.Fatalf("expired: %v", expired)
+		}
+		for n := int64(2); n < 5; n++ {
+			heartbeat(n)
+			exchange()
+		}
+		if _, ok := far.nodes()["store-1"]; !ok {
+			t.Error("the store is still unknown to the core where it expired")
+		}
+		if valueOf(far, instance) == nil {
+			t.Error("the handler is still unknown to the core where it expired")
+		}
+		near.heartbeat(Entry{Key: instance, Version: journal.Version{Major: majorDeregistered}, Value: deregistered})
+		exchange()
+		exchange()
+		if valueOf(far, instance) != nil {
+			t.Error("a deregistered handler is still there")
+		}
+	})
+}
+
+func TestOverdueStoreIsNamedOncePerInterval(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		table := newTestTable("watch")
+		table.nodeHeartbeat(membership.Node{Name: "store-1", Role: "store", Incarnation: "a", Sequence: 1})
+		table.nodeHeartbeat(membership.Node{Name: "edge-1", Role: "edge", Incarnation: "a", Sequence: 1})
+		table.merge(Entry{Key: distribution.PrefixNode + "store-2", Version: journal.Version{Major: 1}, Value: json.RawMessage(`{"name":"store-2","role":"store"}`)})
+		overdue := func() int { return len(table.overdueStores(time.Second, 10*time.Second)) }
+		if n := overdue(); n != 0 {
+			t.Errorf("%d stores are overdue at once", n)
+		}
+		time.Sleep(1500 * time.Millisecond)
+		if first, second := overdue(), overdue(); first != 1 || second != 0 {
+			t.Errorf("%d stores are named at first, %d right after", first, second)
+		}
+		time.Sleep(1500 * time.Millisecond)
+		if n := overdue(); n != 1 {
+			t.Errorf("%d stores are named in the next interval", n)
+		}
+		time.Sleep(10 * time.Second)
+		if n := overdue(); n != 0 {
+			t.Errorf("%d stores are named after the last interval", n)
+		}
+	})
+}
