--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -20,6 +20,7 @@
 
 	"saltreel/internal/boltstore"
 	"saltreel/internal/chain"
+	"saltreel/internal/configstore"
 	"saltreel/internal/configuration"
 	"saltreel/internal/distribution"
 	"saltreel/internal/httpwire"
@@ -34,12 +35,6 @@
 	"saltreel/internal/timeutil"
 )
 
-// Keys of the documents in the chain.
-const (
-	docConfiguration = "configuration"
-	docPlacement     = "placement"
-)
-
 // Core is one core machine's process.
 type Server struct {
 	set     *settings.Settings
@@ -55,6 +50,7 @@
 	grantor  *lease.Grantor
 	lease    *lease.Lease
 	registry *registry.Registry
+	store    *configstore.Store
 	journal  *journal.Journal
 	state    *boltstore.File
 
@@ -93,11 +89,22 @@
 	c.acceptor, c.grantor = &paxos.Acceptor{}, &lease.Grantor{}
 	c.chain = &chain.Chain{
 		Self: chain.Member{Address: c.self}, MaxFailures: int(set.FaultTolerance.HostFailures), Client: c.pool, ContactTimeout: c.contact, Log: logger,
-		Acceptor: c.acceptor, OnUpdate: c.prepare, OnCommit: c.committed, KnownCores: func() []chain.Member { return c.registry.KnownCores() }, VoterReady: func() bool { return c.registry.VoterReady() },
+		Acceptor: c.acceptor, OnUpdate: func(docs chain.Documents) { c.store.Prepare(docs) }, OnCommit: c.committed, KnownCores: func() []chain.Member { return c.registry.KnownCores() }, VoterReady: func() bool { return c.registry.VoterReady() },
 	}
 	c.state = &boltstore.File{Path: filepath.Join(set.DataPath, "core.db"), BatchDelay: registry.TombstoneBatchDelay, Prepare: c.prepareState, Load: c.loadState, Warn: logger.Printf}
 	c.chain.Open(c.state)
 	var err error
+	c.store, err = configstore.New(configstore.Config{
+		Address:        c.self,
+		Chain:          c.chain,
+		Client:         c.pool,
+		HostFailures:   int(set.FaultTolerance.HostFailures),
+		ContactTimeout: c.contact,
+		Log:            logger,
+	})
+	if err != nil {
+		return nil, err
+	}
 	c.registry, err = registry.New(registry.Config{
 		Address:        c.self,
 		Seeds:          set.Cores,
@@ -184,13 +191,13 @@
 // committed publishes what the tail is known to hold.
 func (c *Server) committed(docs chain.Documents) {
 	c.mu.Lock()
-	same := bytes.Equal(c.published[docConfiguration], docs[docConfiguration]) && bytes.Equal(c.published[docPlacement], docs[docPlacement])
+	same := bytes.Equal(c.published[configstore.KeyConfiguration], docs[configstore.KeyConfiguration]) && bytes.Equal(c.published[configstore.KeyPlacement], docs[configstore.KeyPlacement])
 	c.published = docs
 	c.mu.Unlock()
 	if same { // a sign of life
 		return
 	}
-	if raw := docs[docConfiguration]; raw != nil {
+	if raw := docs[configstore.KeyConfiguration]; raw != nil {
 		if cur, ok := c.journal.Get(distribution.KeyConfiguration); !ok || !slices.Equal(journal.Decode[[]byte](cur), raw) {
 			if conf, err := configuration.Parse(raw); err == nil {
 				if c.journal.Append(journal.Event{Key: distribution.KeyConfiguration, Version: journal.Version{Major: conf.Revision}, Value: journal.Encode(raw)}) {
@@ -199,8 +206,8 @@
 			}
 		}
 	}
-	if raw := docs[docPlacement]; raw != nil {
-		if p, err := c.placementOf(docs); err == nil {
+	if raw := docs[configstore.KeyPlacement]; raw != nil {
+		if p, err := c.store.PlacementOf(docs); err == nil {
 			c.mu.Lock()
 			newer := p.Version > c.placement.Version
 			if newer {
@@ -260,8 +267,8 @@
 		"/beat":     rpc.Handler(c.handleNode),
 		"/suspect":  rpc.Handler(c.handleSuspect),
 		"/in-step":  rpc.Handler(c.handleInStep),
-		"/propose":  rpc.Handler(c.handlePropose),
-		"/read":     rpc.Handler(c.handleRead),
+		"/propose":  rpc.Handler(c.store.HandlePropose),
+		"/read":     rpc.Handler(c.store.HandleRead),
 		"/ping":     rpc.Handler(rpc.Ping),
 	}
 	server := &httpwire.Server{Handle: mux.Handle, Log: c.log}
--- /dev/null
+++ b/internal/controlplane/operator.go
@@ -0,0 +1,53 @@
+package controlplane
+
+import (
+	"context"
+
+	"saltreel/internal/configstore"
+)
+
+// The calls of the operator, as package operator needs them at a core.
+type (
+	// Proposal is a change of the configuration or an order to empty a store.
+	Proposal = configstore.Proposal
+	// RejectedError says that the state does not allow a change.
+	RejectedError = configstore.RejectedError
+	// UnavailableError is the error of a call that certainly did nothing.
+	UnavailableError = configstore.UnavailableError
+	// State is the state that the tail of the chain holds.
+	State = configstore.State
+)
+
+// Propose brings a change to the head of the chain, wherever it is. The error is
+// a *RejectedError, an *UnavailableError, or something else: then the change may
+// take effect or not.
+func (c *Server) Propose(ctx context.Context, p Proposal) error { return c.store.Propose(ctx, p) }
+
+// Read gets the state from the tail of the chain.
+func (c *Server) Read(ctx context.Context) (State, error) { return c.store.Read(ctx) }
+
+// Configuration reads the configuration in force, byte for byte as it was sent;
+// nil before the first.
+func (c *Server) Configuration(ctx context.Context) ([]byte, error) {
+	return c.store.Configuration(ctx)
+}
+
+// RetireState reads how far the emptying of a store is. The error is a
+// *RejectedError if the store is not known, or not being emptied.
+func (c *Server) RetireState(ctx context.Context, name string) (string, error) {
+	return c.store.RetireState(ctx, name)
+}
+
+// Steady says whether this core is in contact with its chain.
+func (c *Server) Steady() bool { return c.chain.InContact() }
+
+// Elsewhere is the control-plane address of the core that answers changes, or
+// reads, in the view known here. It is "" if that is this core, if none is known,
+// or if its machine refused a connection a moment ago.
+func (c *Server) Elsewhere(write bool) string {
+	target := c.store.RedirectTarget(write)
+	if target == "" {
+		return ""
+	}
+	return c.controlOf(target)
+}
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -6,6 +6,7 @@
 	"strings"
 
 	"saltreel/internal/chain"
+	"saltreel/internal/configstore"
 	"saltreel/internal/configuration"
 	"saltreel/internal/distribution"
 	"saltreel/internal/handler"
@@ -35,12 +36,12 @@
 	if err != nil {
 		return o, err
 	}
-	if raw := s.Documents[docConfiguration]; raw != nil {
+	if raw := s.Documents[configstore.KeyConfiguration]; raw != nil {
 		if conf, err := configuration.Parse(raw); err == nil {
 			o.Revision = conf.Revision
 		}
 	}
-	current, err := c.placementOf(s.Documents)
+	current, err := c.store.PlacementOf(s.Documents)
 	if err != nil {
 		return o, err
 	}
--- a/internal/controlplane/steward.go
+++ b/internal/controlplane/steward.go
@@ -6,6 +6,7 @@
 	"sync"
 	"time"
 
+	"saltreel/internal/configstore"
 	"saltreel/internal/httpwire"
 	"saltreel/internal/placement"
 	"saltreel/internal/rpc"
@@ -201,7 +202,7 @@
 		}
 		if changed {
 			next.Term = term
-			if err := c.Propose(ctx, Proposal{Placement: &next}); err != nil {
+			if err := c.Propose(ctx, configstore.Proposal{Placement: &next}); err != nil {
 				c.log.Printf("steward: placement %d: %v", next.Version, err)
 			} else {
 				c.log.Printf("steward: placement %d is in force", next.Version)
