--- /dev/null
+++ b/internal/controller/failures.go
@@ -0,0 +1,148 @@
+package controller
+
+import (
+	"context"
+	"log"
+	"sync"
+	"time"
+
+	"saltreel/internal/httpwire"
+	"saltreel/internal/placement"
+	"saltreel/internal/rpc"
+)
+
+// failureDetector knows which stores failed. A store is suspected when its
+// heartbeats are overdue or another process reports it, and failed when it does
+// not answer a probe either; it recovers with its next heartbeat.
+type failureDetector struct {
+	registry     Registry
+	client       Caller
+	timing       timing
+	hostFailures int
+	log          *log.Logger
+	onFailure    func()
+
+	mu          sync.Mutex
+	failedSince map[string]time.Time // when the probe began that was not answered
+	probedSince map[string]time.Time // nodes that are being probed
+}
+
+func newFailureDetector(config Config, timing timing, onFailure func()) *failureDetector {
+	return &failureDetector{
+		registry:     config.Registry,
+		client:       config.Client,
+		timing:       timing,
+		hostFailures: config.HostFailures,
+		log:          config.Log,
+		onFailure:    onFailure,
+		failedSince:  map[string]time.Time{},
+		probedSince:  map[string]time.Time{},
+	}
+}
+
+// storeStatuses lists all stores by name. Those without a heartbeat for long are
+// probed before it returns.
+func (d *failureDetector) storeStatuses(ctx context.Context) map[string]placement.StoreStatus {
+	var probes sync.WaitGroup
+	for name, n := range d.registry.Nodes() {
+		if n.Role == "store" && n.Age > d.timing.probeAfter() {
+			probes.Go(func() { d.probe(ctx, name) })
+		}
+	}
+	probes.Wait()
+	out := map[string]placement.StoreStatus{}
+	for name, n := range d.registry.Nodes() {
+		if n.Role == "store" {
+			out[name] = placement.StoreStatus{Node: n.Node, Alive: !d.hasFailed(name, n.Age)}
+		}
+	}
+	return out
+}
+
+// hasFailed says whether a node has failed and sent no heartbeat since.
+func (d *failureDetector) hasFailed(name string, heartbeatAge time.Duration) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	since, failed := d.failedSince[name]
+	if failed && time.Now().Add(-heartbeatAge).After(since) {
+		delete(d.failedSince, name)
+		d.log.Printf("controller: %s is back", name)
+		return false
+	}
+	return failed
+}
+
+// probe asks a suspected node itself whether it runs, and marks it as failed if
+// not. Where more nodes do not answer than may be lost at once, it has time for
+// a second answer: then it is rather this core, or the network, that is slow.
+func (d *failureDetector) probe(ctx context.Context, name string) {
+	n, ok := d.registry.Nodes()[name]
+	if !ok || !d.beginProbe(name) {
+		return
+	}
+	defer d.endProbe(name)
+	began := time.Now()
+	err := d.ping(ctx, n.Address, d.timing.probeTimeout())
+	if isUnanswered(err) && d.isCorrelated() {
+		began = time.Now()
+		err = d.ping(ctx, n.Address, d.timing.correlatedProbeTimeout())
+	}
+	if err == nil || ctx.Err() != nil {
+		return
+	}
+	d.log.Printf("controller: %s has failed: %v", name, err)
+	d.mu.Lock()
+	d.failedSince[name] = began
+	d.mu.Unlock()
+	d.onFailure()
+}
+
+func (d *failureDetector) ping(ctx context.Context, address string, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	return d.client.Call(ctx, address, "/ping", struct{}{}, nil, nil)
+}
+
+// isUnanswered says whether a probe ended without anything from the machine:
+// neither an answer nor a refused connection.
+func isUnanswered(err error) bool {
+	return err != nil && rpc.StatusCode(err) == 0 && !httpwire.ConnectionRefused(err)
+}
+
+// beginProbe is false for a node that is being probed or has failed.
+func (d *failureDetector) beginProbe(name string) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	_, failed := d.failedSince[name]
+	_, probed := d.probedSince[name]
+	if failed || probed {
+		return false
+	}
+	d.probedSince[name] = time.Now()
+	return true
+}
+
+func (d *failureDetector) endProbe(name string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delete(d.probedSince, name)
+}
+
+// isCorrelated says whether more probes are unanswered at once than machines may
+// be lost at once.
+func (d *failureDetector) isCorrelated() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return countUnanswered(d.probedSince, time.Now(), d.timing.unansweredAfter()) > d.hostFailures
+}
+
+// countUnanswered leaves out the probes that began only a moment ago.
+func countUnanswered(probedSince map[string]time.Time, now time.Time, after time.Duration) int {
+	n := 0
+	for _, since := range probedSince {
+		if now.Sub(since) > after {
+			n++
+		}
+	}
+	return n
+}
--- /dev/null
+++ b/internal/controller/failures_test.go
@@ -0,0 +1,92 @@
+package controller
+
+import (
+	"context"
+	"fmt"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"saltreel/internal/rpc"
+)
+
+// answersAfter has all probes answered after a while, or ended by their timeout.
+func answersAfter(delay time.Duration) func(context.Context, string, string, any, any) error {
+	return func(ctx context.Context, _, _ string, _, _ any) error {
+		select {
+		case <-time.After(delay):
+			return nil
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+}
+
+func TestProbeDecidesWhetherASuspectedStoreFailed(t *testing.T) {
+	timing := timing{testContact}
+	for name, c := range map[string]struct {
+		stores int // whose heartbeats are overdue
+		answer func(context.Context, string, string, any, any) error
+		failed int
+	}{
+		"answers in time":                     {1, answersAfter(timing.probeTimeout() / 2), 0},
+		"answers late":                        {1, answersAfter(timing.probeTimeout() * 2), 1},
+		"connection refused":                  {1, func(context.Context, string, string, any, any) error { return syscall.ECONNREFUSED }, 1},
+		"answers with an error":               {1, func(context.Context, string, string, any, any) error { return &rpc.StatusError{Code: 503} }, 1},
+		"many late at once have more time":    {4, answersAfter(timing.probeTimeout() * 2), 0},
+		"many that do not answer at all":      {4, answersAfter(time.Hour), 4},
+		"many refuse, which is no slowness":   {4, func(context.Context, string, string, any, any) error { return syscall.ECONNREFUSED }, 4},
+		"as many late as may be lost at once": {1, answersAfter(time.Hour), 1},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			controller, cluster := newTestController(t)
+			cluster.answer = c.answer
+			for i := range c.stores {
+				cluster.setStore(fmt.Sprintf("store-%d", i), testContact)
+			}
+			failed := 0
+			statuses := controller.failures.storeStatuses(t.Context())
+			for _, s := range statuses {
+				if !s.Alive {
+					failed++
+				}
+			}
+			if failed != c.failed || len(statuses) != c.stores {
+				t.Errorf("%s: %d of %d have failed, not %d", name, failed, len(statuses), c.failed)
+			}
+		})
+	}
+}
+
+func TestFailedStoreRecoversWithItsNextHeartbeat(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c, cluster := newTestController(t)
+		cluster.answer = answersAfter(time.Hour)
+		alive := func() bool { return c.failures.storeStatuses(t.Context())["a"].Alive }
+		cluster.setStore("a", testContact)
+		if alive() {
+			t.Error("a store that does not answer is alive")
+		}
+		probes := cluster.callsTo("a", "/ping")
+		time.Sleep(time.Second)
+		cluster.setStore("a", testContact+time.Second)
+		if alive() || cluster.callsTo("a", "/ping") != probes {
+			t.Error("a failed store is probed again, or alive without a heartbeat")
+		}
+		cluster.setStore("a", 0)
+		if !alive() {
+			t.Error("a store that sent a heartbeat since is not alive")
+		}
+	})
+}
+
+func TestOnlyProbesOfSomeAgeCountAsUnanswered(t *testing.T) {
+	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
+	probes := map[string]time.Time{"old": now.Add(-time.Minute), "at the bound": now.Add(-time.Second), "new": now}
+	for after, want := range map[time.Duration]int{0: 2, time.Second: 1, time.Hour: 0} {
+		if got := countUnanswered(probes, now, after); got != want {
+			t.Errorf("after %v: %d, not %d", after, got, want)
+		}
+	}
+}
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -21,33 +21,33 @@
 // Propose brings a change to the head of the chain, wherever it is. The error is
 // a *RejectedError, an *UnavailableError, or something else: then the change may
 // take effect or not.
-func (c *Server) Propose(ctx context.Context, p Proposal) error { return c.store.Propose(ctx, p) }
+func (s *Server) Propose(ctx context.Context, p Proposal) error { return s.store.Propose(ctx, p) }
 
 // Read gets the state from the tail of the chain.
-func (c *Server) Read(ctx context.Context) (State, error) { return c.store.Read(ctx) }
+func (s *Server) Read(ctx context.Context) (State, error) { return s.store.Read(ctx) }
 
 // Configuration reads the configuration in force, byte for byte as it was sent;
 // nil before the first.
-func (c *Server) Configuration(ctx context.Context) ([]byte, error) {
-	return c.store.Configuration(ctx)
+func (s *Server) Configuration(ctx context.Context) ([]byte, error) {
+	return s.store.Configuration(ctx)
 }
 
 // RetireState reads how far the emptying of a store is. The error is a
 // *RejectedError if the store is not known, or not being emptied.
-func (c *Server) RetireState(ctx context.Context, name string) (string, error) {
-	return c.store.RetireState(ctx, name)
+func (s *Server) RetireState(ctx context.Context, name string) (string, error) {
+	return s.store.RetireState(ctx, name)
 }
 
 // Steady says whether this core is in contact with its chain.
-func (c *Server) Steady() bool { return c.chain.InContact() }
+func (s *Server) Steady() bool { return s.chain.InContact() }
 
 // Elsewhere is the control-plane address of the core that answers changes, or
 // reads, in the view known here. It is "" if that is this core, if none is known,
 // or if its machine refused a connection a moment ago.
-func (c *Server) Elsewhere(write bool) string {
-	target := c.store.RedirectTarget(write)
+func (s *Server) Elsewhere(write bool) string {
+	target := s.store.RedirectTarget(write)
 	if target == "" {
 		return ""
 	}
-	return c.controlOf(target)
+	return s.controlAddress(target)
 }
--- /dev/null
+++ b/internal/controlplane/server.go
@@ -0,0 +1,314 @@
+// Package controlplane is the process of a core machine. It wires the parts of
+// the control plane together and serves their calls: the chain of control state
+// (package chain), the store of configuration and placement in it (configstore),
+// the registry of instances and nodes (registry), the controller that reassigns
+// partitions (controller), and the distribution of all that to the nodes.
+package controlplane
+
+import (
+	"context"
+	"crypto/rand"
+	"fmt"
+	"log"
+	"path/filepath"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"go.etcd.io/bbolt"
+
+	"saltreel/internal/boltstore"
+	"saltreel/internal/chain"
+	"saltreel/internal/configstore"
+	"saltreel/internal/controller"
+	"saltreel/internal/distribution"
+	"saltreel/internal/httpwire"
+	"saltreel/internal/journal"
+	"saltreel/internal/lease"
+	"saltreel/internal/membership"
+	"saltreel/internal/paxos"
+	"saltreel/internal/placement"
+	"saltreel/internal/registry"
+	"saltreel/internal/rpc"
+	"saltreel/internal/settings"
+	"saltreel/internal/timeutil"
+)
+
+// ErrDamaged ends Run when the state on disk was found damaged and moved aside.
+// Made anew, the core joins as one with an empty disk.
+var ErrDamaged = boltstore.ErrDamaged
+
+// Server is the process of one core machine.
+type Server struct {
+	settings *settings.Settings
+	timing   timing
+	log      *log.Logger
+	network  httpwire.Network
+	address  string          // internal
+	node     membership.Node // this core in its own heartbeats; the disk is set by open
+
+	client      *rpc.Client
+	journal     *journal.Journal
+	state       *boltstore.File
+	acceptor    *paxos.Acceptor
+	grantor     *lease.Grantor
+	chain       *chain.Chain
+	registry    *registry.Registry
+	store       *configstore.Store
+	controller  *controller.Controller
+	publication *publication
+	publisher   *distribution.Publisher
+
+	opened atomic.Bool     // the state on disk is loaded
+	ctx    context.Context // of the background tasks
+	cancel context.CancelFunc
+	tasks  sync.WaitGroup
+}
+
+// New makes the process; Run opens the state on disk.
+func New(set *settings.Settings, network httpwire.Network, logger *log.Logger) (*Server, error) {
+	incarnation := rand.Text()
+	s := &Server{settings: set, timing: timing{set.Contact()}, log: logger, network: network, address: set.Internal()}
+	s.ctx, s.cancel = context.WithCancel(context.Background())
+	s.node = membership.Node{Name: set.NodeName, Role: "core", Address: s.address, Zone: set.Zone, Region: set.Region, Incarnation: incarnation}
+	s.client = rpc.NewClient(&httpwire.Pool{Network: network})
+	s.journal = journal.New(set.NodeName+"/"+incarnation, s.timing.journalRetention(), distribution.PrefixNode)
+	s.acceptor = &paxos.Acceptor{}
+	s.grantor = &lease.Grantor{}
+	s.state = &boltstore.File{
+		Path:       filepath.Join(set.DataPath, "core.db"),
+		BatchDelay: registry.TombstoneBatchDelay,
+		Prepare:    s.prepareState,
+		Load:       s.loadState,
+		Warn:       logger.Printf,
+	}
+	if err := s.wire(); err != nil {
+		s.cancel()
+		return nil, err
+	}
+	return s, nil
+}
+
+// wire makes the parts that need each other. The chain calls the other parts
+// only from Run on.
+func (s *Server) wire() (err error) {
+	hostFailures := int(s.settings.FaultTolerance.HostFailures)
+	s.publication = &publication{
+		journal:         s.journal,
+		log:             s.log,
+		decodePlacement: func(docs chain.Documents) (placement.Placement, error) { return s.store.PlacementOf(docs) },
+		onPlacement:     s.wakeController,
+	}
+	s.chain = &chain.Chain{
+		Self: chain.Member{Address: s.address}, MaxFailures: hostFailures, Client: s.client, ContactTimeout: s.timing.contact, Log: s.log,
+		Acceptor: s.acceptor, OnUpdate: s.prepareUpdate, OnCommit: s.publication.update, KnownCores: s.knownCores, VoterReady: s.voterReady,
+	}
+	s.chain.Open(s.state)
+	s.registry, err = registry.New(registry.Config{
+		Address:        s.address,
+		Seeds:          s.settings.Cores,
+		Self:           func() chain.Member { return s.chain.Self },
+		Chain:          s.chain,
+		Client:         s.client,
+		Storage:        s.state,
+		Journal:        s.journal,
+		HostFailures:   hostFailures,
+		ContactTimeout: s.timing.contact,
+		Keepalive:      settings.Ms(float64(max(s.settings.KeepaliveMs, 1))),
+		Log:            s.log,
+		Go:             s.goBackground,
+		OnNodeChanged:  s.wakeController, // it may wait for this node
+	})
+	if err != nil {
+		return err
+	}
+	s.store, err = configstore.New(configstore.Config{
+		Address:        s.address,
+		Chain:          s.chain,
+		Client:         s.client,
+		HostFailures:   hostFailures,
+		ContactTimeout: s.timing.contact,
+		Log:            s.log,
+	})
+	if err != nil {
+		return err
+	}
+	s.controller, err = controller.New(controller.Config{
+		Address:        s.address,
+		Chain:          s.chain,
+		Registry:       s.registry,
+		Store:          s.store,
+		Placement:      s.publication.currentPlacement,
+		Client:         s.client,
+		Grantor:        s.grantor,
+		HostFailures:   hostFailures,
+		Redundancy:     redundancyOf(s.settings.FaultTolerance),
+		ContactTimeout: s.timing.contact,
+		Log:            s.log,
+		Go:             s.goBackground,
+	})
+	if err != nil {
+		return err
+	}
+	s.publisher = &distribution.Publisher{
+		Journal: s.journal, MaxWait: s.timing.watchTimeout(), BatchDelay: s.timing.eventBatchDelay(),
+		UpToDate: s.registry.InContactWithQuorum, UpToDateWait: s.timing.upToDateWait(), Warming: s.isWarming,
+	}
+	return nil
+}
+
+// The chain is made first; these reach the parts that are made after it.
+
+func (s *Server) prepareUpdate(docs chain.Documents) { s.store.Prepare(docs) }
+func (s *Server) knownCores() []chain.Member         { return s.registry.KnownCores() }
+func (s *Server) voterReady() bool                   { return s.registry.VoterReady() }
+func (s *Server) wakeController()                    { s.controller.Wake() }
+
+func (s *Server) isWarming() bool { return s.chain.InContactFor() < s.timing.warmup() }
+
+// redundancyOf is how far apart the copies of a message must lie.
+func redundancyOf(t *settings.FaultTolerance) placement.Redundancy {
+	return placement.Redundancy{Backups: int(t.HostFailures), Zones: int(t.Zones), Regions: int(t.RegionFailures)}
+}
+
+// goBackground runs a task that Run waits for; its context ends with Run.
+func (s *Server) goBackground(task func(ctx context.Context)) {
+	s.tasks.Go(func() { task(s.ctx) })
+}
+
+// Run serves until ctx ends.
+func (s *Server) Run(ctx context.Context) error {
+	defer func() { _ = s.state.Close() }()
+	if !s.open(ctx) {
+		return nil
+	}
+	listener, err := s.network.Listen(s.address)
+	if err != nil {
+		return fmt.Errorf("listen for our own processes: %w", err)
+	}
+	server := &httpwire.Server{Handle: s.mux().Handle, Log: s.log}
+	s.goBackground(func(ctx context.Context) { _ = server.Serve(ctx, listener) })
+	s.goBackground(s.registry.RunLoader)
+	s.goBackground(s.chain.Run)
+	s.goBackground(s.runAntiEntropy)
+	s.goBackground(s.controller.Run)
+	s.goBackground(func(ctx context.Context) { s.state.Recover(ctx, s.timing.diskRetryInterval()) })
+	select {
+	case <-ctx.Done():
+	case <-s.state.Lost():
+		err = s.state.Err()
+	}
+	shutdown, cancel := context.WithTimeout(context.Background(), s.timing.shutdownTimeout())
+	defer cancel()
+	server.Shutdown(shutdown)
+	s.cancel()
+	s.tasks.Wait()
+	return err
+}
+
+// mux serves the calls of our own processes; docs/calls.md lists them.
+func (s *Server) mux() rpc.Mux {
+	return rpc.Mux{
+		"/news":           s.publisher.Handle,
+		"/chain/pass":     rpc.Handler(s.chain.HandleUpdate),
+		"/chain/standing": rpc.Handler(s.chain.HandleStatus),
+		"/chain/adopt":    rpc.Handler(s.chain.HandleInstallView),
+		"/ballot":         rpc.Handler(s.chain.HandleVote),
+		"/duty":           rpc.Handler(s.handleLease),
+		"/view":           rpc.Handler(s.handleView),
+		"/exchange":       rpc.Handler(s.registry.HandleSync, registry.StatusCode),
+		"/beat":           rpc.Handler(s.handleNodeHeartbeat),
+		"/suspect":        rpc.Handler(s.controller.HandleFailureReport, controller.StatusCode),
+		"/in-step":        rpc.Handler(s.controller.HandleInSync, controller.StatusCode),
+		"/propose":        rpc.Handler(s.store.HandlePropose),
+		"/read":           rpc.Handler(s.store.HandleRead),
+		"/ping":           rpc.Handler(rpc.Ping),
+	}
+}
+
+func (s *Server) handleLease(_ context.Context, in *lease.Request, _ []byte) (*lease.Response, error) {
+	response := s.grantor.Handle(*in)
+	return &response, nil
+}
+
+func (s *Server) handleView(context.Context, *struct{}, []byte) (*chain.View, error) {
+	view := s.chain.View()
+	return &view, nil
+}
+
+func (s *Server) handleNodeHeartbeat(_ context.Context, n *membership.Node, _ []byte) (*struct{}, error) {
+	s.registry.RecordNode(*n)
+	return &struct{}{}, nil
+}
+
+// runAntiEntropy exchanges the registry with the other cores every so often, and
+// expires what sends no heartbeats.
+func (s *Server) runAntiEntropy(ctx context.Context) {
+	tick := time.NewTicker(s.timing.syncInterval())
+	defer tick.Stop()
+	trafficLogged := time.Now()
+	for n := int64(1); ; n++ {
+		if time.Since(trafficLogged) > s.timing.trafficLogInterval() {
+			trafficLogged = time.Now()
+			s.log.Printf("traffic: in %v: %s", s.timing.trafficLogInterval(), s.client.Traffic())
+		}
+		self := s.node
+		self.Sequence = n
+		s.registry.RecordSelf(self)
+		s.registry.SyncWithPeers()
+		s.registry.Expire()
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+	}
+}
+
+// open opens the state on disk. While the disk fails, this core waits and takes
+// no part. The result says whether it was opened before ctx ended.
+func (s *Server) open(ctx context.Context) bool {
+	for logged := false; ctx.Err() == nil; timeutil.Sleep(ctx, s.timing.diskRetryInterval()) {
+		err := s.state.Open()
+		if err == nil {
+			if logged {
+				s.log.Printf("core: the state is open")
+			}
+			s.node.Disk = s.chain.Self.Disk
+			s.grantor.StayQuiet(s.timing.grantorQuietPeriod())
+			s.opened.Store(true)
+			return true
+		}
+		if !logged {
+			s.log.Printf("core: waiting for the disk: %v", err)
+			logged = true
+		}
+	}
+	return false
+}
+
+// prepareState makes the state on an empty disk. A disk in place of a damaged
+// one does not bootstrap the chain: what it held is on the others.
+func (s *Server) prepareState(tx *bbolt.Tx) error {
+	var founders []string
+	if s.settings.Bootstrap && !boltstore.Replaced(s.state.Path) {
+		founders = s.settings.Cores()
+	}
+	if err := s.registry.InitState(tx); err != nil {
+		return err
+	}
+	return s.chain.InitState(tx, founders)
+}
+
+// loadState reads the state on disk.
+func (s *Server) loadState(tx *bbolt.Tx) (func(), error) {
+	installChain, err := s.chain.Load(tx)
+	if err != nil {
+		return nil, err
+	}
+	installRegistry, err := s.registry.LoadState(tx)
+	return func() {
+		installChain()
+		installRegistry()
+	}, err
+}
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"sort"
 	"strings"
 
@@ -13,7 +14,6 @@
 	"saltreel/internal/journal"
 	"saltreel/internal/membership"
 	"saltreel/internal/placement"
-	"saltreel/internal/rpc"
 )
 
 // Overview is what the operator's status command shows.
@@ -25,29 +25,39 @@
 	Handlers  []handler.Instance `json:"handlers"`
 }
 
-// Status tells the state of the system as this core and the tail know it. A core
-// that is not in touch answers 503: what it knows of handlers may be old.
-func (c *Server) Status(ctx context.Context) (Overview, error) {
-	o := Overview{View: c.chain.View()}
-	if !c.registry.InContactWithQuorum() {
-		return o, &rpc.StatusError{Code: 503, Text: "this core is not in touch with the others"}
+// ErrOutOfContact says that this core lost contact with a majority of the cores:
+// what it knows of instances and nodes may be outdated.
+var ErrOutOfContact = errors.New("this core is not in contact with the others")
+
+// Status gives the state of the system as this core and the tail of the chain
+// know it. The error is ErrOutOfContact, or that of Read.
+func (s *Server) Status(ctx context.Context) (Overview, error) {
+	overview := Overview{View: s.chain.View()}
+	if !s.registry.InContactWithQuorum() {
+		return overview, ErrOutOfContact
 	}
-	s, err := c.Read(ctx)
+	state, err := s.store.Read(ctx)
 	if err != nil {
-		return o, err
+		return overview, err
 	}
-	if raw := s.Documents[configstore.KeyConfiguration]; raw != nil {
+	if raw := state.Documents[configstore.KeyConfiguration]; raw != nil {
 		if conf, err := configuration.Parse(raw); err == nil {
-			o.Revision = conf.Revision
+			overview.Revision = conf.Revision
 		}
 	}
-	current, err := c.store.PlacementOf(s.Documents)
+	current, err := s.store.PlacementOf(state.Documents)
 	if err != nil {
-		return o, err
+		return overview, err
 	}
-	o.Placement = placement.Readable(current)
-	page, _ := c.journal.Since("", 0, nil, nil)
-	for _, e := range page.Events {
+	overview.Placement = placement.Readable(current)
+	page, _ := s.journal.Since("", 0, nil, nil)
+	overview.addEvents(page.Events)
+	return overview, nil
+}
+
+// addEvents adds the nodes and handlers in the newest events of a journal.
+func (o *Overview) addEvents(events []journal.Event) {
+	for _, e := range events {
 		switch {
 		case e.IsDeleted():
 		case strings.HasPrefix(e.Key, distribution.PrefixNode):
@@ -58,5 +68,4 @@
 	}
 	sort.Slice(o.Nodes, func(i, j int) bool { return o.Nodes[i].Name < o.Nodes[j].Name })
 	sort.Slice(o.Handlers, func(i, j int) bool { return o.Handlers[i].ID < o.Handlers[j].ID })
-	return o, nil
 }
--- a/internal/rpc/calls_test.go
+++ b/internal/rpc/calls_test.go
@@ -355,7 +355,7 @@
 		}
 	}
 	used := map[string]bool{}
-	for _, file := range []string{"controlplane/core.go", "store/store.go", "edge/edge.go"} {
+	for _, file := range []string{"controlplane/server.go", "store/store.go", "edge/edge.go"} {
 		source, err := os.ReadFile("../" + file)
 		if err != nil {
 			t.Fatal(err)
