--- a/internal/configstore/decide.go
+++ b/internal/configstore/decide.go
@@ -38,7 +38,7 @@
 }
 
 // revisionOf is the revision of the configuration in force, 0 before the first.
-// What another version of this program accepted may not pass the check of this
+// What another version of this program accepted may be invalid for this
 // one; the next change repairs that, so it must not fail here.
 func revisionOf(current []byte) (int64, error) {
 	if current == nil {
--- a/internal/configstore/decide_test.go
+++ b/internal/configstore/decide_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// What earlier versions accepted may not pass the check of this one.
+// What earlier versions accepted may be invalid for this one.
 func TestInvalidConfigurationInForceCanBeReplaced(t *testing.T) {
 	docs := chain.Documents{KeyConfiguration: []byte(`{"revision":7,"service-table":[{"name":""}]}`)}
 	if _, err := decideConfiguration(docs, change(8)); err != nil {
--- a/internal/configstore/idempotency.go
+++ b/internal/configstore/idempotency.go
@@ -63,8 +63,8 @@
 	return false
 }
 
-// appendRecord adds a hash to the newest block, or begins the next one in place
-// of the oldest, and gives the document to write.
+// appendRecord adds a hash to the newest block, or begins the next one, which
+// replaces the oldest, and gives the document to write.
 func appendRecord(docs chain.Documents, hash []byte) (key string, block []byte) {
 	number, block := newestBlock(docs)
 	if len(block) >= blockHeaderSize+hashesPerBlock*hashSize {
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -136,7 +136,7 @@
 	return countUnanswered(d.probedSince, time.Now(), d.timing.unansweredAfter()) > d.hostFailures
 }
 
-// countUnanswered leaves out the probes that began only a moment ago.
+// countUnanswered leaves out the probes that only just began.
 func countUnanswered(probedSince map[string]time.Time, now time.Time, after time.Duration) int {
 	n := 0
 	for _, since := range probedSince {
--- a/internal/controlplane/publication.go
+++ b/internal/controlplane/publication.go
@@ -26,7 +26,7 @@
 	placement placement.Placement // newest
 }
 
-// update takes the documents of a committed update.
+// update publishes the documents of a committed update.
 func (p *publication) update(docs chain.Documents) {
 	if !p.replace(docs) {
 		return
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -265,8 +265,8 @@
 	}
 }
 
-// open opens the state on disk. While the disk fails, this core waits and takes
-// no part. The result says whether it was opened before ctx ended.
+// open opens the state on disk. While the disk fails, this core waits and does
+// not participate. The result says whether it was opened before ctx ended.
 func (s *Server) open(ctx context.Context) bool {
 	for logged := false; ctx.Err() == nil; timeutil.Sleep(ctx, s.timing.diskRetryInterval()) {
 		err := s.state.Open()
@@ -287,7 +287,7 @@
 	return false
 }
 
-// prepareState makes the state on an empty disk. A disk in place of a damaged
+// prepareState makes the state on an empty disk. A disk that replaced a damaged
 // one does not bootstrap the chain: what it held is on the others.
 func (s *Server) prepareState(tx *bbolt.Tx) error {
 	var founders []string
--- a/internal/controlplane/timing.go
+++ b/internal/controlplane/timing.go
@@ -37,8 +37,8 @@
 // trafficLogInterval is how often the calls of this core are logged.
 func (t timing) trafficLogInterval() time.Duration { return 4 * t.contact }
 
-// heartbeatTargetRecency is how long ago a core may last have been heard of to be
-// named as the target of heartbeats: a round and a half of anti-entropy.
+// heartbeatTargetRecency is how old the newest heartbeat of a core may be for it
+// to be named as the target of heartbeats: a round and a half of anti-entropy.
 func (t timing) heartbeatTargetRecency() time.Duration { return t.contact * 3 / 8 }
 
 // shutdownTimeout is how long calls under way may take when the process ends.
--- a/internal/registry/deregister.go
+++ b/internal/registry/deregister.go
@@ -11,7 +11,7 @@
 	"saltreel/internal/timeutil"
 )
 
-// RecordInstance takes a heartbeat that a handler instance sent to this core.
+// RecordInstance records a heartbeat that a handler instance sent to this core.
 // It returns nil once it is safe to acknowledge: that an instance drains is on
 // the disks of a quorum then. The error is a *NoQuorumError.
 func (r *Registry) RecordInstance(ctx context.Context, in handler.Instance) error {
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// Deregister takes an instance away for good, whether it is known here or not.
+// Deregister removes an instance for good, whether it is known here or not.
 // It returns nil once that is on the disks of a quorum. The error is a
 // *NoQuorumError; then the instance may be deregistered all the same.
 func (r *Registry) Deregister(ctx context.Context, id string) error {
--- a/internal/registry/peers.go
+++ b/internal/registry/peers.go
@@ -9,7 +9,7 @@
 	"saltreel/internal/chain"
 )
 
-// KnownCores are the other cores that were heard of lately, by address.
+// KnownCores are the other cores whose heartbeats are recent, by address.
 func (r *Registry) KnownCores() []chain.Member {
 	var out []chain.Member
 	for _, n := range r.otherCores() {
@@ -21,8 +21,8 @@
 	return out
 }
 
-// Peers are the internal addresses of the other cores: the voters, those heard
-// of lately, and the seeds as long as the registry is not loaded.
+// Peers are the internal addresses of the other cores: the voters,
+// the known cores, and the seeds as long as the registry is not loaded.
 func (r *Registry) Peers() []string {
 	all := r.config.Chain.Voters()
 	for _, m := range r.KnownCores() {
--- a/internal/registry/record.go
+++ b/internal/registry/record.go
@@ -24,14 +24,14 @@
 
 	previousIncarnation  string
 	replacedAt           time.Time // when the current incarnation was first seen
-	replacedIncarnations []string  // those whose successor this core itself heard, newest last
+	replacedIncarnations []string  // those whose successor sent heartbeats to this core, newest last
 }
 
 // maxReplacedIncarnations is how many ended incarnations of a node are known: a
 // link that was cut may deliver a heartbeat of any of them, however late.
 const maxReplacedIncarnations = 8
 
-// merge takes an entry from another core, or one made of a heartbeat. The result
+// merge merges an entry of another core, or one made of a heartbeat. The result
 // says whether the value changed.
 func (r *record) merge(in Entry, now time.Time) (changed bool) {
 	seen := now.Add(-time.Duration(in.AgeMs) * time.Millisecond)
@@ -92,7 +92,7 @@
 }
 
 // isStale says whether an incarnation is an earlier one than the current, as
-// long as the current one is heard from.
+// long as heartbeats of the current one are recent.
 func (r *record) isStale(incarnation string, now time.Time, window time.Duration) bool {
 	if r.previousIncarnation == incarnation && now.Sub(r.replacedAt) < window {
 		return true
@@ -100,7 +100,8 @@
 	return slices.Contains(r.replacedIncarnations, incarnation) && now.Sub(r.lastSeen) < window
 }
 
-// recordReplaced remembers that this core heard a successor of the current incarnation.
+// recordReplaced remembers that a successor of the current incarnation sent a
+// heartbeat to this core.
 func (r *record) recordReplaced(successor string) {
 	if r.node.Incarnation == "" || r.node.Incarnation == successor {
 		return
@@ -124,7 +125,7 @@
 
 const (
 	expiryNone   expiryAction = iota
-	expiryExpire              // it counts as gone until the next heartbeat
+	expiryExpire              // it counts as not there until the next heartbeat
 	expiryForget              // the record itself is dropped
 )
 
--- a/internal/registry/record_test.go
+++ b/internal/registry/record_test.go
@@ -66,13 +66,13 @@
 		version     journal.Version
 		current     bool
 	}{
-		"unknown node":                          {nil, "a", 0, version(clock, 7), true},
-		"same incarnation":                      {&known, "b", 0, version(clock-1000, 7), true},
-		"new incarnation":                       {&known, "c", 0, version(clock, 7), true},
-		"new incarnation, other's clock ahead":  {&ahead, "c", 0, version(clock+1<<40+1, 7), true},
-		"previous incarnation":                  {&known, "a", 0, version(clock, 7), false},
-		"earlier incarnation":                   {&known, "z", 0, version(clock, 7), false},
-		"earlier one, current not heard lately": {&known, "z", window, version(clock+1000, 7), true},
+		"unknown node":                                    {nil, "a", 0, version(clock, 7), true},
+		"same incarnation":                                {&known, "b", 0, version(clock-1000, 7), true},
+		"new incarnation":                                 {&known, "c", 0, version(clock, 7), true},
+		"new incarnation, other's clock ahead":            {&ahead, "c", 0, version(clock+1<<40+1, 7), true},
+		"previous incarnation":                            {&known, "a", 0, version(clock, 7), false},
+		"earlier incarnation":                             {&known, "z", 0, version(clock, 7), false},
+		"earlier one, no recent heartbeat of the current": {&known, "z", window, version(clock+1000, 7), true},
 	} {
 		got, current := c.held.heartbeatVersion(node(c.incarnation), testStart.Add(c.after), window)
 		if got != c.version || current != c.current {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -116,10 +116,10 @@
 	}, err
 }
 
-// RecordSelf takes a heartbeat of this core itself.
+// RecordSelf records a heartbeat of this core itself.
 func (r *Registry) RecordSelf(n membership.Node) { r.table.nodeHeartbeat(n) }
 
-// RecordNode takes a heartbeat that one of our own processes sent to this core.
+// RecordNode records a heartbeat that one of our own processes sent to this core.
 func (r *Registry) RecordNode(n membership.Node) {
 	if entry, changed := r.table.nodeHeartbeat(n); changed {
 		r.config.OnNodeChanged()
--- a/internal/registry/sync.go
+++ b/internal/registry/sync.go
@@ -110,8 +110,8 @@
 
 // broadcast sends an entry to all other cores and does not wait for them; what
 // is lost goes with the next round of anti-entropy. Entries that come within a
-// moment go together: when many nodes start at once, each core hears of all of
-// them.
+// moment go together: when many nodes start at once, each core receives all of
+// them at once.
 func (r *Registry) broadcast(entry Entry) {
 	if !r.outbox.add(entry) {
 		return
@@ -165,7 +165,7 @@
 // addSnapshot adds what a core that loads asks for.
 func (r *Registry) addSnapshot(out *SyncResponse, want string) {
 	// The view comes first: a tombstone that is persisted for it later is not
-	// promised to be among the entries.
+	// certain to be among the entries.
 	view := r.config.Chain.View()
 	out.View = &view
 	out.CompleteEpoch = r.completeness.currentEpoch()
@@ -175,7 +175,7 @@
 	}
 }
 
-// merge takes entries of another core; tombstones are on disk when it returns.
+// merge merges entries of another core; tombstones are on disk when it returns.
 func (r *Registry) merge(entries []Entry) error {
 	var tombstones []Entry
 	for _, entry := range entries {
--- a/internal/registry/table.go
+++ b/internal/registry/table.go
@@ -25,7 +25,7 @@
 	return &table{journal: events, staleWindow: staleWindow, records: map[string]*record{}}
 }
 
-// merge takes an entry that another core sent; it says whether the value changed.
+// merge merges an entry that another core sent; it says whether the value changed.
 func (t *table) merge(in Entry) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -48,7 +48,7 @@
 	return changed
 }
 
-// heartbeat takes an entry made of a heartbeat that this core itself received.
+// heartbeat merges an entry made of a heartbeat that this core itself received.
 func (t *table) heartbeat(in Entry) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -64,7 +64,7 @@
 	return changed
 }
 
-// nodeHeartbeat takes a heartbeat of one of our own processes. It gives the
+// nodeHeartbeat merges a heartbeat of one of our own processes. It gives the
 // entry made of it, and whether its value changed.
 func (t *table) nodeHeartbeat(n membership.Node) (Entry, bool) {
 	in := Entry{Key: distribution.PrefixNode + n.Name, Value: journal.Encode(n)}
--- a/internal/registry/table_test.go
+++ b/internal/registry/table_test.go
@@ -51,7 +51,7 @@
 				t.Errorf("a heartbeat of the first incarnation that came %v late brought it back", late)
 			}
 		}
-		// Where it looks like the newer one, since this core never heard it, the
+		// Where it looks like the newer one, since this core never saw it, the
 		// real one comes back with a heartbeat of its own.
 		heartbeat(other, "zero", 9)
 		time.Sleep(2 * time.Second)
--- a/internal/registry/timing.go
+++ b/internal/registry/timing.go
@@ -10,11 +10,11 @@
 }
 
 // staleHeartbeatWindow is how long a heartbeat of an earlier incarnation of a
-// node is ignored: as long as the current one is certain to be heard from.
+// node is ignored: as long as the current one is certain to send one.
 func (t timing) staleHeartbeatWindow() time.Duration { return t.contact / 2 }
 
-// coreRecency is how long ago a core may last have been heard of to count as
-// running: two rounds of anti-entropy.
+// coreRecency is how old the newest heartbeat of a core may be for it to count
+// as running: two rounds of anti-entropy.
 func (t timing) coreRecency() time.Duration { return t.contact / 2 }
 
 // coreCacheAge is how old the list of cores may be that each heartbeat of a
@@ -42,10 +42,10 @@
 // quorumTimeout bounds how long a handler waits for its deregistration.
 func (t timing) quorumTimeout() time.Duration { return t.contact / 5 }
 
-// quorumAttemptTimeout leaves time for a second attempt under the next voters.
+// quorumAttemptTimeout is short enough for a second attempt under the next voters.
 func (t timing) quorumAttemptTimeout() time.Duration { return t.contact / 10 }
 
-// quorumRetryDelay is the wait between two attempts: a change of voters takes
+// quorumRetryDelay is the wait between two attempts: a change of voters needs
 // about as long.
 func (t timing) quorumRetryDelay() time.Duration { return t.contact / 80 }
 
@@ -63,6 +63,6 @@
 // is no longer there is dropped: no heartbeat is under way for that long.
 const tombstoneLifetimes = 16
 
-// TombstoneBatchDelay is how long a tombstone waits for others to share its
-// sync: about as long as a sync takes.
+// TombstoneBatchDelay is how long a tombstone waits for others to be synced
+// with: about the duration of a sync.
 const TombstoneBatchDelay = 2 * time.Millisecond
--- a/internal/registry/tombstones.go
+++ b/internal/registry/tombstones.go
@@ -20,7 +20,7 @@
 // survives a loss of power.
 type Storage interface {
 	Update(fn func(tx *bbolt.Tx) error) error
-	// Batch may share the sync of several concurrent calls.
+	// Batch may sync several concurrent calls at once.
 	Batch(fn func(tx *bbolt.Tx) error) error
 }
 
