--- a/internal/registry/record.go
+++ b/internal/registry/record.go
@@ -132,10 +132,12 @@
 func (r *record) expiryAction(now time.Time, expiry time.Duration) expiryAction {
 	age := now.Sub(r.lastSeen)
 	switch {
-	case isNull(r.value) && age > tombstoneLifetimes*expiry:
-		return expiryForget
-	case !isNull(r.value) && age > expiry:
+	case age <= expiry: // by far the most
+		return expiryNone
+	case !isNull(r.value):
 		return expiryExpire
+	case age > tombstoneLifetimes*expiry:
+		return expiryForget
 	}
 	return expiryNone
 }
