--- a/internal/ratelimit/leases.go
+++ b/internal/ratelimit/leases.go
@@ -36,8 +36,8 @@
 // timing derives the times of the leases from the contact timeout.
 type timing struct{ contactTimeout time.Duration }
 
-// round is how often demand is measured and leases are renewed: often enough that
-// a lease of a few rounds follows the demand, and one call in a round to each owner.
+// round is how often demand is measured and leases are renewed: leases of a few
+// rounds follow the demand, at one call in a round to each owner.
 func (t timing) round() time.Duration { return t.contactTimeout / 16 }
 
 // request is how long a request to an owner may take: one round.
--- a/internal/ratelimit/leases_test.go
+++ b/internal/ratelimit/leases_test.go
@@ -13,6 +13,18 @@
 	"saltreel/internal/quota"
 )
 
+// admitUnleasedFor admits as many messages as the lease lets through for a while,
+// and returns how many.
+func admitUnleasedFor(x *lease, d time.Duration) int {
+	admitted := 0
+	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		if x.admitUnleased(time.Now()) {
+			admitted++
+		}
+	}
+	return admitted
+}
+
 // An owner that moves is unreachable for a moment, again and again. What an edge
 // admits meanwhile is its part of the rate for that time, however often.
 func TestUnleasedAdmissionsFollowTheOutageTime(t *testing.T) {
@@ -22,11 +34,7 @@
 			admitted, total := 0, time.Duration(0)
 			for range 8 {
 				x.answered = time.Now()
-				for end := time.Now().Add(outage); time.Now().Before(end); time.Sleep(time.Millisecond) {
-					if x.admitUnleased(time.Now()) {
-						admitted++
-					}
-				}
+				admitted += admitUnleasedFor(x, outage)
 				total += outage
 				time.Sleep(200 * time.Millisecond) // within reach
 			}
