--- /dev/null
+++ b/internal/boltstore/recovery.go
@@ -0,0 +1,93 @@
+package boltstore
+
+import (
+	"context"
+	"errors"
+	"time"
+)
+
+// Lost returns a channel that is closed once the file was found damaged, and
+// moved aside, while it was in use.
+func (f *File) Lost() <-chan struct{} {
+	f.init()
+	return f.damaged
+}
+
+// fail refuses calls from now on, since memory and disk may differ.
+func (f *File) fail(err error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.err != nil {
+		return
+	}
+	f.err = err
+	if errors.Is(err, ErrDamaged) {
+		f.discardLocked()
+		return
+	}
+	f.Warn("disk: %s refuses writes: %v", f.Path, err)
+	select {
+	case f.failed <- struct{}{}:
+	default:
+	}
+}
+
+// discardLocked moves the damaged file aside; f.err says how it is damaged.
+func (f *File) discardLocked() {
+	aside, moveErr := MoveAside(f.Path)
+	f.Warn("disk: %s is damaged, moved to %s: %v", f.Path, aside, errors.Join(f.err, moveErr))
+	close(f.damaged)
+}
+
+// Recover reopens the file after failed writes until ctx ends, or until the
+// file is found damaged. It tries again after each retryInterval.
+func (f *File) Recover(ctx context.Context, retryInterval time.Duration) {
+	f.init()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-f.failed:
+		}
+		if !f.recoverOnce(ctx, retryInterval) {
+			return
+		}
+	}
+}
+
+// recoverOnce tries until the file takes writes again. It reports false when
+// ctx ended or the file is damaged.
+func (f *File) recoverOnce(ctx context.Context, retryInterval time.Duration) bool {
+	for {
+		err := f.open(true)
+		if err == nil {
+			f.Warn("disk: %s takes writes again", f.Path)
+			return true
+		}
+		if errors.Is(err, ErrDamaged) {
+			f.mu.Lock()
+			f.err = err
+			f.discardLocked()
+			f.mu.Unlock()
+			return false
+		}
+		select {
+		case <-ctx.Done():
+			return false
+		case <-time.After(retryInterval):
+		}
+	}
+}
+
+// abandonLocked closes the database, or, if that is not possible, its file
+// handle only: a database that panicked may hold its locks for ever, and its
+// mapping stays until the process ends. f.access is held for writing.
+func (f *File) abandonLocked() {
+	if f.database == nil {
+		return
+	}
+	if errors.Is(f.Err(), ErrDamaged) || Guard(f.Path, f.database.Close) != nil {
+		_ = f.handle.Close() // nothing was written through it that an error could concern
+	}
+	f.database = nil
+}
