--- /dev/null
+++ b/internal/distribution/timing.go
@@ -0,0 +1,47 @@
+package distribution
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+// timing derives the intervals of the distribution from the contact time-out,
+// the time after which a silent process counts as failed.
+type timing struct{ contactTimeout time.Duration }
+
+// maxWait bounds a long poll at the publisher, whatever the subscriber asks for.
+func (t timing) maxWait() time.Duration { return t.contactTimeout / 2 }
+
+// batchDelay is how long a publisher gathers events that are not urgent. Where
+// hundreds of nodes start at once, telling each of every other one separately
+// would be a response for each pair.
+func (t timing) batchDelay() time.Duration { return t.contactTimeout / 32 }
+
+// upToDateWait is how long a request waits until the publisher is up to date.
+func (t timing) upToDateWait() time.Duration { return t.contactTimeout / 16 }
+
+// pollWait is the long poll of a subscriber: several fit into maxAge.
+func (t timing) pollWait() time.Duration { return t.contactTimeout / 4 }
+
+// pollTimeout leaves room for the transfer behind the long poll.
+func (t timing) pollTimeout() time.Duration { return t.pollWait() + t.contactTimeout/8 }
+
+// maxAge is how old the last response may be for a subscriber to be up to date:
+// two long polls and some, and well below the contact time-out, since those who
+// follow this node must be able to go elsewhere in time.
+func (t timing) maxAge() time.Duration { return t.contactTimeout * 5 / 8 }
+
+// avoidance is how long a parent that failed is not asked again.
+func (t timing) avoidance() time.Duration { return t.contactTimeout / 2 }
+
+// nextChoice is when the parent is chosen anew although it answers. Were it
+// chosen with each node that joins or leaves, the tree would not become stable
+// while many do. It is jittered so that nodes do not move at the same time.
+func (t timing) nextChoice(now time.Time) time.Time {
+	return now.Add(t.contactTimeout/4 - rand.N(t.contactTimeout/16))
+}
+
+// retryDelay is the wait, jittered, after no parent answered.
+func (t timing) retryDelay() time.Duration {
+	return t.contactTimeout/80 + rand.N(t.contactTimeout/80)
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -67,7 +67,7 @@
 	n.life, n.end = context.WithCancel(context.Background())
 	// A parent whose machine says nothing must not keep this node from the next one.
 	n.news = rpc.NewClient(&httpwire.Pool{Network: network, Opening: set.Contact() / 16})
-	n.follower = &distribution.Subscriber{Self: n.Self, Journal: n.Journal, Client: n.news, Cores: set.Cores(), ContactTimeout: set.Contact(), Log: logger}
+	n.follower = distribution.NewSubscriber(distribution.SubscriberConfig{Self: n.Self, Journal: n.Journal, Client: n.news, Seeds: set.Cores(), ContactTimeout: set.Contact(), Log: logger})
 	n.Journal.Fold(n.hear)
 	return n
 }
@@ -128,7 +128,7 @@
 
 // Source answers the nodes that follow this one.
 func (n *Node) Publisher() *distribution.Publisher {
-	return &distribution.Publisher{Journal: n.Journal, MaxWait: n.Settings.Contact() / 2, BatchDelay: n.Settings.Contact() / 32, UpToDate: n.follower.UpToDate}
+	return distribution.NewPublisher(distribution.PublisherConfig{Journal: n.Journal, ContactTimeout: n.Settings.Contact(), UpToDate: n.follower.UpToDate})
 }
 
 // Run follows and beats until ctx ends.
--- a/internal/timeutil/sleep.go
+++ b/internal/timeutil/sleep.go
@@ -1,4 +1,4 @@
-// Package timeutil holds helpers for time that the standard library lacks.
+// Package timeutil holds what the standard library lacks about time.
 package timeutil
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Pause waits for a while, or until ctx ends.
+// Sleep waits for d, or until ctx ends.
 func Sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
