--- /dev/null
+++ b/internal/journal/digest.go
@@ -0,0 +1,60 @@
+package journal
+
+import (
+	"encoding/binary"
+	"hash/fnv"
+	"strings"
+)
+
+// digest summarizes which versions a journal holds: keys are divided into
+// buckets, and each bucket is the exclusive or of the hashes of its events. Two
+// journals that agree on a bucket need not exchange its events.
+type digest [digestBuckets]uint64
+
+// The first buckets are for keys that are not of the form kind/name: they are
+// few and have large values, and must not be sent because of one of the many.
+const (
+	digestBuckets       = 256
+	digestSingleBuckets = 16
+	digestBytes         = 8 * digestBuckets
+)
+
+// digestBucket is the bucket that counts the event's key.
+func (e Event) digestBucket() int {
+	h := hash(e.Key, Version{})
+	if strings.Contains(e.Key, "/") {
+		return int(digestSingleBuckets + h%(digestBuckets-digestSingleBuckets))
+	}
+	return int(h % digestSingleBuckets)
+}
+
+// toggle adds an event to the digest, or removes it if it is in there.
+func (d *digest) toggle(e *Event) { d[e.digestBucket()] ^= hash(e.Key, e.Version) }
+
+// agrees reports whether another journal's encoded digest has the same content in
+// the bucket of the event.
+func (d *digest) agrees(encoded []byte, e *Event) bool {
+	if len(encoded) != digestBytes {
+		return false
+	}
+	bucket := e.digestBucket()
+	return binary.BigEndian.Uint64(encoded[8*bucket:]) == d[bucket]
+}
+
+func (d *digest) encode() []byte {
+	out := make([]byte, 0, digestBytes)
+	for _, bucket := range d {
+		out = binary.BigEndian.AppendUint64(out, bucket)
+	}
+	return out
+}
+
+// hash is part of the calls between processes: all versions must agree on it.
+func hash(key string, v Version) uint64 {
+	raw := []byte(key)
+	raw = binary.BigEndian.AppendUint64(raw, uint64(v.Major))
+	raw = binary.BigEndian.AppendUint64(raw, uint64(v.Minor))
+	h := fnv.New64a()
+	_, _ = h.Write(raw) // never fails
+	return h.Sum64()
+}
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,146 +1,106 @@
-// Package journal owns the events of one process: they are appended in
-// memory, and views are folded from them. Of each key only the newest event
-// is kept, so a reader with a gap gets the whole view.
+// Package journal holds the events of one process in memory. Of each key only the
+// newest event counts, so a reader that missed some needs only the newest of each
+// key to have the same state. Tombstones are dropped after a retention time.
 package journal
 
 import (
 	"cmp"
-	"encoding/binary"
-	"encoding/json"
-	"hash/fnv"
 	"slices"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
 )
 
-// Version orders the events of one key. It goes forward only.
-type Version struct {
-	Major int64 `json:"major"`
-	Minor int64 `json:"minor,omitempty"`
-}
-
-// Less tells whether v is older than w.
-func (v Version) Less(w Version) bool {
-	return v.Major < w.Major || v.Major == w.Major && v.Minor < w.Minor
-}
-
-// Event sets the value of a key; a null value says that the key is gone.
-type Event struct {
-	Key     string          `json:"key"`
-	Version Version         `json:"version"`
-	Value   json.RawMessage `json:"value"`
-	Scope   string          `json:"scope,omitempty"` // whom it concerns; empty for all
-	number  uint64
-	at      time.Time
-	encoded []byte // once somebody has asked for it
-}
-
-// Gone tells whether the event takes its key away.
-func (e Event) IsDeleted() bool { return len(e.Value) == 0 || string(e.Value) == "null" }
-
-// bucket is where the digest counts a key: the few large values by themselves,
-// those of a kind (kind/name) elsewhere. mark is what an event adds to it.
-func (e Event) bucket() int {
-	h := hash(e.Key, Version{})
-	if strings.Contains(e.Key, "/") {
-		return int(single + h%(buckets-single))
-	}
-	return int(h % single)
-}
-func (e Event) mark() uint64 { return hash(e.Key, e.Version) }
-
-func hash(key string, v Version) uint64 {
-	h := fnv.New64a()
-	_, _ = h.Write(binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64([]byte(key), uint64(v.Major)), uint64(v.Minor)))
-	return h.Sum64()
-}
-
-// buckets is into how many parts the digest divides the keys; the first of them
-// are for keys without a kind.
-const (
-	buckets = 256
-	single  = 16
-)
-
 // Journal is the events of one process.
 type Journal struct {
-	source string
-	keep   time.Duration // how long the keys that are gone are remembered
-
-	mu      sync.Mutex
-	number  uint64
-	latest  map[string]*Event
-	log     []*Event // by number; those that are not the newest of their key are passed over
-	digest  [buckets]uint64
-	folds   []func(Event)
-	patient string
-	changed chan struct{}
-	urgent  chan struct{}
-}
-
-// New makes a journal. Source must differ between lives of a process. Keys with
-// the prefix patient can wait a little: they do not close Urgent.
-func New(source string, keep time.Duration, patient string) *Journal {
-	return &Journal{source: source, keep: keep, patient: patient, latest: map[string]*Event{}, changed: make(chan struct{}), urgent: make(chan struct{})}
-}
-
-// Fold calls f for all events there are and then for each new one, in order.
-// f must not append.
+	source           string
+	retention        time.Duration
+	deferrablePrefix string
+
+	mu        sync.Mutex
+	number    uint64 // of the last event
+	latest    map[string]*Event
+	log       []*Event // by number; holds superseded events until the next compaction
+	digest    digest
+	observers []func(Event)
+	changed   chan struct{} // closed at the next event
+	urgent    chan struct{} // closed at the next event that is not deferrable
+}
+
+// New makes an empty journal. Source must differ between incarnations of a
+// process, since numbers start anew. Tombstones are dropped once they are older
+// than retention. Events of keys with deferrablePrefix are not urgent; with an
+// empty prefix all events are.
+func New(source string, retention time.Duration, deferrablePrefix string) *Journal {
+	return &Journal{
+		source:           source,
+		retention:        retention,
+		deferrablePrefix: deferrablePrefix,
+		latest:           map[string]*Event{},
+		changed:          make(chan struct{}),
+		urgent:           make(chan struct{}),
+	}
+}
+
+// Fold calls f for all events that there are and then for each new one, in
+// order, with the journal locked: f must not call it.
 func (j *Journal) Fold(f func(Event)) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	for _, e := range j.since(0) {
+	for _, e := range j.eventsAfterLocked(0) {
 		f(*e)
 	}
-	j.folds = append(j.folds, f)
+	j.observers = append(j.observers, f)
 }
 
-func (j *Journal) can(e *Event) bool { return j.patient != "" && strings.HasPrefix(e.Key, j.patient) }
+func (j *Journal) isUrgent(e *Event) bool {
+	return j.deferrablePrefix == "" || !strings.HasPrefix(e.Key, j.deferrablePrefix)
+}
 
-// Append adds an event unless its key holds a version as new; it tells
-// whether the event was new.
+// Append adds an event unless its key has the same or a newer version; it
+// reports whether the event was added.
 func (j *Journal) Append(e Event) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	old := j.latest[e.Key]
-	if old != nil && !old.Version.Less(e.Version) {
+	superseded := j.latest[e.Key]
+	if superseded != nil && !superseded.Version.Less(e.Version) {
 		return false
 	}
 	j.number++
-	e.number, e.at, e.encoded = j.number, time.Now(), nil
-	at := e.bucket()
-	if old != nil {
-		j.digest[at] ^= old.mark()
+	e.number = j.number
+	e.appended = time.Now()
+	e.encoded = nil
+	if superseded != nil {
+		j.digest.toggle(superseded)
 	}
-	j.digest[at] ^= e.mark()
+	j.digest.toggle(&e)
 	j.latest[e.Key] = &e
 	j.log = append(j.log, &e)
-	for _, f := range j.folds {
-		f(e)
+	for _, observe := range j.observers {
+		observe(e)
 	}
 	close(j.changed)
 	j.changed = make(chan struct{})
-	if !j.can(&e) {
+	if j.isUrgent(&e) {
 		close(j.urgent)
 		j.urgent = make(chan struct{})
 	}
-	if len(j.log) > 2*len(j.latest)+buckets {
-		j.compact()
+	// Twice the keys keeps the cost for each event constant; the constant keeps
+	// a small journal from being compacted all the time.
+	if len(j.log) > 2*len(j.latest)+digestBuckets {
+		j.compactLocked()
 	}
 	return true
 }
 
-// compact drops the events that are not the newest of their key, and the keys
-// that are gone for long. The lock is held.
-func (j *Journal) compact() {
+// compactLocked drops superseded events and expired tombstones.
+func (j *Journal) compactLocked() {
 	j.log = slices.DeleteFunc(j.log, func(e *Event) bool {
 		if j.latest[e.Key] != e {
 			return true
 		}
-		if e.IsDeleted() && time.Since(e.at) > j.keep {
-			j.digest[e.bucket()] ^= e.mark()
+		if e.IsDeleted() && time.Since(e.appended) > j.retention {
+			j.digest.toggle(e)
 			delete(j.latest, e.Key)
 			return true
 		}
@@ -148,7 +108,7 @@
 	})
 }
 
-// Get gives the newest event of a key.
+// Get returns the newest event of a key.
 func (j *Journal) Get(key string) (Event, bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -158,44 +118,20 @@
 	return Event{}, false
 }
 
-// Page is what a reader gets: the events after the number it knew.
-type Page struct {
-	Source string  `json:"source"`
-	Number uint64  `json:"number"`
-	Events []Event `json:"events"`
-}
-
-// Encode is the page as JSON; each event is encoded once for all readers.
-func (p Page) Encode() []byte {
-	out := append(strconv.AppendUint(append(append([]byte(`{"source":`), Encode(p.Source)...), `,"number":`...), p.Number, 10), `,"events":[`...)
-	for i, e := range p.Events {
-		if i > 0 {
-			out = append(out, ',')
-		}
-		if e.encoded == nil {
-			e.encoded = Encode(e)
-		}
-		out = append(out, e.encoded...)
-	}
-	return append(out, "]}"...)
-}
-
-// Oldest is when the first of the events was appended.
-func (p Page) Oldest() time.Time { return p.Events[0].at }
-
-// Since gives the events after a number that a reader wants, or all when the
-// source is another, and whether any of them is urgent. For a reader of another
-// source, what its digest shows that it has is left out.
-func (j *Journal) Since(source string, number uint64, digest []byte, wants func(Event) bool) (p Page, urgent bool) {
+// Since returns the events with a higher number that a reader wants (nil: all),
+// and whether any of them is urgent. If source is another journal's, number says
+// nothing: then the page holds all events except those that the reader's digest,
+// if it sent one, shows to be there.
+func (j *Journal) Since(source string, number uint64, readerDigest []byte, wants func(Event) bool) (page Page, urgent bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	known := source == j.source && number <= j.number
 	if !known {
 		number = 0
 	}
-	p = Page{Source: j.source, Number: j.number}
-	for _, e := range j.since(number) {
-		if at := e.bucket(); !known && len(digest) == 8*buckets && binary.BigEndian.Uint64(digest[8*at:]) == j.digest[at] {
+	page = Page{Source: j.source, Number: j.number}
+	for _, e := range j.eventsAfterLocked(number) {
+		if !known && j.digest.agrees(readerDigest, e) {
 			continue
 		}
 		if wants != nil && !wants(*e) {
@@ -204,69 +140,51 @@
 		if e.encoded == nil {
 			e.encoded = Encode(*e)
 		}
-		urgent = urgent || !j.can(e)
-		p.Events = append(p.Events, *e)
+		urgent = urgent || j.isUrgent(e)
+		page.Events = append(page.Events, *e)
 	}
-	return p, urgent
+	return page, urgent
 }
 
-// Changes gives channels that are closed at the next event, and at the next
-// urgent one. Those who wait ask for them before they look.
+// Changes returns channels that are closed at the next event, and at the next
+// urgent one. A reader asks for them before it looks for events, so that it
+// misses none.
 func (j *Journal) Changes() (changed, urgent <-chan struct{}) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.changed, j.urgent
 }
 
-// Holds tells whether there is any event.
+// NotEmpty reports whether there is any event.
 func (j *Journal) NotEmpty() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return len(j.latest) > 0
 }
 
-// Digest tells what this journal holds, for another one to leave it out.
+// Digest summarizes what this journal holds, so that another one can leave it
+// out of a page.
 func (j *Journal) Digest() []byte {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	out := make([]byte, 0, 8*buckets)
-	for _, d := range j.digest {
-		out = binary.BigEndian.AppendUint64(out, d)
-	}
-	return out
+	return j.digest.encode()
 }
 
-func (j *Journal) since(number uint64) (out []*Event) {
+// eventsAfterLocked are the events with a higher number that are the newest of
+// their key, in order.
+func (j *Journal) eventsAfterLocked(number uint64) (events []*Event) {
 	from, _ := slices.BinarySearchFunc(j.log, number+1, func(e *Event, n uint64) int { return cmp.Compare(e.number, n) })
 	for _, e := range j.log[from:] {
 		if j.latest[e.Key] == e {
-			out = append(out, e)
+			events = append(events, e)
 		}
 	}
-	return out
+	return events
 }
 
 // Load appends the events of a page.
-func (j *Journal) Load(p Page) {
-	for _, e := range p.Events {
+func (j *Journal) Load(page Page) {
+	for _, e := range page.Events {
 		j.Append(e)
 	}
 }
-
-// Decode reads the value of an event; a value that cannot be read is zero.
-func Decode[T any](e Event) T {
-	var v T
-	if !e.IsDeleted() {
-		_ = json.Unmarshal(e.Value, &v)
-	}
-	return v
-}
-
-// Encode makes the value of an event.
-func Encode(v any) json.RawMessage {
-	raw, err := json.Marshal(v)
-	if err != nil {
-		panic("journal: a value cannot be encoded: " + err.Error())
-	}
-	return raw
-}
--- a/internal/journal/journal_bench_test.go
+++ b/internal/journal/journal_bench_test.go
@@ -10,27 +10,27 @@
 
 var sizes = []int{1000, 10000, 44000}
 
-func handler(i, seq int) Event {
+func handlerEvent(i, seq int) Event {
 	return Event{Key: fmt.Sprintf("instance/tm-matcher-%06d", i), Version: Version{Major: int64(seq)},
 		Value: json.RawMessage(fmt.Sprintf(`{"instance-id":"tm-matcher-%06d","service":"tm-matcher","address":"10.20.1.%d:9000","zone":"quezon-hall","revision":"v1","slots":2,"oper-state":"ready","warmup-left-ms":0,"call-seq":%d}`, i, i%256, seq))}
 }
 
-func filled(n int) *Journal {
+func newFilledJournal(n int) *Journal {
 	j := New("bench", time.Hour, "node/")
 	for i := range n {
-		j.Append(handler(i, 1))
+		j.Append(handlerEvent(i, 1))
 	}
 	return j
 }
 
-// BenchmarkAppend folds one event into a journal that holds n keys.
+// BenchmarkAppend appends one event to a journal that holds n keys.
 func BenchmarkAppend(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("keys=%d", n), func(b *testing.B) {
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			j := filled(n)
+			j := newFilledJournal(n)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			b.ReportAllocs()
@@ -41,7 +41,7 @@
 					b.StopTimer()
 					seq++
 					for i := range events {
-						events[i] = handler(i, seq)
+						events[i] = handlerEvent(i, seq)
 					}
 					b.StartTimer()
 				}
@@ -53,10 +53,11 @@
 	}
 }
 
+// BenchmarkDigest makes the digest that a reader sends.
 func BenchmarkDigest(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("keys=%d", n), func(b *testing.B) {
-			j := filled(n)
+			j := newFilledJournal(n)
 			b.ReportAllocs()
 			for b.Loop() {
 				j.Digest()
@@ -65,11 +66,11 @@
 	}
 }
 
-// BenchmarkDelta answers a child that lacks one event of n.
+// BenchmarkDelta makes the page for a reader that lacks one event of n.
 func BenchmarkDelta(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("keys=%d", n), func(b *testing.B) {
-			j := filled(n)
+			j := newFilledJournal(n)
 			b.ReportAllocs()
 			for b.Loop() {
 				p, _ := j.Since("bench", uint64(n-1), nil, nil)
@@ -79,10 +80,10 @@
 	}
 }
 
-// BenchmarkWhole answers a child that has nothing, and reads the page there.
-func BenchmarkWhole(b *testing.B) {
+// BenchmarkFullPage makes the page for a reader that has nothing, and loads it.
+func BenchmarkFullPage(b *testing.B) {
 	for _, n := range sizes {
-		j := filled(n)
+		j := newFilledJournal(n)
 		p, _ := j.Since("", 0, nil, nil)
 		raw := p.Encode()
 		b.Run(fmt.Sprintf("encode/keys=%d", n), func(b *testing.B) {
@@ -100,7 +101,7 @@
 				if err := json.Unmarshal(raw, &p); err != nil {
 					b.Fatal(err)
 				}
-				New("child", time.Hour, "node/").Load(p)
+				New("reader", time.Hour, "node/").Load(p)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/journal/page.go
@@ -0,0 +1,37 @@
+package journal
+
+import (
+	"strconv"
+	"time"
+)
+
+// Page is a part of a journal as a reader receives it: the newest event of each
+// key whose number is above the one that the reader had.
+type Page struct {
+	Source string  `json:"source"` // of the journal
+	Number uint64  `json:"number"` // of the journal's last event
+	Events []Event `json:"events"`
+}
+
+// Encode returns the page as JSON. The events that Since returned are encoded
+// once for all readers.
+func (p Page) Encode() []byte {
+	out := append([]byte(`{"source":`), Encode(p.Source)...)
+	out = append(out, `,"number":`...)
+	out = strconv.AppendUint(out, p.Number, 10)
+	out = append(out, `,"events":[`...)
+	for i, e := range p.Events {
+		if i > 0 {
+			out = append(out, ',')
+		}
+		if e.encoded == nil {
+			e.encoded = Encode(e)
+		}
+		out = append(out, e.encoded...)
+	}
+	return append(out, "]}"...)
+}
+
+// Oldest is when the first event of the page, which must not be empty, was
+// appended.
+func (p Page) Oldest() time.Time { return p.Events[0].appended }
