--- a/internal/rpc/calls.go
+++ b/internal/rpc/calls.go
@@ -7,23 +7,22 @@
 	"context"
 	"encoding/base64"
 	"encoding/binary"
+	"errors"
 	"math/rand/v2"
 	"strconv"
 	"strings"
 	"time"
-
-	"saltreel/internal/httpwire"
 )
 
-// headerCall names a call between our own processes: a random number, and how
-// many milliseconds the caller still waits for the answer, which repeats both.
-// The time is a duration, since clocks differ.
+// headerCall carries the identifier of a call: a random number, a space, and how
+// many milliseconds the caller still waits. The response repeats the value. The
+// wait is a duration, not a point in time, since clocks differ.
 const headerCall = "Call"
 
-// Idempotent holds the calls that may be sent again by themselves when a kept
-// connection breaks before any answer. docs/calls.md says why, and why the
-// others are not here: those are sent again only by their callers, who know
-// that the answer to the first one is unclear.
+// Idempotent holds the calls that the client may send again by itself when an
+// idle connection breaks before any response. docs/calls.md gives the reasons.
+// The others are sent again only by their callers, who know that the outcome of
+// the first call is indeterminate.
 var Idempotent = map[string]bool{
 	"/accept":         true,
 	"/ballot":         true,
@@ -45,56 +44,39 @@
 	"/view":           true,
 }
 
-// frequent are the calls of which there are most. Whether their caller is still
-// there is not looked at: each look is a call of the system, and a late one of
-// these does nothing (docs/calls.md).
+// frequent holds the calls of which there are most. Whether their caller has
+// closed the connection is not checked: the check is a system call, and a late
+// call of these kinds has no effect (docs/calls.md).
 var frequent = map[string]bool{"/copy": true, "/grant": true, "/news": true}
 
-// newCallID makes the identifier of a call, with the time that its caller waits.
-// Of 48 random bits, no two on one connection and no two of which one may come
-// late, over all restarts, are alike.
+// callIDBytes are enough random bytes that no two calls on one connection, and
+// no two of which one arrives late, have the same identifier, over all restarts.
+const callIDBytes = 6
+
+// newCallID makes the value of headerCall for one attempt of a call.
 func newCallID(ctx context.Context) string {
-	var id [8]byte
-	binary.LittleEndian.PutUint64(id[:], rand.Uint64())
-	out := base64.RawURLEncoding.AppendEncode(make([]byte, 0, 16), id[:6])
-	if d, ok := ctx.Deadline(); ok {
-		out = strconv.AppendInt(append(out, ' '), max(0, time.Until(d).Milliseconds())+1, 10)
+	var random [8]byte
+	binary.LittleEndian.PutUint64(random[:], rand.Uint64())
+	id := base64.RawURLEncoding.AppendEncode(make([]byte, 0, 16), random[:callIDBytes])
+	if deadline, ok := ctx.Deadline(); ok {
+		wait := max(0, time.Until(deadline).Milliseconds()) + 1
+		id = strconv.AppendInt(append(id, ' '), wait, 10)
 	}
-	return string(out)
+	return string(id)
 }
 
-// Mux answers the calls of our own processes by their path.
-type Mux map[string]httpwire.Handler
+var errCallerWait = errors.New("the call does not say how long its caller waits")
 
-// Handle is the mux as a handler. It repeats the name of the call. What the
-// caller waits for no longer is not begun, and what has begun ends with the
-// caller's wait.
-func (m Mux) Handle(ctx context.Context, r *httpwire.Request) *httpwire.Response {
-	call := r.Header.Get(headerCall)
-	if r.Conn != nil && !frequent[r.URL.Path] && r.Conn.ClientClosed() {
-		return nil // nobody reads an answer
-	}
-	if _, ms, ok := strings.Cut(call, " "); ok {
-		wait, err := strconv.ParseInt(ms, 10, 32)
-		if err != nil || wait < 0 {
-			return httpwire.Problem(400, "the call says not how long its caller waits")
-		}
-		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadline(ctx, r.Received.Add(time.Duration(wait)*time.Millisecond))
-		defer cancel()
-	}
-	var answer *httpwire.Response
-	h := m[r.URL.Path]
-	switch {
-	case h == nil:
-		answer = httpwire.Problem(404, "no such call: "+r.URL.Path)
-	case ctx.Err() != nil:
-		answer = httpwire.Problem(503, "the caller waits no longer; nothing was done")
-	default:
-		answer = h(ctx, r)
+// callerWait reads from a call's identifier how long its caller waits. Calls
+// without a deadline do not say.
+func callerWait(callID string) (wait time.Duration, limited bool, err error) {
+	_, milliseconds, limited := strings.Cut(callID, " ")
+	if !limited {
+		return 0, false, nil
 	}
-	if answer != nil && call != "" {
-		answer.Header = append(answer.Header, headerCall, call)
+	n, err := strconv.ParseInt(milliseconds, 10, 32)
+	if err != nil || n < 0 {
+		return 0, false, errCallerWait
 	}
-	return answer
+	return time.Duration(n) * time.Millisecond, true, nil
 }
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -6,6 +6,7 @@
 	"encoding/json"
 	"fmt"
 	"maps"
+	"net/http"
 	"slices"
 	"sync"
 
@@ -17,61 +18,71 @@
 type Client struct {
 	*httpwire.Pool
 
-	mu    sync.Mutex
-	tally map[string]*tally // by path
+	mu      sync.Mutex
+	traffic map[string]*traffic // by path; nil until the first call
 }
 
+// traffic counts the calls to one path and the bytes of their bodies, both ways.
+type traffic struct{ calls, bytes int }
+
 // NewClient makes a client on a pool.
 func NewClient(pool *httpwire.Pool) *Client { return &Client{Pool: pool} }
 
-// tally counts the calls of one kind and their bytes, both ways, without headers.
-type tally struct{ calls, bytes int }
-
-func (c *Client) count(path string, bytes int) {
+func (c *Client) countCall(path string, bytes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := c.tally[path]
+	t := c.traffic[path]
 	if t == nil {
-		t = &tally{}
-		if c.tally == nil {
-			c.tally = map[string]*tally{}
+		t = &traffic{}
+		if c.traffic == nil {
+			c.traffic = map[string]*traffic{}
 		}
-		c.tally[path] = t
+		c.traffic[path] = t
 	}
 	t.calls++
 	t.bytes += bytes
 }
 
-// Traffic describes the calls made since it was last asked, by path, and how many
-// connections are open.
+// Traffic describes, for a log line, the calls since Traffic was last called, by
+// path, and how many connections are open.
 func (c *Client) Traffic() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := fmt.Sprintf("%d connections", c.Connections())
-	for _, path := range slices.Sorted(maps.Keys(c.tally)) {
-		out += fmt.Sprintf(", %s %d calls %d bytes", path, c.tally[path].calls, c.tally[path].bytes)
+	summary := fmt.Sprintf("%d connections", c.Connections())
+	for _, path := range slices.Sorted(maps.Keys(c.traffic)) {
+		summary += fmt.Sprintf(", %s %d calls %d bytes", path, c.traffic[path].calls, c.traffic[path].bytes)
 	}
-	c.tally = nil
-	return out
+	c.traffic = nil
+	return summary
 }
 
-// Send sends a call to one of our own processes and reads its answer. The call
-// is named, and only the answer that repeats the name is taken.
+// Send sends a call to one of the system's own processes and reads its response,
+// whatever its status. The call is identified, and only a response that repeats
+// its identifier counts.
 func (c *Client) Send(ctx context.Context, addr, path string, body []byte) (*httpwire.Answer, error) {
-	a, err := c.Do(ctx, addr, &httpwire.Call{Method: "POST", Target: path, Host: addr, Body: body, Repeats: headerCall, NewID: newCallID, Idempotent: Idempotent[path]})
-	got := 0
+	a, err := c.Do(ctx, addr, &httpwire.Call{
+		Method:     http.MethodPost,
+		Target:     path,
+		Host:       addr,
+		Body:       body,
+		Repeats:    headerCall,
+		NewID:      newCallID,
+		Idempotent: Idempotent[path],
+	})
+	received := 0
 	if a != nil {
-		got = len(a.Body)
+		received = len(a.Body)
 	}
-	c.count(path, len(body)+got)
+	c.countCall(path, len(body)+received)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return a, nil
 }
 
-// Call sends JSON, with raw bytes behind it on a new line, to one of our own
-// processes and reads JSON back.
+// Call sends in as JSON, followed by raw on a new line unless that is nil, and
+// reads JSON into out unless that is nil. Errors are of type *httpwire.Error, and
+// wrap a *StatusError if there was a response of another status than 2xx.
 func (c *Client) Call(ctx context.Context, addr, path string, in any, raw []byte, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -5,35 +5,56 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fmt"
 
 	"saltreel/internal/httpwire"
 )
 
-// StatusError is the error of a call that was answered with something but 2xx.
-type StatusError struct {
-	Code int
-	Text string
-}
+// Mux answers the calls of the system's own processes by their path.
+type Mux map[string]httpwire.Handler
 
-func (s *StatusError) Error() string { return fmt.Sprintf("answered %d %s", s.Code, s.Text) }
+// Handle answers one call and repeats its identifier. A call whose caller has
+// closed the connection, or waits no longer, is not begun; one that has begun
+// has a context that ends with the caller's wait.
+func (m Mux) Handle(ctx context.Context, r *httpwire.Request) *httpwire.Response {
+	if r.Conn != nil && !frequent[r.URL.Path] && r.Conn.ClientClosed() {
+		return nil // nobody would read a response
+	}
+	callID := r.Header.Get(headerCall)
+	wait, limited, err := callerWait(callID)
+	if err != nil {
+		return httpwire.Problem(400, err.Error())
+	}
+	if limited {
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithDeadline(ctx, r.Received.Add(wait))
+		defer cancel()
+	}
+	response := m.dispatch(ctx, r)
+	if response != nil && callID != "" {
+		response.Header = append(response.Header, headerCall, callID)
+	}
+	return response
+}
 
-// StatusCode gives the status that the peer answered, or 0.
-func StatusCode(err error) int {
-	var s *StatusError
-	if errors.As(err, &s) {
-		return s.Code
+func (m Mux) dispatch(ctx context.Context, r *httpwire.Request) *httpwire.Response {
+	handler := m[r.URL.Path]
+	if handler == nil {
+		return httpwire.Problem(404, "no such call: "+r.URL.Path)
+	}
+	if ctx.Err() != nil {
+		return httpwire.Problem(503, "the caller waits no longer; nothing was done")
 	}
-	return 0
+	return handler(ctx, r)
 }
 
-// SplitBody parts the JSON in front from the raw bytes behind it.
+// SplitBody separates the JSON of a call's body from the raw bytes that may
+// follow it on a new line.
 func SplitBody(body []byte) (front, raw []byte) {
 	front, raw, _ = bytes.Cut(body, []byte{'\n'})
 	return front, raw
 }
 
-// Handler wraps a function of JSON to JSON as a handler. An error is answered
+// Handler makes a handler of a function of JSON to JSON. An error is answered
 // with the first code but 0 that codes give it, else with that of the StatusError
 // that it wraps, else with 500. So the errors of a package are mapped to statuses
 // in one function, here at the boundary of the call.
@@ -54,7 +75,8 @@
 		if err != nil {
 			return httpwire.Problem(500, err.Error())
 		}
-		return &httpwire.Response{Status: 200, Body: body} // no header that our own processes do not need
+		// Without the header fields that only others than our own processes need.
+		return &httpwire.Response{Status: 200, Body: body}
 	}
 }
 
