--- /dev/null
+++ b/internal/httpwire/conn.go
@@ -0,0 +1,162 @@
+package httpwire
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"time"
+)
+
+// How much of a rejected request is read, and for how long, before its connection
+// is closed.
+const (
+	lingerTime  = 500 * time.Millisecond
+	lingerBytes = 1 << 20
+)
+
+// Conn is a client's connection. Its methods are for the handler of its current
+// request, except that the server may limit its reads.
+type Conn struct {
+	net.Conn
+	server   *Server
+	reader   *bufio.Reader
+	hold     <-chan struct{} // nil: not held
+	draining chan struct{}   // closed when the server shuts down
+	users    map[string]bool // two at most
+}
+
+func newConn(s *Server, conn net.Conn) *Conn {
+	return &Conn{
+		Conn:     conn,
+		server:   s,
+		reader:   bufio.NewReaderSize(conn, bufferSize),
+		draining: make(chan struct{}),
+	}
+}
+
+// Shared notes that a user sends on the connection, and reports whether more
+// than one has.
+func (c *Conn) Shared(user string) bool {
+	if c.users == nil {
+		c.users = map[string]bool{}
+	}
+	if len(c.users) < 2 {
+		c.users[user] = true
+	}
+	return len(c.users) > 1
+}
+
+// Hold stops reads from the connection after the current response until released
+// is closed or the server shuts down.
+func (c *Conn) Hold(released <-chan struct{}) { c.hold = released }
+
+// ClientClosed reports whether the client has closed the connection behind its
+// request, as far as its machine has said so. A process that was frozen, or
+// reached only after a network partition, finds such requests; the system's own
+// processes never close one direction only.
+func (c *Conn) ClientClosed() bool {
+	return c.reader.Buffered() == 0 && isClosedByPeer(c.Conn)
+}
+
+// serve answers requests until the connection ends.
+func (c *Conn) serve(ctx context.Context) {
+	w := bufio.NewWriterSize(c.Conn, bufferSize)
+	for c.serveRequest(ctx, w) {
+	}
+}
+
+// serveRequest answers one request, and reports whether another may follow.
+func (c *Conn) serveRequest(ctx context.Context, w *bufio.Writer) (more bool) {
+	if !c.waitWhileHeld(ctx) {
+		return false
+	}
+	limits := c.server.limits()
+	if !c.awaitRequest(limits.IdleTimeout) {
+		return false
+	}
+	request, err := c.readRequest(limits)
+	if err != nil {
+		c.reject(w, err, limits)
+		return false
+	}
+	response := c.server.Handle(ctx, request)
+	if response == nil {
+		return false
+	}
+	last := response.Close || request.Close || c.server.isClosing()
+	c.limitWrite(limits)
+	if response.writeTo(w, last, request.Method != http.MethodHead) != nil {
+		return false
+	}
+	return !last
+}
+
+// waitWhileHeld reports false if ctx ends while the connection is held.
+func (c *Conn) waitWhileHeld(ctx context.Context) bool {
+	if c.hold == nil {
+		return true
+	}
+	select {
+	case <-c.hold:
+	case <-c.draining:
+	case <-ctx.Done():
+		return false
+	}
+	c.hold = nil
+	return true
+}
+
+// awaitRequest waits for the first byte of a request. It reports false when the
+// connection ends, is idle for too long, or the server has stopped.
+func (c *Conn) awaitRequest(idleTimeout time.Duration) bool {
+	if c.reader.Buffered() == 0 {
+		if !c.server.setIdle(c, true) {
+			return false
+		}
+		if idleTimeout > 0 {
+			c.limitRead(time.Now().Add(idleTimeout))
+		}
+		if _, err := c.reader.Peek(1); err != nil {
+			return false
+		}
+	}
+	c.server.setIdle(c, false)
+	return true
+}
+
+// reject answers a request that cannot be served, if it is known why, and lets
+// the client read that before the connection is closed.
+func (c *Conn) reject(w *bufio.Writer, err error, limits Limits) {
+	var rejected *rejectedError
+	if !errors.As(err, &rejected) {
+		return
+	}
+	c.limitWrite(limits)
+	if Problem(rejected.status, rejected.reason).writeTo(w, true, true) != nil {
+		return
+	}
+	c.lingeringClose()
+}
+
+// lingeringClose reads some of what a rejected client still sends: closing with
+// unread bytes resets the connection, and the client could lose the response.
+func (c *Conn) lingeringClose() {
+	c.limitRead(time.Now().Add(lingerTime))
+	_, _ = io.CopyN(io.Discard, c.reader, lingerBytes) // the connection ends in any case
+}
+
+// limitRead sets the deadline of reads; the zero time removes it. An error means
+// that the connection is closed, which the next read reports.
+func (c *Conn) limitRead(deadline time.Time) { _ = c.SetReadDeadline(deadline) }
+
+// limitWrite bounds the writing of a response: a client that does not read is
+// waited for no longer than one that does not send. As for limitRead, an error
+// shows in the next write.
+func (c *Conn) limitWrite(limits Limits) {
+	if limits.IdleTimeout > 0 {
+		_ = c.SetWriteDeadline(time.Now().Add(limits.IdleTimeout))
+	}
+}
--- /dev/null
+++ b/internal/httpwire/exchange.go
@@ -0,0 +1,134 @@
+package httpwire
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// peerTimeoutShare is the part of the idle time that a peer announces after which
+// a connection is not used any more, so that a call does not meet its end.
+const peerTimeoutShare = 0.8
+
+// exchange sends one attempt of a call and reads its response. began reports
+// whether any byte of a response came.
+func (c *clientConn) exchange(ctx context.Context, call *Call) (answer *Answer, began bool, err error) {
+	if err := ctx.Err(); err != nil {
+		return nil, false, &Error{Step: stepWrite, Err: err}
+	}
+	if deadline, ok := ctx.Deadline(); ok {
+		c.limit(deadline)
+	}
+	stop := context.AfterFunc(ctx, func() { c.limit(time.Unix(1, 0)) })
+	// If that function has begun, it may yet take effect: the connection must not
+	// carry the next call.
+	defer func() { c.detached = stop() }()
+	id := call.id(ctx)
+	if _, err := c.Write(call.encode(id)); err != nil {
+		return nil, false, &Error{Step: stepWrite, Sent: true, Err: err}
+	}
+	if _, err := c.reader.Peek(1); err != nil {
+		return nil, false, &Error{Step: stepWait, Sent: true, Err: err}
+	}
+	answer, err = c.readAnswer(call, id)
+	return answer, true, err
+}
+
+// limit sets the deadline. An error means that the connection is closed, which
+// the next read or write reports.
+func (c *clientConn) limit(deadline time.Time) { _ = c.SetDeadline(deadline) }
+
+func (c *clientConn) readAnswer(call *Call, id string) (*Answer, error) {
+	response, err := c.readFinalHead(call.Method)
+	if err != nil {
+		return nil, &Error{Step: stepRead, Sent: true, Err: err}
+	}
+	// The body of a response to another call must not even be read: its length
+	// says nothing about this connection's bytes.
+	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
+	if err := matchHead(call, id, response.Header, framed); err != nil {
+		return nil, &Error{Step: stepMatch, Sent: true, Err: err}
+	}
+	body, err := io.ReadAll(response.Body)
+	_ = response.Body.Close() // all of it was read, or its error is reported
+	if err != nil {
+		return nil, &Error{Step: stepReadBody, Sent: true, Err: err}
+	}
+	// A faulty handler may answer twice; what it has done is done. Our own
+	// processes never do, so whoever answered was not one of them.
+	if n := c.reader.Buffered(); call.isInternal() && n > 0 {
+		return nil, &Error{Step: stepMatch, Sent: true, Err: fmt.Errorf("%d bytes stand behind the answer", n)}
+	}
+	if response.Close || !framed {
+		response.Header.Set("Connection", "close")
+	}
+	return &Answer{Status: response.StatusCode, Header: response.Header, Body: body}, nil
+}
+
+// readFinalHead reads the head of the response and those of 1xx before it.
+func (c *clientConn) readFinalHead(method string) (*http.Response, error) {
+	for {
+		response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
+		if err != nil || response.StatusCode >= 200 {
+			return response, err
+		}
+	}
+}
+
+var errNoLength = errors.New("the answer has no length")
+
+// matchHead checks that a response is that to the call.
+func matchHead(call *Call, id string, header http.Header, framed bool) error {
+	if call.Repeats != "" {
+		if got := header.Values(call.Repeats); len(got) != 1 || got[0] != id {
+			return fmt.Errorf("%s is %q, not %q", call.Repeats, got, id)
+		}
+	}
+	if call.isInternal() && !framed {
+		return errNoLength
+	}
+	return nil
+}
+
+// prepareReuse reports whether the connection may carry another call, and until
+// when. A positive expire is its idle time, unless the peer announces one.
+func (c *clientConn) prepareReuse(answer *Answer, expire time.Duration) bool {
+	if strings.EqualFold(answer.Header.Get("Connection"), "close") || c.reader.Buffered() > 0 {
+		return false
+	}
+	c.reused = true
+	c.expires = time.Time{}
+	announced, ok := announcedTimeout(answer.Header.Get("Keep-Alive"))
+	if ok {
+		expire = announced
+	}
+	if ok || expire > 0 {
+		c.expires = time.Now().Add(expire)
+	}
+	return c.SetDeadline(time.Time{}) == nil
+}
+
+// announcedTimeout reads the idle time, less a margin, from a Keep-Alive field
+// such as "timeout=5, max=100". The last one counts.
+func announcedTimeout(keepAlive string) (timeout time.Duration, ok bool) {
+	for part := range strings.SplitSeq(keepAlive, ",") {
+		value, isTimeout := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
+		if !isTimeout {
+			continue
+		}
+		if seconds, err := strconv.ParseFloat(value, 64); err == nil {
+			timeout = time.Duration(seconds * peerTimeoutShare * float64(time.Second))
+			ok = true
+		}
+	}
+	return timeout, ok
+}
+
+func (c *clientConn) isExpired() bool {
+	return !c.expires.IsZero() && !time.Now().Before(c.expires)
+}
--- /dev/null
+++ b/internal/httpwire/network.go
@@ -0,0 +1,89 @@
+package httpwire
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"syscall"
+	"time"
+)
+
+// Dial opens a connection to a host:port.
+type Dial func(ctx context.Context, addr string) (net.Conn, error)
+
+// Listen opens a listener at a host:port.
+type Listen func(addr string) (net.Listener, error)
+
+// Network is how a process reaches others and is reached. Tests replace it.
+type Network struct {
+	Dial   Dial
+	Listen Listen
+}
+
+// TCP is the operating system's network. Keep-alive probes detect within about
+// four seconds that the machine at the other end of an idle connection is gone.
+func TCP() Network {
+	dialer := net.Dialer{KeepAliveConfig: net.KeepAliveConfig{
+		Enable:   true,
+		Idle:     time.Second,
+		Interval: time.Second,
+		Count:    3,
+	}}
+	return Network{
+		Dial: func(ctx context.Context, addr string) (net.Conn, error) {
+			return dialer.DialContext(ctx, "tcp", addr)
+		},
+		Listen: func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) },
+	}
+}
+
+// ConnectionRefused reports whether the peer's machine answered that no process
+// listens there.
+func ConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+
+// closeConnection closes a connection or listener of which nothing more is
+// expected. An error of Close says nothing then: whatever was written either was
+// acknowledged by a response or counts as not received.
+func closeConnection(c io.Closer) { _ = c.Close() }
+
+// isQuiet reports whether an idle connection is open and has nothing to read. An
+// unsolicited response must not be read as that to the next call. A connection
+// that cannot be checked counts as quiet.
+func isQuiet(c net.Conn) bool {
+	sc, ok := c.(syscall.Conn)
+	if !ok {
+		return true
+	}
+	raw, err := sc.SyscallConn()
+	if err != nil {
+		return false
+	}
+	quiet := false
+	err = raw.Control(func(fd uintptr) {
+		_, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		quiet = errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR)
+	})
+	return err == nil && quiet
+}
+
+// isClosedByPeer reports whether the peer has closed the connection, as far as
+// its machine has said so, and left nothing to read. A connection that cannot be
+// checked counts as open.
+func isClosedByPeer(c net.Conn) bool {
+	sc, ok := c.(syscall.Conn)
+	if !ok {
+		return false
+	}
+	raw, err := sc.SyscallConn()
+	if err != nil {
+		return true
+	}
+	closed := false
+	err = raw.Control(func(fd uintptr) {
+		var b [1]byte
+		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		closed = err == nil && n == 0 || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
+	})
+	return closed || errors.Is(err, net.ErrClosed)
+}
--- /dev/null
+++ b/internal/httpwire/parse.go
@@ -0,0 +1,262 @@
+package httpwire
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httputil"
+	"os"
+	"strings"
+	"time"
+)
+
+// maxTrailers bounds the trailer fields after a chunked body.
+const maxTrailers = 64
+
+// Request is one complete request, its body read.
+type Request struct {
+	*http.Request
+	Body     []byte
+	Conn     *Conn
+	Received time.Time // when its first byte was there
+	Read     time.Time // when its last byte was read
+}
+
+// rejectedError says why a request is not served. The client is told before the
+// connection closes.
+type rejectedError struct {
+	status int
+	reason string
+}
+
+func (r *rejectedError) Error() string { return r.reason }
+
+func badRequest(reason string) error {
+	return &rejectedError{status: http.StatusBadRequest, reason: reason}
+}
+
+var (
+	errTooSlow = &rejectedError{http.StatusRequestTimeout, "the request came too slowly"}
+	errBody    = &rejectedError{http.StatusRequestEntityTooLarge, "the body is over the limit"}
+	errHeader  = &rejectedError{http.StatusRequestHeaderFieldsTooLarge, "the header is over the limit"}
+)
+
+// readRequest reads one complete request.
+func (c *Conn) readRequest(limits Limits) (*Request, error) {
+	received := time.Now()
+	var headDeadline time.Time
+	if limits.HeaderTimeout > 0 {
+		headDeadline = received.Add(limits.HeaderTimeout)
+	}
+	c.limitRead(headDeadline)
+	head, err := readHead(c.reader, limits.HeaderBytes)
+	if err != nil {
+		return nil, rejectTimeout(err)
+	}
+	parsed, err := parseHead(head)
+	if err != nil {
+		return nil, err
+	}
+	if limits.BodyBytes > 0 && parsed.ContentLength > int64(limits.BodyBytes) {
+		return nil, errBody
+	}
+	if strings.EqualFold(parsed.Header.Get("Expect"), "100-continue") {
+		_, _ = io.WriteString(c.Conn, "HTTP/1.1 100 Continue\r\n\r\n") // a failure shows in the reading of the body
+	}
+	if limits.BodyTimeout > 0 {
+		c.limitRead(time.Now().Add(limits.BodyTimeout))
+	}
+	body, err := readBody(c.reader, parsed, limits.BodyBytes)
+	if err != nil {
+		return nil, rejectTimeout(err)
+	}
+	c.limitRead(time.Time{})
+	return &Request{Request: parsed, Body: body, Conn: c, Received: received, Read: time.Now()}, nil
+}
+
+// rejectTimeout makes a time-out a rejection. A request that was not read
+// completely never runs.
+func rejectTimeout(err error) error {
+	if errors.Is(err, os.ErrDeadlineExceeded) {
+		return errTooSlow
+	}
+	return err
+}
+
+// readHead reads up to the empty line behind the header. Empty lines before the
+// request line are dropped.
+func readHead(r *bufio.Reader, limit int) ([]byte, error) {
+	var head []byte
+	for {
+		line, err := r.ReadSlice('\n')
+		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
+			return nil, err
+		}
+		head = append(head, line...)
+		if limit > 0 && len(head) > limit {
+			return nil, errHeader
+		}
+		if err != nil || !isEmptyLine(line) {
+			continue
+		}
+		if len(head) == len(line) {
+			head = head[:0]
+		} else if head[len(head)-len(line)-1] == '\n' { // else it is the end of a line longer than the buffer
+			return head, nil
+		}
+	}
+}
+
+func isEmptyLine(line []byte) bool {
+	return len(line) == 1 || len(line) == 2 && line[0] == '\r'
+}
+
+func parseHead(head []byte) (*http.Request, error) {
+	if err := checkHead(head); err != nil {
+		return nil, err
+	}
+	const minBuffer = 16 // the head is in memory already
+	request, err := http.ReadRequest(bufio.NewReaderSize(bytes.NewReader(head), minBuffer))
+	if err != nil {
+		return nil, badRequest(fmt.Sprintf("the request cannot be read: %v", err))
+	}
+	if request.ProtoMajor != 1 {
+		return nil, badRequest("the protocol is not HTTP/1")
+	}
+	if request.Host == "" {
+		return nil, badRequest("the request names no host")
+	}
+	return request, nil
+}
+
+// checkHead rejects what two readers could understand in two ways: ambiguous
+// lines, and ambiguous lengths of the body (request smuggling).
+func checkHead(head []byte) error {
+	var framing framing
+	for isRequestLine := true; len(head) > 0; isRequestLine = false {
+		var line []byte
+		line, head, _ = bytes.Cut(head, []byte("\n"))
+		if len(line) == 0 {
+			continue
+		}
+		line, err := cutCarriageReturn(line)
+		if err != nil {
+			return err
+		}
+		if isRequestLine || len(line) == 0 {
+			continue
+		}
+		if err := framing.addField(line); err != nil {
+			return err
+		}
+	}
+	return framing.check()
+}
+
+func cutCarriageReturn(line []byte) ([]byte, error) {
+	line, ok := bytes.CutSuffix(line, []byte("\r"))
+	if !ok {
+		return nil, badRequest("a header line ends without CR")
+	}
+	if bytes.ContainsAny(line, "\r\x00") {
+		return nil, badRequest("a header line holds a control character")
+	}
+	return line, nil
+}
+
+// framing counts the fields that say where the body ends.
+type framing struct{ lengths, encodings int }
+
+// addField checks a line of the header, and counts it if it is about framing.
+func (f *framing) addField(line []byte) error {
+	if line[0] == ' ' || line[0] == '\t' {
+		return badRequest("a header line is folded")
+	}
+	name, value, ok := bytes.Cut(line, []byte(":"))
+	if !ok || len(name) == 0 || bytes.ContainsAny(name, " \t") {
+		return badRequest("a header line has no proper name")
+	}
+	value = bytes.TrimSpace(value)
+	if bytes.EqualFold(name, []byte("Content-Length")) {
+		f.lengths++
+		return checkLength(value)
+	}
+	if bytes.EqualFold(name, []byte("Transfer-Encoding")) {
+		f.encodings++
+		if !bytes.EqualFold(value, []byte("chunked")) {
+			return badRequest("the transfer encoding is not chunked")
+		}
+	}
+	return nil
+}
+
+// checkLength admits digits only: other readers may or may not accept a sign,
+// a space or a list.
+func checkLength(value []byte) error {
+	for _, b := range value {
+		if b < '0' || b > '9' {
+			return badRequest("the length is not a number")
+		}
+	}
+	if len(value) == 0 {
+		return badRequest("the length is empty")
+	}
+	return nil
+}
+
+func (f *framing) check() error {
+	if f.lengths+f.encodings > 1 {
+		return badRequest("the length of the body is given twice")
+	}
+	return nil
+}
+
+// readBody reads the body that the head announces; nil if there is none.
+func readBody(r *bufio.Reader, head *http.Request, limit int) ([]byte, error) {
+	if len(head.TransferEncoding) > 0 {
+		return readChunks(r, limit)
+	}
+	if head.ContentLength <= 0 {
+		return nil, nil
+	}
+	body := make([]byte, head.ContentLength)
+	_, err := io.ReadFull(r, body)
+	return body, err
+}
+
+// readChunks reads a chunked body with its trailers, which are dropped.
+func readChunks(r *bufio.Reader, limit int) ([]byte, error) {
+	chunks := httputil.NewChunkedReader(r)
+	if limit > 0 {
+		chunks = io.LimitReader(chunks, int64(limit)+1)
+	}
+	body, err := io.ReadAll(chunks)
+	if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, io.ErrUnexpectedEOF) {
+		return nil, err
+	}
+	if err != nil {
+		return nil, badRequest("the chunks cannot be read")
+	}
+	if limit > 0 && len(body) > limit {
+		return nil, errBody
+	}
+	return body, skipTrailers(r)
+}
+
+func skipTrailers(r *bufio.Reader) error {
+	for n := 0; ; n++ {
+		line, err := r.ReadSlice('\n')
+		if err != nil {
+			return err
+		}
+		if len(line) <= 2 {
+			return nil
+		}
+		if n > maxTrailers {
+			return badRequest("too many trailers")
+		}
+	}
+}
--- /dev/null
+++ b/internal/httpwire/pool.go
@@ -0,0 +1,174 @@
+package httpwire
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"net"
+	"sync"
+	"time"
+)
+
+// Pool keeps connections to peers open between calls. The zero value but for
+// Network is ready for use.
+type Pool struct {
+	Network Network
+	MaxIdle int           // idle connections for one peer; 0: defaultMaxIdle
+	Expire  time.Duration // an idle connection older than this is not used; 0: as the peer's Keep-Alive says
+	Opening time.Duration // how long opening a connection may take; 0: as long as the call
+
+	mu   sync.Mutex
+	idle map[string][]*clientConn // by address
+	open map[string]int           // idle and in use, by address
+}
+
+const defaultMaxIdle = 8
+
+// Do sends a call and reads the complete response. The context must end. Errors
+// are of type *Error.
+func (p *Pool) Do(ctx context.Context, addr string, call *Call) (*Answer, error) {
+	sent := false
+	for {
+		c, err := p.connect(ctx, addr)
+		if err != nil {
+			return nil, &Error{Step: stepDial, Peer: addr, Sent: sent, Err: err}
+		}
+		answer, began, err := c.exchange(ctx, call)
+		if err == nil {
+			p.release(addr, c, answer)
+			return answer, nil
+		}
+		p.discard(addr, c)
+		brokeIdle := c.reused && !began
+		var e *Error
+		if errors.As(err, &e) {
+			e.Peer = addr
+			e.Sent = e.Sent || sent
+			e.Reused = brokeIdle
+		}
+		if !brokeIdle || !call.Idempotent || ctx.Err() != nil {
+			return nil, err
+		}
+		sent = true
+	}
+}
+
+// connect returns an idle connection, or else a new one.
+func (p *Pool) connect(ctx context.Context, addr string) (*clientConn, error) {
+	if c := p.acquireIdle(addr); c != nil {
+		return c, nil
+	}
+	if p.Opening > 0 {
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithTimeout(ctx, p.Opening)
+		defer cancel()
+	}
+	conn, err := p.Network.Dial(ctx, addr)
+	if err != nil {
+		return nil, err
+	}
+	p.countOpen(addr, 1)
+	return &clientConn{Conn: conn, reader: bufio.NewReaderSize(conn, bufferSize)}, nil
+}
+
+// acquireIdle returns the idle connection that was used last, since the others
+// are more likely to have expired; nil if none is usable.
+func (p *Pool) acquireIdle(addr string) *clientConn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for {
+		list := p.idle[addr]
+		if len(list) == 0 {
+			return nil
+		}
+		c := list[len(list)-1]
+		p.idle[addr] = list[:len(list)-1]
+		if !c.isExpired() && isQuiet(c.Conn) {
+			return c
+		}
+		p.open[addr]--
+		closeConnection(c)
+	}
+}
+
+// release makes a connection idle after a call, or closes it.
+func (p *Pool) release(addr string, c *clientConn, answer *Answer) {
+	if c.detached && c.prepareReuse(answer, p.Expire) {
+		p.addIdle(addr, c)
+		return
+	}
+	p.discard(addr, c)
+}
+
+func (p *Pool) discard(addr string, c *clientConn) {
+	p.countOpen(addr, -1)
+	closeConnection(c)
+}
+
+func (p *Pool) addIdle(addr string, c *clientConn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	maxIdle := p.MaxIdle
+	if maxIdle == 0 {
+		maxIdle = defaultMaxIdle
+	}
+	if p.idle == nil {
+		p.idle = map[string][]*clientConn{}
+	}
+	if len(p.idle[addr]) >= maxIdle {
+		p.open[addr]--
+		closeConnection(c)
+		return
+	}
+	p.idle[addr] = append(p.idle[addr], c)
+}
+
+func (p *Pool) countOpen(addr string, difference int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.open == nil {
+		p.open = map[string]int{}
+	}
+	p.open[addr] += difference
+	if p.open[addr] == 0 {
+		delete(p.open, addr)
+	}
+}
+
+// Open returns the number of connections to a peer, idle or in use.
+func (p *Pool) Open(addr string) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.open[addr]
+}
+
+// Connections returns the number of connections to all peers, idle or in use.
+func (p *Pool) Connections() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	total := 0
+	for _, n := range p.open {
+		total += n
+	}
+	return total
+}
+
+// Forget closes the idle connections to a peer.
+func (p *Pool) Forget(addr string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, c := range p.idle[addr] {
+		closeConnection(c)
+		p.open[addr]--
+	}
+	delete(p.idle, addr)
+}
+
+// clientConn is a connection of a pool.
+type clientConn struct {
+	net.Conn
+	reader   *bufio.Reader
+	expires  time.Time // while idle; zero: never
+	reused   bool      // it has carried a call
+	detached bool      // the end of the last call's context does not affect it any more
+}
--- /dev/null
+++ b/internal/httpwire/response.go
@@ -0,0 +1,58 @@
+package httpwire
+
+import (
+	"bufio"
+	"encoding/json"
+	"net/http"
+	"strconv"
+)
+
+// Response is what a handler answers.
+type Response struct {
+	Status int
+	Header []string // names and values in turn
+	Body   []byte
+	Close  bool // the connection ends with this response
+}
+
+// JSON makes a response with a JSON body.
+func JSON(status int, v any) *Response {
+	body, err := json.Marshal(v)
+	if err != nil {
+		return &Response{Status: 500}
+	}
+	return &Response{Status: status, Header: []string{"Content-Type", "application/json"}, Body: body}
+}
+
+// Problem makes a response with a JSON body that says what is wrong.
+func Problem(status int, reason string) *Response {
+	return JSON(status, map[string]string{"error-text": reason})
+}
+
+// writeTo writes the response. The head goes through the writer's own buffer.
+func (r *Response) writeTo(w *bufio.Writer, last, withBody bool) error {
+	head := w.AvailableBuffer()
+	head = append(head, "HTTP/1.1 "...)
+	head = strconv.AppendInt(head, int64(r.Status), 10)
+	head = append(head, ' ')
+	head = append(head, http.StatusText(r.Status)...)
+	head = append(head, "\r\n"...)
+	for i := 0; i+1 < len(r.Header); i += 2 {
+		head = appendField(head, r.Header[i], r.Header[i+1])
+	}
+	if last {
+		head = append(head, "Connection: close\r\n"...)
+	}
+	head = append(head, "Content-Length: "...)
+	head = strconv.AppendInt(head, int64(len(r.Body)), 10)
+	head = append(head, "\r\n\r\n"...)
+	if _, err := w.Write(head); err != nil {
+		return err
+	}
+	if withBody {
+		if _, err := w.Write(r.Body); err != nil {
+			return err
+		}
+	}
+	return w.Flush()
+}
