--- a/internal/journal/digest.go
+++ b/internal/journal/digest.go
@@ -28,8 +28,8 @@
 	return int(h % digestSingleBuckets)
 }
 
-// toggle adds an event to the digest, or removes it if it is in there.
-func (d *digest) toggle(e *Event) { d[e.digestBucket()] ^= hash(e.Key, e.Version) }
+// toggle adds an event to its bucket, or removes it if it is in there.
+func (d *digest) toggle(bucket int, e *Event) { d[bucket] ^= hash(e.Key, e.Version) }
 
 // agrees reports whether another journal's encoded digest has the same content in
 // the bucket of the event.
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -70,10 +70,11 @@
 	e.number = j.number
 	e.appended = time.Now()
 	e.encoded = nil
+	bucket := e.digestBucket()
 	if superseded != nil {
-		j.digest.toggle(superseded)
+		j.digest.toggle(bucket, superseded)
 	}
-	j.digest.toggle(&e)
+	j.digest.toggle(bucket, &e)
 	j.latest[e.Key] = &e
 	j.log = append(j.log, &e)
 	for _, observe := range j.observers {
@@ -100,7 +101,7 @@
 			return true
 		}
 		if e.IsDeleted() && time.Since(e.appended) > j.retention {
-			j.digest.toggle(e)
+			j.digest.toggle(e.digestBucket(), e)
 			delete(j.latest, e.Key)
 			return true
 		}
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -1,6 +1,7 @@
 package journal
 
 import (
+	"encoding/binary"
 	"encoding/json"
 	"fmt"
 	"slices"
@@ -130,7 +131,7 @@
 			t.Error("a tombstone is there after its retention")
 		}
 		busy, _ := j.Get("busy")
-		j.digest.toggle(&busy)
+		j.digest.toggle(busy.digestBucket(), &busy)
 		if !slices.Equal(j.Digest(), before) {
 			t.Error("the digest counts a dropped tombstone")
 		}
@@ -169,3 +170,25 @@
 		t.Errorf("%v, not %v", seen, want)
 	}
 }
+
+// Digests travel between processes of different versions: how they are computed
+// must not change.
+func TestDigestOfAKnownEvent(t *testing.T) {
+	for key, want := range map[string]struct {
+		bucket int
+		value  uint64
+	}{
+		"placement":    {0, 0x15d48f177f2bb2a6},
+		"node/store-1": {173, 0x3d5f0090cefff0c7},
+	} {
+		j := New("a", time.Hour, "")
+		j.Append(Event{Key: key, Version: Version{3, 1}, Value: json.RawMessage("1")})
+		encoded := j.Digest()
+		for bucket := range digestBuckets {
+			value := binary.BigEndian.Uint64(encoded[8*bucket:])
+			if bucket == want.bucket && value != want.value || bucket != want.bucket && value != 0 {
+				t.Errorf("%s: bucket %d is %#x", key, bucket, value)
+			}
+		}
+	}
+}
