--- a/internal/handler/deliver.go
+++ b/internal/handler/deliver.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"net/http"
 	"os"
 	"strconv"
 	"time"
@@ -12,91 +11,76 @@
 	"saltreel/internal/httpwire"
 )
 
-// Outcome is what became of one attempt.
-type Outcome int
-
-// The outcomes of an attempt.
-const (
-	Done    Outcome = iota // success, with a seal
-	Refused                // can never be done
-	Failed                 // this attempt failed; a later one may succeed
-	NotRun                 // declined: it did not run
-	Wrong                  // another handler answers at the address
-	Unclear                // it may have run
-	Silent                 // no answer came in time, or no connection
-)
-
-func (o Outcome) String() string {
-	return [...]string{"done", "refused", "failed", "not run", "wrong handler", "unclear", "silent"}[o]
-}
-
-// Delivery is one attempt to hand a message to a handler.
+// Delivery is one attempt to deliver a message to a handler.
 type Delivery struct {
 	Address  string
-	Instance string // expected; empty for a fixed endpoint
-	ID       string
+	Instance string // expected at the address; empty for a fixed endpoint
+	ID       string // of the message; empty fields below are not sent
 	Tenant   string
 	OrderKey string
 	Method   string
 	Target   string
 	Host     string
-	Type     string
+	Type     string // of the body
 	Body     []byte
-	Timeout  time.Duration
+	Timeout  time.Duration // also sent, as the handler's deadline
 }
 
-// Result is the outcome with what came along.
+// Result is the outcome of an attempt with its circumstances.
 type Result struct {
 	Outcome Outcome
 	Seal    string
-	Status  int
-	Err     error
-	Kept    bool // an idle connection broke: no sign against the handler
+	Status  int   // 0: there was no response
+	Err     error // why there was none
+	Kept    bool  // only an idle connection broke, which says nothing about the handler
 }
 
-// Deliver makes the attempt.
+// Deliver makes the attempt and waits for its outcome.
 func Deliver(ctx context.Context, pool *httpwire.Pool, d Delivery) Result {
 	ctx, cancel := context.WithTimeout(ctx, d.Timeout)
 	defer cancel()
-	call := &httpwire.Call{Method: d.Method, Target: d.Target, Host: d.Host, Body: d.Body, Repeats: "Saltreel-Attempt-Id", Header: []string{
-		"Saltreel-Attempt-Id", d.ID,
-		"Saltreel-Deadline-Ms", strconv.FormatInt(d.Timeout.Milliseconds(), 10),
-	}}
-	for _, h := range [...][2]string{{"Saltreel-Tenant", d.Tenant}, {"Saltreel-Order-Key", d.OrderKey}, {"Saltreel-Expect-Instance", d.Instance}, {"Content-Type", d.Type}} {
-		if h[1] != "" {
-			call.Header = append(call.Header, h[0], h[1])
-		}
-	}
-	a, err := pool.Do(ctx, d.Address, call)
+	answer, err := pool.Do(ctx, d.Address, d.call())
 	if err != nil {
-		err = fmt.Errorf("deliver %s: %w", d.ID, err)
-		if httpwire.NotSent(err) || errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded) {
-			return Result{Outcome: Silent, Err: err}
+		return failedResult(fmt.Errorf("deliver %s: %w", d.ID, err))
+	}
+	return Result{
+		Outcome: outcomeOf(answer),
+		Seal:    answer.Header.Get(headerSeal),
+		Status:  answer.Status,
+	}
+}
+
+// call makes the request. Its response must repeat the attempt's identifier.
+func (d *Delivery) call() *httpwire.Call {
+	call := &httpwire.Call{
+		Method:  d.Method,
+		Target:  d.Target,
+		Host:    d.Host,
+		Body:    d.Body,
+		Repeats: headerAttemptID,
+		Header: []string{
+			headerAttemptID, d.ID,
+			headerDeadline, strconv.FormatInt(d.Timeout.Milliseconds(), 10),
+		},
+	}
+	for _, field := range [...][2]string{
+		{headerTenant, d.Tenant},
+		{headerOrderKey, d.OrderKey},
+		{headerExpectInstance, d.Instance},
+		{"Content-Type", d.Type},
+	} {
+		if name, value := field[0], field[1]; value != "" {
+			call.Header = append(call.Header, name, value)
 		}
-		var e *httpwire.Error
-		return Result{Outcome: Unclear, Err: err, Kept: errors.As(err, &e) && e.Reused}
 	}
-	return classify(a)
+	return call
 }
 
-func classify(a *httpwire.Answer) Result {
-	r := Result{Status: a.Status, Seal: a.Header.Get("Saltreel-Server-Seal")}
-	declined := a.Header.Get("Saltreel-Not-Executed") != ""
-	switch {
-	case a.Status == http.StatusMisdirectedRequest:
-		r.Outcome = Wrong
-	case declined:
-		r.Outcome = NotRun
-	case a.Status/100 == 2 && r.Seal != "":
-		r.Outcome = Done
-	case a.Status == http.StatusUnprocessableEntity:
-		r.Outcome = Refused
-	case a.Status == http.StatusInternalServerError:
-		r.Outcome = Failed
-	case a.Status == http.StatusConflict, a.Status == http.StatusTooManyRequests, a.Status == http.StatusServiceUnavailable, a.Status == http.StatusBadRequest:
-		r.Outcome = NotRun
-	default:
-		r.Outcome = Unclear
+// failedResult classifies an attempt without a complete response.
+func failedResult(err error) Result {
+	if httpwire.NotSent(err) || errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded) {
+		return Result{Outcome: Silent, Err: err}
 	}
-	return r
+	var e *httpwire.Error
+	return Result{Outcome: Unclear, Err: err, Kept: errors.As(err, &e) && e.Reused}
 }
--- a/internal/handler/instance.go
+++ b/internal/handler/instance.go
@@ -1,5 +1,6 @@
-// Package handler owns what is said to and heard from the handlers that run
-// messages: the beats by which they make themselves known, and deliveries.
+// Package handler is the system's side of the application processes, the
+// handlers, that run messages: the heartbeats by which they register, and the
+// delivery of messages to them.
 package handler
 
 import (
@@ -9,44 +10,49 @@
 	"net"
 )
 
-// States that a handler tells of itself.
+// States that a handler reports of itself.
 const (
 	Ready    = "ready"
-	Draining = "draining"
+	Draining = "draining" // it wants no more messages
 )
 
-// Instance is one life of a handler, as its beats describe it.
+// Instance is one incarnation of a handler, as its heartbeats describe it.
 type Instance struct {
 	ID       string `json:"instance-id,omitempty"`
 	Service  string `json:"service"`
-	Address  string `json:"address"`
+	Address  string `json:"address"` // host:port
 	Zone     string `json:"zone"`
-	Revision string `json:"revision"`
-	Slots    int    `json:"slots"`
-	State    string `json:"oper-state"`
-	WarmupMs int64  `json:"warmup-left-ms"`
-	CallSeq  int64  `json:"call-seq"`
+	Revision string `json:"revision"`       // of the application
+	Slots    int    `json:"slots"`          // how many messages it runs at the same time
+	State    string `json:"oper-state"`     // Ready or Draining
+	WarmupMs int64  `json:"warmup-left-ms"` // how long it still warms up, in milliseconds
+	CallSeq  int64  `json:"call-seq"`       // of the heartbeat; a higher one supersedes a lower one
 }
 
-// ParseBeat reads and checks a beat.
+// ParseHeartbeat reads and checks the heartbeat of the instance id. Its errors are
+// for the handler to read.
 func ParseHeartbeat(id string, body []byte) (Instance, error) {
 	var in Instance
 	if err := json.Unmarshal(body, &in); err != nil {
-		return in, fmt.Errorf("the beat cannot be read: %w", err)
+		return in, fmt.Errorf("the heartbeat cannot be read: %w", err)
 	}
 	in.ID = id
+	return in, in.check()
+}
+
+func (in *Instance) check() error {
 	switch {
-	case id == "":
-		return in, errors.New("the beat names no instance")
+	case in.ID == "":
+		return errors.New("the heartbeat names no instance")
 	case in.Service == "":
-		return in, errors.New("the beat names no service")
+		return errors.New("the heartbeat names no service")
 	case in.State != Ready && in.State != Draining:
-		return in, fmt.Errorf("oper-state %q is neither ready nor draining", in.State)
+		return fmt.Errorf("oper-state %q is neither ready nor draining", in.State)
 	case in.Slots < 0:
-		return in, fmt.Errorf("slots %d is below 0", in.Slots)
+		return fmt.Errorf("slots %d is below 0", in.Slots)
 	}
 	if _, _, err := net.SplitHostPort(in.Address); err != nil {
-		return in, fmt.Errorf("address %q is not host:port", in.Address)
+		return fmt.Errorf("address %q is not host:port", in.Address)
 	}
-	return in, nil
+	return nil
 }
--- /dev/null
+++ b/internal/handler/outcome.go
@@ -0,0 +1,58 @@
+package handler
+
+import (
+	"net/http"
+
+	"saltreel/internal/httpwire"
+)
+
+// Outcome is what became of one attempt to deliver a message.
+type Outcome int
+
+// The outcomes of an attempt.
+const (
+	Done    Outcome = iota // it ran and succeeded; the response carries a seal
+	Refused                // the handler will never run it
+	Failed                 // it ran and failed; a later attempt may succeed
+	NotRun                 // the handler declined before running it
+	Wrong                  // another instance answers at the address
+	Unclear                // indeterminate: it may have run
+	Silent                 // no response in time, or no connection
+)
+
+func (o Outcome) String() string {
+	return [...]string{"done", "refused", "failed", "not executed", "wrong instance", "indeterminate", "no response"}[o]
+}
+
+// Headers of deliveries and their responses, as published.
+const (
+	headerAttemptID      = "Saltreel-Attempt-Id"
+	headerDeadline       = "Saltreel-Deadline-Ms"
+	headerTenant         = "Saltreel-Tenant"
+	headerOrderKey       = "Saltreel-Order-Key"
+	headerExpectInstance = "Saltreel-Expect-Instance"
+	headerSeal           = "Saltreel-Server-Seal"  // proof that the handler ran the message
+	headerNotExecuted    = "Saltreel-Not-Executed" // present: it did not
+)
+
+// outcomeOf classifies a complete response.
+func outcomeOf(a *httpwire.Answer) Outcome {
+	if a.Status == http.StatusMisdirectedRequest {
+		return Wrong
+	}
+	if a.Header.Get(headerNotExecuted) != "" {
+		return NotRun
+	}
+	if a.Status/100 == 2 && a.Header.Get(headerSeal) != "" {
+		return Done
+	}
+	switch a.Status {
+	case http.StatusUnprocessableEntity:
+		return Refused
+	case http.StatusInternalServerError:
+		return Failed
+	case http.StatusBadRequest, http.StatusConflict, http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		return NotRun
+	}
+	return Unclear // such as success without a seal, or a proxy's response
+}
--- a/internal/handler/sink.go
+++ b/internal/handler/sink.go
@@ -10,19 +10,25 @@
 	"saltreel/internal/httpwire"
 )
 
-// Sink is a handler for trying things out: it takes every message, prints it,
-// and answers with a seal.
+// Sink serves a handler for trials on addr until ctx ends: it prints every
+// message to out, and answers with a seal.
 func Sink(ctx context.Context, network httpwire.Network, addr string, out io.Writer) error {
-	l, err := network.Listen(addr)
+	listener, err := network.Listen(addr)
 	if err != nil {
 		return fmt.Errorf("listen for deliveries: %w", err)
 	}
-	s := &httpwire.Server{Handle: func(_ context.Context, r *httpwire.Request) *httpwire.Response {
-		if r.Method == http.MethodGet && r.URL.Path == "/health" {
-			return &httpwire.Response{Status: 200}
-		}
-		fmt.Fprintf(out, "%s %s%s of tenant %q, message %s: %q\n", r.Method, r.Host, r.RequestURI, r.Header.Get("Saltreel-Tenant"), r.Header.Get("Saltreel-Attempt-Id"), r.Body)
-		return &httpwire.Response{Status: 200, Header: []string{"Saltreel-Server-Seal", rand.Text(), "Saltreel-Attempt-Id", r.Header.Get("Saltreel-Attempt-Id")}}
+	server := &httpwire.Server{Handle: func(_ context.Context, r *httpwire.Request) *httpwire.Response {
+		return sinkResponse(r, out)
 	}}
-	return s.Serve(ctx, l)
+	return server.Serve(ctx, listener)
+}
+
+func sinkResponse(r *httpwire.Request, out io.Writer) *httpwire.Response {
+	if r.Method == http.MethodGet && r.URL.Path == "/health" {
+		return &httpwire.Response{Status: 200}
+	}
+	id := r.Header.Get(headerAttemptID)
+	// A message that cannot be printed is answered all the same.
+	_, _ = fmt.Fprintf(out, "%s %s%s of tenant %q, message %s: %q\n", r.Method, r.Host, r.RequestURI, r.Header.Get(headerTenant), id, r.Body)
+	return &httpwire.Response{Status: 200, Header: []string{headerSeal, rand.Text(), headerAttemptID, id}}
 }
