--- a/internal/boltstore/damage.go
+++ b/internal/boltstore/damage.go
@@ -23,7 +23,7 @@
 // one that was moved aside.
 const damagedInfix = ".damaged-"
 
-// asDamage marks an error, if there is one, as damage.
+// asDamage makes an error, if there is one, an ErrDamaged.
 func asDamage(err error) error {
 	if err == nil {
 		return nil
@@ -50,7 +50,7 @@
 	return err
 }
 
-// damageOrReadError reads the whole file: if that works, cause is damage.
+// damageOrReadError reads all of the file: if that succeeds, cause is damage.
 func damageOrReadError(path string, cause error) error {
 	file, err := os.Open(path)
 	if err == nil {
--- a/internal/boltstore/damage_test.go
+++ b/internal/boltstore/damage_test.go
@@ -13,7 +13,7 @@
 )
 
 // Only what the content of a readable file causes is damage.
-func TestGuardTellsDamageFromOtherErrors(t *testing.T) {
+func TestGuardDistinguishesDamageFromOtherErrors(t *testing.T) {
 	dir := t.TempDir()
 	readable := filepath.Join(dir, "state.db")
 	if err := os.WriteFile(readable, []byte("content"), 0o600); err != nil {
--- a/internal/boltstore/recovery.go
+++ b/internal/boltstore/recovery.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// recoverOnce tries until the file takes writes again. It reports false when
+// recoverOnce tries until the file accepts writes again. It reports false when
 // ctx ended or the file is damaged.
 func (f *File) recoverOnce(ctx context.Context, retryInterval time.Duration) bool {
 	for {
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -37,7 +37,7 @@
 // PublisherConfig is what a Publisher needs.
 type PublisherConfig struct {
 	Journal        *journal.Journal
-	ContactTimeout time.Duration // after which a silent process counts as failed
+	ContactTimeout time.Duration // after which a process without contact counts as failed
 	// UpToDate reports whether this process itself receives events. Nil: always.
 	UpToDate func() bool
 	// WaitUntilUpToDate lets requests wait a while until UpToDate, instead of
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -24,7 +24,7 @@
 	Journal        *journal.Journal // to which the events are appended
 	Client         *rpc.Client
 	Seeds          []string      // internal addresses of cores, as the last resort
-	ContactTimeout time.Duration // after which a silent process counts as failed
+	ContactTimeout time.Duration // after which a process without contact counts as failed
 	Log            *log.Logger
 }
 
--- a/internal/distribution/timing.go
+++ b/internal/distribution/timing.go
@@ -6,7 +6,7 @@
 )
 
 // timing derives the intervals of the distribution from the contact time-out,
-// the time after which a silent process counts as failed.
+// the time after which a process without contact counts as failed.
 type timing struct{ contactTimeout time.Duration }
 
 // maxWait bounds a long poll at the publisher, whatever the subscriber asks for.
--- a/internal/httpwire/network.go
+++ b/internal/httpwire/network.go
@@ -21,8 +21,8 @@
 	Listen Listen
 }
 
-// TCP is the operating system's network. Keep-alive probes detect within about
-// four seconds that the machine at the other end of an idle connection is gone.
+// TCP is the operating system's network. On an idle connection, keep-alive probes
+// detect within about four seconds that the peer's machine is unreachable.
 func TCP() Network {
 	dialer := net.Dialer{KeepAliveConfig: net.KeepAliveConfig{
 		Enable:   true,
--- a/internal/httpwire/parse.go
+++ b/internal/httpwire/parse.go
@@ -25,8 +25,8 @@
 	Read     time.Time // when its last byte was read
 }
 
-// rejectedError says why a request is not served. The client is told before the
-// connection closes.
+// rejectedError says why a request is not served. The client receives its reason
+// before the connection closes.
 type rejectedError struct {
 	status int
 	reason string
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,5 +1,5 @@
 // Package journal holds the events of one process in memory. Of each key only the
-// newest event counts, so a reader that missed some needs only the newest of each
+// newest event counts, so a reader that lacks some needs only the newest of each
 // key to have the same state. Tombstones are dropped after a retention time.
 package journal
 
