--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -237,8 +237,8 @@
 	if err != nil {
 		return fmt.Errorf("listen for our own processes: %w", err)
 	}
-	source := distribution.NewPublisher(distribution.PublisherConfig{Journal: c.journal, ContactTimeout: c.contact, UpToDate: c.inTouch,
-		WaitUntilUpToDate: true, Warming: func() bool { return c.chain.InContactFor() < c.contact/8 }})
+	source := distribution.NewPublisher(distribution.PublisherConfig{Journal: c.journal, MaxWait: c.contact / 2, BatchDelay: c.contact / 32, UpToDate: c.inTouch,
+		UpToDateWait: c.contact / 16, Warming: func() bool { return c.chain.InContactFor() < c.contact/8 }})
 	mux := rpc.Mux{
 		"/news":           source.Handle,
 		"/chain/pass":     rpc.Handler(c.chain.HandleUpdate),
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -36,14 +36,17 @@
 
 // PublisherConfig is what a Publisher needs.
 type PublisherConfig struct {
-	Journal        *journal.Journal
-	ContactTimeout time.Duration // after which a process without contact counts as failed
+	Journal *journal.Journal
+	MaxWait time.Duration // bounds a long poll, whatever the subscriber asks for
+	// BatchDelay is how long events that are not urgent are gathered. Where
+	// hundreds of nodes start at once, sending each of them every other one
+	// separately would take a response for each pair.
+	BatchDelay time.Duration
 	// UpToDate reports whether this process itself receives events. Nil: always.
 	UpToDate func() bool
-	// WaitUntilUpToDate lets requests wait a while until UpToDate, instead of
-	// failing at once: a core that just started would be asked by all nodes at
-	// once, again and again.
-	WaitUntilUpToDate bool
+	// UpToDateWait is how long a request waits until UpToDate. A core that just
+	// started would be asked by all nodes again and again if it refused at once.
+	UpToDateWait time.Duration
 	// Warming reports that this process became up to date only just now. Then
 	// edges, which can do nothing without stores, are answered after those.
 	// Nil: never.
@@ -51,18 +54,15 @@
 }
 
 // Publisher answers watch requests from a journal.
-type Publisher struct {
-	config PublisherConfig
-	timing timing
-}
+type Publisher struct{ config PublisherConfig }
 
-// NewPublisher makes a publisher. It panics if the journal or the contact
-// time-out is missing, which is an error of the program.
+// NewPublisher makes a publisher. It panics if the journal or MaxWait is missing,
+// which is an error of the program.
 func NewPublisher(config PublisherConfig) *Publisher {
-	if config.Journal == nil || config.ContactTimeout <= 0 {
-		panic("distribution: a publisher needs a journal and a contact time-out")
+	if config.Journal == nil || config.MaxWait <= 0 {
+		panic("distribution: a publisher needs a journal and a bound of its long polls")
 	}
-	return &Publisher{config: config, timing: timing{config.ContactTimeout}}
+	return &Publisher{config: config}
 }
 
 // Handle answers one watch request; it waits until there is an event, the
@@ -72,13 +72,13 @@
 	if err := json.Unmarshal(r.Body, &request); err != nil {
 		return httpwire.Problem(400, "the watch request cannot be read: "+err.Error())
 	}
-	timer := time.NewTimer(min(time.Duration(request.WaitMs)*time.Millisecond, p.timing.maxWait()))
+	timer := time.NewTimer(min(time.Duration(request.WaitMs)*time.Millisecond, p.config.MaxWait))
 	defer timer.Stop()
 	if !p.waitUpToDate(ctx) {
 		return notUpToDate()
 	}
 	if request.Source == "" && request.Role == roleEdge && p.config.Warming != nil && p.config.Warming() {
-		timeutil.Sleep(ctx, p.timing.batchDelay())
+		timeutil.Sleep(ctx, p.config.BatchDelay)
 	}
 	return p.watch(ctx, &request, timer.C)
 }
@@ -88,7 +88,7 @@
 }
 
 // watch waits for events that the subscriber wants. Urgent ones are sent at
-// once; the others wait until the oldest of them is batchDelay old, and go with
+// once; the others wait until the oldest of them is BatchDelay old, and go with
 // any urgent one. Once waitOver fires it answers with what there is.
 func (p *Publisher) watch(ctx context.Context, request *WatchRequest, waitOver <-chan time.Time) *httpwire.Response {
 	expired := false
@@ -97,7 +97,7 @@
 		page, urgent := p.config.Journal.Since(request.Source, request.Number, request.Digest, request.wants)
 		var batchComplete <-chan time.Time
 		if len(page.Events) > 0 {
-			remaining := p.timing.batchDelay() - time.Since(page.Oldest())
+			remaining := p.config.BatchDelay - time.Since(page.Oldest())
 			if urgent || remaining <= 0 {
 				expired = true
 			}
@@ -125,17 +125,13 @@
 	if p.config.UpToDate == nil {
 		return true
 	}
-	var maxWait time.Duration
-	if p.config.WaitUntilUpToDate {
-		maxWait = p.timing.upToDateWait()
-	}
 	for began := time.Now(); !p.config.UpToDate(); {
 		changed, _ := p.config.Journal.Changes()
-		remaining := maxWait - time.Since(began)
+		remaining := p.config.UpToDateWait - time.Since(began)
 		if remaining <= 0 || ctx.Err() != nil {
 			return false
 		}
-		timer := time.NewTimer(min(remaining, maxWait/4)) // becoming up to date need not append an event
+		timer := time.NewTimer(min(remaining, p.config.UpToDateWait/4)) // becoming up to date need not append an event
 		select {
 		case <-changed:
 		case <-timer.C:
--- a/internal/distribution/publisher_test.go
+++ b/internal/distribution/publisher_test.go
@@ -25,7 +25,7 @@
 }
 
 func newTestPublisher(j *journal.Journal) *Publisher {
-	return NewPublisher(PublisherConfig{Journal: j, ContactTimeout: 2 * time.Second})
+	return NewPublisher(PublisherConfig{Journal: j, MaxWait: time.Second})
 }
 
 func appendNode(j *journal.Journal, name string, version int64) {
@@ -93,7 +93,7 @@
 	for _, nodes := range []int{20, 200} {
 		synctest.Test(t, func(t *testing.T) {
 			j := newFleetJournal("parent", 1)
-			p := NewPublisher(PublisherConfig{Journal: j, ContactTimeout: 32 * 100 * time.Millisecond}) // batches of 100 ms
+			p := NewPublisher(PublisherConfig{Journal: j, MaxWait: time.Minute, BatchDelay: 100 * time.Millisecond})
 			pages, events := 0, 0
 			last := watch(t, p, WatchRequest{})
 			done := make(chan struct{})
--- a/internal/distribution/subscriber_test.go
+++ b/internal/distribution/subscriber_test.go
@@ -54,7 +54,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const contact = 4 * time.Second
 		source := newFleetJournal("core", 3)
-		publisher := NewPublisher(PublisherConfig{Journal: source, ContactTimeout: contact})
+		publisher := NewPublisher(PublisherConfig{Journal: source, MaxWait: contact / 2, BatchDelay: contact / 32})
 		serve := func() *httpwire.Server {
 			return &httpwire.Server{Handle: rpc.Mux{watchPath: publisher.Handle}.Handle}
 		}
@@ -99,9 +99,9 @@
 
 func TestConfigurationIsChecked(t *testing.T) {
 	for name, construct := range map[string]func(){
-		"a publisher without a journal":  func() { NewPublisher(PublisherConfig{ContactTimeout: time.Second}) },
-		"a publisher without a time-out": func() { NewPublisher(PublisherConfig{Journal: newFleetJournal("j", 0)}) },
-		"an empty subscriber":            func() { NewSubscriber(SubscriberConfig{}) },
+		"a publisher without a journal": func() { NewPublisher(PublisherConfig{MaxWait: time.Second}) },
+		"a publisher without a bound":   func() { NewPublisher(PublisherConfig{Journal: newFleetJournal("j", 0)}) },
+		"an empty subscriber":           func() { NewSubscriber(SubscriberConfig{}) },
 	} {
 		func() {
 			defer func() {
--- a/internal/distribution/timing.go
+++ b/internal/distribution/timing.go
@@ -5,21 +5,10 @@
 	"time"
 )
 
-// timing derives the intervals of the distribution from the contact time-out,
+// timing derives the intervals of a subscriber from the contact time-out,
 // the time after which a process without contact counts as failed.
 type timing struct{ contactTimeout time.Duration }
 
-// maxWait bounds a long poll at the publisher, whatever the subscriber asks for.
-func (t timing) maxWait() time.Duration { return t.contactTimeout / 2 }
-
-// batchDelay is how long a publisher gathers events that are not urgent. Where
-// hundreds of nodes start at once, telling each of every other one separately
-// would be a response for each pair.
-func (t timing) batchDelay() time.Duration { return t.contactTimeout / 32 }
-
-// upToDateWait is how long a request waits until the publisher is up to date.
-func (t timing) upToDateWait() time.Duration { return t.contactTimeout / 16 }
-
 // pollWait is the long poll of a subscriber: several fit into maxAge.
 func (t timing) pollWait() time.Duration { return t.contactTimeout / 4 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -128,7 +128,7 @@
 
 // Source answers the nodes that follow this one.
 func (n *Node) Publisher() *distribution.Publisher {
-	return distribution.NewPublisher(distribution.PublisherConfig{Journal: n.Journal, ContactTimeout: n.Settings.Contact(), UpToDate: n.follower.UpToDate})
+	return distribution.NewPublisher(distribution.PublisherConfig{Journal: n.Journal, MaxWait: n.Settings.Contact() / 2, BatchDelay: n.Settings.Contact() / 32, UpToDate: n.follower.UpToDate})
 }
 
 // Run follows and beats until ctx ends.
