--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -157,10 +157,14 @@
 	if err != nil {
 		return err
 	}
-	s.publisher = &distribution.Publisher{
-		Journal: s.journal, MaxWait: s.timing.watchTimeout(), BatchDelay: s.timing.eventBatchDelay(),
-		UpToDate: s.registry.InContactWithQuorum, UpToDateWait: s.timing.upToDateWait(), Warming: s.isWarming,
-	}
+	s.publisher = distribution.NewPublisher(distribution.PublisherConfig{
+		Journal:      s.journal,
+		MaxWait:      s.timing.watchTimeout(),
+		BatchDelay:   s.timing.eventBatchDelay(),
+		UpToDate:     s.registry.InContactWithQuorum,
+		UpToDateWait: s.timing.upToDateWait(),
+		Warming:      s.isWarming,
+	})
 	return nil
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -96,13 +96,18 @@
 
 // newSubscriber makes the subscriber that brings the node's journal up to date.
 func (n *Node) newSubscriber() *distribution.Subscriber {
-	return &distribution.Subscriber{Self: n.self, Journal: n.Journal, Client: n.watchClient, Cores: n.Settings.Cores(), ContactTimeout: n.timing.contact, Log: n.log}
+	return distribution.NewSubscriber(distribution.SubscriberConfig{
+		Self: n.self, Journal: n.Journal, Client: n.watchClient,
+		Seeds: n.Settings.Cores(), ContactTimeout: n.timing.contact, Log: n.log,
+	})
 }
 
 // Publisher makes the handler of the watch requests of the nodes below this one
 // in the distribution tree.
 func (n *Node) Publisher() *distribution.Publisher {
-	return &distribution.Publisher{Journal: n.Journal, MaxWait: n.timing.watchMaxWait(), BatchDelay: n.timing.watchBatchDelay(), UpToDate: n.subscriber.UpToDate}
+	return distribution.NewPublisher(distribution.PublisherConfig{
+		Journal: n.Journal, MaxWait: n.timing.watchMaxWait(), BatchDelay: n.timing.watchBatchDelay(), UpToDate: n.subscriber.UpToDate,
+	})
 }
 
 // SetDisk gives the identity of the disk that heartbeats name. It must be called
