--- a/internal/placement/calls.go
+++ b/internal/placement/calls.go
@@ -1,30 +1,33 @@
 package placement
 
-// Suspicion is a report that a node cannot be reached.
+// FailureReport says that a node does not respond. Watchers and callers of the
+// node send it to the control plane, which probes the node itself.
 type FailureReport struct {
 	Node    string `json:"node"`
-	Refused bool   `json:"refused"` // its machine answers that nothing listens
+	Refused bool   `json:"refused"` // its host refuses connections: no process listens there
 }
 
-// Suspected tells whether the core that was told places the partitions: the
-// others need not be told.
+// FailureReportResponse says whether the server that received the report holds
+// the controller's lease; if it does, the report need not go to the others.
 type FailureReportResponse struct {
 	Controller bool `json:"steward,omitempty"`
 }
 
-// InStep is a primary's report of backups that hold everything.
+// InSyncReport is sent by a primary when backups have become in sync.
 type InSyncReport struct {
 	Replicas []Replica `json:"copies"`
 }
 
-// Copy is a backup of a partition in an epoch.
+// Replica names one backup of a partition in one epoch.
 type Replica struct {
 	Partition int    `json:"partition"`
 	Epoch     int64  `json:"epoch"`
 	Store     string `json:"store"`
 }
 
-// Handover asks a primary to stop partitions, so that their backups may lead.
+// HandoverRequest asks a store to stop being the primary of partitions, so that
+// their successors can take over. The response has the same form and holds the
+// partitions that have stopped.
 type HandoverRequest struct {
-	Partitions map[int]int64 `json:"partitions"` // by epoch
+	Partitions map[int]int64 `json:"partitions"` // partition to the epoch in which it is to stop
 }
--- a/internal/placement/encoding.go
+++ b/internal/placement/encoding.go
@@ -9,109 +9,171 @@
 	"strings"
 )
 
-// stored is a placement as it travels and as it lies on disk. Each node reads
-// each placement, so stores are named once, and the places are numbers into the
-// names: those of the stores in order, then the others.
-type stored struct {
-	Version  int64            `json:"version"`
-	Term     int64            `json:"term"`
-	Founders int              `json:"founders"`
-	Stores   map[string]Store `json:"stores"`
-	Others   []string         `json:"others,omitempty"` // named by a partition, but no store any more
-	Places   string           `json:"places"`
-	// As it was written by earlier versions.
+// document is a placement as it is sent and stored. Every node reads every
+// placement, so the partitions are in a compact form: each store has a number,
+// first those of Stores in the order of their names, then OtherStores. For each
+// partition, separated by ";", there are the epoch, the preferred stores and
+// the present ones, separated by spaces; the stores are numbers separated by
+// commas, the primary first, and a backup in sync is followed by "+":
+//
+//	7 0,1,2 1,0+,2
+type document struct {
+	Version       int64            `json:"version"`
+	Term          int64            `json:"term"`
+	InitialStores int              `json:"founders"`
+	Stores        map[string]Store `json:"stores"`
+	OtherStores   []string         `json:"others,omitempty"` // in a partition, but not in Stores any more
+	Compact       string           `json:"places"`
+	// The partitions as earlier versions wrote them, instead of Compact.
 	Partitions []Partition `json:"partitions,omitempty"`
 }
 
-// readable is a placement as the operator sees it.
+// Readable is a placement that is encoded field by field, for the operator.
 type Readable Placement
 
-// MarshalJSON writes the short form: for each partition its epoch, its home and
-// the stores beside it, its primary and the backups, those in step with a plus.
+// MarshalJSON encodes the placement in the compact form.
 func (p Placement) MarshalJSON() ([]byte, error) {
-	out := stored{Version: p.Version, Term: p.Term, Founders: p.InitialStores, Stores: p.Stores}
-	number := map[string]int{}
-	for i, name := range slices.Sorted(maps.Keys(p.Stores)) {
-		number[name] = i
-	}
-	var places []byte
-	put := func(before byte, name string) {
-		n, ok := number[name]
-		if !ok {
-			n = len(number)
-			number[name] = n
-			out.Others = append(out.Others, name)
-		}
-		places = strconv.AppendInt(append(places, before), int64(n), 10)
-	}
-	for i, x := range p.Partitions {
+	e := newEncoder(p.Stores)
+	for i := range p.Partitions {
 		if i > 0 {
-			places = append(places, ';')
+			e.compact = append(e.compact, ';')
 		}
-		places = strconv.AppendInt(places, x.Epoch, 10)
-		put(' ', x.PreferredPrimary)
-		for _, name := range x.PreferredBackups {
-			put(',', name)
-		}
-		put(' ', x.Primary)
-		for _, b := range x.Backups {
-			put(',', b.Store)
-			if b.InSync {
-				places = append(places, '+')
-			}
+		e.partition(&p.Partitions[i])
+	}
+	return json.Marshal(document{
+		Version:       p.Version,
+		Term:          p.Term,
+		InitialStores: p.InitialStores,
+		Stores:        p.Stores,
+		OtherStores:   e.others,
+		Compact:       string(e.compact),
+	})
+}
+
+// encoder writes partitions in the compact form.
+type encoder struct {
+	numbers map[string]int
+	others  []string
+	compact []byte
+}
+
+func newEncoder(stores map[string]Store) *encoder {
+	e := &encoder{numbers: map[string]int{}}
+	for i, name := range slices.Sorted(maps.Keys(stores)) {
+		e.numbers[name] = i
+	}
+	return e
+}
+
+func (e *encoder) partition(p *Partition) {
+	e.compact = strconv.AppendInt(e.compact, p.Epoch, 10)
+	e.store(' ', p.PreferredPrimary)
+	for _, name := range p.PreferredBackups {
+		e.store(',', name)
+	}
+	e.store(' ', p.Primary)
+	for _, backup := range p.Backups {
+		e.store(',', backup.Store)
+		if backup.InSync {
+			e.compact = append(e.compact, '+')
 		}
 	}
-	out.Places = string(places)
-	return json.Marshal(out)
 }
 
-// UnmarshalJSON reads the short form, and the form of earlier versions.
+// store appends a separator and the number of a store, which gets one if it has none.
+func (e *encoder) store(separator byte, name string) {
+	number, known := e.numbers[name]
+	if !known {
+		number = len(e.numbers)
+		e.numbers[name] = number
+		e.others = append(e.others, name)
+	}
+	e.compact = strconv.AppendInt(append(e.compact, separator), int64(number), 10)
+}
+
+// UnmarshalJSON decodes the compact form, and the form of earlier versions. The
+// error of a damaged document leaves the placement unchanged.
 func (p *Placement) UnmarshalJSON(raw []byte) error {
-	var in stored
+	var in document
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return err
 	}
-	out := Placement{Version: in.Version, Term: in.Term, InitialStores: in.Founders, Stores: in.Stores, Partitions: in.Partitions}
-	if in.Places == "" {
-		*p = out
-		return nil
-	}
-	names := append(slices.Sorted(maps.Keys(in.Stores)), in.Others...)
-	var wrong error
-	name := func(number string) string {
-		n, err := strconv.Atoi(number)
-		if err != nil || n < 0 || n >= len(names) {
-			wrong = fmt.Errorf("a place names store %q of %d", number, len(names))
-			return ""
+	out := Placement{Version: in.Version, Term: in.Term, InitialStores: in.InitialStores, Stores: in.Stores, Partitions: in.Partitions}
+	if in.Compact != "" {
+		d := decoder{names: append(slices.Sorted(maps.Keys(in.Stores)), in.OtherStores...)}
+		partitions, err := d.partitions(in.Compact)
+		if err != nil {
+			return err
 		}
-		return names[n]
+		out.Partitions = partitions
 	}
-	out.Partitions = make([]Partition, 0, strings.Count(in.Places, ";")+1)
-	for place := range strings.SplitSeq(in.Places, ";") {
-		var x Partition
-		epoch, rest, _ := strings.Cut(place, " ")
-		home, now, ok := strings.Cut(rest, " ")
-		var err error
-		if x.Epoch, err = strconv.ParseInt(epoch, 10, 64); err != nil || !ok {
-			return fmt.Errorf("the place %q cannot be read", place)
-		}
-		first, beside, more := strings.Cut(home, ",")
-		x.PreferredPrimary = name(first)
-		for more {
-			first, beside, more = strings.Cut(beside, ",")
-			x.PreferredBackups = append(x.PreferredBackups, name(first))
-		}
-		first, backups, more := strings.Cut(now, ",")
-		x.Primary = name(first)
-		for more {
-			first, backups, more = strings.Cut(backups, ",")
-			number, inStep := strings.CutSuffix(first, "+")
-			x.Backups = append(x.Backups, Backup{name(number), inStep})
+	*p = out
+	return nil
+}
+
+// decoder reads partitions in the compact form.
+type decoder struct {
+	names []string // by number
+}
+
+func (d *decoder) partitions(compact string) ([]Partition, error) {
+	partitions := make([]Partition, 0, strings.Count(compact, ";")+1)
+	for text := range strings.SplitSeq(compact, ";") {
+		partition, err := d.partition(text)
+		if err != nil {
+			return nil, fmt.Errorf("decode partition %d: %w", len(partitions), err)
 		}
-		out.Partitions = append(out.Partitions, x)
+		partitions = append(partitions, partition)
+	}
+	return partitions, nil
+}
+
+func (d *decoder) partition(text string) (p Partition, err error) {
+	epoch, stores, _ := strings.Cut(text, " ")
+	preferred, present, ok := strings.Cut(stores, " ")
+	if !ok {
+		return p, fmt.Errorf("%q has not three fields", text)
+	}
+	if p.Epoch, err = strconv.ParseInt(epoch, 10, 64); err != nil {
+		return p, fmt.Errorf("epoch: %w", err)
 	}
-	if wrong == nil {
-		*p = out
+	if err := d.preferred(&p, preferred); err != nil {
+		return p, err
+	}
+	return p, d.present(&p, present)
+}
+
+// preferred reads the preferred primary and backups.
+func (d *decoder) preferred(p *Partition, text string) (err error) {
+	number, rest, more := strings.Cut(text, ",")
+	p.PreferredPrimary, err = d.store(number)
+	for more && err == nil {
+		var name string
+		number, rest, more = strings.Cut(rest, ",")
+		name, err = d.store(number)
+		p.PreferredBackups = append(p.PreferredBackups, name)
+	}
+	return err
+}
+
+// present reads the primary and the backups.
+func (d *decoder) present(p *Partition, text string) (err error) {
+	number, rest, more := strings.Cut(text, ",")
+	p.Primary, err = d.store(number)
+	for more && err == nil {
+		var backup Backup
+		number, rest, more = strings.Cut(rest, ",")
+		number, backup.InSync = strings.CutSuffix(number, "+")
+		backup.Store, err = d.store(number)
+		p.Backups = append(p.Backups, backup)
+	}
+	return err
+}
+
+func (d *decoder) store(number string) (string, error) {
+	n, err := strconv.Atoi(number)
+	if err != nil || n < 0 || n >= len(d.names) {
+		return "", fmt.Errorf("no store has the number %q, there are %d", number, len(d.names))
 	}
-	return wrong
+	return d.names[n], nil
 }
--- /dev/null
+++ b/internal/placement/plan.go
@@ -0,0 +1,300 @@
+package placement
+
+import (
+	"maps"
+	"slices"
+)
+
+// Plan computes the next step from a placement towards the one that the stores
+// and the redundancy ask for. It first restores lost replicas; only when every
+// partition has all its replicas in sync does it move partitions to their
+// preferred stores.
+//
+// A primary has to stop before its successor leads. Handovers lists the
+// partitions whose primary is to be asked to stop; released holds those that
+// have stopped, with the epoch in which they did. Each step keeps these rules:
+//
+//   - only a backup that is in sync becomes primary;
+//   - a replica that is to be removed stays until its replacement is in sync;
+//   - a primary that is available stops before its successor leads.
+//
+// The current placement is not modified. If changed is false, next equals it.
+func Plan(current Placement, stores map[string]StoreStatus, released map[int]int64, redundancy Redundancy) (next Placement, handovers []int, changed bool) {
+	p := &planner{next: current.Clone(), stores: stores, released: released, redundancy: redundancy}
+	p.updateStores()
+	p.updatePreferredReplicas()
+	p.lastResort = p.findLastResort()
+
+	p.restored = true
+	for i := range p.next.Partitions {
+		p.restore(i)
+	}
+	for i := range p.next.Partitions {
+		p.rebalance(i)
+	}
+	p.completeRetirements()
+	if p.changed {
+		p.next.Version++
+	}
+	return p.next, p.handovers, p.changed
+}
+
+// planner is the state of one call of Plan.
+type planner struct {
+	// The input.
+	stores     map[string]StoreStatus
+	released   map[int]int64
+	redundancy Redundancy
+
+	// Derived from the input.
+	topology   *topology
+	lastResort []string
+
+	// The result.
+	next      Placement
+	handovers []int
+	changed   bool
+	restored  bool // every partition has an available primary and all its backups in sync
+}
+
+// available reports whether a store is alive and has the disk with the replicas
+// that the placement assumes there.
+func (p *planner) available(name string) bool {
+	status, known := p.stores[name]
+	return known && status.Alive && status.Disk == p.next.Stores[name].Disk
+}
+
+// eligible reports whether a store is available and may take replicas, that is
+// neither shuts down nor is retired.
+func (p *planner) eligible(name string) bool {
+	return p.available(name) && !p.stores[name].Draining && p.next.Stores[name].Retire == ""
+}
+
+// reassign changes the replicas of a partition.
+func (p *planner) reassign(partition *Partition, primary string, backups []Backup) {
+	partition.reassign(primary, backups)
+	p.changed = true
+}
+
+// updateStores adds the stores that are new, and the new disk of a store. As
+// long as the placement has replicas on the store's old disk, the store stays
+// unavailable under its old identity, so that an empty disk never counts as a
+// replica that is in sync.
+func (p *planner) updateStores() {
+	for name, status := range p.stores {
+		store, known := p.next.Stores[name]
+		switch {
+		case !known && status.Alive && !status.Draining:
+			p.next.Stores[name] = newStore(status)
+			p.changed = true
+		case known && status.Disk != "" && store.Disk != status.Disk && !Holds(p.next, name):
+			store.Disk = status.Disk
+			store.Address = status.Address
+			p.next.Stores[name] = store
+			p.changed = true
+		}
+	}
+}
+
+// updatePreferredReplicas assigns the preferred replicas to the stores that are
+// active now. It moves no replica by itself.
+func (p *planner) updatePreferredReplicas() {
+	p.topology = newTopology(p.next.Stores)
+	primariesChanged := p.next.assignPreferredPrimaries(p.topology)
+	backupsChanged := p.next.assignPreferredBackups(p.topology, p.redundancy)
+	p.changed = p.changed || primariesChanged || backupsChanged
+}
+
+// findLastResort lists the stores that are being retired but still take a
+// backup where no other store can: emptying a store must not cost redundancy.
+func (p *planner) findLastResort() []string {
+	var names []string
+	for _, name := range slices.Sorted(maps.Keys(p.next.Stores)) {
+		if p.available(name) && !p.stores[name].Draining && p.next.Stores[name].Retire == RetireActive {
+			names = append(names, name)
+		}
+	}
+	return names
+}
+
+// desiredReplicas is where partition i belongs with the stores that are
+// eligible now, the primary first: its preferred stores, then the nearest.
+func (p *planner) desiredReplicas(i int) []string {
+	var replicas []string
+	partition := &p.next.Partitions[i]
+	if p.eligible(partition.PreferredPrimary) {
+		replicas = append(replicas, partition.PreferredPrimary)
+	}
+	for _, name := range partition.PreferredBackups {
+		if p.eligible(name) {
+			replicas = append(replicas, name)
+		}
+	}
+	for name := range p.topology.nearest(partition.PreferredPrimary, p.next.round(i)) {
+		if len(replicas) > p.redundancy.Backups {
+			break
+		}
+		if p.eligible(name) && !slices.Contains(replicas, name) {
+			replicas = append(replicas, name)
+		}
+	}
+	return replicas
+}
+
+// restore replaces a lost primary and lost backups of a partition.
+//
+// Safety: only a backup that is in sync becomes primary, since any other may
+// lack acknowledged messages. If none is left, the partition waits for its
+// primary, and its replicas stay as they are.
+func (p *planner) restore(i int) {
+	partition := &p.next.Partitions[i]
+	primary := partition.Primary
+	backups := p.availableBackups(partition)
+	if !p.available(primary) {
+		p.restored = false
+		successor := slices.IndexFunc(backups, func(b Backup) bool { return b.InSync })
+		if successor < 0 {
+			return
+		}
+		primary = backups[successor].Store
+		backups = slices.Delete(backups, successor, successor+1)
+	}
+	if len(backups) < p.redundancy.Backups {
+		backups = p.addBackups(i, primary, backups)
+	}
+	if primary != partition.Primary || !slices.Equal(backups, partition.Backups) {
+		p.reassign(partition, primary, backups)
+	}
+	p.restored = p.restored && partition.InSync(p.redundancy.Backups)
+}
+
+// availableBackups returns a new list of the backups on stores that are available.
+func (p *planner) availableBackups(partition *Partition) []Backup {
+	return slices.DeleteFunc(slices.Clone(partition.Backups), func(b Backup) bool { return !p.available(b.Store) })
+}
+
+// addBackups fills the backups of partition i up to the redundancy. The new
+// ones are not in sync until their primary reports it.
+func (p *planner) addBackups(i int, primary string, backups []Backup) []Backup {
+	candidates := append(p.desiredReplicas(i), p.lastResort...)
+	for _, name := range candidates {
+		if len(backups) >= p.redundancy.Backups {
+			break
+		}
+		if name != primary && !slices.ContainsFunc(backups, func(b Backup) bool { return b.Store == name }) {
+			backups = append(backups, Backup{Store: name})
+		}
+	}
+	return backups
+}
+
+// rebalance takes one step of a partition towards its desired replicas: it
+// hands the primary over, or adds missing replicas, or removes surplus ones.
+//
+// Safety: only a partition whose backups are all in sync moves, so that a
+// replica on its way in does not overlap with the next one on its way out.
+func (p *planner) rebalance(i int) {
+	partition := &p.next.Partitions[i]
+	if !partition.InSync(0) || !p.available(partition.Primary) {
+		return
+	}
+	desired := p.desiredReplicas(i)
+	if len(desired) == 0 {
+		return
+	}
+	if successor := p.successor(partition, desired); successor != "" {
+		p.handOver(i, successor)
+		return
+	}
+	if !p.restored && !p.mustMove(partition) {
+		return
+	}
+	if p.addMissingReplicas(partition, desired) {
+		return
+	}
+	p.removeSurplusBackups(partition, desired)
+}
+
+// successor is the backup that is to become primary while the primary is
+// available, or "". The backups are in sync. A primary that is not eligible any
+// more goes to any eligible backup at once; a move to the desired primary waits
+// until all partitions are restored.
+func (p *planner) successor(partition *Partition, desired []string) string {
+	if !p.eligible(partition.Primary) {
+		for _, backup := range partition.Backups {
+			if p.eligible(backup.Store) {
+				return backup.Store
+			}
+		}
+		return ""
+	}
+	if p.restored && partition.Primary != desired[0] && partition.Backup(desired[0]) >= 0 {
+		return desired[0]
+	}
+	return ""
+}
+
+// handOver makes a backup primary, and the primary a backup.
+//
+// Safety: the primary must have stopped in this very epoch; until then the
+// partition is listed as a handover. So there are never two primaries, and the
+// old one has all that the new one has.
+func (p *planner) handOver(i int, successor string) {
+	partition := &p.next.Partitions[i]
+	if p.released[i] != partition.Epoch {
+		p.handovers = append(p.handovers, i)
+		return
+	}
+	former := Backup{Store: partition.Primary, InSync: true}
+	p.reassign(partition, successor, append(partition.withoutBackup(successor), former))
+}
+
+// mustMove reports whether a replica is on a store that shuts down or is
+// retired: it moves even while other partitions are not restored.
+func (p *planner) mustMove(partition *Partition) bool {
+	if !p.eligible(partition.Primary) {
+		return true
+	}
+	return slices.ContainsFunc(partition.Backups, func(b Backup) bool { return !p.eligible(b.Store) })
+}
+
+// addMissingReplicas adds the desired replicas that a partition lacks, as
+// backups that are not in sync. It reports whether there were any.
+func (p *planner) addMissingReplicas(partition *Partition, desired []string) bool {
+	var missing []Backup
+	for _, name := range desired {
+		if !partition.Has(name) {
+			missing = append(missing, Backup{Store: name})
+		}
+	}
+	if len(missing) == 0 {
+		return false
+	}
+	p.reassign(partition, partition.Primary, append(slices.Clone(partition.Backups), missing...))
+	return true
+}
+
+// removeSurplusBackups removes the backups that are not desired.
+//
+// Safety: all desired replicas exist and all backups are in sync when this is
+// called, so what remains is complete. Nothing is removed if too few backups
+// remained, or while the primary itself is still to move.
+func (p *planner) removeSurplusBackups(partition *Partition, desired []string) {
+	remaining := slices.DeleteFunc(slices.Clone(partition.Backups), func(b Backup) bool { return !slices.Contains(desired, b.Store) })
+	surplus := len(partition.Backups) - len(remaining)
+	if surplus == 0 || len(remaining) < p.redundancy.Backups || !slices.Contains(desired, partition.Primary) {
+		return
+	}
+	p.reassign(partition, partition.Primary, remaining)
+}
+
+// completeRetirements completes the retirement of stores without replicas.
+func (p *planner) completeRetirements() {
+	for name, store := range p.next.Stores {
+		if store.Retire == RetireActive && !Holds(p.next, name) {
+			store.Retire = RetireComplete
+			p.next.Stores[name] = store
+			p.changed = true
+		}
+	}
+}
--- /dev/null
+++ b/internal/placement/preferred.go
@@ -0,0 +1,243 @@
+package placement
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+)
+
+// partitionsPerStore is how many partitions each store leads in the first
+// placement. The number of partitions never changes.
+const partitionsPerStore = 4
+
+// Initial makes the first placement. All backups are in sync, since all
+// partitions are empty.
+func Initial(stores map[string]StoreStatus, redundancy Redundancy) Placement {
+	p := Placement{Version: 1, Stores: map[string]Store{}}
+	for name, status := range stores {
+		p.Stores[name] = newStore(status)
+	}
+	t := newTopology(p.Stores)
+	p.InitialStores = len(t.active)
+	for i := range partitionsPerStore * len(t.active) {
+		p.Partitions = append(p.Partitions, Partition{Epoch: 1, PreferredPrimary: t.active[i%len(t.active)]})
+		partition := &p.Partitions[i]
+		replicas := p.idealReplicas(t, i, redundancy)
+		partition.Primary = replicas[0]
+		partition.PreferredBackups = replicas[1:]
+	}
+	p.assignPreferredBackups(t, redundancy)
+	for i := range p.Partitions {
+		partition := &p.Partitions[i]
+		for _, name := range partition.PreferredBackups {
+			partition.Backups = append(partition.Backups, Backup{Store: name, InSync: true})
+		}
+	}
+	return p
+}
+
+func newStore(status StoreStatus) Store {
+	return Store{Address: status.Address, Zone: status.Zone, Region: status.Region, Disk: status.Disk}
+}
+
+// round says how often the partitions before partition i have gone round the
+// stores of the first placement.
+func (p *Placement) round(i int) int { return i / max(1, p.InitialStores) }
+
+// idealReplicas is where partition i belongs if all active stores are
+// available, the primary first. The backups are as near as the redundancy
+// permits, since traffic between zones and regions is expensive. Where no store
+// permits it, the nearest one is chosen.
+func (p *Placement) idealReplicas(t *topology, i int, redundancy Redundancy) []string {
+	var replicas []string
+	var domains failureDomains
+	for len(replicas) <= redundancy.Backups {
+		remaining := redundancy.Backups + 1 - len(replicas)
+		chosen := ""
+		for name := range t.nearest(p.Partitions[i].PreferredPrimary, p.round(i)) {
+			if slices.Contains(replicas, name) {
+				continue
+			}
+			if domains.permits(t.stores[name], remaining, redundancy) {
+				chosen = name
+				break
+			}
+			if chosen == "" {
+				chosen = name
+			}
+		}
+		if chosen == "" {
+			break
+		}
+		replicas = append(replicas, chosen)
+		domains.add(t.stores[chosen])
+	}
+	return replicas
+}
+
+// assignPreferredPrimaries gives the partitions of retired stores to others,
+// and a store that was added its even part. All other partitions stay, so that
+// no more data moves than has to.
+func (p *Placement) assignPreferredPrimaries(t *topology) (changed bool) {
+	if len(t.active) == 0 {
+		return false
+	}
+	load := map[string]int{}
+	for _, partition := range p.Partitions {
+		load[partition.PreferredPrimary]++
+	}
+	move := func(i int, to string) {
+		load[p.Partitions[i].PreferredPrimary]--
+		load[to]++
+		p.Partitions[i].PreferredPrimary = to
+		changed = true
+	}
+	for i, partition := range p.Partitions {
+		if !t.isActive(partition.PreferredPrimary) {
+			move(i, t.leastLoadedNear(partition.PreferredPrimary, load))
+		}
+	}
+	even := len(p.Partitions) / len(t.active)
+	for _, name := range t.active {
+		for load[name] < even {
+			i := p.primaryToMove(t, name, load, even)
+			if i < 0 {
+				break
+			}
+			move(i, name)
+		}
+	}
+	return changed
+}
+
+// leastLoadedNear is the active store with the least load; among equals the
+// nearest to a store, then the first by name.
+func (t *topology) leastLoadedNear(from string, load map[string]int) string {
+	return slices.MinFunc(t.active, func(a, b string) int {
+		return cmp.Or(load[a]-load[b], t.distance(from, a)-t.distance(from, b), strings.Compare(a, b))
+	})
+}
+
+// primaryToMove is the partition that a store with less than the even load
+// takes over: one of the most loaded store above it, among equals the nearest.
+// It is -1 if no store is above the even load.
+func (p *Placement) primaryToMove(t *topology, to string, load map[string]int, even int) int {
+	best := -1
+	for i, partition := range p.Partitions {
+		from := partition.PreferredPrimary
+		if load[from] <= even {
+			continue
+		}
+		if best < 0 {
+			best = i
+			continue
+		}
+		bestFrom := p.Partitions[best].PreferredPrimary
+		if cmp.Or(load[bestFrom]-load[from], t.distance(to, from)-t.distance(to, bestFrom)) < 0 {
+			best = i
+		}
+	}
+	return best
+}
+
+// assignPreferredBackups chooses the preferred backups again where they are not
+// as near as the redundancy permits, and gives a store that was added its even
+// part of them. All others stay, so that no more data moves than has to.
+func (p *Placement) assignPreferredBackups(t *topology, redundancy Redundancy) (changed bool) {
+	load := map[string]int{}
+	total := 0
+	for _, partition := range p.Partitions {
+		for _, name := range partition.PreferredBackups {
+			load[name]++
+			total++
+		}
+	}
+	for i := range p.Partitions {
+		ideal := p.idealReplicas(t, i, redundancy)
+		if len(ideal) == 0 {
+			return false
+		}
+		partition := &p.Partitions[i]
+		if partition.hasIdealBackups(t, ideal) {
+			continue
+		}
+		partition.PreferredBackups = t.chooseBackups(partition, ideal[1:], load)
+		changed = true
+	}
+	even := total / max(1, len(t.active))
+	for _, name := range t.active {
+		for load[name] < even {
+			if !p.moveBackupTo(t, name, load, even) {
+				break
+			}
+			changed = true
+		}
+	}
+	return changed
+}
+
+// hasIdealBackups reports whether the preferred backups are active stores other
+// than the preferred primary, and as good as the ideal ones.
+func (p *Partition) hasIdealBackups(t *topology, ideal []string) bool {
+	for _, name := range p.PreferredBackups {
+		if !t.isActive(name) || name == p.PreferredPrimary {
+			return false
+		}
+	}
+	return slices.Equal(t.distanceProfile(p.PreferredPrimary, p.PreferredBackups), t.distanceProfile(ideal[0], ideal[1:]))
+}
+
+// chooseBackups chooses preferred backups in place of those of a partition, and
+// updates the load: for each ideal backup the least loaded store of its zone,
+// which is as good.
+func (t *topology) chooseBackups(partition *Partition, ideal []string, load map[string]int) []string {
+	for _, name := range partition.PreferredBackups {
+		load[name]--
+	}
+	var backups []string
+	for _, name := range ideal {
+		best := ""
+		for _, candidate := range t.active {
+			if t.stores[candidate].Zone != t.stores[name].Zone || candidate == partition.PreferredPrimary || slices.Contains(backups, candidate) {
+				continue
+			}
+			if best == "" || load[candidate] < load[best] {
+				best = candidate
+			}
+		}
+		backups = append(backups, best)
+		load[best]++
+	}
+	return backups
+}
+
+// moveBackupTo makes a store with less than the even load a preferred backup
+// in place of the most loaded store of its zone above it. It reports whether
+// there was one.
+func (p *Placement) moveBackupTo(t *topology, to string, load map[string]int, even int) bool {
+	from := ""
+	bestPartition, bestIndex := -1, 0
+	for i, partition := range p.Partitions {
+		if partition.PreferredPrimary == to || slices.Contains(partition.PreferredBackups, to) {
+			continue
+		}
+		for j, name := range partition.PreferredBackups {
+			if t.stores[name].Zone != t.stores[to].Zone || load[name] <= even {
+				continue
+			}
+			if bestPartition < 0 || load[name] > load[from] {
+				from = name
+				bestPartition, bestIndex = i, j
+			}
+		}
+	}
+	if bestPartition < 0 {
+		return false
+	}
+	load[from]--
+	load[to]++
+	partition := &p.Partitions[bestPartition]
+	partition.PreferredBackups = slices.Clone(partition.PreferredBackups) // the previous placement has the same list
+	partition.PreferredBackups[bestIndex] = to
+	return true
+}
