--- a/cmd/saltreel-control/main.go
+++ b/cmd/saltreel-control/main.go
@@ -128,7 +128,7 @@
 
 func read(cmd *cobra.Command, path string) ([]byte, error) {
 	if path == "-" {
-		return io.ReadAll(io.LimitReader(cmd.InOrStdin(), operator.MaxConfiguration))
+		return io.ReadAll(io.LimitReader(cmd.InOrStdin(), operator.MaxConfigurationBytes))
 	}
 	return os.ReadFile(path)
 }
@@ -145,7 +145,7 @@
 			if err != nil {
 				return err
 			}
-			var state operator.Retiring
+			var state operator.RetireStatus
 			if err := json.Unmarshal(raw, &state); err != nil {
 				return err
 			}
--- /dev/null
+++ b/internal/operator/client.go
@@ -0,0 +1,135 @@
+package operator
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"net/url"
+	"strconv"
+	"time"
+
+	"saltreel/internal/httpwire"
+	"saltreel/internal/rpc"
+)
+
+// Bounds of the attempts of one order.
+const (
+	attemptsPerServer = 4
+	initialBackoff    = 50 * time.Millisecond // doubles after each attempt
+	// A server redirects to the one that answers. That one may have just been
+	// replaced and redirect once more; a longer chain is a loop.
+	maxRedirects = 2
+)
+
+// Client sends orders to the control plane.
+type Client struct {
+	Pool     *httpwire.Pool
+	Controls []string      // addresses of the control plane, host:port
+	Timeout  time.Duration // of one attempt, redirects included
+}
+
+// Do sends one order and returns the body of the answer. It follows redirects,
+// and sends the same order to the next server after a failure, a 5xx, a 408 or a
+// 429, until an answer is conclusive. The error is an *IndeterminateError if the
+// order may have taken effect in any of the attempts.
+func (c *Client) Do(ctx context.Context, call httpwire.Call) ([]byte, error) {
+	if len(c.Controls) == 0 {
+		return nil, errors.New("no control address is given")
+	}
+	var lastErr, indeterminate error
+	backoff := initialBackoff
+	for attempt := range attemptsPerServer * len(c.Controls) {
+		if attempt > 0 {
+			select {
+			case <-time.After(backoff):
+			case <-ctx.Done():
+				return nil, cmp.Or(indeterminate, lastErr)
+			}
+			backoff *= 2
+		}
+		body, err := c.attempt(ctx, c.Controls[attempt%len(c.Controls)], call)
+		outcome := outcomeOf(err)
+		if outcome == succeeded || outcome == rejected {
+			return body, err
+		}
+		lastErr = err
+		if call.Method != http.MethodGet && outcome == unknown {
+			indeterminate = &IndeterminateError{err}
+		}
+		if ctx.Err() != nil {
+			break
+		}
+	}
+	return nil, cmp.Or(indeterminate, lastErr)
+}
+
+// attempt sends an order to one server, and to where that redirects.
+func (c *Client) attempt(ctx context.Context, address string, call httpwire.Call) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
+	defer cancel()
+	for range 1 + maxRedirects {
+		call.Host = address
+		answer, err := c.Pool.Do(ctx, address, &call)
+		if err != nil {
+			return nil, fmt.Errorf("%s %s: %w", call.Method, call.Target, err)
+		}
+		if answer.Status != http.StatusTemporaryRedirect {
+			if err := errorOf(answer.Status, answer.Body); err != nil {
+				return nil, &httpwire.Error{Step: call.Method + " " + call.Target, Peer: address, Sent: true, Err: err}
+			}
+			return answer.Body, nil
+		}
+		location, err := url.Parse(answer.Header.Get("Location"))
+		if err != nil || location.Host == "" {
+			return nil, &httpwire.Error{Step: "redirect", Peer: address, Err: fmt.Errorf("location %q", answer.Header.Get("Location"))}
+		}
+		address = location.Host
+		call.Target = location.RequestURI()
+	}
+	return nil, &httpwire.Error{Step: "redirect", Peer: address, Err: errors.New("too many redirects")}
+}
+
+// Get reads the resource at a path.
+func (c *Client) Get(ctx context.Context, path string) ([]byte, error) {
+	return c.Do(ctx, httpwire.Call{Method: http.MethodGet, Target: path})
+}
+
+// PutConfiguration sends a configuration that is based on the revision match.
+// The text of the error says what the operator is to do.
+func (c *Client) PutConfiguration(ctx context.Context, raw []byte, match int64) error {
+	_, err := c.Do(ctx, httpwire.Call{
+		Method: http.MethodPut,
+		Target: "/v1/configuration",
+		Body:   raw,
+		Header: []string{"If-Match", strconv.FormatInt(match, 10), "Content-Type", "application/json"},
+	})
+	switch {
+	case err == nil:
+		return nil
+	case errors.As(err, new(*IndeterminateError)):
+		return fmt.Errorf("it is unclear whether the configuration is in force; send the same file again with --if-match %d: %w", match, err)
+	case rpc.StatusCode(err) == http.StatusPreconditionFailed:
+		// The servers recognize an order that took effect when it is sent again,
+		// so this is conclusive after indeterminate attempts too.
+		return fmt.Errorf("the configuration was not taken, another change came first; build on the one in force: %w", err)
+	case outcomeOf(err) == rejected:
+		return fmt.Errorf("the configuration was not taken, it is refused: %w", err)
+	}
+	return fmt.Errorf("the configuration was not taken, no core could take it; send the same file again with --if-match %d: %w", match, err)
+}
+
+// Retire orders a store to be emptied.
+func (c *Client) Retire(ctx context.Context, store string, deadline time.Duration) error {
+	_, err := c.Do(ctx, httpwire.Call{
+		Method: http.MethodPost,
+		Target: retirePath + url.PathEscape(store),
+		Body:   fmt.Appendf(nil, `{"deadline-s":%g}`, deadline.Seconds()),
+		Header: []string{"Content-Type", "application/json"},
+	})
+	if errors.As(err, new(*IndeterminateError)) {
+		return fmt.Errorf("it is unclear whether %s is being emptied; send the order again: %w", store, err)
+	}
+	return err
+}
--- /dev/null
+++ b/internal/operator/errors_test.go
@@ -0,0 +1,63 @@
+package operator
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+
+	"saltreel/internal/controlplane"
+	"saltreel/internal/httpwire"
+	"saltreel/internal/rpc"
+)
+
+func TestStatusOfErrors(t *testing.T) {
+	rejected := &controlplane.RejectedError{Code: 412, Text: "revision 7 is in force"}
+	unavailable := &controlplane.UnavailableError{Err: errors.New("no view")}
+	for _, c := range []struct {
+		err    error
+		write  bool
+		status int
+		text   string
+	}{
+		{rejected, true, 412, "revision 7 is in force"},
+		{fmt.Errorf("propose: %w", rejected), true, 412, "revision 7 is in force"},
+		{unavailable, true, 503, "no view"},
+		{unavailable, false, 503, "no view"},
+		{errors.New("time-out"), true, 504, "time-out"}, // the order may take effect
+		{errors.New("time-out"), false, 503, "time-out"},
+	} {
+		if status, text := statusOf(c.err, c.write); status != c.status || text != c.text {
+			t.Errorf("%v, write is %v: %d %q, not %d %q", c.err, c.write, status, text, c.status, c.text)
+		}
+	}
+}
+
+func TestOutcomeOfAttempts(t *testing.T) {
+	for _, c := range []struct {
+		err     error
+		outcome outcome
+	}{
+		{nil, succeeded},
+		{&httpwire.Error{Err: errors.New("refused")}, noEffect},
+		{&httpwire.Error{Sent: true, Err: errors.New("closed")}, unknown},
+		{errors.New("other"), unknown},
+		{errorOf(200, nil), succeeded},
+		{errorOf(204, nil), succeeded},
+		{errorOf(304, nil), unknown},
+		{errorOf(400, nil), rejected},
+		{errorOf(404, nil), rejected},
+		{errorOf(408, nil), noEffect},
+		{errorOf(412, nil), rejected},
+		{errorOf(429, nil), noEffect},
+		{errorOf(500, nil), unknown},
+		{errorOf(503, nil), noEffect},
+		{errorOf(504, nil), unknown},
+	} {
+		if got := outcomeOf(c.err); got != c.outcome {
+			t.Errorf("%v: %d, not %d", c.err, got, c.outcome)
+		}
+	}
+	if text := errorOf(409, []byte("too few stores")).Error(); text != (&rpc.StatusError{Code: 409, Text: "too few stores"}).Error() {
+		t.Errorf("the text of the answer is lost: %s", text)
+	}
+}
--- a/internal/operator/serve.go
+++ b/internal/operator/serve.go
@@ -13,50 +13,79 @@
 )
 
 // Serve runs a core with the listener for handlers and the operator, until ctx
-// ends. A core whose state on disk was found damaged is made anew: it joins as
-// one with an empty disk.
-func Serve(ctx context.Context, c *controlplane.Server, set *settings.Settings, network httpwire.Network, logger *log.Logger) error {
+// ends. A core that finds its state on disk damaged is replaced by a new one,
+// which joins like one with an empty disk.
+func Serve(ctx context.Context, core *controlplane.Server, set *settings.Settings, network httpwire.Network, logger *log.Logger) error {
 	for {
-		err := serve(ctx, c, set, network, logger)
+		err := serve(ctx, core, set, network, logger)
 		if !errors.Is(err, controlplane.ErrDamaged) || ctx.Err() != nil {
 			return err
 		}
-		if c, err = controlplane.New(set, network, logger); err != nil {
+		if core, err = controlplane.New(set, network, logger); err != nil {
 			return err
 		}
 	}
 }
 
-func serve(ctx context.Context, c *controlplane.Server, set *settings.Settings, network httpwire.Network, logger *log.Logger) error {
-	l, err := network.Listen(set.Listeners.ControlPlane)
+// serve runs one core until ctx ends or the core fails.
+func serve(ctx context.Context, core *controlplane.Server, set *settings.Settings, network httpwire.Network, logger *log.Logger) error {
+	listener, err := network.Listen(set.Listeners.ControlPlane)
 	if err != nil {
 		return fmt.Errorf("listen for handlers and the operator: %w", err)
 	}
-	desk := &Server{c}
-	s := &httpwire.Server{Log: logger, Handle: c.ServeControl(desk.Handle), Limits: func() httpwire.Limits {
-		return httpwire.Limits{HeaderBytes: 16 << 10, BodyBytes: MaxConfiguration, HeaderTimeout: set.Contact(), BodyTimeout: 2 * set.Contact(), IdleTimeout: 8 * set.Contact()}
-	}}
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	done := make(chan error, 1)
-	go func() { done <- c.Run(life) }()
-	go func() { _ = s.Serve(life, l) }()
+	orders := &Server{Core: core}
+	server := &httpwire.Server{
+		Log:    logger,
+		Handle: core.ServeControl(orders.Handle),
+		Limits: func() httpwire.Limits { return listenerLimits(set) },
+	}
+	// The core goes on after ctx ends, until the listener has shut down.
+	running, stop := context.WithCancel(context.WithoutCancel(ctx))
+	defer stop()
+	coreDone := make(chan error, 1)
+	go func() { coreDone <- core.Run(running) }()
+	go func() { _ = server.Serve(running, listener) }()
 	logger.Printf("core: started")
+
 	select {
 	case <-ctx.Done():
-	case err := <-done:
-		end()
-		s.Shutdown(life)
+	case err := <-coreDone:
+		stop()
+		server.Shutdown(running)
 		return err
 	}
-	stop, cancel := context.WithTimeout(context.Background(), settings.Seconds(set.Timers.GraceS)/8)
+	shutdown, cancel := context.WithTimeout(context.Background(), shutdownTimeout(set))
 	defer cancel()
-	s.Shutdown(stop)
-	end()
+	server.Shutdown(shutdown)
+	stop()
 	select {
-	case err = <-done:
-	case <-time.After(settings.Seconds(set.Timers.GraceS) / 4):
+	case err = <-coreDone:
+	case <-time.After(coreStopTimeout(set)):
 	}
 	logger.Printf("core: ended")
 	return err
 }
+
+// listenerLimits bounds what one connection may cost. The timeouts are multiples
+// of the contact bound, like all waits inside the system.
+func listenerLimits(set *settings.Settings) httpwire.Limits {
+	return httpwire.Limits{
+		HeaderBytes:   16 << 10,
+		BodyBytes:     MaxConfigurationBytes,
+		HeaderTimeout: set.Contact(),
+		BodyTimeout:   2 * set.Contact(),
+		IdleTimeout:   8 * set.Contact(),
+	}
+}
+
+// shutdownTimeout is how long requests in progress may take at shutdown. With
+// coreStopTimeout it is well under the grace period, after which the platform
+// kills the process.
+func shutdownTimeout(set *settings.Settings) time.Duration {
+	return settings.Seconds(set.Timers.GraceS) / 8
+}
+
+// coreStopTimeout is how long the core may take to stop after that.
+func coreStopTimeout(set *settings.Settings) time.Duration {
+	return settings.Seconds(set.Timers.GraceS) / 4
+}
--- /dev/null
+++ b/internal/operator/server.go
@@ -0,0 +1,125 @@
+// Package operator is the operator's interface to the control plane: the HTTP
+// server at each core that takes orders, and the client that the commands send
+// them with. docs/operations.md describes the orders.
+package operator
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+	"strconv"
+	"strings"
+
+	"saltreel/internal/controlplane"
+	"saltreel/internal/httpwire"
+	"saltreel/internal/placement"
+)
+
+// MaxConfigurationBytes bounds the body of a configuration.
+const MaxConfigurationBytes = 4 << 20
+
+// Paths of the operator's interface.
+const (
+	configurationPath = "/v1/configuration"
+	statusPath        = "/v1/status"
+	retirePath        = "/v1/retire/" // followed by the name of the store
+)
+
+// Server answers the operator at one core.
+type Server struct{ Core *controlplane.Server }
+
+// Handle answers one request. A core that cannot answer redirects to the one
+// that can, if it knows one: the client may reach what this core cannot.
+func (s *Server) Handle(ctx context.Context, r *httpwire.Request) *httpwire.Response {
+	write := r.Method != http.MethodGet
+	if !s.Core.Steady() {
+		if target := s.Core.Elsewhere(write); target != "" {
+			return redirect(target, r)
+		}
+	}
+	answer, err := s.route(ctx, r)
+	if err == nil {
+		return answer
+	}
+	if isUnavailable(err) {
+		if target := s.Core.Elsewhere(write); target != "" {
+			return redirect(target, r)
+		}
+	}
+	return httpwire.Problem(statusOf(err, write))
+}
+
+func redirect(address string, r *httpwire.Request) *httpwire.Response {
+	return &httpwire.Response{Status: http.StatusTemporaryRedirect, Header: []string{"Location", "http://" + address + r.URL.RequestURI()}}
+}
+
+// route returns the answer to a request, or the error of the control plane.
+func (s *Server) route(ctx context.Context, r *httpwire.Request) (*httpwire.Response, error) {
+	path := r.URL.Path
+	switch {
+	case path == configurationPath && r.Method == http.MethodPut:
+		return s.putConfiguration(ctx, r)
+	case path == configurationPath && r.Method == http.MethodGet:
+		return s.getConfiguration(ctx)
+	case path == configurationPath:
+		return httpwire.Problem(http.StatusMethodNotAllowed, "the configuration takes GET and PUT"), nil
+	case strings.HasPrefix(path, retirePath):
+		return s.retire(ctx, r, strings.TrimPrefix(path, retirePath))
+	case path == statusPath && r.Method == http.MethodGet:
+		overview, err := s.Core.Status(ctx)
+		return httpwire.JSON(http.StatusOK, overview), err
+	}
+	return httpwire.Problem(http.StatusNotFound, "no such call: "+path), nil
+}
+
+func (s *Server) putConfiguration(ctx context.Context, r *httpwire.Request) (*httpwire.Response, error) {
+	match, err := parseRevision(r.Header.Get("If-Match"))
+	if err != nil {
+		return httpwire.Problem(http.StatusBadRequest, "If-Match is not a revision"), nil
+	}
+	if len(r.Body) == 0 {
+		return httpwire.Problem(http.StatusBadRequest, "the configuration is empty"), nil
+	}
+	err = s.Core.Propose(ctx, controlplane.Proposal{Configuration: r.Body, Match: match})
+	return httpwire.JSON(http.StatusOK, struct{}{}), err
+}
+
+// parseRevision reads the value of If-Match, quoted or not; 0 if there is none.
+func parseRevision(value string) (int64, error) {
+	value = strings.Trim(value, `"`)
+	if value == "" {
+		return 0, nil
+	}
+	return strconv.ParseInt(value, 10, 64)
+}
+
+func (s *Server) getConfiguration(ctx context.Context) (*httpwire.Response, error) {
+	raw, err := s.Core.Configuration(ctx)
+	if err == nil && raw == nil {
+		return httpwire.Problem(http.StatusNotFound, "there is no configuration yet"), nil
+	}
+	return &httpwire.Response{Status: http.StatusOK, Header: []string{"Content-Type", "application/json"}, Body: raw}, err
+}
+
+// RetireStatus is how far the retirement of a store is.
+type RetireStatus struct {
+	State string `json:"oper-state"` // placement.RetireActive or RetireComplete
+}
+
+func (s *Server) retire(ctx context.Context, r *httpwire.Request, store string) (*httpwire.Response, error) {
+	switch r.Method {
+	case http.MethodPost:
+		var order struct {
+			Deadline float64 `json:"deadline-s"`
+		}
+		if len(r.Body) > 0 && (json.Unmarshal(r.Body, &order) != nil || order.Deadline < 0) {
+			return httpwire.Problem(http.StatusBadRequest, "the order cannot be read"), nil
+		}
+		err := s.Core.Propose(ctx, controlplane.Proposal{Retire: store})
+		return httpwire.JSON(http.StatusOK, RetireStatus{placement.RetireActive}), err
+	case http.MethodGet:
+		state, err := s.Core.RetireState(ctx, store)
+		return httpwire.JSON(http.StatusOK, RetireStatus{state}), err
+	}
+	return httpwire.Problem(http.StatusMethodNotAllowed, "retire takes POST and GET"), nil
+}
