--- /dev/null
+++ b/internal/configuration/table.go
@@ -0,0 +1,89 @@
+package configuration
+
+import (
+	"net"
+	"sort"
+	"strings"
+)
+
+// Table is a configuration with indexes for the lookups of requests. It is
+// immutable, so that it needs no lock.
+type Table struct {
+	*Configuration
+	routes   map[string][]*Route // by host in lower case, longest prefix first
+	services map[string]*Service
+	tenants  map[string]*Tenant
+	keys     map[string]*Tenant // by API key
+}
+
+// NewTable indexes a configuration that Parse has checked. The caller must not
+// modify it afterwards.
+func NewTable(c *Configuration) *Table {
+	t := &Table{
+		Configuration: c,
+		routes:        map[string][]*Route{},
+		services:      map[string]*Service{},
+		tenants:       map[string]*Tenant{},
+		keys:          map[string]*Tenant{},
+	}
+	for _, route := range c.RouteTable {
+		host := strings.ToLower(route.HostMatch)
+		t.routes[host] = append(t.routes[host], route)
+	}
+	for _, list := range t.routes {
+		sort.SliceStable(list, func(i, j int) bool { return len(list[i].PathPrefix) > len(list[j].PathPrefix) })
+	}
+	for _, service := range c.ServiceTable {
+		t.services[service.Name] = service
+	}
+	for _, tenant := range c.TenantTable {
+		t.tenants[tenant.Name] = tenant
+		for _, key := range tenant.ApiKeys {
+			t.keys[key] = tenant
+		}
+	}
+	return t
+}
+
+// Route returns the route with the longest prefix that matches a host, with or
+// without a port, and a request target; nil if none matches.
+func (t *Table) Route(host, target string) *Route {
+	path, _, _ := strings.Cut(target, "?")
+	for _, route := range t.routesOf(host) {
+		if strings.HasPrefix(path, route.PathPrefix) {
+			return route
+		}
+	}
+	return nil
+}
+
+// HasHost reports whether any route matches a host, with or without a port.
+func (t *Table) HasHost(host string) bool { return t.routesOf(host) != nil }
+
+// routesOf returns the routes of a host. A host with a port may be configured
+// as such; otherwise the routes of the host without it apply.
+func (t *Table) routesOf(host string) []*Route {
+	host = strings.ToLower(host)
+	if list := t.routes[host]; list != nil {
+		return list
+	}
+	name, _, err := net.SplitHostPort(host)
+	if err != nil {
+		return nil
+	}
+	return t.routes[name]
+}
+
+// Service returns the service of a name; nil if there is none.
+func (t *Table) Service(name string) *Service { return t.services[name] }
+
+// Tenant returns the tenant of a name; nil if there is none.
+func (t *Table) Tenant(name string) *Tenant { return t.tenants[name] }
+
+// Holder returns the tenant that an API key belongs to; nil if there is none.
+func (t *Table) Holder(key string) *Tenant {
+	if key == "" {
+		return nil
+	}
+	return t.keys[key]
+}
