--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -1,71 +1,83 @@
 package quota
 
 import (
-	"container/heap"
 	"context"
+	"maps"
 	"sync"
 	"time"
 )
 
-// Type is what a quota counts.
+// Type says what a quota counts.
 type Type string
 
 // The types of quota.
 const (
-	RequestBytes  Type = "request-bytes"
-	DeliveryBytes Type = "delivery-bytes"
-	RequestTime   Type = "request-time"
-	Accepted      Type = "accepted"
+	RequestBytes  Type = "request-bytes"  // bytes of requests
+	DeliveryBytes Type = "delivery-bytes" // bytes sent to handlers
+	RequestTime   Type = "request-time"   // seconds of processing
+	Accepted      Type = "accepted"       // accepted messages
 )
 
 // Default stands for any tenant or route in the key of a limit.
 const Default = "*"
 
-// Entity names what a limit is for. An empty route means all of them together.
+// Entity is what a limit or a sensor is for. An empty route stands for all
+// routes together.
 type Entity struct{ Tenant, Route string }
 
-// Idle is how long a sensor is kept without use.
+// Idle is the time without use after which a sensor is removed.
 const Idle = time.Hour
 
-// Manager keeps the sensors and the holds of one type.
+// sweepInterval is the time between two searches for idle sensors.
+const sweepInterval = Idle / 60
+
+// Manager owns the limits, the sensors and the delay queue of one type. Its
+// methods may be called by any goroutine.
 type Manager struct {
 	Type Type
 
 	mu      sync.Mutex
 	limits  map[Entity]float64
 	sensors map[Entity]*Sensor
-	swept   time.Time
+	swept   time.Time // when idle sensors were last removed
 
-	queue delayQueue
+	queue delayQueue // has its own lock
 }
 
-// NewManager makes a manager without limits.
+// NewManager returns a manager without limits.
 func NewManager(t Type) *Manager {
-	return &Manager{Type: t, limits: map[Entity]float64{}, sensors: map[Entity]*Sensor{}, queue: delayQueue{wake: make(chan struct{}, 1)}}
+	return &Manager{
+		Type:    t,
+		limits:  map[Entity]float64{},
+		sensors: map[Entity]*Sensor{},
+		queue:   delayQueue{wake: make(chan struct{}, 1)},
+	}
 }
 
-// Limit sets the bound of an entity. What was used is kept.
+// Limit sets the limit of an entity, a second. Its sensor is unaffected.
 func (m *Manager) Limit(e Entity, perSecond float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.limits[e] = perSecond
 }
 
-// Unlimit takes the bound of an entity away.
+// Unlimit removes the limit of an entity.
 func (m *Manager) Unlimit(e Entity) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.limits, e)
 }
 
-// Replace sets all limits at once. What was used is kept.
+// Replace sets all limits at once; the manager owns the map from then on. The
+// sensors are unaffected.
 func (m *Manager) Replace(limits map[Entity]float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.limits = limits
 }
 
-// resolve finds the most specific limit and the entity whose sensor counts.
+// resolve returns the most specific limit of a tenant on a route, and the
+// entity whose sensor measures it.
 func (m *Manager) resolve(tenant, route string) (Entity, float64, bool) {
 	for _, try := range [...]struct{ limit, sensor Entity }{
 		{Entity{tenant, route}, Entity{tenant, route}},
@@ -80,36 +92,31 @@
 	return Entity{}, 0, false
 }
 
+// sensor returns the sensor of a tenant on a route with its limit, and adds it
+// if there is none; nil if there is no limit.
 func (m *Manager) sensor(tenant, route string, now time.Time) (*Sensor, float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.limits) == 0 {
 		return nil, 0
 	}
-	e, bound, ok := m.resolve(tenant, route)
+	entity, bound, ok := m.resolve(tenant, route)
 	if !ok {
 		return nil, 0
 	}
-	if now.Sub(m.swept) > Idle/60 {
+	if now.Sub(m.swept) > sweepInterval {
 		m.swept = now
-		for k, s := range m.sensors {
-			s.mu.Lock()
-			idle := s.began && now.Sub(s.used) > Idle
-			s.mu.Unlock()
-			if idle {
-				delete(m.sensors, k)
-			}
-		}
+		maps.DeleteFunc(m.sensors, func(_ Entity, s *Sensor) bool { return s.idle(now, Idle) })
 	}
-	s := m.sensors[e]
+	s := m.sensors[entity]
 	if s == nil {
 		s = &Sensor{}
-		m.sensors[e] = s
+		m.sensors[entity] = s
 	}
 	return s, bound
 }
 
-// Record counts a use and then checks it: the result is the throttle time X,
+// Record records a use and then checks the limit: it returns the throttle time,
 // 0 within the limit.
 func (m *Manager) Record(tenant, route string, value float64) time.Duration {
 	now := time.Now()
@@ -121,7 +128,7 @@
 	return Throttle(s.Rate(now), bound)
 }
 
-// Rate is what was observed of late, a second.
+// Rate returns the measured rate a second; 0 if there is no limit.
 func (m *Manager) Rate(tenant, route string) float64 {
 	now := time.Now()
 	s, _ := m.sensor(tenant, route, now)
@@ -131,7 +138,7 @@
 	return s.Rate(now)
 }
 
-// Unrecord takes back what was recorded for something that did not happen.
+// Unrecord cancels the record of something that did not happen.
 func (m *Manager) Unrecord(tenant, route string, value float64) {
 	now := time.Now()
 	if s, _ := m.sensor(tenant, route, now); s != nil {
@@ -139,7 +146,8 @@
 	}
 }
 
-// MaxInWindow is the most that may be used at once without a sure throttle.
+// MaxInWindow returns the most that an idle tenant may use at once without being
+// throttled; false if there is no limit.
 func (m *Manager) MaxInWindow(tenant, route string) (float64, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -147,104 +155,26 @@
 	return bound * (Samples - 1) * Window.Seconds(), ok
 }
 
-// Hold gives a channel that the reaper closes, once, after d, or after a
-// window where d is longer.
+// Hold adds a hold and returns a channel that the reaper closes after d, or
+// after a window if d is longer.
 func (m *Manager) Hold(d time.Duration) <-chan struct{} {
-	h := &held{until: time.Now().Add(min(d, Window)), released: make(chan struct{})}
+	h := &hold{until: time.Now().Add(min(d, Window)), released: make(chan struct{})}
 	m.queue.add(h)
 	return h.released
 }
 
-// Held is how many holds there are.
-func (m *Manager) Held() int {
-	m.queue.mu.Lock()
-	defer m.queue.mu.Unlock()
-	return len(m.queue.list)
-}
+// Held returns the number of holds.
+func (m *Manager) Held() int { return m.queue.len() }
 
-// Reap is the reaper of this type: the only one that releases holds. It runs
-// until ctx ends and then releases all.
+// Reap releases the holds when they are due; only it does. It runs until ctx
+// ends and then releases all.
 func (m *Manager) Reap(ctx context.Context) {
 	for ctx.Err() == nil {
 		if h := m.queue.poll(ctx, Window); h != nil {
 			close(h.released)
 		}
 	}
-	m.queue.mu.Lock()
-	defer m.queue.mu.Unlock()
-	for _, h := range m.queue.list {
+	for _, h := range m.queue.removeAll() {
 		close(h.released)
 	}
-	m.queue.list = nil
-}
-
-// held is one hold on the delay queue.
-type held struct {
-	until    time.Time
-	released chan struct{}
-}
-
-// delayQueue gives its entries out once their time has come, oldest first.
-type delayQueue struct {
-	mu   sync.Mutex
-	list heldHeap
-	wake chan struct{}
-}
-
-func (q *delayQueue) add(h *held) {
-	q.mu.Lock()
-	heap.Push(&q.list, h)
-	first := q.list[0] == h
-	q.mu.Unlock()
-	if first {
-		select {
-		case q.wake <- struct{}{}:
-		default:
-		}
-	}
-}
-
-// poll waits for the next entry that is due, for at most the time given.
-func (q *delayQueue) poll(ctx context.Context, most time.Duration) *held {
-	end := time.Now().Add(most)
-	for {
-		q.mu.Lock()
-		now := time.Now()
-		if len(q.list) > 0 && !q.list[0].until.After(now) {
-			h := heap.Pop(&q.list).(*held)
-			q.mu.Unlock()
-			return h
-		}
-		until := end
-		if len(q.list) > 0 && q.list[0].until.Before(end) {
-			until = q.list[0].until
-		}
-		q.mu.Unlock()
-		if !now.Before(end) {
-			return nil
-		}
-		t := time.NewTimer(until.Sub(now))
-		select {
-		case <-t.C:
-		case <-q.wake:
-		case <-ctx.Done():
-			t.Stop()
-			return nil
-		}
-		t.Stop()
-	}
-}
-
-type heldHeap []*held
-
-func (h heldHeap) Len() int           { return len(h) }
-func (h heldHeap) Less(i, j int) bool { return h[i].until.Before(h[j].until) }
-func (h heldHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *heldHeap) Push(x any)        { *h = append(*h, x.(*held)) }
-func (h *heldHeap) Pop() any {
-	old := *h
-	x := old[len(old)-1]
-	old[len(old)-1] = nil
-	*h = old[:len(old)-1]
-	return x
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -9,44 +9,45 @@
 	"time"
 )
 
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-6*math.Max(1, math.Abs(b)) }
+// approximately reports whether two numbers differ by rounding only.
+func approximately(a, b float64) bool { return math.Abs(a-b) < 1e-6*math.Max(1, math.Abs(b)) }
 
-func TestRatePadsItsSpanAndForgetsOldWindows(t *testing.T) {
+func TestRatePadsItsSpanAndExpiresOldWindows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &Sensor{}
 		s.record(100, time.Now())
-		if r := s.Rate(time.Now()); !near(r, 10) {
+		if r := s.Rate(time.Now()); !approximately(r, 10) {
 			t.Errorf("fresh sensor: %v, not 100 over ten padded windows", r)
 		}
 		time.Sleep(500 * time.Millisecond)
-		if r := s.Rate(time.Now()); !near(r, 100/10.5) {
+		if r := s.Rate(time.Now()); !approximately(r, 100/10.5) {
 			t.Errorf("after half a window: %v", r)
 		}
 		time.Sleep(9500 * time.Millisecond)
 		s.record(100, time.Now())
-		if r := s.Rate(time.Now()); !near(r, 20) {
-			t.Errorf("ten whole windows: %v", r)
+		if r := s.Rate(time.Now()); !approximately(r, 20) {
+			t.Errorf("ten complete windows: %v", r)
 		}
 		time.Sleep(1500 * time.Millisecond)
-		if r := s.Rate(time.Now()); !near(r, 100/(1.5+9)) {
+		if r := s.Rate(time.Now()); !approximately(r, 100/(1.5+9)) {
 			t.Errorf("the oldest window is still counted: %v", r)
 		}
 	})
 }
 
-func TestThrottleTimeBringsTheRateBackToItsBound(t *testing.T) {
+func TestThrottleTimeBringsRateBackToBound(t *testing.T) {
 	for _, c := range []struct{ o, b, x float64 }{{10, 10, 0}, {5, 10, 0}, {15, 10, 0.5}, {30, 10, 2}} {
-		if x := Throttle(c.o, c.b); !near(x.Seconds(), c.x) {
+		if x := Throttle(c.o, c.b); !approximately(x.Seconds(), c.x) {
 			t.Errorf("O=%v T=%v: X=%v, not %v", c.o, c.b, x, c.x)
 		}
 		w, x := Window.Seconds(), c.x
-		if c.o > c.b && !near(c.o*w/(w+x), c.b) {
+		if c.o > c.b && !approximately(c.o*w/(w+x), c.b) {
 			t.Errorf("O·W/(W+X) is not T for %v", c)
 		}
 	}
 }
 
-func TestEachRequestIsRecordedThenChecked(t *testing.T) {
+func TestRequestIsRecordedThenChecked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := NewManager(RequestBytes)
 		if x := m.Record("a", "r", 1e9); x != 0 {
@@ -56,39 +57,39 @@
 		if x := m.Record("a", "r", 100); x != 0 {
 			t.Errorf("at the bound: X=%v", x)
 		}
-		if x := m.Record("a", "other", 50); !near(x.Seconds(), 0.5) {
+		if x := m.Record("a", "other", 50); !approximately(x.Seconds(), 0.5) {
 			t.Errorf("half over the bound: X=%v", x)
 		}
 		if x := m.Record("b", "r", 1e6); x != 0 {
 			t.Errorf("another tenant: X=%v", x)
 		}
 		m.Unrecord("a", "r", 50)
-		if r := m.Rate("a", "r"); !near(r, 10) {
-			t.Errorf("what was taken back still counts: %v", r)
+		if r := m.Rate("a", "r"); !approximately(r, 10) {
+			t.Errorf("what was cancelled still counts: %v", r)
 		}
-		if most, ok := m.MaxInWindow("a", "r"); !ok || !near(most, 100) {
+		if most, ok := m.MaxInWindow("a", "r"); !ok || !approximately(most, 100) {
 			t.Errorf("clamp: %v", most)
 		}
 	})
 }
 
-func TestNewLimitKeepsWhatWasUsed(t *testing.T) {
+func TestNewLimitDoesNotResetSensor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := NewManager(Accepted)
 		m.Limit(Entity{Tenant: "a"}, 1000)
 		m.Record("a", "r", 200)
 		m.Replace(map[Entity]float64{{Tenant: "a"}: 10})
-		if x := m.Record("a", "r", 0); !near(x.Seconds(), 1) {
+		if x := m.Record("a", "r", 0); !approximately(x.Seconds(), 1) {
 			t.Errorf("after the limit fell: X=%v, not 1 s for 20 a second against 10", x)
 		}
 		m.Limit(Entity{Tenant: "a"}, 1000)
-		if r := m.Rate("a", "r"); !near(r, 20) {
+		if r := m.Rate("a", "r"); !approximately(r, 20) {
 			t.Errorf("the use was reset: %v", r)
 		}
 	})
 }
 
-func TestTheMostSpecificLimitCounts(t *testing.T) {
+func TestMostSpecificLimitApplies(t *testing.T) {
 	m := NewManager(RequestBytes)
 	m.Replace(map[Entity]float64{{"a", "r"}: 1, {"a", Default}: 2, {"a", ""}: 3, {Default, ""}: 4})
 	for _, c := range []struct {
@@ -106,7 +107,7 @@
 	}
 }
 
-func TestReaperReleasesEachHoldOnceInItsTime(t *testing.T) {
+func TestReaperReleasesEachHoldOnceWhenDue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := NewManager(RequestTime)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -140,7 +141,7 @@
 	})
 }
 
-func TestIdleSensorsExpire(t *testing.T) {
+func TestIdleSensorsAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := NewManager(RequestBytes)
 		m.Limit(Entity{Tenant: Default}, 1)
--- a/internal/quota/sensor.go
+++ b/internal/quota/sensor.go
@@ -1,6 +1,10 @@
-// Package quota owns admission: sensors that measure what each tenant uses on
-// this node, the throttle time that brings it back to its limit, and the holds
-// that last so long. The design is the one cited in docs/design.md.
+// Package quota limits what each tenant uses on this node: sensors measure its
+// rate, the throttle time brings the rate back to the limit, and a delay queue
+// holds requests for so long.
+//
+// The design is that of Apache Kafka's client quotas; the source is "Kafka
+// Internals 19 · Quotas, Throttling & Client Metrics". docs/design.md says what
+// is taken from it and what differs.
 package quota
 
 import (
@@ -8,78 +12,91 @@
 	"time"
 )
 
-// Samples and Window are the shape of a sensor: ten whole windows and the
+// A sensor has Samples windows of the length Window: ten complete ones and the
 // current one.
 const (
 	Samples = 11
 	Window  = time.Second
 )
 
-// Sensor is a sampled rate: the sum over the live windows by the time that
-// they span.
+// Sensor measures a rate: the sum of the samples that have not expired divided
+// by the time that they span.
 type Sensor struct {
-	mu      sync.Mutex
-	samples [Samples]sample
-	current int
-	began   bool
-	used    time.Time
+	mu       sync.Mutex
+	samples  [Samples]sample // a ring
+	current  int             // index of the newest sample
+	started  bool            // a value was recorded
+	lastUsed time.Time
 }
 
+// sample is the sum of the values of one window.
 type sample struct {
-	start time.Time
-	sum   float64
-	live  bool
+	start  time.Time
+	sum    float64
+	active bool // it has begun and has not expired
 }
 
-// record adds a value, which may be negative to take one back.
-func (s *Sensor) record(v float64, now time.Time) {
+// record adds a value, which is negative to cancel an earlier one.
+func (s *Sensor) record(value float64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.used = now
-	if !s.began {
-		s.began = true
-		s.samples[0] = sample{start: now, live: true}
+	s.lastUsed = now
+	if !s.started {
+		s.started = true
+		s.samples[0] = sample{start: now, active: true}
 	}
-	c := &s.samples[s.current]
-	if !c.live || now.Sub(c.start) >= Window {
+	current := &s.samples[s.current]
+	if !current.active || now.Sub(current.start) >= Window {
 		s.current = (s.current + 1) % Samples
-		c = &s.samples[s.current]
-		*c = sample{start: now, live: true}
+		current = &s.samples[s.current]
+		*current = sample{start: now, active: true}
 	}
-	c.sum += v
+	current.sum += value
 }
 
-// Rate is the use a second. The span counts as at least Samples-1 windows, so
-// that a fresh sensor does not show an absurd rate.
+// Rate returns the rate a second. The span counts as at least Samples-1
+// windows, so that a new sensor does not show an absurd rate.
 func (s *Sensor) Rate(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sum, oldest := 0.0, now
+	sum := 0.0
+	oldest := now
 	for i := range s.samples {
-		c := &s.samples[i]
-		if c.live && now.Sub(c.start) >= Samples*Window {
-			c.live = false
+		sample := &s.samples[i]
+		if sample.active && now.Sub(sample.start) >= Samples*Window {
+			sample.active = false
 		}
-		if c.live {
-			sum += c.sum
-			if c.start.Before(oldest) {
-				oldest = c.start
-			}
+		if !sample.active {
+			continue
+		}
+		sum += sample.sum
+		if sample.start.Before(oldest) {
+			oldest = sample.start
 		}
 	}
 	span := now.Sub(oldest)
-	if whole := int(span / Window); whole < Samples-1 {
-		span += time.Duration(Samples-1-whole) * Window
+	if complete := int(span / Window); complete < Samples-1 {
+		span += time.Duration(Samples-1-complete) * Window
 	}
 	return sum / span.Seconds()
 }
 
-// Throttle is the X that brings an observed rate back to its bound:
-// O·W/(W+X) = T.
+// idle reports whether a sensor that was used has not been for longer than d.
+func (s *Sensor) idle(now time.Time, d time.Duration) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.started && now.Sub(s.lastUsed) > d
+}
+
+// minBound avoids a division by zero for a limit of 0.
+const minBound = 1e-3
+
+// Throttle returns the time X that brings an observed rate O back to its bound T
+// over a window W: O·W/(W+X) = T. It is 0 within the bound, and at most Idle.
 func Throttle(observed, bound float64) time.Duration {
 	if observed <= bound {
 		return 0
 	}
-	x := (observed - bound) / max(bound, 1e-3) * float64(Window)
+	x := (observed - bound) / max(bound, minBound) * float64(Window)
 	return time.Duration(min(x, float64(Idle)))
 }
