--- /dev/null
+++ b/cmd/saltreel-control/orders.go
@@ -0,0 +1,177 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"saltreel/internal/configuration"
+	"saltreel/internal/operator"
+	"saltreel/internal/placement"
+	"saltreel/internal/rpc"
+)
+
+func configCommand(client newClient) *cobra.Command {
+	cmd := &cobra.Command{Use: "config", Short: "Read, check or send the configuration"}
+	cmd.AddCommand(configGetCommand(client), configPutCommand(client), configCheckCommand())
+	return cmd
+}
+
+func configGetCommand(client newClient) *cobra.Command {
+	return &cobra.Command{
+		Use: "get", Short: "Print the configuration in force", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			raw, err := client().Get(cmd.Context(), "/v1/configuration")
+			if err != nil {
+				return err
+			}
+			_, err = fmt.Fprintln(cmd.OutOrStdout(), string(raw))
+			return err
+		},
+	}
+}
+
+func configPutCommand(client newClient) *cobra.Command {
+	var match int64
+	cmd := &cobra.Command{
+		Use: "put FILE", Short: "Send a configuration; - reads standard input", Args: cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			raw, parsed, err := readConfiguration(cmd, args[0])
+			if err != nil {
+				return err
+			}
+			c := client()
+			if !cmd.Flags().Changed("if-match") {
+				if match, err = currentRevision(cmd.Context(), c); err != nil {
+					return err
+				}
+			}
+			if err := c.PutConfiguration(cmd.Context(), raw, match); err != nil {
+				return err
+			}
+			_, err = fmt.Fprintf(cmd.OutOrStdout(), "revision %d was taken\n", parsed.Revision)
+			return err
+		},
+	}
+	cmd.Flags().Int64Var(&match, "if-match", 0, "the revision that it builds on (default: the one in force)")
+	return cmd
+}
+
+func configCheckCommand() *cobra.Command {
+	return &cobra.Command{
+		Use: "check FILE", Short: "Check a configuration without sending it", Args: cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			_, parsed, err := readConfiguration(cmd, args[0])
+			if err != nil {
+				return err
+			}
+			_, err = fmt.Fprintf(cmd.OutOrStdout(), "revision %d: sound, %d routes, %d services, %d tenants\n",
+				parsed.Revision, len(parsed.RouteTable), len(parsed.ServiceTable), len(parsed.TenantTable))
+			return err
+		},
+	}
+}
+
+// readConfiguration reads and checks the configuration in a file; - is standard
+// input.
+func readConfiguration(cmd *cobra.Command, path string) ([]byte, *configuration.Configuration, error) {
+	raw, err := readFile(cmd, path)
+	if err != nil {
+		return nil, nil, err
+	}
+	parsed, err := configuration.Parse(raw)
+	return raw, parsed, err
+}
+
+func readFile(cmd *cobra.Command, path string) ([]byte, error) {
+	if path == "-" {
+		return io.ReadAll(io.LimitReader(cmd.InOrStdin(), operator.MaxConfigurationBytes))
+	}
+	return os.ReadFile(path)
+}
+
+// currentRevision returns the revision in force, 0 before the first.
+func currentRevision(ctx context.Context, c *operator.Client) (int64, error) {
+	raw, err := c.Get(ctx, "/v1/configuration")
+	if rpc.StatusCode(err) == http.StatusNotFound {
+		return 0, nil
+	}
+	if err != nil {
+		return 0, err
+	}
+	parsed, err := configuration.Parse(raw)
+	if err != nil {
+		return 0, err
+	}
+	return parsed.Revision, nil
+}
+
+// retirePollInterval is the time between two questions whether a store is empty.
+const retirePollInterval = 200 * time.Millisecond
+
+func retireCommand(client newClient) *cobra.Command {
+	var wait time.Duration
+	cmd := &cobra.Command{
+		Use: "retire NODE", Short: "Empty a store, so that it may be removed", Args: cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			store := args[0]
+			c := client()
+			if err := c.Retire(cmd.Context(), store, wait); err != nil {
+				return err
+			}
+			if err := awaitRetired(cmd.Context(), c, store, wait); err != nil {
+				return err
+			}
+			_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%s is empty\n", store) // the exit code is the result
+			return nil
+		},
+	}
+	cmd.Flags().DurationVar(&wait, "wait", 30*time.Second, "how long to wait until it is empty")
+	return cmd
+}
+
+// awaitRetired waits until a store holds no replica any more.
+func awaitRetired(ctx context.Context, c *operator.Client, store string, timeout time.Duration) error {
+	for deadline := time.Now().Add(timeout); ; time.Sleep(retirePollInterval) {
+		raw, err := c.Get(ctx, "/v1/retire/"+store)
+		if err != nil {
+			return err
+		}
+		var status operator.RetireStatus
+		if err := json.Unmarshal(raw, &status); err != nil {
+			return err
+		}
+		if status.State == placement.RetireComplete {
+			return nil
+		}
+		if time.Now().After(deadline) {
+			return errors.New(store + " is not empty yet; ask again with retire")
+		}
+	}
+}
+
+func statusCommand(client newClient) *cobra.Command {
+	return &cobra.Command{
+		Use: "status", Short: "Show the view, the nodes, the placement and the handlers", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			raw, err := client().Get(cmd.Context(), "/v1/status")
+			if err != nil {
+				return err
+			}
+			var out bytes.Buffer
+			if err := json.Indent(&out, raw, "", "  "); err != nil {
+				return err
+			}
+			_, err = fmt.Fprintln(cmd.OutOrStdout(), out.String())
+			return err
+		},
+	}
+}
--- a/cmd/saltreel-data/main.go
+++ b/cmd/saltreel-data/main.go
@@ -20,16 +20,16 @@
 func main() {
 	root := &cobra.Command{Use: "saltreel-data", Short: "The data plane of saltreel: takes messages in, keeps and delivers them"}
 	root.AddCommand(
-		platform.Role("edge", "Run an edge: clients' HTTP, admission, questions about messages", func(set *settings.Settings, logger *log.Logger) (platform.Process, error) {
+		platform.RoleCommand("edge", "Run an edge: clients' HTTP, admission, questions about messages", func(set *settings.Settings, logger *log.Logger) (platform.Process, error) {
 			return edge.New(set, httpwire.TCP(), logger), nil
 		}),
-		platform.Role("store", "Run a store: durable partitions, delivery to handlers", func(set *settings.Settings, logger *log.Logger) (platform.Process, error) {
+		platform.RoleCommand("store", "Run a store: durable partitions, delivery to handlers", func(set *settings.Settings, logger *log.Logger) (platform.Process, error) {
 			return store.New(set, httpwire.TCP(), logger)
 		}),
-		platform.Check("edge", "store"),
+		platform.CheckCommand("edge", "store"),
 		&cobra.Command{Use: "sink ADDRESS", Short: "Run a handler that takes every message and prints it, for trying things out", Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				ctx, cancel := platform.Stop(context.Background())
+				ctx, cancel := platform.StopContext(context.Background())
 				defer cancel()
 				return handler.Sink(ctx, httpwire.TCP(), args[0], cmd.OutOrStdout())
 			}},
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,5 +1,6 @@
-// Package client owns what clients say: the messages that they hand in and
-// the questions that they ask about them.
+// Package client is the HTTP interface for clients beyond plain HTTP: the headers
+// of a request that hands in a message, the names of messages, and the questions
+// about them.
 package client
 
 import (
@@ -13,112 +14,142 @@
 	"saltreel/internal/partition"
 )
 
-// Message is what a client's request says beyond HTTP.
+// Headers of a request that hands in a message.
+const (
+	headerAttemptID = "Saltreel-Attempt-Id"
+	headerOrderKey  = "Saltreel-Order-Key"
+	headerKey       = "Saltreel-Key" // API key of the tenant
+	headerDelay     = "Saltreel-Delay-Ms"
+	headerDeadline  = "Saltreel-Deadline-Ms"
+)
+
+// Paths of the questions about a message, followed by its name.
+const (
+	statusPath = "/v1/message/"
+	bodyPath   = "/v1/message-body/"
+)
+
+// maxIDBytes bounds an attempt id, so that the name of a message has room for
+// its partition.
+const maxIDBytes = 56
+
+// maxMilliseconds bounds the times in headers to about four months, which a
+// time.Duration can represent.
+const maxMilliseconds = 1e10
+
+// Message is the part of a client's request that is not HTTP.
 type Message struct {
-	ID       string
-	Tenant   string
-	OrderKey string
+	ID       string // the attempt id, by which the client may send it again
+	Tenant   string // "" on a route with public access
+	OrderKey string // messages of one key are delivered in order; "" for none
 	Delay    time.Duration
 	Deadline time.Duration
-	Throttle time.Duration // X of the quota of accepted messages
+	Throttle time.Duration // throttle time of the quota of accepted messages
 }
 
-// maxID leaves room for the partition in the name of a message.
-const maxID = 56
-
-// ParseMessage checks a request that hands in a message. A response tells what
-// is wrong.
+// ParseMessage reads and checks a request that hands in a message. The route is
+// the one that it matches. If the request is wrong, the response says why, and
+// the others are nil.
 func ParseMessage(r *httpwire.Request, t *configuration.Table) (*Message, *configuration.Route, *httpwire.Response) {
 	route := t.Route(r.Host, r.RequestURI)
 	if route == nil {
-		return nil, nil, httpwire.Problem(404, "no route fits")
+		return nil, nil, httpwire.Problem(http.StatusNotFound, "no route fits")
 	}
-	m := &Message{ID: r.Header.Get("Saltreel-Attempt-Id"), OrderKey: r.Header.Get("Saltreel-Order-Key")}
-	tenant := t.Holder(r.Header.Get("Saltreel-Key"))
+	m := &Message{ID: r.Header.Get(headerAttemptID), OrderKey: r.Header.Get(headerOrderKey)}
+	tenant := t.Holder(r.Header.Get(headerKey))
 	if tenant == nil && !route.PublicAccess {
-		return nil, nil, httpwire.Problem(401, "the key is unknown")
+		return nil, nil, httpwire.Problem(http.StatusUnauthorized, "the key is unknown")
 	}
 	if tenant != nil {
 		m.Tenant = tenant.Name
 	}
-	if !proper(m.ID) {
-		return nil, nil, httpwire.Problem(400, "Saltreel-Attempt-Id is missing or not proper")
+	if !isValidID(m.ID) {
+		return nil, nil, httpwire.Problem(http.StatusBadRequest, "Saltreel-Attempt-Id is missing or not proper")
 	}
-	if len(r.Header.Values("Saltreel-Attempt-Id")) > 1 || len(r.Header.Values("Saltreel-Key")) > 1 || len(r.Header.Values("Saltreel-Order-Key")) > 1 {
-		return nil, nil, httpwire.Problem(400, "a Saltreel header is there twice")
+	if isRepeated(r.Header, headerAttemptID) || isRepeated(r.Header, headerKey) || isRepeated(r.Header, headerOrderKey) {
+		return nil, nil, httpwire.Problem(http.StatusBadRequest, "a Saltreel header is there twice")
 	}
 	if route.RouteType != "deferred" {
-		return nil, nil, httpwire.Problem(501, "the route's type is not deferred")
+		return nil, nil, httpwire.Problem(http.StatusNotImplemented, "the route's type is not deferred")
 	}
-	var bad bool
-	ms := func(name string) time.Duration {
-		v := r.Header.Get(name)
-		if v == "" {
-			return 0
-		}
-		x, err := strconv.ParseFloat(v, 64)
-		if err != nil || x < 0 || x > 1e10 {
-			bad = true
-		}
-		return time.Duration(x * float64(time.Millisecond))
-	}
-	m.Delay, m.Deadline = ms("Saltreel-Delay-Ms"), ms("Saltreel-Deadline-Ms")
-	if bad {
-		return nil, nil, httpwire.Problem(400, "a time in a Saltreel header is not a number of milliseconds")
+	var delayOK, deadlineOK bool
+	m.Delay, delayOK = parseMilliseconds(r.Header.Get(headerDelay))
+	m.Deadline, deadlineOK = parseMilliseconds(r.Header.Get(headerDeadline))
+	if !delayOK || !deadlineOK {
+		return nil, nil, httpwire.Problem(http.StatusBadRequest, "a time in a Saltreel header is not a number of milliseconds")
 	}
 	if r.Method == http.MethodConnect || r.Method == http.MethodTrace {
-		return nil, nil, httpwire.Problem(405, "the method cannot be deferred")
+		return nil, nil, httpwire.Problem(http.StatusMethodNotAllowed, "the method cannot be deferred")
 	}
 	return m, route, nil
 }
 
-// proper tells whether an id may be part of a message's name.
-func proper(id string) bool {
-	if id == "" || len(id) > maxID {
+func isRepeated(h http.Header, name string) bool { return len(h.Values(name)) > 1 }
+
+// parseMilliseconds reads the value of a header; 0 if there is none.
+func parseMilliseconds(value string) (d time.Duration, ok bool) {
+	if value == "" {
+		return 0, true
+	}
+	ms, err := strconv.ParseFloat(value, 64)
+	if err != nil || ms < 0 || ms > maxMilliseconds {
+		return 0, false
+	}
+	return time.Duration(ms * float64(time.Millisecond)), true
+}
+
+// isValidID reports whether an attempt id may be part of the name of a message.
+func isValidID(id string) bool {
+	if id == "" || len(id) > maxIDBytes {
 		return false
 	}
 	for _, c := range id {
-		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' || c == '_' || c == '.') {
+		if !isValidInID(c) {
 			return false
 		}
 	}
 	return true
 }
 
-// Name is the name of a message: its partition and its id.
+func isValidInID(c rune) bool {
+	return c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' || c == '_' || c == '.'
+}
+
+// Name returns the name of a message: its partition and its attempt id. So any
+// edge knows where to ask about it.
 func Name(partition int, id string) string { return strconv.Itoa(partition) + "." + id }
 
-// ParseName takes a name apart.
+// ParseName splits the name of a message; ok is false if it is none.
 func ParseName(name string) (partition int, id string, ok bool) {
-	at, id, found := strings.Cut(name, ".")
-	n, err := strconv.Atoi(at)
-	return n, id, found && err == nil && n >= 0 && proper(id)
+	number, id, found := strings.Cut(name, ".")
+	partition, err := strconv.Atoi(number)
+	return partition, id, found && err == nil && partition >= 0 && isValidID(id)
 }
 
-// ParseQuestion tells whether a request asks for the state ("status") or the
-// bytes ("body") of a message, and of which.
+// ParseQuestion returns what a request asks about a message, "status" or "body",
+// and the name of the message; ok is false if it asks for neither.
 func ParseQuestion(r *httpwire.Request) (kind, name string, ok bool) {
 	if r.Method != http.MethodGet {
 		return "", "", false
 	}
-	if name, ok := strings.CutPrefix(r.URL.Path, "/v1/message/"); ok {
+	if name, ok := strings.CutPrefix(r.URL.Path, statusPath); ok {
 		return "status", name, true
 	}
-	name, ok = strings.CutPrefix(r.URL.Path, "/v1/message-body/")
+	name, ok = strings.CutPrefix(r.URL.Path, bodyPath)
 	return "body", name, ok
 }
 
 // Answer is the state of a message as clients read it.
 type Answer struct {
-	State string `json:"oper-state"`
-	Seal  string `json:"seal,omitempty"`
+	State string `json:"oper-state"`     // "pending", "complete" or "dead_letter"
+	Seal  string `json:"seal,omitempty"` // of a complete message
 }
 
-// Status words a state.
-func Status(s partition.State, seal string) Answer {
-	switch s {
+// Status returns the answer for a state. The seal is that of the message.
+func Status(state partition.State, seal string) Answer {
+	switch state {
 	case partition.Complete:
-		return Answer{"complete", seal}
+		return Answer{State: "complete", Seal: seal}
 	case partition.Dead:
 		return Answer{State: "dead_letter"}
 	}
