--- a/internal/placement/encoding.go
+++ b/internal/placement/encoding.go
@@ -33,62 +33,57 @@
 
 // MarshalJSON encodes the placement in the compact form.
 func (p Placement) MarshalJSON() ([]byte, error) {
-	e := newEncoder(p.Stores)
+	numbers := map[string]int{}
+	for i, name := range slices.Sorted(maps.Keys(p.Stores)) {
+		numbers[name] = i
+	}
+	var others []string
+	numberOf := func(name string) int {
+		number, known := numbers[name]
+		if !known {
+			number = len(numbers)
+			numbers[name] = number
+			others = append(others, name)
+		}
+		return number
+	}
+	var compact []byte
 	for i := range p.Partitions {
 		if i > 0 {
-			e.compact = append(e.compact, ';')
+			compact = append(compact, ';')
 		}
-		e.partition(&p.Partitions[i])
+		compact = appendPartition(compact, &p.Partitions[i], numberOf)
 	}
 	return json.Marshal(document{
 		Version:       p.Version,
 		Term:          p.Term,
 		InitialStores: p.InitialStores,
 		Stores:        p.Stores,
-		OtherStores:   e.others,
-		Compact:       string(e.compact),
+		OtherStores:   others,
+		Compact:       string(compact),
 	})
 }
 
-// encoder writes partitions in the compact form.
-type encoder struct {
-	numbers map[string]int
-	others  []string
-	compact []byte
-}
-
-func newEncoder(stores map[string]Store) *encoder {
-	e := &encoder{numbers: map[string]int{}}
-	for i, name := range slices.Sorted(maps.Keys(stores)) {
-		e.numbers[name] = i
-	}
-	return e
-}
-
-func (e *encoder) partition(p *Partition) {
-	e.compact = strconv.AppendInt(e.compact, p.Epoch, 10)
-	e.store(' ', p.PreferredPrimary)
+// appendPartition appends the compact form of a partition. The numbers of the
+// stores are asked for in the order in which they are written.
+func appendPartition(out []byte, p *Partition, numberOf func(store string) int) []byte {
+	out = strconv.AppendInt(out, p.Epoch, 10)
+	out = appendStore(out, ' ', numberOf(p.PreferredPrimary))
 	for _, name := range p.PreferredBackups {
-		e.store(',', name)
+		out = appendStore(out, ',', numberOf(name))
 	}
-	e.store(' ', p.Primary)
+	out = appendStore(out, ' ', numberOf(p.Primary))
 	for _, backup := range p.Backups {
-		e.store(',', backup.Store)
+		out = appendStore(out, ',', numberOf(backup.Store))
 		if backup.InSync {
-			e.compact = append(e.compact, '+')
+			out = append(out, '+')
 		}
 	}
+	return out
 }
 
-// store appends a separator and the number of a store, which gets one if it has none.
-func (e *encoder) store(separator byte, name string) {
-	number, known := e.numbers[name]
-	if !known {
-		number = len(e.numbers)
-		e.numbers[name] = number
-		e.others = append(e.others, name)
-	}
-	e.compact = strconv.AppendInt(append(e.compact, separator), int64(number), 10)
+func appendStore(out []byte, separator byte, number int) []byte {
+	return strconv.AppendInt(append(out, separator), int64(number), 10)
 }
 
 // UnmarshalJSON decodes the compact form, and the form of earlier versions. The
--- /dev/null
+++ b/internal/placement/helpers_test.go
@@ -0,0 +1,163 @@
+package placement
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"saltreel/internal/membership"
+)
+
+var (
+	oneBackup  = Redundancy{Backups: 1}
+	twoBackups = Redundancy{Backups: 2}
+)
+
+// storeIn is an available store with a disk of its own.
+func storeIn(name, zone, region string) StoreStatus {
+	return StoreStatus{
+		Node:  membership.Node{Name: name, Role: "store", Address: name + ":1", Zone: zone, Region: region, Disk: "disk-" + name},
+		Alive: true,
+	}
+}
+
+// storesInOwnZones is available stores, each in a zone of its own name.
+func storesInOwnZones(names ...string) map[string]StoreStatus {
+	stores := map[string]StoreStatus{}
+	for _, name := range names {
+		stores[name] = storeIn(name, name, "")
+	}
+	return stores
+}
+
+// storesInSixZones is available stores in six zones of three regions.
+func storesInSixZones(perZone int) map[string]StoreStatus {
+	stores := map[string]StoreStatus{}
+	for zone := range 6 {
+		for i := range perZone {
+			addStore(stores, zone, i)
+		}
+	}
+	return stores
+}
+
+func addStore(stores map[string]StoreStatus, zone, i int) {
+	name := fmt.Sprintf("s%d-%d", zone, i)
+	stores[name] = storeIn(name, fmt.Sprint("z", zone), fmt.Sprint("r", zone/2))
+}
+
+// setStatus changes the status of one store.
+func setStatus(stores map[string]StoreStatus, name string, change func(*StoreStatus)) {
+	status := stores[name]
+	change(&status)
+	stores[name] = status
+}
+
+// reporter is a test, or one check of a property.
+type reporter interface {
+	Helper()
+	Fatalf(format string, args ...any)
+}
+
+var (
+	_ reporter = (*testing.T)(nil)
+	_ reporter = (*testing.B)(nil)
+)
+
+// converge plans until nothing changes. Primaries that are asked to stop do so,
+// and between two plans backups become in sync. Each step is checked.
+func converge(t reporter, p Placement, stores map[string]StoreStatus, redundancy Redundancy, observe func(before, after Placement)) Placement {
+	t.Helper()
+	for range 200 {
+		released := map[int]int64{}
+		next, handovers, changed := Plan(p, stores, nil, redundancy)
+		for _, i := range handovers {
+			released[i] = p.Partitions[i].Epoch
+		}
+		if !changed && len(handovers) > 0 {
+			next, _, changed = Plan(p, stores, released, redundancy)
+		}
+		if !changed {
+			return p
+		}
+		checkStep(t, p, next, stores, released, redundancy)
+		if observe != nil {
+			observe(p, next)
+		}
+		p = replicate(next, stores)
+	}
+	t.Fatalf("the placement does not converge")
+	return p
+}
+
+// replicate returns the placement once each backup that can has become in sync.
+func replicate(p Placement, stores map[string]StoreStatus) Placement {
+	p = p.Clone()
+	for _, partition := range p.Partitions {
+		for j := range partition.Backups {
+			backup := &partition.Backups[j]
+			backup.InSync = backup.InSync || isAvailable(p, stores, backup.Store) && isAvailable(p, stores, partition.Primary)
+		}
+	}
+	return p
+}
+
+// isAvailable reports whether a store is alive with the disk that the placement knows.
+func isAvailable(p Placement, stores map[string]StoreStatus, name string) bool {
+	status, known := stores[name]
+	return known && status.Alive && status.Disk == p.Stores[name].Disk
+}
+
+// checkStep checks the safety rules of one step.
+func checkStep(t reporter, before, after Placement, stores map[string]StoreStatus, released map[int]int64, redundancy Redundancy) {
+	t.Helper()
+	available := func(name string) bool {
+		return isAvailable(before, stores, name)
+	}
+	for i, now := range after.Partitions {
+		was := before.Partitions[i]
+		changed := now.Primary != was.Primary || !slices.Equal(backupNames(now), backupNames(was))
+		if changed != (now.Epoch > was.Epoch) {
+			t.Fatalf("partition %d: the epoch does not follow the change from %+v to %+v", i, was, now)
+		}
+		if at := was.Backup(now.Primary); now.Primary != was.Primary && (at < 0 || !was.Backups[at].InSync) {
+			t.Fatalf("partition %d: a replica not in sync becomes primary: %+v to %+v", i, was, now)
+		}
+		if now.Primary != was.Primary && available(was.Primary) && released[i] != was.Epoch {
+			t.Fatalf("partition %d: the primary has not stopped: %+v to %+v", i, was, now)
+		}
+		if had, has := inSyncReplicas(was, available), inSyncReplicas(now, available); has < had && has < redundancy.Backups+1 {
+			t.Fatalf("partition %d: %d replicas in sync, then %d: %+v to %+v", i, had, has, was, now)
+		}
+		if names := append(backupNames(now), now.Primary); hasDuplicate(names) {
+			t.Fatalf("partition %d: a store holds two replicas: %+v", i, now)
+		}
+	}
+}
+
+// inSyncReplicas counts the replicas on available stores that are in sync.
+func inSyncReplicas(p Partition, available func(string) bool) int {
+	count := 0
+	for _, replica := range append([]Backup{{p.Primary, true}}, p.Backups...) {
+		if replica.InSync && available(replica.Store) {
+			count++
+		}
+	}
+	return count
+}
+
+func backupNames(p Partition) []string {
+	var names []string
+	for _, backup := range p.Backups {
+		names = append(names, backup.Store)
+	}
+	return names
+}
+
+// replicaStores is the primary and the backups.
+func replicaStores(p Partition) []string { return append([]string{p.Primary}, backupNames(p)...) }
+
+func hasDuplicate(names []string) bool {
+	slices.Sort(names)
+	return len(slices.Compact(names)) < len(names)
+}
--- a/internal/placement/placement_bench_test.go
+++ b/internal/placement/placement_bench_test.go
@@ -9,25 +9,28 @@
 	"saltreel/internal/membership"
 )
 
-// fleet is n stores in nine zones of three regions, all up.
-func fleet(n int) map[string]StoreStatus {
-	out := map[string]StoreStatus{}
+// benchmarkStores is n stores in nine zones of three regions, all available.
+func benchmarkStores(n int) map[string]StoreStatus {
+	stores := map[string]StoreStatus{}
 	for i := range n {
 		name := fmt.Sprintf("store-zone-%d-%d", i%9, i)
-		out[name] = StoreStatus{Alive: true, Node: membership.Node{Name: name, Role: "store", Address: fmt.Sprintf("10.%d.0.%d:7100", i%9, i), Zone: fmt.Sprintf("zone-%d", i%9),
-			Region: fmt.Sprintf("region-%d", i%3), Disk: fmt.Sprintf("DISKDISKDISKDISKDISK%06d", i)}}
+		stores[name] = StoreStatus{Alive: true, Node: membership.Node{
+			Name:    name,
+			Role:    "store",
+			Address: fmt.Sprintf("10.%d.0.%d:7100", i%9, i),
+			Zone:    fmt.Sprintf("zone-%d", i%9),
+			Region:  fmt.Sprintf("region-%d", i%3),
+			Disk:    fmt.Sprintf("DISKDISKDISKDISKDISK%06d", i),
+		}}
 	}
-	return out
+	return stores
 }
 
-var (
-	two        = Redundancy{Backups: 2}
-	storeSizes = []int{6, 18, 60, 133}
-)
+var storeSizes = []int{6, 18, 60, 133}
 
 func BenchmarkPlacement(b *testing.B) {
 	for _, n := range storeSizes {
-		p := Initial(fleet(n), two)
+		p := Initial(benchmarkStores(n), twoBackups)
 		raw := journal.Encode(p)
 		b.Run(fmt.Sprintf("encode/stores=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
@@ -48,28 +51,26 @@
 	}
 }
 
-// BenchmarkPlan is one round of the steward when nothing changed, and one in
-// which a store is lost.
+// BenchmarkPlan is one plan when nothing changed, and one when a store is lost.
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range storeSizes {
-		s := fleet(n)
-		p := Initial(s, two)
+		stores := benchmarkStores(n)
+		p := Initial(stores, twoBackups)
 		b.Run(fmt.Sprintf("calm/stores=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				Plan(p.Clone(), s, nil, two)
+				Plan(p.Clone(), stores, nil, twoBackups)
 			}
 		})
-		lost := fleet(n)
-		for name, x := range lost {
-			x.Alive = false
-			lost[name] = x
+		lost := benchmarkStores(n)
+		for name := range lost {
+			setStatus(lost, name, func(s *StoreStatus) { s.Alive = false })
 			break
 		}
 		b.Run(fmt.Sprintf("lost/stores=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				Plan(p.Clone(), lost, nil, two)
+				Plan(p.Clone(), lost, nil, twoBackups)
 			}
 		})
 	}
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -8,7 +8,8 @@
 // Plan computes the next step from a placement towards the one that the stores
 // and the redundancy ask for. It first restores lost replicas; only when every
 // partition has all its replicas in sync does it move partitions to their
-// preferred stores.
+// preferred stores. Replicas on stores that shut down or are retired move
+// before that.
 //
 // A primary has to stop before its successor leads. Handovers lists the
 // partitions whose primary is to be asked to stop; released holds those that
--- /dev/null
+++ b/internal/placement/plan_test.go
@@ -0,0 +1,164 @@
+package placement
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+)
+
+func TestLostStoreIsReplacedAndPreferredPlacementRestored(t *testing.T) {
+	stores := storesInOwnZones("a", "b", "c")
+	first := Initial(stores, oneBackup)
+	primaries := map[string]int{}
+	for _, partition := range first.Partitions {
+		primaries[partition.Primary]++
+		if partition.Backup(partition.Primary) >= 0 || !partition.InSync(1) {
+			t.Fatalf("%+v", partition)
+		}
+	}
+	if primaries["a"] != partitionsPerStore || primaries["b"] != partitionsPerStore {
+		t.Errorf("primaries by store: %v", primaries)
+	}
+	for lost := range stores {
+		without := storesInOwnZones("a", "b", "c")
+		setStatus(without, lost, func(s *StoreStatus) { s.Alive = false })
+		p := converge(t, first, without, oneBackup, nil)
+		for i, partition := range p.Partitions {
+			if partition.Has(lost) || !partition.InSync(1) {
+				t.Errorf("without %s: partition %d at %+v", lost, i, partition)
+			}
+		}
+		p = converge(t, p, stores, oneBackup, nil)
+		for i, partition := range p.Partitions {
+			want := first.Partitions[i]
+			if partition.Primary != want.Primary || !slices.Equal(partition.Backups, want.Backups) {
+				t.Errorf("%s is available again: partition %d at %+v, not %+v", lost, i, partition, want)
+			}
+		}
+	}
+}
+
+func TestBackupNotInSyncNeverBecomesPrimary(t *testing.T) {
+	stores := storesInOwnZones("a", "b", "c")
+	p := Initial(stores, oneBackup)
+	for i := range p.Partitions {
+		p.Partitions[i].Backups[0].InSync = p.Partitions[i].Primary != "a"
+	}
+	setStatus(stores, "a", func(s *StoreStatus) { s.Alive = false })
+	next, _, _ := Plan(p, stores, nil, oneBackup)
+	for i, partition := range next.Partitions {
+		if p.Partitions[i].Primary == "a" && partition.Primary != "a" {
+			t.Errorf("partition %d is led by a backup that was not in sync: %+v", i, partition)
+		}
+	}
+}
+
+func TestPrimaryStopsBeforeSuccessorLeads(t *testing.T) {
+	stores := storesInOwnZones("a", "b", "c")
+	p := Initial(stores, oneBackup)
+	setStatus(stores, "a", func(s *StoreStatus) { s.Draining = true })
+	led := slices.IndexFunc(p.Partitions, func(x Partition) bool { return x.Primary == "a" })
+	const epoch = 5
+	p.Partitions[led].Epoch = epoch
+	for _, c := range []struct {
+		name     string
+		released map[int]int64
+		stays    bool
+	}{
+		{"not asked yet", nil, true},
+		{"stopped in an earlier epoch", map[int]int64{led: epoch - 1}, true},
+		{"stopped in this epoch", map[int]int64{led: epoch}, false},
+	} {
+		next, handovers, _ := Plan(p, stores, c.released, oneBackup)
+		if stays := next.Partitions[led].Primary == "a"; stays != c.stays {
+			t.Errorf("%s: the primary stays is %v", c.name, stays)
+		}
+		if asked := slices.Contains(handovers, led); asked != c.stays {
+			t.Errorf("%s: a handover is asked for is %v", c.name, asked)
+		}
+	}
+}
+
+func TestStoreWithNewDiskCountsAsEmpty(t *testing.T) {
+	stores := storesInOwnZones("a", "b", "c")
+	p := Initial(stores, oneBackup)
+	setStatus(stores, "a", func(s *StoreStatus) { s.Disk = "disk-new" })
+	next := converge(t, p, stores, oneBackup, func(before, after Placement) {
+		for i, partition := range after.Partitions {
+			if partition.Primary == "a" && before.Partitions[i].Primary != "a" && after.Stores["a"].Disk != "disk-new" {
+				t.Errorf("partition %d is led by the lost disk", i)
+			}
+		}
+	})
+	if next.Stores["a"].Disk != "disk-new" || !Holds(next, "a") {
+		t.Errorf("the new disk is not used: %+v", next.Stores["a"])
+	}
+}
+
+func TestRetiredStoreIsEmptied(t *testing.T) {
+	p := Initial(storesInOwnZones("a", "b", "c"), oneBackup)
+	retired := p.Stores["b"]
+	retired.Retire = RetireActive
+	p.Stores["b"] = retired
+	q := converge(t, p, storesInOwnZones("a", "b", "c"), oneBackup, nil)
+	if Holds(q, "b") || q.Stores["b"].Retire != RetireComplete {
+		t.Errorf("retired: %+v", q)
+	}
+	stores := storesInOwnZones("a", "b", "c")
+	setStatus(stores, "c", func(s *StoreStatus) { s.Alive = false }) // no other store can take the replicas of the retired one
+	for i, partition := range converge(t, p, stores, oneBackup, nil).Partitions {
+		if len(partition.Backups) < 1 {
+			t.Errorf("partition %d has no backup: %+v", i, partition)
+		}
+	}
+}
+
+func TestDrainingStoreIsEmptied(t *testing.T) {
+	stores := storesInOwnZones("a", "b", "c")
+	setStatus(stores, "c", func(s *StoreStatus) { s.Draining = true })
+	if q := converge(t, Initial(storesInOwnZones("a", "b", "c"), oneBackup), stores, oneBackup, nil); Holds(q, "c") {
+		t.Errorf("draining: %+v", q)
+	}
+}
+
+// The cost of a plan follows the number of partitions: ten times the stores must
+// not cost a hundred times as much.
+func TestPlanCostIsLinearInPartitions(t *testing.T) {
+	cost := func(perZone int) float64 {
+		stores := storesInSixZones(perZone)
+		p := Initial(stores, twoBackups)
+		return testing.AllocsPerRun(3, func() {
+			if _, _, changed := Plan(p, stores, nil, twoBackups); changed {
+				t.Error("a placement that is as desired is changed")
+			}
+		})
+	}
+	if small, large := cost(1), cost(10); large > 20*small {
+		t.Errorf("%.0f allocations for 6 stores, %.0f for 60", small, large)
+	}
+}
+
+func TestAddedStoresMoveOnlyTheirEvenPart(t *testing.T) {
+	for _, perZone := range []int{3, 10} {
+		t.Run(fmt.Sprintf("%d stores", 6*perZone), func(t *testing.T) {
+			stores := storesInSixZones(perZone)
+			p := Initial(stores, twoBackups)
+			addStore(stores, 1, 99)
+			addStore(stores, 4, 10)
+			q := converge(t, p, stores, twoBackups, func(Placement, Placement) {})
+			moved, held := 0, map[string]int{}
+			for i, partition := range q.Partitions {
+				for _, name := range replicaStores(partition) {
+					held[name]++
+					if !p.Partitions[i].Has(name) {
+						moved++
+					}
+				}
+			}
+			even := 3 * len(q.Partitions) / len(stores)
+			if moved > 3*even || held["s1-99"] < even/2 || held["s4-10"] < even/2 {
+				t.Errorf("%d replicas of %d moved; the new stores hold %d and %d, the even part is %d", moved, 3*len(q.Partitions), held["s1-99"], held["s4-10"], even)
+			}
+		})
+	}
+}
--- a/internal/placement/preferred.go
+++ b/internal/placement/preferred.go
@@ -49,8 +49,8 @@
 // permits, since traffic between zones and regions is expensive. Where no store
 // permits it, the nearest one is chosen.
 func (p *Placement) idealReplicas(t *topology, i int, redundancy Redundancy) []string {
-	var replicas []string
-	var domains failureDomains
+	replicas := make([]string, 0, redundancy.Backups+1)
+	domains := newFailureDomains()
 	for len(replicas) <= redundancy.Backups {
 		remaining := redundancy.Backups + 1 - len(replicas)
 		chosen := ""
@@ -70,7 +70,7 @@
 			break
 		}
 		replicas = append(replicas, chosen)
-		domains.add(t.stores[chosen])
+		domains = domains.with(t.stores[chosen])
 	}
 	return replicas
 }
--- a/internal/placement/topology.go
+++ b/internal/placement/topology.go
@@ -72,11 +72,10 @@
 // the number of zones and of regions. Replica sets of the same profile survive
 // the same failures at the same cost.
 func (t *topology) distanceProfile(primary string, backups []string) []int {
-	var profile []int
-	var domains failureDomains
-	domains.add(t.stores[primary])
+	profile := make([]int, 0, len(backups)+2)
+	domains := newFailureDomains().with(t.stores[primary])
 	for _, name := range backups {
-		domains.add(t.stores[name])
+		domains = domains.with(t.stores[name])
 		profile = append(profile, t.distance(primary, name))
 	}
 	slices.Sort(profile)
@@ -151,20 +150,29 @@
 	zones, regions []string
 }
 
-func (d *failureDomains) add(store Store) {
+// newFailureDomains has room for the usual number of replicas, so that it need
+// not allocate.
+func newFailureDomains() failureDomains {
+	return failureDomains{zones: make([]string, 0, 8), regions: make([]string, 0, 8)}
+}
+
+// with returns the domains once a store holds a replica too. It may reuse the
+// lists, as append does.
+func (d failureDomains) with(store Store) failureDomains {
 	if !slices.Contains(d.zones, store.Zone) {
 		d.zones = append(d.zones, store.Zone)
 	}
 	if !slices.Contains(d.regions, store.Region) {
 		d.regions = append(d.regions, store.Region)
 	}
+	return d
 }
 
 // permits reports whether the redundancy can still be reached if the next of
 // the remaining replicas is on that store. To survive the loss of n zones, the
 // replicas need n+1 of them; once the zones that are still needed are as many
 // as the remaining replicas, each has to be in a new zone. So for regions.
-func (d *failureDomains) permits(store Store, remaining int, redundancy Redundancy) bool {
+func (d failureDomains) permits(store Store, remaining int, redundancy Redundancy) bool {
 	needsNewRegion := redundancy.Regions+1-len(d.regions) >= remaining
 	if needsNewRegion && slices.Contains(d.regions, store.Region) {
 		return false
