--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-const sound = `{"revision":7,"new-field":1,"route-table":[{"name":"a","host-match":"h","path-prefix":"/x/","route-type":"deferred","timeout-ms":10,"service":"s"},{"name":"b","host-match":"h","path-prefix":"/x/y/","timeout-ms":10,"service":"s"}],"service-table":[{"name":"s","rate-per-s":0.0,"static-endpoint":null}],"tenant-table":[{"name":"t","api-keys":["k1","k2"]},{"name":"u","api-keys":["k3"]}]}`
+const valid = `{"revision":7,"new-field":1,"route-table":[{"name":"a","host-match":"h","path-prefix":"/x/","route-type":"deferred","timeout-ms":10,"service":"s"},{"name":"b","host-match":"h","path-prefix":"/x/y/","timeout-ms":10,"service":"s"}],"service-table":[{"name":"s","rate-per-s":0.0,"static-endpoint":null}],"tenant-table":[{"name":"t","api-keys":["k1","k2"]},{"name":"u","api-keys":["k3"]}]}`
 
 func TestConfigurationIsCheckedAndLookedUp(t *testing.T) {
-	c, err := Parse([]byte(sound))
+	c, err := Parse([]byte(valid))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -19,19 +19,19 @@
 		}
 	}
 	if table.Route("h", "/z") != nil || table.Route("i", "/x/") != nil || table.Holder("") != nil || table.Holder("k2").Name != "t" {
-		t.Error("a look-up is wrong")
+		t.Error("a lookup is wrong")
 	}
 	for what, change := range map[string][2]string{
-		"cut short":       {`"u"`, ``},
+		"not JSON":        {`"u"`, ``},
 		"unknown service": {`"service":"s"}]`, `"service":"n"}]`},
-		"same place":      {"/x/y/", "/x/"},
+		"same match":      {"/x/y/", "/x/"},
 		"no time-out":     {`"timeout-ms":10`, `"timeout-ms":0`},
 		"shared key":      {`"k3"`, `"k1"`},
 		"no revision":     {`"revision":7`, `"revision":0`},
 		"bad endpoint":    {`"static-endpoint":null`, `"static-endpoint":"nowhere"`},
 	} {
-		if _, err := Parse([]byte(strings.Replace(sound, change[0], change[1], 1))); err == nil {
-			t.Errorf("%s is taken", what)
+		if _, err := Parse([]byte(strings.Replace(valid, change[0], change[1], 1))); err == nil {
+			t.Errorf("%s is accepted", what)
 		}
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const sound = `node-name=n
+const valid = `node-name=n
 ip-address=10.0.0.1
 zone=z
 region=r
@@ -20,7 +20,7 @@
 `
 
 func TestSettingsAreReadAndChecked(t *testing.T) {
-	s, err := Parse(sound + "\n# a remark\nnew.field=1\nlimits.cpu-share=0.4\nbootstrap=true\ntimers.sync-time-s=4.3\n")
+	s, err := Parse(valid + "\n# a remark\nnew.field=1\nlimits.cpu-share=0.4\nbootstrap=true\ntimers.sync-time-s=4.3\n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 		{"seed-peers=10.0.0.1:82,10.0.0.2:82", "seed-peers=10.0.0.1", "seed-peers=10.0.0.1"},
 		{"zone=z\n", "zone\n", "'='"},
 	} {
-		if _, err := Parse(strings.Replace(sound, c.old, c.new, 1)); err == nil || !strings.Contains(err.Error(), c.names) {
+		if _, err := Parse(strings.Replace(valid, c.old, c.new, 1)); err == nil || !strings.Contains(err.Error(), c.names) {
 			t.Errorf("%q for %q: %v", c.new, c.old, err)
 		}
 	}
