--- a/internal/cluster/control_test.go
+++ b/internal/cluster/control_test.go
@@ -15,8 +15,8 @@
 )
 
 // put sends the next configuration to one core and tells its answer.
-func (w *world) put(control string, match int, raw []byte) int {
-	a, err := w.do(control, &httpwire.Call{Method: "PUT", Target: "/v1/configuration", Host: control,
+func (w *world) putConfiguration(control string, match int, raw []byte) int {
+	a, err := w.request(control, &httpwire.Call{Method: "PUT", Target: "/v1/configuration", Host: control,
 		Header: []string{"If-Match", fmt.Sprint(match)}, Body: raw}, time.Second)
 	if err != nil {
 		return 0
@@ -25,19 +25,19 @@
 }
 
 // change puts a configuration in force, whichever core takes it.
-func (w *world) change(what string, o options) []byte {
+func (w *world) changeConfiguration(what string, o options) []byte {
 	w.t.Helper()
-	w.version++
-	raw := w.configuration(w.version, o)
-	w.until(8*time.Second, "a revision "+what, func() bool {
-		return w.operator().PutConfiguration(context.Background(), raw, int64(w.version-1)) == nil
+	w.revision++
+	raw := w.configuration(w.revision, o)
+	w.waitFor(8*time.Second, "a revision "+what, func() bool {
+		return w.operator().PutConfiguration(context.Background(), raw, int64(w.revision-1)) == nil
 	})
 	return raw
 }
 
-func (w *world) readBack(what string, want []byte) {
+func (w *world) verifyConfiguration(what string, want []byte) {
 	w.t.Helper()
-	w.until(8*time.Second, "reading back "+what, func() bool {
+	w.waitFor(8*time.Second, "reading back "+what, func() bool {
 		raw, err := w.operator().Get(context.Background(), "/v1/configuration")
 		if err == nil && !bytes.Equal(raw, want) {
 			w.t.Fatalf("%s: another configuration is read back", what)
@@ -47,7 +47,7 @@
 }
 
 // cores are the cores in the view and the voters, as the tail tells them.
-func (w *world) cores() (members, voters int) {
+func (w *world) viewSize() (members, voters int) {
 	s, err := w.status()
 	if err != nil {
 		return 0, 0
@@ -55,44 +55,44 @@
 	return len(s.View.Members), len(s.View.Voters)
 }
 
-func TestALeavingOutlivesAllCores(t *testing.T) {
+func TestTombstoneSurvivesRestartOfAllCores(t *testing.T) {
 	for _, gone := range []bool{false, true} {
-		run(t, func(w *world) {
-			plain := w.service("plain", "z1", "z2")
-			w.configure(options{})
-			leaver := plain.by["plain-i0"]
+		runCluster(t, func(w *world) {
+			plain := w.newService("plain", "z1", "z2")
+			w.applyConfiguration(options{})
+			leaver := plain.instances["plain-i0"]
 			plain.mu.Lock()
 			leaver.state = "draining"
 			plain.mu.Unlock()
 			if gone {
-				leaver.stop() // it beats no more
-				if code := plain.call("DELETE", leaver.id, ""); code != 200 {
+				leaver.cancel() // it beats no more
+				if code := plain.callCore("DELETE", leaver.id, ""); code != 200 {
 					t.Fatalf("DELETE: %d", code)
 				}
-			} else if !plain.beat(leaver) {
+			} else if !plain.heartbeat(leaver) {
 				t.Fatal("the draining is not acknowledged")
 			}
 			acked := time.Now()
 			for _, z := range zones {
-				w.kill("core-" + z)
+				w.killMachine("core-" + z)
 			}
 			time.Sleep(500 * time.Millisecond)
 			for _, z := range zones {
-				w.start("core-"+z, false)
+				w.startMachine("core-"+z, false)
 			}
 			// A beat from before the leaving comes late, to each of the cores.
-			w.until(5*time.Second, "beats are taken again", func() bool {
-				return plain.call("PUT", leaver.id, fmt.Sprintf(`{"service":"plain","address":%q,"zone":"z1","slots":2,"oper-state":"ready","call-seq":1}`, leaver.addr)) == 200
+			w.waitFor(5*time.Second, "beats are taken again", func() bool {
+				return plain.callCore("PUT", leaver.id, fmt.Sprintf(`{"service":"plain","address":%q,"zone":"z1","slots":2,"oper-state":"ready","call-seq":1}`, leaver.address)) == 200
 			})
-			if code := plain.call("DELETE", "nobody-knows", ""); code != 200 {
+			if code := plain.callCore("DELETE", "nobody-knows", ""); code != 200 {
 				t.Errorf("DELETE of an unknown instance: %d", code)
 			}
-			plain.call("PUT", "nobody-knows", `{"service":"plain","address":"10.20.99.1:90","zone":"z1","slots":2,"oper-state":"ready","call-seq":7}`)
+			plain.callCore("PUT", "nobody-knows", `{"service":"plain","address":"10.20.99.1:90","zone":"z1","slots":2,"oper-state":"ready","call-seq":7}`)
 			time.Sleep(time.Until(acked.Add(3 * time.Second)))
-			w.during(plain, func() { time.Sleep(3 * time.Second) })
-			for _, d := range plain.all() {
-				if d.instance == leaver.id && d.at.Sub(acked) > 3*time.Second {
-					t.Fatalf("gone %v: delivered to the leaver %v after the acknowledgement", gone, d.at.Sub(acked))
+			w.withTraffic(plain, func() { time.Sleep(3 * time.Second) })
+			for _, d := range plain.received() {
+				if d.instance == leaver.id && d.startedAt.Sub(acked) > 3*time.Second {
+					t.Fatalf("gone %v: delivered to the leaver %v after the acknowledgement", gone, d.startedAt.Sub(acked))
 				}
 			}
 			s, err := w.status()
@@ -105,97 +105,97 @@
 	}
 }
 
-func TestCoresAreReplacedUntilNoFounderIsLeft(t *testing.T) {
-	run(t, func(w *world) {
-		plain := w.service("plain", "z1")
-		w.configure(options{})
+func TestEveryInitialCoreCanBeReplaced(t *testing.T) {
+	runCluster(t, func(w *world) {
+		plain := w.newService("plain", "z1")
+		w.applyConfiguration(options{})
 		for round, z := range zones {
-			w.kill("core-" + z)
+			w.killMachine("core-" + z)
 			time.Sleep(1500 * time.Millisecond)
 			ip := fmt.Sprintf("10.%d.0.9", round+1)
-			w.add("core-new-"+z, "core", z, ip, false)
-			w.seed(round, ip)
-			w.until(8*time.Second, "the new core votes in place of core-"+z, func() bool {
-				m, v := w.cores()
+			w.addMachine("core-new-"+z, "core", z, ip, false)
+			w.replaceCoreAddress(round, ip)
+			w.waitFor(8*time.Second, "the new core votes in place of core-"+z, func() bool {
+				m, v := w.viewSize()
 				return m == 3 && v == 3
 			})
-			w.readBack("after core-"+z, w.change("without core-"+z, options{attempts: round + 2}))
+			w.verifyConfiguration("after core-"+z, w.changeConfiguration("without core-"+z, options{maxAttempts: round + 2}))
 		}
 		// The next loss is borne again, and a disk lost at the same address too.
-		w.kill("core-new-z1")
-		want := w.change("after another loss", options{attempts: 7})
-		w.wipe("core-new-z1")
-		w.start("core-new-z1", false)
-		w.until(8*time.Second, "the wiped core votes again", func() bool {
-			m, v := w.cores()
+		w.killMachine("core-new-z1")
+		want := w.changeConfiguration("after another loss", options{maxAttempts: 7})
+		w.wipeDisk("core-new-z1")
+		w.startMachine("core-new-z1", false)
+		w.waitFor(8*time.Second, "the wiped core votes again", func() bool {
+			m, v := w.viewSize()
 			return m == 3 && v == 3
 		})
-		w.kill("core-new-z2")
-		w.readBack("after a wipe and a loss", want)
-		w.start("core-new-z2", false)
-		w.during(plain, func() { time.Sleep(2 * time.Second) })
+		w.killMachine("core-new-z2")
+		w.verifyConfiguration("after a wipe and a loss", want)
+		w.startMachine("core-new-z2", false)
+		w.withTraffic(plain, func() { time.Sleep(2 * time.Second) })
 	})
 }
 
-func TestAnEmptyDiskLeadsNothingAfterALossOfPower(t *testing.T) {
-	run(t, func(w *world) {
-		plain := w.service("plain", "z2")
-		w.configure(options{})
-		want := w.change("before the loss", options{attempts: 5})
-		for name, m := range w.nodes {
+func TestCoreWithWipedDiskDoesNotLeadAfterPowerLoss(t *testing.T) {
+	runCluster(t, func(w *world) {
+		plain := w.newService("plain", "z2")
+		w.applyConfiguration(options{})
+		want := w.changeConfiguration("before the loss", options{maxAttempts: 5})
+		for name, m := range w.machines {
 			if m.role == "core" || m.role == "store" {
-				w.kill(name)
+				w.killMachine(name)
 			}
 		}
 		s := "core-z1" // the founders are in order of their addresses: the head
-		w.wipe(s)
-		w.wipe("store-z3")
-		w.start(s, false) // it comes back first, and alone
-		w.start("store-z3", false)
+		w.wipeDisk(s)
+		w.wipeDisk("store-z3")
+		w.startMachine(s, false) // it comes back first, and alone
+		w.startMachine("store-z3", false)
 		time.Sleep(1500 * time.Millisecond)
-		if code := w.put("10.1.0.1:82", 0, w.configuration(1, options{})); code == 200 || code == 412 {
+		if code := w.putConfiguration("10.1.0.1:82", 0, w.configuration(1, options{})); code == 200 || code == 412 {
 			t.Errorf("the empty core answers the operator with %d", code)
 		}
 		began := time.Now()
 		for _, name := range []string{"core-z2", "core-z3", "store-z1", "store-z2"} {
-			w.start(name, false)
+			w.startMachine(name, false)
 		}
-		w.readBack("after the loss", want)
-		w.until(10*time.Second, "messages are taken again", func() bool { return w.send("z1", "/plain/", w.id()).Status == 202 })
+		w.verifyConfiguration("after the loss", want)
+		w.waitFor(10*time.Second, "messages are taken again", func() bool { return w.sendMessage("z1", "/plain/", w.newID()).Status == 202 })
 		took := time.Since(began)
 		t.Logf("serving after %v", took)
 		if took > 1500*time.Millisecond {
 			t.Errorf("serving after %v", took)
 		}
-		w.during(plain, func() { time.Sleep(2 * time.Second) })
+		w.withTraffic(plain, func() { time.Sleep(2 * time.Second) })
 	})
 }
 
-func TestOfTwoSidesAtMostOneAcknowledges(t *testing.T) {
+func TestAtMostOneSideOfPartitionAcknowledges(t *testing.T) {
 	ips := []string{"10.1.0.1", "10.2.0.1", "10.3.0.1"}
 	for lone := range 3 {
 		for _, way := range []string{"both ways", "out", "in"} {
-			run(t, func(w *world) {
-				w.configure(options{})
-				base := w.version
+			runCluster(t, func(w *world) {
+				w.applyConfiguration(options{})
+				base := w.revision
 				rest := append(append([]string{}, ips[:lone]...), ips[lone+1:]...)
 				sever := func(yes bool) {
 					if way != "in" {
-						w.net.sever(ips[lone:lone+1], rest, yes)
+						w.network.setBlocked(ips[lone:lone+1], rest, yes)
 					}
 					if way != "out" {
-						w.net.sever(rest, ips[lone:lone+1], yes)
+						w.network.setBlocked(rest, ips[lone:lone+1], yes)
 					}
 				}
 				sever(true)
-				a, b := w.configuration(base+1, options{attempts: 2}), w.configuration(base+2, options{attempts: 4})
+				a, b := w.configuration(base+1, options{maxAttempts: 2}), w.configuration(base+2, options{maxAttempts: 4})
 				gotA, gotB := 0, 0
 				for end := time.Now().Add(7 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 					if gotA != 200 {
-						gotA = w.put(ips[lone]+":82", base, a)
+						gotA = w.putConfiguration(ips[lone]+":82", base, a)
 					}
 					if gotB != 200 {
-						gotB = w.put(rest[0]+":82", base, b)
+						gotB = w.putConfiguration(rest[0]+":82", base, b)
 					}
 				}
 				sever(false)
@@ -204,13 +204,13 @@
 				}
 				time.Sleep(5 * time.Second)
 				if gotA != 200 && gotB != 200 { // the lone one was heard but could not hear: its change won
-					if gotA = w.put(rest[0]+":82", base, a); gotA != 200 || gotB != 412 {
+					if gotA = w.putConfiguration(rest[0]+":82", base, a); gotA != 200 || gotB != 412 {
 						t.Errorf("core %d cut %s: neither side takes a change: %d %d", lone, way, gotA, gotB)
 					}
 				}
-				for _, c := range w.controls() { // all tell the same history
-					w.until(5*time.Second, "reading from "+c, func() bool {
-						r, err := w.do(c, &httpwire.Call{Method: "GET", Target: "/v1/configuration", Host: c}, time.Second)
+				for _, c := range w.controlAddresses() { // all tell the same history
+					w.waitFor(5*time.Second, "reading from "+c, func() bool {
+						r, err := w.request(c, &httpwire.Call{Method: "GET", Target: "/v1/configuration", Host: c}, time.Second)
 						if err == nil && r.Status == 200 && (gotA == 200 && !bytes.Equal(r.Body, a) || gotB == 200 && !bytes.Equal(r.Body, b)) {
 							t.Fatalf("core %d cut %s: %s tells another configuration", lone, way, c)
 						}
@@ -222,9 +222,9 @@
 				if gotB == 200 {
 					won, winner = b, base+2
 				}
-				w.version = winner
-				w.change("after the cut", options{})
-				if code := w.put(ips[0]+":82", base, won); code != 200 {
+				w.revision = winner
+				w.changeConfiguration("after the cut", options{})
+				if code := w.putConfiguration(ips[0]+":82", base, won); code != 200 {
 					t.Errorf("a change taken earlier, sent again: %d", code)
 				}
 			})
@@ -232,32 +232,32 @@
 	}
 }
 
-func TestTwoLossesAreBorneAtOnce(t *testing.T) {
-	runWide(t, 2, 2, func(w *world) {
-		plain := w.service("plain", "z1", "z2", "z3")
-		w.configure(options{})
-		w.until(10*time.Second, "all cores vote", func() bool { m, v := w.cores(); return m == 6 && v == 6 })
+func TestTwoSimultaneousHostFailuresAreTolerated(t *testing.T) {
+	runClusterWith(t, 2, 2, func(w *world) {
+		plain := w.newService("plain", "z1", "z2", "z3")
+		w.applyConfiguration(options{})
+		w.waitFor(10*time.Second, "all cores vote", func() bool { m, v := w.viewSize(); return m == 6 && v == 6 })
 		names := map[string]string{}
 		for i := range 60 {
 			id := fmt.Sprintf("k%d", i)
-			names[id] = w.accept(zones[i%3], "/plain/", id, "Saltreel-Delay-Ms", "20000")
+			names[id] = w.sendUntilAccepted(zones[i%3], "/plain/", id, "Saltreel-Delay-Ms", "20000")
 		}
 		var want []byte
-		w.during(plain, func() {
+		w.withTraffic(plain, func() {
 			for _, pair := range [][2]string{{"z1", "z11"}, {"z2", "z31"}} {
 				for _, z := range pair {
-					w.kill("store-" + z)
-					w.wipe("store-" + z)
-					w.kill("core-" + z)
+					w.killMachine("store-" + z)
+					w.wipeDisk("store-" + z)
+					w.killMachine("core-" + z)
 				}
 				time.Sleep(2 * time.Second)
-				want = w.change("without "+strings.Join(pair[:], " and "), options{attempts: 4})
+				want = w.changeConfiguration("without "+strings.Join(pair[:], " and "), options{maxAttempts: 4})
 				for _, z := range pair {
-					w.start("store-"+z, false)
-					w.wipe("core-" + z)
-					w.start("core-"+z, false)
+					w.startMachine("store-"+z, false)
+					w.wipeDisk("core-" + z)
+					w.startMachine("core-"+z, false)
 				}
-				w.until(10*time.Second, "all copies are in step and all cores vote", func() bool {
+				w.waitFor(10*time.Second, "all copies are in step and all cores vote", func() bool {
 					s, err := w.status()
 					ok := err == nil && len(s.View.Members) == 6 && len(s.View.Voters) == 6
 					for _, p := range s.Placement.Partitions {
@@ -267,10 +267,10 @@
 				})
 			}
 		})
-		w.readBack("after two losses, twice", want)
+		w.verifyConfiguration("after two losses, twice", want)
 		for id, name := range names {
-			w.ended(name, "complete seal-"+id, 30*time.Second)
-			if n := plain.count(id); n != 1 {
+			w.waitForState(name, "complete seal-"+id, 30*time.Second)
+			if n := plain.deliveryCount(id); n != 1 {
 				t.Errorf("%s ran %d times", id, n)
 			}
 		}
@@ -279,28 +279,28 @@
 
 // A leaving that two of three voters keep is known after the third one's only
 // neighbour that knows it was replaced and the other one is lost.
-func TestALeavingOutlivesTheVotersThatKeptIt(t *testing.T) {
-	run(t, func(w *world) {
-		plain := w.service("plain", "z1", "z2")
-		w.configure(options{})
-		w.net.sever([]string{"10.1.0.1"}, []string{"10.3.0.1"}, true) // the head does not reach the tail but through the chain
-		w.net.sever([]string{"10.3.0.1"}, []string{"10.1.0.1"}, true)
-		leaver := plain.by["plain-i0"]
-		leaver.stop()
-		a, err := w.do("10.1.0.1:82", &httpwire.Call{Method: "DELETE", Target: "/v1/instances/" + leaver.id, Host: "10.1.0.1:82"}, time.Second)
+func TestTombstoneSurvivesReplacementOfItsVoters(t *testing.T) {
+	runCluster(t, func(w *world) {
+		plain := w.newService("plain", "z1", "z2")
+		w.applyConfiguration(options{})
+		w.network.setBlocked([]string{"10.1.0.1"}, []string{"10.3.0.1"}, true) // the head does not reach the tail but through the chain
+		w.network.setBlocked([]string{"10.3.0.1"}, []string{"10.1.0.1"}, true)
+		leaver := plain.instances["plain-i0"]
+		leaver.cancel()
+		a, err := w.request("10.1.0.1:82", &httpwire.Call{Method: "DELETE", Target: "/v1/instances/" + leaver.id, Host: "10.1.0.1:82"}, time.Second)
 		if err != nil || a.Status != 200 {
 			t.Fatalf("DELETE: %+v, %v", a, err)
 		}
-		w.kill("core-z1")
-		w.add("core-new", "core", "z1", "10.1.0.9", false)
-		w.seed(0, "10.1.0.9")
-		w.until(10*time.Second, "the new core votes in place of the head", func() bool {
+		w.killMachine("core-z1")
+		w.addMachine("core-new", "core", "z1", "10.1.0.9", false)
+		w.replaceCoreAddress(0, "10.1.0.9")
+		w.waitFor(10*time.Second, "the new core votes in place of the head", func() bool {
 			s, err := w.status()
 			return err == nil && len(s.View.Voters) == 3 && strings.Contains(fmt.Sprint(s.View.Voters), "10.1.0.9")
 		})
-		w.kill("core-z2")
-		w.until(10*time.Second, "beats are taken again", func() bool {
-			return plain.call("PUT", leaver.id, fmt.Sprintf(`{"service":"plain","address":%q,"zone":"z1","slots":2,"oper-state":"ready","call-seq":1}`, leaver.addr)) == 200
+		w.killMachine("core-z2")
+		w.waitFor(10*time.Second, "beats are taken again", func() bool {
+			return plain.callCore("PUT", leaver.id, fmt.Sprintf(`{"service":"plain","address":%q,"zone":"z1","slots":2,"oper-state":"ready","call-seq":1}`, leaver.address)) == 200
 		})
 		time.Sleep(2 * time.Second)
 		s, err := w.status()
@@ -314,34 +314,34 @@
 
 // What is kept by majority is kept by the voters that are in force: one that
 // asks in the name of those before is refused.
-func TestVotersKeepNothingForTheOnesBefore(t *testing.T) {
-	run(t, func(w *world) {
-		w.configure(options{})
+func TestVotersRejectStaleQuorumEpoch(t *testing.T) {
+	runCluster(t, func(w *world) {
+		w.applyConfiguration(options{})
 		keep := func(ip string, electorate int64, id string) (string, error) {
 			var out struct {
 				Disk string `json:"disk"`
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			err := w.pool.Call(ctx, ip+":7100", "/exchange", map[string]any{"from": "10.9.0.1", "keep": electorate,
+			err := w.client.Call(ctx, ip+":7100", "/exchange", map[string]any{"from": "10.9.0.1", "keep": electorate,
 				"items": []any{map[string]any{"key": "instance/" + id, "version": map[string]any{"major": int64(1) << 61}, "value": nil}}}, nil, &out)
 			return out.Disk, err
 		}
 		if _, err := keep("10.2.0.1", 0, "x1"); err != nil {
 			t.Fatalf("for the founders: %v", err)
 		}
-		w.kill("core-z1")
+		w.killMachine("core-z1")
 		time.Sleep(1500 * time.Millisecond)
-		w.add("core-new", "core", "z1", "10.1.0.9", false)
-		w.seed(0, "10.1.0.9")
+		w.addMachine("core-new", "core", "z1", "10.1.0.9", false)
+		w.replaceCoreAddress(0, "10.1.0.9")
 		var electorate int64
-		w.until(10*time.Second, "the voters have changed", func() bool {
+		w.waitFor(10*time.Second, "the voters have changed", func() bool {
 			s, err := w.status()
 			electorate = s.View.QuorumEpoch
 			return err == nil && electorate > 0
 		})
 		for _, ip := range []string{"10.1.0.9", "10.2.0.1", "10.3.0.1"} {
-			w.until(time.Second, ip+" keeps for the voters in force", func() bool {
+			w.waitFor(time.Second, ip+" keeps for the voters in force", func() bool {
 				_, err := keep(ip, electorate, "x2")
 				return err == nil
 			})
@@ -354,22 +354,22 @@
 
 // A core that is cut off for twenty seconds says nothing old, neither while it
 // is cut off nor in the moment when the cut heals.
-func TestACoreThatWasCutOffTellsNothingOld(t *testing.T) {
+func TestIsolatedCorePublishesNoStaleState(t *testing.T) {
 	for _, way := range []string{"both ways", "out", "in"} {
-		run(t, func(w *world) {
-			plain := w.service("plain", "z1", "z2")
-			w.configure(options{})
+		runCluster(t, func(w *world) {
+			plain := w.newService("plain", "z1", "z2")
+			w.applyConfiguration(options{})
 			lone, rest := []string{"10.3.0.1"}, []string{"10.1.0.1", "10.2.0.1", "10.1.0.2", "10.2.0.2", "10.3.0.2", "10.1.0.3", "10.2.0.3", "10.3.0.3"}
 			sever := func(yes bool) {
 				if way != "in" {
-					w.net.sever(lone, rest, yes)
+					w.network.setBlocked(lone, rest, yes)
 				}
 				if way != "out" {
-					w.net.sever(rest, lone, yes)
+					w.network.setBlocked(rest, lone, yes)
 				}
 			}
 			news := func() (page string, status int) { // as a node that starts asks for it
-				a, err := w.do("10.3.0.1:7100", &httpwire.Call{Method: "POST", Target: "/news", Host: "10.3.0.1", Body: []byte(`{"wait-ms":0,"role":"store"}`)}, time.Second)
+				a, err := w.request("10.3.0.1:7100", &httpwire.Call{Method: "POST", Target: "/news", Host: "10.3.0.1", Body: []byte(`{"wait-ms":0,"role":"store"}`)}, time.Second)
 				if err != nil {
 					return "", 0
 				}
@@ -380,13 +380,13 @@
 			}
 			sever(true)
 			time.Sleep(2 * time.Second) // contact-ms/2
-			w.change("during the cut", options{attempts: 9})
-			leaver := plain.by["plain-i0"]
-			leaver.stop()
-			w.until(5*time.Second, "the leaving is acknowledged", func() bool { return plain.call("DELETE", leaver.id, "") == 200 })
+			w.changeConfiguration("during the cut", options{maxAttempts: 9})
+			leaver := plain.instances["plain-i0"]
+			leaver.cancel()
+			w.waitFor(5*time.Second, "the leaving is acknowledged", func() bool { return plain.callCore("DELETE", leaver.id, "") == 200 })
 			beat := func() int {
-				a, err := w.do("10.3.0.1:82", &httpwire.Call{Method: "PUT", Target: "/v1/instances/" + leaver.id, Host: "10.3.0.1", Body: fmt.Appendf(nil,
-					`{"service":"plain","address":%q,"zone":"z1","slots":2,"oper-state":"ready","call-seq":1}`, leaver.addr)}, time.Second)
+				a, err := w.request("10.3.0.1:82", &httpwire.Call{Method: "PUT", Target: "/v1/instances/" + leaver.id, Host: "10.3.0.1", Body: fmt.Appendf(nil,
+					`{"service":"plain","address":%q,"zone":"z1","slots":2,"oper-state":"ready","call-seq":1}`, leaver.address)}, time.Second)
 				if err != nil {
 					return 0
 				}
@@ -402,7 +402,7 @@
 			}
 			sever(false)
 			var page string
-			w.until(10*time.Second, "news after the cut", func() bool {
+			w.waitFor(10*time.Second, "news after the cut", func() bool {
 				p, status := news()
 				page = p
 				return status == 200
@@ -420,8 +420,8 @@
 				t.Fatalf("the page cannot be read: %v %.200s", err, page)
 			}
 			for _, e := range told.Events {
-				if e.Key == "configuration" && e.Version.Major != int64(w.version) {
-					t.Errorf("cut off %s: revision %d is told after the cut, %d is in force", way, e.Version.Major, w.version)
+				if e.Key == "configuration" && e.Version.Major != int64(w.revision) {
+					t.Errorf("cut off %s: revision %d is told after the cut, %d is in force", way, e.Version.Major, w.revision)
 				}
 				if e.Key == "instance/"+leaver.id && e.Value != nil {
 					t.Errorf("cut off %s: %s is told as there after the cut: %v", way, leaver.id, e.Value)
@@ -433,10 +433,10 @@
 
 // A handler's later beats go to the core of its zone as long as that one is
 // there, and whichever core it asks names the same one.
-func TestBeatsGoToTheNearestCoreThatAnswers(t *testing.T) {
-	run(t, func(w *world) {
+func TestHeartbeatTargetIsNearestAvailableCore(t *testing.T) {
+	runCluster(t, func(w *world) {
 		target := func(control string) string {
-			a, err := w.do(control, &httpwire.Call{Method: "PUT", Target: "/v1/instances/x1", Host: control, Body: fmt.Appendf(nil,
+			a, err := w.request(control, &httpwire.Call{Method: "PUT", Target: "/v1/instances/x1", Host: control, Body: fmt.Appendf(nil,
 				`{"service":"plain","address":"10.20.1.1:90","zone":"z2","slots":2,"oper-state":"ready","call-seq":%d}`, time.Now().UnixMilli())}, time.Second)
 			var out struct {
 				Target string `json:"keepalive-target"`
@@ -446,28 +446,28 @@
 			}
 			return out.Target
 		}
-		for _, c := range w.controls() {
-			w.until(3*time.Second, c+" names the core of the zone", func() bool { return target(c) == "10.2.0.1:82" })
+		for _, c := range w.controlAddresses() {
+			w.waitFor(3*time.Second, c+" names the core of the zone", func() bool { return target(c) == "10.2.0.1:82" })
 		}
-		w.kill("core-z2")
+		w.killMachine("core-z2")
 		time.Sleep(2 * time.Second)
 		for _, c := range []string{"10.1.0.1:82", "10.3.0.1:82"} {
-			w.until(3*time.Second, c+" names itself", func() bool { return target(c) == c })
+			w.waitFor(3*time.Second, c+" names itself", func() bool { return target(c) == c })
 		}
-		w.start("core-z2", false)
-		w.until(5*time.Second, "the core of the zone is named again", func() bool { return target("10.1.0.1:82") == "10.2.0.1:82" && target("10.2.0.1:82") == "10.2.0.1:82" })
+		w.startMachine("core-z2", false)
+		w.waitFor(5*time.Second, "the core of the zone is named again", func() bool { return target("10.1.0.1:82") == "10.2.0.1:82" && target("10.2.0.1:82") == "10.2.0.1:82" })
 	})
 }
 
 // A core whose process is gone is missed at once: its machine says so.
-func TestOrdersGoOnSoonAfterTheKillOfACore(t *testing.T) {
+func TestWritesResumeSoonAfterCoreCrash(t *testing.T) {
 	for _, z := range zones {
-		run(t, func(w *world) {
-			w.configure(options{})
+		runCluster(t, func(w *world) {
+			w.applyConfiguration(options{})
 			time.Sleep(2 * time.Second)
-			w.kill("core-" + z)
+			w.killMachine("core-" + z)
 			began := time.Now()
-			w.change("without core-"+z, options{attempts: 5})
+			w.changeConfiguration("without core-"+z, options{maxAttempts: 5})
 			took := time.Since(began)
 			t.Logf("core-%s killed: an order is acknowledged after %v", z, took)
 			if took > 1200*time.Millisecond { // contact-ms is 4 s
@@ -478,26 +478,26 @@
 }
 
 // One core alone is a system too, where nothing need be borne.
-func TestACoreAloneServes(t *testing.T) {
+func TestSingleCoreServes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, net: newNetwork(), nodes: map[string]*machine{}, dir: t.TempDir(), seeds: []string{"10.1.0.1"}}
-		w.outside = &process{net: w.net, ip: "10.9.0.1"}
-		w.pool = rpc.NewClient(&httpwire.Pool{Network: w.outside.network()})
-		w.add("core-z1", "core", "z1", "10.1.0.1", true)
+		w := &world{t: t, network: newNetwork(), machines: map[string]*machine{}, dataPath: t.TempDir(), coreAddresses: []string{"10.1.0.1"}}
+		w.clientProcess = &process{network: w.network, ip: "10.9.0.1"}
+		w.client = rpc.NewClient(&httpwire.Pool{Network: w.clientProcess.httpNetwork()})
+		w.addMachine("core-z1", "core", "z1", "10.1.0.1", true)
 		defer func() {
-			w.nodes["core-z1"].stop()
-			w.tasks.Wait()
+			w.machines["core-z1"].cancel()
+			w.goroutines.Wait()
 		}()
 		for _, life := range []string{"first", "second"} {
-			want := w.change("in the "+life+" life", options{})
-			w.readBack("in the "+life+" life", want)
-			w.until(5*time.Second, "a beat is taken in the "+life+" life", func() bool {
-				a, err := w.do("10.1.0.1:82", &httpwire.Call{Method: "PUT", Target: "/v1/instances/x1", Host: "10.1.0.1:82", Body: fmt.Appendf(nil,
+			want := w.changeConfiguration("in the "+life+" life", options{})
+			w.verifyConfiguration("in the "+life+" life", want)
+			w.waitFor(5*time.Second, "a beat is taken in the "+life+" life", func() bool {
+				a, err := w.request("10.1.0.1:82", &httpwire.Call{Method: "PUT", Target: "/v1/instances/x1", Host: "10.1.0.1:82", Body: fmt.Appendf(nil,
 					`{"service":"plain","address":"10.20.1.1:90","zone":"z1","slots":2,"oper-state":"ready","call-seq":%d}`, time.Now().UnixMilli())}, time.Second)
 				return err == nil && a.Status == 200
 			})
-			w.kill("core-z1")
-			w.start("core-z1", false)
+			w.killMachine("core-z1")
+			w.startMachine("core-z1", false)
 		}
 	})
 }
--- a/internal/cluster/network_test.go
+++ b/internal/cluster/network_test.go
@@ -16,35 +16,35 @@
 // network is a simulated network: delays, cuts and machines that die. It runs
 // on the clock of the test's bubble.
 type network struct {
-	mu        sync.Mutex
-	listeners map[string]*listener
-	conns     map[*conn]bool
-	dark      map[string]bool    // by IP: packets to and from it are lost
-	severed   map[[2]string]bool // from one IP to another: lost too
-	delay     time.Duration
-	held      map[[2]string]int            // from one IP to another: delivered once nobody holds it any more
-	holding   map[[2]string]map[*pipe]bool // what has held bytes
-	jitter    time.Duration                // what a packet may take longer than others
-	rng       *rand.Rand                   // draws the jitter
-	opens     bool                         // connections open past all cuts; what is sent on them does not
+	mu                    sync.Mutex
+	listeners             map[string]*listener
+	conns                 map[*conn]bool
+	isolated              map[string]bool    // by IP: packets to and from it are lost
+	blocked               map[[2]string]bool // from one IP to another: lost too
+	delay                 time.Duration
+	heldLinks             map[[2]string]int            // from one IP to another: delivered once nobody holds it any more
+	heldPipes             map[[2]string]map[*pipe]bool // what has held bytes
+	jitter                time.Duration                // what a packet may take longer than others
+	rng                   *rand.Rand                   // draws the jitter
+	dialsIgnorePartitions bool                         // connections open past all cuts; what is sent on them does not
 	// request, where it is set, sees each request before it is sent. It gives
 	// the bytes to send in its place, and an answer if it is not to be sent.
-	request func(from *process, to string, b []byte) (out, answer []byte)
-	meddle  func(b []byte) []byte   // makes something else of what is written
-	seen    func(c *conn, b []byte) // called with all that is written and not lost, if set
+	interceptRequest func(from *process, to string, b []byte) (out, answer []byte)
+	rewrite          func(b []byte) []byte   // makes something else of what is written
+	observe          func(c *conn, b []byte) // called with all that is written and not lost, if set
 }
 
 func newNetwork() *network {
-	return &network{listeners: map[string]*listener{}, conns: map[*conn]bool{}, dark: map[string]bool{}, severed: map[[2]string]bool{}, delay: time.Millisecond,
-		held: map[[2]string]int{}, holding: map[[2]string]map[*pipe]bool{}, rng: rand.New(rand.NewPCG(1, 2))}
+	return &network{listeners: map[string]*listener{}, conns: map[*conn]bool{}, isolated: map[string]bool{}, blocked: map[[2]string]bool{}, delay: time.Millisecond,
+		heldLinks: map[[2]string]int{}, heldPipes: map[[2]string]map[*pipe]bool{}, rng: rand.New(rand.NewPCG(1, 2))}
 }
 
 // process is one life of a process on the network.
 type process struct {
-	net  *network
-	ip   string
-	dead bool
-	free bool // no cut and no hold strikes what it sends and gets
+	network *network
+	ip      string
+	dead    bool
+	exempt  bool // no cut and no hold strikes what it sends and gets
 }
 
 type listener struct {
@@ -66,11 +66,11 @@
 
 func (l *listener) Close() error {
 	l.once.Do(func() {
-		l.owner.net.mu.Lock()
-		if l.owner.net.listeners[l.addr] == l {
-			delete(l.owner.net.listeners, l.addr)
+		l.owner.network.mu.Lock()
+		if l.owner.network.listeners[l.addr] == l {
+			delete(l.owner.network.listeners, l.addr)
 		}
-		l.owner.net.mu.Unlock()
+		l.owner.network.mu.Unlock()
 		close(l.done)
 	})
 	return nil
@@ -83,30 +83,30 @@
 func (address) Network() string  { return "tcp" }
 func (a address) String() string { return string(a) }
 
-func (p *process) network() httpwire.Network {
+func (p *process) httpNetwork() httpwire.Network {
 	return httpwire.Network{Dial: p.dial, Listen: p.listen}
 }
 
 func (p *process) listen(addr string) (net.Listener, error) {
 	l := &listener{owner: p, addr: addr, queue: make(chan net.Conn, 256), done: make(chan struct{})}
-	p.net.mu.Lock()
-	defer p.net.mu.Unlock()
-	if p.dead || p.net.listeners[addr] != nil {
+	p.network.mu.Lock()
+	defer p.network.mu.Unlock()
+	if p.dead || p.network.listeners[addr] != nil {
 		return nil, syscall.EADDRINUSE
 	}
-	p.net.listeners[addr] = l
+	p.network.listeners[addr] = l
 	return l, nil
 }
 
 func (p *process) dial(ctx context.Context, addr string) (net.Conn, error) {
-	n := p.net
+	n := p.network
 	ip, _, _ := net.SplitHostPort(addr)
 	select {
-	case <-time.After(2 * n.takes()):
+	case <-time.After(2 * n.latency()):
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	for !p.free && !n.opens && n.holds(p.ip, ip) { // the handshake is held up as well
+	for !p.exempt && !n.dialsIgnorePartitions && n.handshakeHeld(p.ip, ip) { // the handshake is held up as well
 		select {
 		case <-time.After(10 * time.Millisecond):
 		case <-ctx.Done():
@@ -115,7 +115,7 @@
 	}
 	n.mu.Lock()
 	l := n.listeners[addr]
-	silent := !p.free && !n.opens && (n.loses(p.ip, ip) || n.loses(ip, p.ip))
+	silent := !p.exempt && !n.dialsIgnorePartitions && (n.dropsLocked(p.ip, ip) || n.dropsLocked(ip, p.ip))
 	if dead := p.dead; dead || l == nil || silent {
 		n.mu.Unlock()
 		if dead || silent {
@@ -125,7 +125,7 @@
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	}
 	a, b := newPipe(), newPipe()
-	near := &conn{in: a, out: b, owner: p, peer: l.owner, to: addr}
+	near := &conn{in: a, out: b, owner: p, peer: l.owner, dialled: addr}
 	far := &conn{in: b, out: a, owner: l.owner, peer: p}
 	n.conns[near], n.conns[far] = true, true
 	n.mu.Unlock()
@@ -138,7 +138,7 @@
 
 // kill ends a life: its sockets close with a reset, and it reaches nobody any more.
 func (p *process) kill() {
-	n := p.net
+	n := p.network
 	n.mu.Lock()
 	p.dead = true
 	var ls []*listener
@@ -183,7 +183,7 @@
 func (n *network) hold(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.held[[2]string{from, to}]++
+	n.heldLinks[[2]string{from, to}]++
 }
 
 // release delivers what was held, unless another hold is left.
@@ -191,77 +191,77 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	link := [2]string{from, to}
-	if n.held[link]--; n.held[link] > 0 {
+	if n.heldLinks[link]--; n.heldLinks[link] > 0 {
 		return
 	}
-	for p := range n.holding[link] {
+	for p := range n.heldPipes[link] {
 		p.release(n.delay)
 	}
-	delete(n.holding, link)
+	delete(n.heldPipes, link)
 }
 
 // holds tells whether a handshake between two machines is held up.
-func (n *network) holds(a, b string) bool {
+func (n *network) handshakeHeld(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.held[[2]string{a, b}] > 0 || n.held[[2]string{b, a}] > 0
+	return n.heldLinks[[2]string{a, b}] > 0 || n.heldLinks[[2]string{b, a}] > 0
 }
 
 // clear tells whether two machines reach each other, as far as cuts and holds say.
-func (n *network) clear(a, b string) bool {
+func (n *network) reachable(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.loses(a, b) && !n.loses(b, a) && n.held[[2]string{a, b}] <= 0 && n.held[[2]string{b, a}] <= 0
+	return !n.dropsLocked(a, b) && !n.dropsLocked(b, a) && n.heldLinks[[2]string{a, b}] <= 0 && n.heldLinks[[2]string{b, a}] <= 0
 }
 
 // vary lets each packet take up to so much longer, so that what is sent on one
 // connection overtakes what is sent on another.
-func (n *network) vary(most time.Duration) {
+func (n *network) setJitter(most time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.jitter = most
 }
 
 // cut makes a machine dark, or lights it again.
-func (n *network) cut(ip string, dark bool) {
+func (n *network) isolate(ip string, dark bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.dark[ip] = dark
+	n.isolated[ip] = dark
 }
 
 // slow sets how long packets take from now on.
-func (n *network) slow(delay time.Duration) {
+func (n *network) setDelay(delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delay = delay
 }
 
-func (n *network) takes() time.Duration {
+func (n *network) latency() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.delay
 }
 
 // sever loses what goes from any of some machines to any of others, or mends it.
-func (n *network) sever(from, to []string, yes bool) {
+func (n *network) setBlocked(from, to []string, yes bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, a := range from {
 		for _, b := range to {
-			n.severed[[2]string{a, b}] = yes
+			n.blocked[[2]string{a, b}] = yes
 		}
 	}
 }
 
 // loses tells whether packets from one machine to another are lost. The lock is held.
-func (n *network) loses(from, to string) bool {
-	return n.dark[from] || n.dark[to] || n.severed[[2]string{from, to}]
+func (n *network) dropsLocked(from, to string) bool {
+	return n.isolated[from] || n.isolated[to] || n.blocked[[2]string{from, to}]
 }
 
 type conn struct {
 	in, out     *pipe
 	owner, peer *process
-	to          string // the address that was dialled; empty for the side that accepted
+	dialled     string // the address that was dialled; empty for the side that accepted
 }
 
 func (c *conn) reset() {
@@ -272,29 +272,29 @@
 func (c *conn) Read(b []byte) (int, error) { return c.in.read(b) }
 
 func (c *conn) Write(b []byte) (int, error) {
-	n := c.owner.net
+	n := c.owner.network
 	sent := b
-	if n.request != nil && c.to != "" {
+	if n.interceptRequest != nil && c.dialled != "" {
 		var answer []byte
-		if sent, answer = n.request(c.owner, c.to, b); answer != nil {
-			_, err := c.in.write(answer, n.takes(), false)
+		if sent, answer = n.interceptRequest(c.owner, c.dialled, b); answer != nil {
+			_, err := c.in.write(answer, n.latency(), false)
 			return len(b), err
 		}
 	}
-	free := c.owner.free || c.peer.free
+	free := c.owner.exempt || c.peer.exempt
 	link := [2]string{c.owner.ip, c.peer.ip}
 	n.mu.Lock()
-	lost, held, delay := !free && n.loses(link[0], link[1]), !free && n.held[link] > 0, n.delay
+	lost, held, delay := !free && n.dropsLocked(link[0], link[1]), !free && n.heldLinks[link] > 0, n.delay
 	if n.jitter > 0 && !free {
 		delay += time.Duration(n.rng.Int64N(int64(n.jitter)))
 	}
 	if held && !lost {
-		if n.holding[link] == nil {
-			n.holding[link] = map[*pipe]bool{}
+		if n.heldPipes[link] == nil {
+			n.heldPipes[link] = map[*pipe]bool{}
 		}
-		n.holding[link][c.out] = true
+		n.heldPipes[link][c.out] = true
 	}
-	meddle, seen := n.meddle, n.seen
+	meddle, seen := n.rewrite, n.observe
 	n.mu.Unlock()
 	if lost {
 		return len(b), nil
@@ -315,7 +315,7 @@
 func (c *conn) Close() error {
 	c.in.close(net.ErrClosed)
 	c.out.close(io.EOF)
-	n := c.owner.net
+	n := c.owner.network
 	n.mu.Lock()
 	delete(n.conns, c)
 	n.mu.Unlock()
@@ -324,57 +324,57 @@
 
 func (c *conn) LocalAddr() net.Addr                { return address(c.owner.ip + ":1") }
 func (c *conn) RemoteAddr() net.Addr               { return address(c.peer.ip + ":1") }
-func (c *conn) SetDeadline(t time.Time) error      { return c.in.deadlineAt(t) }
-func (c *conn) SetReadDeadline(t time.Time) error  { return c.in.deadlineAt(t) }
+func (c *conn) SetDeadline(t time.Time) error      { return c.in.setDeadline(t) }
+func (c *conn) SetReadDeadline(t time.Time) error  { return c.in.setDeadline(t) }
 func (c *conn) SetWriteDeadline(t time.Time) error { return nil }
 
 // pipe is one direction of a connection.
 type pipe struct {
 	mu       sync.Mutex
 	chunks   []chunk
-	end      error
+	closeErr error
 	deadline time.Time
-	wake     chan struct{}
+	changed  chan struct{}
 }
 
 type chunk struct {
-	at   time.Time
-	held bool
-	data []byte
+	arrivesAt time.Time
+	held      bool
+	data      []byte
 }
 
-func newPipe() *pipe { return &pipe{wake: make(chan struct{})} }
+func newPipe() *pipe { return &pipe{changed: make(chan struct{})} }
 
-func (p *pipe) stir() {
-	close(p.wake)
-	p.wake = make(chan struct{})
+func (p *pipe) notifyLocked() {
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-func (p *pipe) deadlineAt(t time.Time) error {
+func (p *pipe) setDeadline(t time.Time) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.deadline = t
-	p.stir()
+	p.notifyLocked()
 	return nil
 }
 
 func (p *pipe) close(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.end == nil {
-		p.end = err
-		p.stir()
+	if p.closeErr == nil {
+		p.closeErr = err
+		p.notifyLocked()
 	}
 }
 
 func (p *pipe) write(b []byte, delay time.Duration, held bool) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.end != nil {
+	if p.closeErr != nil {
 		return 0, syscall.EPIPE
 	}
 	p.chunks = append(p.chunks, chunk{time.Now().Add(delay), held, append([]byte(nil), b...)})
-	p.stir()
+	p.notifyLocked()
 	return len(b), nil
 }
 
@@ -384,10 +384,10 @@
 	defer p.mu.Unlock()
 	for i := range p.chunks {
 		if c := &p.chunks[i]; c.held {
-			c.at, c.held = time.Now().Add(delay), false
+			c.arrivesAt, c.held = time.Now().Add(delay), false
 		}
 	}
-	p.stir()
+	p.notifyLocked()
 }
 
 func (p *pipe) read(b []byte) (int, error) {
@@ -401,13 +401,13 @@
 				return 0, os.ErrDeadlineExceeded
 			}
 		}
-		if p.end != nil && (p.end != io.EOF || len(p.chunks) == 0) {
+		if p.closeErr != nil && (p.closeErr != io.EOF || len(p.chunks) == 0) {
 			defer p.mu.Unlock()
-			return 0, p.end
+			return 0, p.closeErr
 		}
 		if len(p.chunks) > 0 {
 			c := &p.chunks[0]
-			if !c.held && !c.at.After(now) {
+			if !c.held && !c.arrivesAt.After(now) {
 				n := copy(b, c.data)
 				if c.data = c.data[n:]; len(c.data) == 0 {
 					p.chunks = p.chunks[1:]
@@ -416,10 +416,10 @@
 				return n, nil
 			}
 			if !c.held {
-				wait = min(wait, c.at.Sub(now))
+				wait = min(wait, c.arrivesAt.Sub(now))
 			}
 		}
-		wake := p.wake
+		wake := p.changed
 		p.mu.Unlock()
 		t := time.NewTimer(wait)
 		select {
--- a/internal/cluster/path_test.go
+++ b/internal/cluster/path_test.go
@@ -12,45 +12,45 @@
 	"saltreel/internal/store"
 )
 
-func TestMessageIsTakenDeliveredAndToldOf(t *testing.T) {
-	run(t, func(w *world) {
-		plain := w.service("plain", "z1", "z2", "z3")
-		w.configure(options{})
+func TestMessageIsAcceptedDeliveredAndReported(t *testing.T) {
+	runCluster(t, func(w *world) {
+		plain := w.newService("plain", "z1", "z2", "z3")
+		w.applyConfiguration(options{})
 		for _, z := range zones {
-			id := w.id()
-			name := w.accept(z, "/plain/x?q=1", id)
-			w.ended(name, "complete seal-"+id, 3*time.Second)
-			if n := plain.count(id); n != 1 {
+			id := w.newID()
+			name := w.sendUntilAccepted(z, "/plain/x?q=1", id)
+			w.waitForState(name, "complete seal-"+id, 3*time.Second)
+			if n := plain.deliveryCount(id); n != 1 {
 				t.Errorf("%s ran %d times", id, n)
 			}
 		}
-		for _, d := range plain.all() {
+		for _, d := range plain.received() {
 			if d.body != "body of "+d.id || d.tenant != "one" {
 				t.Errorf("delivered %+v", d)
 			}
 		}
-		delayed := w.id()
+		delayed := w.newID()
 		began := time.Now()
-		name := w.accept("z1", "/plain/y", delayed, "Saltreel-Delay-Ms", "1500")
-		if got := w.state(name); got != "pending" {
+		name := w.sendUntilAccepted("z1", "/plain/y", delayed, "Saltreel-Delay-Ms", "1500")
+		if got := w.messageState(name); got != "pending" {
 			t.Errorf("delayed message: %s", got)
 		}
-		if code, body := w.ask("z3", "/v1/message-body/"+name); code != 200 || body != "body of "+delayed {
+		if code, body := w.get("z3", "/v1/message-body/"+name); code != 200 || body != "body of "+delayed {
 			t.Errorf("body: %d %q", code, body)
 		}
-		w.ended(name, "complete seal-"+delayed, 4*time.Second)
-		for _, d := range plain.all() {
-			if d.id == delayed && d.at.Sub(began) < 1500*time.Millisecond {
-				t.Errorf("ran %v after it was sent", d.at.Sub(began))
+		w.waitForState(name, "complete seal-"+delayed, 4*time.Second)
+		for _, d := range plain.received() {
+			if d.id == delayed && d.startedAt.Sub(began) < 1500*time.Millisecond {
+				t.Errorf("ran %v after it was sent", d.startedAt.Sub(began))
 			}
 		}
 	})
 }
 
-func TestWhatClientsAreRefused(t *testing.T) {
-	run(t, func(w *world) {
-		w.service("plain", "z1")
-		w.configure(options{})
+func TestInvalidClientRequestsAreRejected(t *testing.T) {
+	runCluster(t, func(w *world) {
+		w.newService("plain", "z1")
+		w.applyConfiguration(options{})
 		for _, c := range []struct {
 			path, id string
 			header   []string
@@ -63,124 +63,124 @@
 			{"/plain/", "a4", []string{"Content-Length", "3"}, 400},
 			{"/plain/", "a5", []string{"X-Large", strings.Repeat("x", 17000)}, 431},
 		} {
-			if a := w.send("z1", c.path, c.id, c.header...); a.Status != c.want {
+			if a := w.sendMessage("z1", c.path, c.id, c.header...); a.Status != c.want {
 				t.Errorf("%s %s %.40v: %d, not %d", c.path, c.id, c.header, a.Status, c.want)
 			}
 		}
-		a, err := w.do(w.nodes["edge-z1"].ip+":80", &httpwire.Call{Method: "POST", Target: "/plain/", Host: "app.example", Header: []string{"Saltreel-Key", "key-one", "Saltreel-Attempt-Id", "a6"}, Body: make([]byte, 300000)}, time.Second)
+		a, err := w.request(w.machines["edge-z1"].ip+":80", &httpwire.Call{Method: "POST", Target: "/plain/", Host: "app.example", Header: []string{"Saltreel-Key", "key-one", "Saltreel-Attempt-Id", "a6"}, Body: make([]byte, 300000)}, time.Second)
 		if err != nil || a.Status != 413 {
 			t.Errorf("large body: %v %v", a, err)
 		}
-		name := w.accept("z1", "/ordered/", "a7", "Saltreel-Order-Key", "k")
+		name := w.sendUntilAccepted("z1", "/ordered/", "a7", "Saltreel-Order-Key", "k")
 		for range 3 { // the same id again is the same message
-			if a := w.send("z1", "/ordered/", "a7", "Saltreel-Order-Key", "k"); a.Status != 202 || a.Header.Get("Saltreel-Message-Name") != name {
+			if a := w.sendMessage("z1", "/ordered/", "a7", "Saltreel-Order-Key", "k"); a.Status != 202 || a.Header.Get("Saltreel-Message-Name") != name {
 				t.Errorf("the same message again: %d %v", a.Status, a.Header)
 			}
 		}
-		a, err = w.do(w.nodes["edge-z2"].ip+":80", &httpwire.Call{Method: "GET", Target: "/v1/message/" + name, Host: "app.example", Header: []string{"Saltreel-Key", "key-two"}}, time.Second)
+		a, err = w.request(w.machines["edge-z2"].ip+":80", &httpwire.Call{Method: "GET", Target: "/v1/message/" + name, Host: "app.example", Header: []string{"Saltreel-Key", "key-two"}}, time.Second)
 		if err != nil || a.Status != 404 {
 			t.Errorf("another tenant's question: %v %v", a, err)
 		}
 	})
 }
 
-func TestFailuresEndAsTheRulesSay(t *testing.T) {
-	run(t, func(w *world) {
-		plain := w.service("plain", "z1", "z2")
-		plain.answer = func(d delivery) (int, time.Duration) {
+func TestFailedDeliveriesAreRetriedOrDeadLettered(t *testing.T) {
+	runCluster(t, func(w *world) {
+		plain := w.newService("plain", "z1", "z2")
+		plain.respond = func(d delivery) (int, time.Duration) {
 			switch d.id {
 			case "never":
 				return 422, 0
 			case "fails":
 				return 500, 0
 			case "third":
-				if plain.count("third") < 2 {
+				if plain.deliveryCount("third") < 2 {
 					return 500, 0
 				}
 			}
 			return 200, 0
 		}
-		w.configure(options{attempts: 3})
+		w.applyConfiguration(options{maxAttempts: 3})
 		for id, want := range map[string]string{"never": "dead_letter", "fails": "dead_letter", "third": "complete seal-third"} {
-			name := w.accept("z1", "/plain/", id)
-			w.ended(name, want, 5*time.Second)
+			name := w.sendUntilAccepted("z1", "/plain/", id)
+			w.waitForState(name, want, 5*time.Second)
 			if want == "dead_letter" {
-				if code, body := w.ask("z1", "/v1/message-body/"+name); code != 200 || body != "body of "+id {
+				if code, body := w.get("z1", "/v1/message-body/"+name); code != 200 || body != "body of "+id {
 					t.Errorf("body of the dead letter %s: %d %q", id, code, body)
 				}
 			}
 		}
-		if a, b, c := plain.count("never"), plain.count("fails"), plain.count("third"); a != 1 || b != 3 || c != 3 {
+		if a, b, c := plain.deliveryCount("never"), plain.deliveryCount("fails"), plain.deliveryCount("third"); a != 1 || b != 3 || c != 3 {
 			t.Errorf("runs: %d %d %d", a, b, c)
 		}
 	})
 }
 
-func TestOrderHoldsThroughFailuresAndALostStore(t *testing.T) {
-	run(t, func(w *world) {
-		ordered := w.service("ordered", "z1", "z2", "z3")
+func TestKeyOrderSurvivesRetriesAndStoreCrash(t *testing.T) {
+	runCluster(t, func(w *world) {
+		ordered := w.newService("ordered", "z1", "z2", "z3")
 		n := 0
-		ordered.answer = func(d delivery) (int, time.Duration) {
+		ordered.respond = func(d delivery) (int, time.Duration) {
 			if n++; n%4 == 0 {
 				return 500, 20 * time.Millisecond
 			}
 			return 200, 20 * time.Millisecond
 		}
-		w.configure(options{attempts: 20})
+		w.applyConfiguration(options{maxAttempts: 20})
 		var ids []string
 		names := map[string]string{}
 		for i := range 40 {
-			id := w.id()
+			id := w.newID()
 			ids = append(ids, id)
-			names[id] = w.accept(zones[i%3], "/ordered/", id, "Saltreel-Order-Key", "thing")
+			names[id] = w.sendUntilAccepted(zones[i%3], "/ordered/", id, "Saltreel-Order-Key", "thing")
 			if i == 15 {
-				w.kill("store-z1")
+				w.killMachine("store-z1")
 			}
 			if i == 30 {
-				w.start("store-z1", false)
+				w.startMachine("store-z1", false)
 			}
 		}
 		for _, id := range ids {
-			w.ended(names[id], "complete seal-"+id, 20*time.Second)
+			w.waitForState(names[id], "complete seal-"+id, 20*time.Second)
 		}
 		firstEnd := map[string]time.Time{}
-		for _, d := range ordered.all() {
-			if e, ok := firstEnd[d.id]; !ok || d.ended.Before(e) {
-				firstEnd[d.id] = d.ended
+		for _, d := range ordered.received() {
+			if e, ok := firstEnd[d.id]; !ok || d.endedAt.Before(e) {
+				firstEnd[d.id] = d.endedAt
 			}
 		}
 		lastStart := time.Time{}
 		for _, id := range ids { // a later message starts only after an earlier one has succeeded
-			for _, d := range ordered.all() {
-				if d.id == id && d.at.Before(lastStart) {
+			for _, d := range ordered.received() {
+				if d.id == id && d.startedAt.Before(lastStart) {
 					t.Errorf("%s started before its predecessor ended", id)
 				}
 			}
-			for _, d := range ordered.all() {
-				if d.id == id && d.ended.After(lastStart) && d.ended.Equal(firstEnd[id]) {
-					lastStart = d.ended
+			for _, d := range ordered.received() {
+				if d.id == id && d.endedAt.After(lastStart) && d.endedAt.Equal(firstEnd[id]) {
+					lastStart = d.endedAt
 				}
 			}
 		}
 	})
 }
 
-func TestPacedServiceStaysBelowItsCeiling(t *testing.T) {
-	run(t, func(w *world) {
-		paced := &service{w: w, name: "paced", by: map[string]*instance{}}
-		in := &instance{id: "", addr: "10.20.30.40:90", life: &process{net: w.net, ip: "10.20.30.40"}}
-		l, err := in.life.listen(in.addr)
+func TestRateLimitedServiceStaysBelowItsRate(t *testing.T) {
+	runCluster(t, func(w *world) {
+		paced := &service{world: w, name: "paced", instances: map[string]*instance{}}
+		in := &instance{id: "", address: "10.20.30.40:90", process: &process{network: w.network, ip: "10.20.30.40"}}
+		l, err := in.process.listen(in.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		w.nodes["endpoint"] = &machine{stop: cancel}
-		server := &httpwire.Server{Handle: func(_ context.Context, r *httpwire.Request) *httpwire.Response { return paced.handle(in, r) }}
-		w.tasks.Go(func() { _ = server.Serve(ctx, l) })
-		w.configure(options{pace: 20})
+		w.machines["endpoint"] = &machine{cancel: cancel}
+		server := &httpwire.Server{Handle: func(_ context.Context, r *httpwire.Request) *httpwire.Response { return paced.serve(in, r) }}
+		w.goroutines.Go(func() { _ = server.Serve(ctx, l) })
+		w.applyConfiguration(options{pacedRate: 20})
 		var wg sync.WaitGroup
 		for i := range 200 {
-			wg.Go(func() { w.accept(zones[i%3], "/paced/", fmt.Sprintf("p%d", i)) })
+			wg.Go(func() { w.sendUntilAccepted(zones[i%3], "/paced/", fmt.Sprintf("p%d", i)) })
 			if i == 60 {
 				time.Sleep(time.Second)
 				victim := ""
@@ -188,16 +188,16 @@
 				for _, p := range s.Placement.Partitions {
 					victim = p.Primary
 				}
-				w.kill(victim)
+				w.killMachine(victim)
 			}
 		}
 		wg.Wait()
-		w.until(30*time.Second, "all paced messages", func() bool { return len(paced.all()) >= 200 })
-		runs := paced.all()
+		w.waitFor(30*time.Second, "all paced messages", func() bool { return len(paced.received()) >= 200 })
+		runs := paced.received()
 		for i, d := range runs {
 			k := 0
 			for _, e := range runs[i:] {
-				if e.at.Sub(d.at) < 5*time.Second {
+				if e.startedAt.Sub(d.startedAt) < 5*time.Second {
 					k++
 				}
 			}
@@ -209,7 +209,7 @@
 }
 
 // mostWithin is how many of some moments lie in any span of a length.
-func mostWithin(moments []time.Time, span time.Duration) (most int) {
+func maxInWindow(moments []time.Time, span time.Duration) (most int) {
 	for _, from := range moments {
 		n := 0
 		for _, at := range moments {
@@ -222,10 +222,10 @@
 	return most
 }
 
-func TestTenantLimitBindsOverAllEdges(t *testing.T) {
-	run(t, func(w *world) {
-		w.service("plain", "z1", "z2", "z3")
-		w.configure(options{rate: 20, burst: 20})
+func TestTenantRateLimitHoldsAcrossEdges(t *testing.T) {
+	runCluster(t, func(w *world) {
+		w.newService("plain", "z1", "z2", "z3")
+		w.applyConfiguration(options{rate: 20, burst: 20})
 		var mu sync.Mutex
 		var taken []time.Time
 		refused, other := 0, 0
@@ -233,7 +233,7 @@
 		for i := range 600 { // 100 a second against 20
 			time.Sleep(10 * time.Millisecond)
 			wg.Go(func() {
-				a := w.send(zones[i%3], "/plain/", fmt.Sprintf("q%d", i))
+				a := w.sendMessage(zones[i%3], "/plain/", fmt.Sprintf("q%d", i))
 				mu.Lock()
 				defer mu.Unlock()
 				switch a.Status {
@@ -250,67 +250,67 @@
 			})
 		}
 		wg.Wait()
-		most := mostWithin(taken, 5*time.Second)
+		most := maxInWindow(taken, 5*time.Second)
 		if limit := (20.0*5+20)*1.1 + 20; float64(most) > limit {
 			t.Errorf("%d taken in 5 s, %v allowed", most, limit)
 		}
 		if len(taken) < 100 || refused < 300 || other > 0 {
 			t.Errorf("%d taken, %d refused, %d other", len(taken), refused, other)
 		}
-		if a := w.send("z1", "/plain/", "neighbour", "Saltreel-Key", "key-two"); a.Status != 202 {
+		if a := w.sendMessage("z1", "/plain/", "neighbour", "Saltreel-Key", "key-two"); a.Status != 202 {
 			t.Errorf("a neighbour of the busy tenant got %d", a.Status)
 		}
 	})
 }
 
-func TestRemovedRouteAndKeyAreOutOfForceEverywhere(t *testing.T) {
-	run(t, func(w *world) {
-		plain := w.service("plain", "z1")
-		w.configure(options{keys: `"key-one","spare"`})
-		waiting := w.accept("z1", "/plain/", "waits", "Saltreel-Delay-Ms", "4000")
-		w.configure(options{without: "plain"})
+func TestRemovedRouteAndKeyAreRejectedAtEveryEdge(t *testing.T) {
+	runCluster(t, func(w *world) {
+		plain := w.newService("plain", "z1")
+		w.applyConfiguration(options{apiKeys: `"key-one","spare"`})
+		waiting := w.sendUntilAccepted("z1", "/plain/", "waits", "Saltreel-Delay-Ms", "4000")
+		w.applyConfiguration(options{withoutRoute: "plain"})
 		for _, z := range zones {
-			if a := w.send(z, "/plain/", "late-"+z); a.Status != 404 {
+			if a := w.sendMessage(z, "/plain/", "late-"+z); a.Status != 404 {
 				t.Errorf("removed route at %s: %d", z, a.Status)
 			}
-			if a := w.send(z, "/ordered/", "key-"+z, "Saltreel-Key", "spare"); a.Status != 401 {
+			if a := w.sendMessage(z, "/ordered/", "key-"+z, "Saltreel-Key", "spare"); a.Status != 401 {
 				t.Errorf("removed key at %s: %d", z, a.Status)
 			}
 		}
 		time.Sleep(6 * time.Second)
-		if plain.count("waits") != 0 || w.state(waiting) != "dead_letter" {
-			t.Errorf("message of a removed route: %d runs, %s", plain.count("waits"), w.state(waiting))
+		if plain.deliveryCount("waits") != 0 || w.messageState(waiting) != "dead_letter" {
+			t.Errorf("message of a removed route: %d runs, %s", plain.deliveryCount("waits"), w.messageState(waiting))
 		}
 	})
 }
 
-func TestDrainingHandlerGetsNothingMore(t *testing.T) {
-	run(t, func(w *world) {
-		plain := w.service("plain", "z1", "z2", "z3")
-		w.configure(options{})
-		in := plain.by["plain-i0"]
+func TestDrainingHandlerReceivesNoDeliveries(t *testing.T) {
+	runCluster(t, func(w *world) {
+		plain := w.newService("plain", "z1", "z2", "z3")
+		w.applyConfiguration(options{})
+		in := plain.instances["plain-i0"]
 		plain.mu.Lock()
 		in.state = "draining"
 		plain.mu.Unlock()
-		if !plain.beat(in) {
+		if !plain.heartbeat(in) {
 			t.Fatal("draining is not acknowledged")
 		}
 		acked := time.Now()
 		time.Sleep(300 * time.Millisecond)
 		from := time.Now()
 		for i := range 30 {
-			w.accept(zones[i%3], "/plain/", w.id())
+			w.sendUntilAccepted(zones[i%3], "/plain/", w.newID())
 		}
 		time.Sleep(time.Second)
-		for _, d := range plain.all() {
-			if d.instance == in.id && d.at.After(from) {
-				t.Errorf("delivered to it %v after the acknowledgement", d.at.Sub(acked))
+		for _, d := range plain.received() {
+			if d.instance == in.id && d.startedAt.After(from) {
+				t.Errorf("delivered to it %v after the acknowledgement", d.startedAt.Sub(acked))
 			}
 		}
-		if code := plain.call("DELETE", in.id, ""); code != 200 {
+		if code := plain.callCore("DELETE", in.id, ""); code != 200 {
 			t.Errorf("leave: %d", code)
 		}
-		if code := plain.call("PUT", "bad", `{"service":1}`); code != 400 {
+		if code := plain.callCore("PUT", "bad", `{"service":1}`); code != 400 {
 			t.Errorf("malformed beat: %d", code)
 		}
 	})
@@ -318,12 +318,12 @@
 
 // The store of a tenant's meter is rolled while the tenant sends far beyond its
 // limit: neither the meter that comes nor the edges that wait for it give more.
-func TestTenantLimitHoldsWhileItsMeterMoves(t *testing.T) {
+func TestTenantRateLimitHoldsWhileLimiterMoves(t *testing.T) {
 	const rate = 200.0
 	for _, at := range []time.Duration{300 * time.Millisecond, 1300 * time.Millisecond, 2500 * time.Millisecond} {
-		run(t, func(w *world) {
-			w.service("plain", "z1", "z2", "z3")
-			w.configure(options{rate: rate, burst: rate})
+		runCluster(t, func(w *world) {
+			w.newService("plain", "z1", "z2", "z3")
+			w.applyConfiguration(options{rate: rate, burst: rate})
 			s, err := w.status()
 			if err != nil {
 				t.Fatal(err)
@@ -339,7 +339,7 @@
 					zone, id := zones[n%3], fmt.Sprintf("q%d", n)
 					wg.Go(func() {
 						sent := time.Now()
-						if a := w.send(zone, "/plain/", id); a.Status == 202 {
+						if a := w.sendMessage(zone, "/plain/", id); a.Status == 202 {
 							mu.Lock()
 							defer mu.Unlock()
 							taken = append(taken, sent)
@@ -350,13 +350,13 @@
 			press(100, 2*time.Second)
 			wg.Go(func() {
 				time.Sleep(at)
-				w.terminate(meter)
+				w.terminateMachine(meter)
 				time.Sleep(500 * time.Millisecond)
-				w.start(meter, false)
+				w.startMachine(meter, false)
 			})
 			press(800, 6*time.Second)
 			wg.Wait()
-			most := mostWithin(taken, 5*time.Second)
+			most := maxInWindow(taken, 5*time.Second)
 			t.Logf("meter moves after %v: %d taken in 5 s", at, most)
 			if limit := (rate*5+rate)*1.1 + 20; float64(most) > limit {
 				t.Errorf("meter moves after %v: %d taken in 5 s, %v allowed", at, most, limit)
--- a/internal/cluster/search_checks_test.go
+++ b/internal/cluster/search_checks_test.go
@@ -19,84 +19,84 @@
 )
 
 // finding is what a schedule showed to be wrong.
-type finding struct {
+type violation struct {
 	class, text string
 }
 
-func (f *finding) String() string { return f.class + ": " + f.text }
+func (f *violation) String() string { return f.class + ": " + f.text }
 
 // counted is what happened in all schedules played, so that a search that asks
 // nothing shows.
-var counted struct {
+var totals struct {
 	sync.Mutex
 	n map[string]int
 }
 
-func (s *search) count() {
-	counted.Lock()
-	defer counted.Unlock()
-	if counted.n == nil {
-		counted.n = map[string]int{}
+func (s *simulation) addTotals() {
+	totals.Lock()
+	defer totals.Unlock()
+	if totals.n == nil {
+		totals.n = map[string]int{}
 	}
-	for _, o := range s.hist.orders {
-		counted.n["orders"]++
+	for _, o := range s.history.writes {
+		totals.n["orders"]++
 		switch {
-		case o.acked > 0:
-			counted.n["acknowledged"]++
-		case len(o.refused) > 0:
-			counted.n["refused"]++
+		case o.acknowledged > 0:
+			totals.n["acknowledged"]++
+		case len(o.rejections) > 0:
+			totals.n["refused"]++
 		}
 	}
-	counted.n["reads"] += len(s.hist.readings)
-	counted.n["leavings"] += len(s.left)
-	counted.n["views"] += len(s.views)
-	counted.n["kills"] += s.w.lives
-	counted.n["wipes"] += s.wipes
-	counted.n["replacements"] += s.index - s.plan.Cores
-	counted.n["seconds simulated"] += int(time.Since(s.began).Seconds())
+	totals.n["reads"] += len(s.history.reads)
+	totals.n["leavings"] += len(s.deregistered)
+	totals.n["views"] += len(s.knownViews)
+	totals.n["kills"] += s.world.kills
+	totals.n["wipes"] += s.diskLosses
+	totals.n["replacements"] += s.nextMachine - s.schedule.Cores
+	totals.n["seconds simulated"] += int(time.Since(s.startedAt).Seconds())
 }
 
 // fail notes the first thing that is wrong; the schedule ends there.
-func (s *search) fail(class, format string, args ...any) {
+func (s *simulation) fail(class, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wrong(class, format, args...)
+	s.failLocked(class, format, args...)
 }
 
 // wrong is fail where the lock is held.
-func (s *search) wrong(class, format string, args ...any) {
-	if s.found == nil {
-		s.found = &finding{class, fmt.Sprintf(format, args...)}
-		s.note("%s", s.found)
+func (s *simulation) failLocked(class, format string, args ...any) {
+	if s.violation == nil {
+		s.violation = &violation{class, fmt.Sprintf(format, args...)}
+		s.logLocked("%s", s.violation)
 	}
 }
 
 // note adds a line to what is printed with a finding. The lock is held.
-func (s *search) note(format string, args ...any) {
-	fmt.Fprintf(&s.log, "  %8.3f %s\n", time.Since(s.began).Seconds(), fmt.Sprintf(format, args...))
+func (s *simulation) logLocked(format string, args ...any) {
+	fmt.Fprintf(&s.eventLog, "  %8.3f %s\n", time.Since(s.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
-func (s *search) say(format string, args ...any) {
+func (s *simulation) logf(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.note(format, args...)
+	s.logLocked(format, args...)
 }
 
-func (s *search) over() bool {
+func (s *simulation) hasFailed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.found != nil
+	return s.violation != nil
 }
 
-func (s *search) view(m *machine) (v chain.View, err error) {
+func (s *simulation) viewOf(m *machine) (v chain.View, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
-	return v, s.eyes.Call(ctx, internal(m), "/view", struct{}{}, nil, &v)
+	return v, s.observer.Call(ctx, internalAddress(m), "/view", struct{}{}, nil, &v)
 }
 
 // watch asks all cores for their view and their news, past all cuts: as a node
 // on their side of a cut would see them.
-func (s *search) watch(ctx context.Context) {
+func (s *simulation) observeCores(ctx context.Context) {
 	type told struct {
 		page  journal.Page
 		state map[string]string
@@ -111,8 +111,8 @@
 		var all sync.WaitGroup
 		for _, m := range list {
 			all.Go(func() {
-				if v, err := s.view(m); err == nil {
-					s.saw(m, v)
+				if v, err := s.viewOf(m); err == nil {
+					s.checkView(m, v)
 				}
 				mu.Lock()
 				k := known[m.name]
@@ -125,7 +125,7 @@
 				pctx, cancel := context.WithTimeout(ctx, 400*time.Millisecond)
 				defer cancel()
 				var page journal.Page
-				if s.eyes.Call(pctx, internal(m), "/news", distribution.WatchRequest{Source: k.page.Source, Number: k.page.Number}, nil, &page) != nil {
+				if s.observer.Call(pctx, internalAddress(m), "/news", distribution.WatchRequest{Source: k.page.Source, Number: k.page.Number}, nil, &page) != nil {
 					return
 				}
 				if page.Source != k.page.Source {
@@ -138,10 +138,10 @@
 					}
 					if e.Key == distribution.KeyConfiguration {
 						k.conf = e.Version.Major
-						s.published(m, journal.Decode[[]byte](e))
+						s.checkPublishedConfiguration(m, journal.Decode[[]byte](e))
 					}
 				}
-				s.judge(m, asked, k.conf, k.state)
+				s.checkPublishedState(m, asked, k.conf, k.state)
 			})
 		}
 		all.Wait()
@@ -153,83 +153,83 @@
 }
 
 // published looks at a configuration that a core tells the nodes.
-func (s *search) published(m *machine, raw []byte) {
-	o := s.order(raw)
+func (s *simulation) checkPublishedConfiguration(m *machine, raw []byte) {
+	o := s.findWrite(raw)
 	if o == nil {
 		s.fail("news", "%s tells a configuration that nobody sent: %s", m.name, raw)
 		return
 	}
-	s.hist.mu.Lock()
-	refused := len(o.refused) > 0
-	s.hist.mu.Unlock()
+	s.history.mu.Lock()
+	refused := len(o.rejections) > 0
+	s.history.mu.Unlock()
 	if refused {
 		s.fail("news", "%s tells %s, which was refused", m.name, o.name)
 	}
 }
 
 // judge looks at what a core told the nodes.
-func (s *search) judge(m *machine, asked time.Time, conf int64, state map[string]string) {
-	s.hist.mu.Lock()
-	for _, o := range s.hist.orders {
-		if conf > 0 && o.acked > 0 && o.revision > conf && asked.Sub(o.ackedAt) > contact {
-			defer s.fail("news", "%s tells revision %d, %v after %s was acknowledged", m.name, conf, asked.Sub(o.ackedAt), o.name)
+func (s *simulation) checkPublishedState(m *machine, asked time.Time, conf int64, state map[string]string) {
+	s.history.mu.Lock()
+	for _, o := range s.history.writes {
+		if conf > 0 && o.acknowledged > 0 && o.revision > conf && asked.Sub(o.acknowledgedAt) > contactTimeout {
+			defer s.fail("news", "%s tells revision %d, %v after %s was acknowledged", m.name, conf, asked.Sub(o.acknowledgedAt), o.name)
 			break
 		}
 	}
-	s.hist.mu.Unlock()
+	s.history.mu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, l := range s.left {
+	for id, l := range s.deregistered {
 		shown, key := state[id], m.name+" "+id
 		switch {
-		case !asked.After(l.at):
+		case !asked.After(l.acknowledgedAt):
 		case shown != handler.Ready:
 			if shown != "" {
-				s.shown[key] = true
+				s.seenNotReady[key] = true
 			}
-		case s.shown[key]:
-			s.wrong("instance", "%s tells that %s is ready again, %v after its leaving was acknowledged", m.name, id, asked.Sub(l.at))
-		case s.faults == 0 && asked.Sub(l.at) > drain && asked.Sub(s.calm) > drain:
-			s.wrong("instance", "%s tells that %s is ready, %v after its leaving was acknowledged", m.name, id, asked.Sub(l.at))
+		case s.seenNotReady[key]:
+			s.failLocked("instance", "%s tells that %s is ready again, %v after its leaving was acknowledged", m.name, id, asked.Sub(l.acknowledgedAt))
+		case s.activeFaults == 0 && asked.Sub(l.acknowledgedAt) > drainTimeout && asked.Sub(s.lastFaultEnd) > drainTimeout:
+			s.failLocked("instance", "%s tells that %s is ready, %v after its leaving was acknowledged", m.name, id, asked.Sub(l.acknowledgedAt))
 		}
 	}
 }
 
 // saw looks at a view that a core told.
-func (s *search) saw(m *machine, v chain.View) {
+func (s *simulation) checkView(m *machine, v chain.View) {
 	if v.Number == 0 {
 		return
 	}
 	text := func(v chain.View) string { raw, _ := json.Marshal(v); return string(raw) }
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.newest[m.name] > v.Number {
-		s.wrong("view", "%s went back from view %d to %d", m.name, s.newest[m.name], v.Number)
+	if s.newestViewOf[m.name] > v.Number {
+		s.failLocked("view", "%s went back from view %d to %d", m.name, s.newestViewOf[m.name], v.Number)
 	}
-	s.newest[m.name] = v.Number
-	old, known := s.views[v.Number]
+	s.newestViewOf[m.name] = v.Number
+	old, known := s.knownViews[v.Number]
 	if known {
 		if text(old) != text(v) {
-			s.wrong("view", "two views have the number %d:\n    %s\n    %s at %s", v.Number, text(old), text(v), m.name)
+			s.failLocked("view", "two views have the number %d:\n    %s\n    %s at %s", v.Number, text(old), text(v), m.name)
 		}
 		return
 	}
-	s.views[v.Number] = v
-	s.note("%s: view %v", m.name, v)
+	s.knownViews[v.Number] = v
+	s.logLocked("%s: view %v", m.name, v)
 	for _, pair := range [][2]int64{{v.Number - 1, v.Number}, {v.Number, v.Number + 1}} {
-		one, ok1 := s.views[pair[0]]
-		two, ok2 := s.views[pair[1]]
+		one, ok1 := s.knownViews[pair[0]]
+		two, ok2 := s.knownViews[pair[1]]
 		if !ok1 || !ok2 {
 			continue
 		}
-		if without(one.Voters, two.Voters) > 1 || without(two.Voters, one.Voters) > 1 {
-			s.wrong("voters", "more than one voter changes from view %v to %v", one, two)
+		if countMissing(one.Voters, two.Voters) > 1 || countMissing(two.Voters, one.Voters) > 1 {
+			s.failLocked("voters", "more than one voter changes from view %v to %v", one, two)
 		}
 	}
 }
 
 // without counts the members of one list that are not in another.
-func without(a, b []chain.Member) (n int) {
+func countMissing(a, b []chain.Member) (n int) {
 	for _, m := range a {
 		if !slices.ContainsFunc(b, func(o chain.Member) bool { return o.Address == m.Address && o.Disk == m.Disk }) {
 			n++
--- a/internal/cluster/search_course_test.go
+++ b/internal/cluster/search_course_test.go
@@ -14,91 +14,91 @@
 )
 
 // event is something that happens later.
-type event struct {
-	at time.Time
-	do func()
+type delayedAction struct {
+	dueAt   time.Time
+	perform func()
 }
 
 // run plays the schedule, and what each one ends with.
-func (s *search) run() {
-	for range s.plan.Cores {
-		s.add(true)
+func (s *simulation) run() {
+	for range s.schedule.Cores {
+		s.addCore(true)
 	}
-	first := s.next(0, 0)
-	if !s.until(15*time.Second, "the first configuration is not taken", func() bool { return s.send(first, 0, 1, time.Second) == 200 }) {
+	first := s.newWrite(0, 0)
+	if !s.requireWithin(15*time.Second, "the first configuration is not taken", func() bool { return s.sendWrite(first, 0, 1, time.Second) == 200 }) {
 		return
 	}
-	s.sleep(syncTime / 2)
-	if s.plan.Busy {
-		s.bustle()
+	s.advance(syncTime / 2)
+	if s.schedule.BackgroundLoad {
+		s.startBackgroundLoad()
 	}
-	for _, x := range s.plan.Steps {
-		s.sleep(time.Duration(x.Wait) * time.Millisecond)
-		if s.over() {
+	for _, x := range s.schedule.Steps {
+		s.advance(time.Duration(x.WaitMs) * time.Millisecond)
+		if s.hasFailed() {
 			return
 		}
-		s.do(x)
+		s.perform(x)
 	}
-	s.finish()
+	s.verifyFinalState()
 }
 
 // bustle has an operator change something all the time, and each core be read.
-func (s *search) bustle() {
+func (s *simulation) startBackgroundLoad() {
 	all := func(f func(n int)) {
-		s.ops.Go(func() {
-			for n := 0; !s.over() && !s.quiet(); n++ {
+		s.clientOps.Go(func() {
+			for n := 0; !s.hasFailed() && !s.isFinishing(); n++ {
 				f(n)
-				time.Sleep(contact / 8)
+				time.Sleep(contactTimeout / 8)
 			}
 		})
 	}
-	all(func(n int) { s.send(s.next(0, 0), n, 3, time.Second) })
-	for place := range s.plan.Cores {
+	all(func(n int) { s.sendWrite(s.newWrite(0, 0), n, 3, time.Second) })
+	for place := range s.schedule.Cores {
 		all(func(int) {
 			s.mu.Lock()
 			m := s.cores[place%len(s.cores)]
 			s.mu.Unlock()
-			s.read(m)
+			s.readConfiguration(m)
 		})
 	}
 }
 
 // quiet tells whether the schedule is over.
-func (s *search) quiet() bool {
+func (s *simulation) isFinishing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ended
+	return s.finishing
 }
 
 // finish heals everything and looks whether all is as it must be.
-func (s *search) finish() {
+func (s *simulation) verifyFinalState() {
 	s.mu.Lock()
-	s.ended = true
+	s.finishing = true
 	s.mu.Unlock()
-	if !s.heal() {
+	if !s.healAll() {
 		return
 	}
-	s.ops.Wait()
-	if !s.settle("after all is healed") {
+	s.clientOps.Wait()
+	if !s.verifyConverged("after all is healed") {
 		return
 	}
-	last := s.cores[s.plan.Last]
+	last := s.cores[s.schedule.FinalLoss]
 	s.kill(last)
-	if !s.write("after one more loss") {
+	if !s.verifyWrite("after one more loss") {
 		return
 	}
 	s.start(last)
-	if !s.settle("after the last one is back") {
+	if !s.verifyConverged("after the last one is back") {
 		return
 	}
 	for _, m := range s.cores {
-		s.until(8*time.Second, m.name+" does not tell what it knows", func() bool {
-			o, err := s.status(m)
+		s.requireWithin(8*time.Second, m.name+" does not tell what it knows", func() bool {
+			o, err := s.statusOf(m)
 			if err != nil {
 				return false
 			}
 			for _, h := range o.Handlers {
-				if h.State == handler.Ready && s.left[h.ID] != nil {
+				if h.State == handler.Ready && s.deregistered[h.ID] != nil {
 					s.fail("instance", "%s tells of %s, which left, in the end", m.name, h.ID)
 				}
 			}
@@ -109,24 +109,24 @@
 
 // settle looks whether a write is taken, all cores are members and vote, and
 // each tells the newest configuration.
-func (s *search) settle(what string) bool {
-	if !s.write(what) || !s.whole(2*syncTime, what) {
+func (s *simulation) verifyConverged(what string) bool {
+	if !s.verifyWrite(what) || !s.verifyFullView(2*syncTime, what) {
 		return false
 	}
 	for _, m := range s.cores {
-		if !s.until(8*time.Second, m.name+" cannot be read "+what, func() bool { return s.read(m) }) {
+		if !s.requireWithin(8*time.Second, m.name+" cannot be read "+what, func() bool { return s.readConfiguration(m) }) {
 			return false
 		}
 	}
-	return !s.over()
+	return !s.hasFailed()
 }
 
 // write has a change acknowledged.
-func (s *search) write(what string) bool {
-	return s.until(15*time.Second, "no change is taken "+what, func() bool {
-		o := s.next(0, 0)
+func (s *simulation) verifyWrite(what string) bool {
+	return s.requireWithin(15*time.Second, "no change is taken "+what, func() bool {
+		o := s.newWrite(0, 0)
 		for range 8 { // its answer may be lost: then it is the same again
-			if code := s.send(o, 0, s.plan.Cores, time.Second); code != 0 {
+			if code := s.sendWrite(o, 0, s.schedule.Cores, time.Second); code != 0 {
 				return code == 200
 			}
 		}
@@ -135,13 +135,13 @@
 }
 
 // whole waits until all cores that run are members and voters of one view.
-func (s *search) whole(limit time.Duration, what string) bool {
+func (s *simulation) verifyFullView(limit time.Duration, what string) bool {
 	var last string
-	ok := s.wait(limit, func() bool {
+	ok := s.pollUntil(limit, func() bool {
 		var want []string
 		views := map[string]bool{}
 		for _, m := range s.cores {
-			want = append(want, internal(m))
+			want = append(want, internalAddress(m))
 		}
 		slices.Sort(want)
 		addresses := func(list []chain.Member) (out []string) {
@@ -153,7 +153,7 @@
 		}
 		last = ""
 		for _, m := range s.cores {
-			v, err := s.view(m)
+			v, err := s.viewOf(m)
 			last += fmt.Sprintf("\n    %s: %v, %v", m.name, v, err)
 			if err != nil || !slices.Equal(addresses(v.Members), want) || !slices.Equal(addresses(v.Voters), want) {
 				return false
@@ -162,17 +162,17 @@
 		}
 		return len(views) == 1
 	})
-	if !ok && !s.over() {
+	if !ok && !s.hasFailed() {
 		s.fail("whole", "not all cores are members and vote %s within %v:%s", what, limit, last)
 	}
 	return ok
 }
 
 // wait plays on until f holds or the time is over.
-func (s *search) wait(limit time.Duration, f func() bool) bool {
-	for end := time.Now().Add(limit); !s.over(); s.sleep(50 * time.Millisecond) {
+func (s *simulation) pollUntil(limit time.Duration, f func() bool) bool {
+	for end := time.Now().Add(limit); !s.hasFailed(); s.advance(50 * time.Millisecond) {
 		if f() {
-			return !s.over()
+			return !s.hasFailed()
 		}
 		if time.Now().After(end) {
 			return false
@@ -181,35 +181,35 @@
 	return false
 }
 
-func (s *search) until(limit time.Duration, what string, f func() bool) bool {
-	ok := s.wait(limit, f)
-	if !ok && !s.over() {
+func (s *simulation) requireWithin(limit time.Duration, what string, f func() bool) bool {
+	ok := s.pollUntil(limit, f)
+	if !ok && !s.hasFailed() {
 		s.fail("stuck", "%s within %v", what, limit)
 	}
 	return ok
 }
 
 // sleep lets time pass; what was to happen meanwhile happens.
-func (s *search) sleep(d time.Duration) {
+func (s *simulation) advance(d time.Duration) {
 	end := time.Now().Add(d)
 	for {
 		now := time.Now()
-		slices.SortStableFunc(s.queue, func(a, b event) int { return a.at.Compare(b.at) })
-		if len(s.queue) > 0 && !s.queue[0].at.After(now) {
-			e := s.queue[0]
-			s.queue = s.queue[1:]
-			e.do()
+		slices.SortStableFunc(s.pendingEvents, func(a, b delayedAction) int { return a.dueAt.Compare(b.dueAt) })
+		if len(s.pendingEvents) > 0 && !s.pendingEvents[0].dueAt.After(now) {
+			e := s.pendingEvents[0]
+			s.pendingEvents = s.pendingEvents[1:]
+			e.perform()
 			continue
 		}
 		if !now.Before(end) {
 			return
 		}
 		next := end
-		if len(s.queue) > 0 && s.queue[0].at.Before(next) {
-			next = s.queue[0].at
+		if len(s.pendingEvents) > 0 && s.pendingEvents[0].dueAt.Before(next) {
+			next = s.pendingEvents[0].dueAt
 		}
-		if s.plant.tick != nil {
-			s.plant.tick(s)
+		if s.fault.onTick != nil {
+			s.fault.onTick(s)
 			if tick := now.Add(100 * time.Millisecond); tick.Before(next) {
 				next = tick
 			}
@@ -217,43 +217,43 @@
 		timer := time.NewTimer(next.Sub(now))
 		select {
 		case <-timer.C:
-		case e := <-s.fired:
-			s.queue = append(s.queue, e)
+		case e := <-s.delayed:
+			s.pendingEvents = append(s.pendingEvents, e)
 		}
 		timer.Stop()
 	}
 }
 
 // during strikes now and ends it later.
-func (s *search) during(ms int, strike, end func()) {
+func (s *simulation) injectFor(ms int, strike, end func()) {
 	strike()
 	s.mu.Lock()
-	s.faults++
+	s.activeFaults++
 	s.mu.Unlock()
-	s.queue = append(s.queue, event{time.Now().Add(time.Duration(ms) * time.Millisecond), func() {
+	s.pendingEvents = append(s.pendingEvents, delayedAction{time.Now().Add(time.Duration(ms) * time.Millisecond), func() {
 		end()
 		s.mu.Lock()
-		s.faults--
-		s.calm = time.Now()
+		s.activeFaults--
+		s.lastFaultEnd = time.Now()
 		s.mu.Unlock()
 	}})
 }
 
 // undo ends all that is under way.
-func (s *search) undo() {
+func (s *simulation) endAllFaults() {
 	for {
 		select {
-		case e := <-s.fired:
-			s.queue = append(s.queue, e)
+		case e := <-s.delayed:
+			s.pendingEvents = append(s.pendingEvents, e)
 			continue
 		default:
 		}
-		if len(s.queue) == 0 {
+		if len(s.pendingEvents) == 0 {
 			return
 		}
-		e := s.queue[0]
-		s.queue = s.queue[1:]
-		e.do()
+		e := s.pendingEvents[0]
+		s.pendingEvents = s.pendingEvents[1:]
+		e.perform()
 	}
 }
 
@@ -261,25 +261,25 @@
 // then another disk may be lost. A disk that was put back with less than what
 // was acknowledged on it would be a lost one that still has its name: nothing is
 // promised for that, and no schedule does it.
-func (s *search) heal() bool {
+func (s *simulation) healAll() bool {
 	s.mu.Lock()
-	s.armed = nil
+	s.armedTriggers = nil
 	s.mu.Unlock()
-	s.undo()
-	s.sleep(syncTime)
-	return s.whole(2*syncTime, "in calm")
+	s.endAllFaults()
+	s.advance(syncTime)
+	return s.verifyFullView(2*syncTime, "in calm")
 }
 
 // later has the schedule do something, from whichever goroutine.
-func (s *search) later(ms int, do func()) {
+func (s *simulation) endFaultAfter(ms int, do func()) {
 	s.mu.Lock()
-	s.faults++
+	s.activeFaults++
 	s.mu.Unlock()
-	s.fired <- event{time.Now().Add(time.Duration(ms) * time.Millisecond), func() {
+	s.delayed <- delayedAction{time.Now().Add(time.Duration(ms) * time.Millisecond), func() {
 		do()
 		s.mu.Lock()
-		s.faults--
-		s.calm = time.Now()
+		s.activeFaults--
+		s.lastFaultEnd = time.Now()
 		s.mu.Unlock()
 	}}
 }
--- a/internal/cluster/search_faults_test.go
+++ b/internal/cluster/search_faults_test.go
@@ -11,49 +11,49 @@
 
 // down kills cores and starts them again later. Without power they lose what
 // was not synced.
-func (s *search) down(ms int, power bool, list ...*machine) {
+func (s *simulation) crash(ms int, power bool, list ...*machine) {
 	killed := s.kill(list...)
 	for i, m := range killed {
-		if power && s.plant.power != nil {
-			s.plant.power(s, m)
+		if power && s.fault.afterPowerLoss != nil {
+			s.fault.afterPowerLoss(s, m)
 		}
 		// They come back together, or one after the other, in an order that the
 		// time says.
 		later := (i + ms/200) % len(killed) * (ms / 100 % 2) * 1500
-		s.during(ms+later, func() {}, func() { s.start(m) })
+		s.injectFor(ms+later, func() {}, func() { s.start(m) })
 	}
 }
 
-func (s *search) wipe(m *machine) {
-	s.say("%s loses its disk", m.name)
-	s.wipes++
+func (s *simulation) wipeDisk(m *machine) {
+	s.logf("%s loses its disk", m.name)
+	s.diskLosses++
 	s.mu.Lock()
-	delete(s.newest, m.name)
+	delete(s.newestViewOf, m.name)
 	s.mu.Unlock()
-	if err := os.RemoveAll(m.data); err != nil {
+	if err := os.RemoveAll(m.dataPath); err != nil {
 		s.fail("start", "wipe %s: %v", m.name, err)
 	}
 }
 
 // links cuts links or mends them; one that was cut twice is mended twice.
-func (s *search) links(by int, from, to []string) {
+func (s *simulation) adjustBlocks(by int, from, to []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, a := range from {
 		for _, b := range to {
 			if a != b {
-				s.cuts[[2]string{a, b}] += by
-				s.w.net.sever([]string{a}, []string{b}, s.cuts[[2]string{a, b}] > 0)
+				s.blockedLinks[[2]string{a, b}] += by
+				s.world.network.setBlocked([]string{a}, []string{b}, s.blockedLinks[[2]string{a, b}] > 0)
 			}
 		}
 	}
 }
 
-func (s *search) cut(ms int, from, to []string) {
-	s.during(ms, func() { s.links(1, from, to) }, func() { s.links(-1, from, to) })
+func (s *simulation) block(ms int, from, to []string) {
+	s.injectFor(ms, func() { s.adjustBlocks(1, from, to) }, func() { s.adjustBlocks(-1, from, to) })
 }
 
-func (s *search) hold(ms int, from, to []string) {
+func (s *simulation) holdLinks(ms int, from, to []string) {
 	each := func(f func(a, b string)) {
 		for _, a := range from {
 			for _, b := range to {
@@ -63,11 +63,11 @@
 			}
 		}
 	}
-	s.during(ms, func() { each(s.w.net.hold) }, func() { each(s.w.net.release) })
+	s.injectFor(ms, func() { each(s.world.network.hold) }, func() { each(s.world.network.release) })
 }
 
 // others are the addresses of all cores but some, and of those outside.
-func (s *search) others(but ...string) (out []string) {
+func (s *simulation) othersThan(but ...string) (out []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range s.cores {
@@ -75,179 +75,182 @@
 			out = append(out, m.ip)
 		}
 	}
-	return append(out, outside)
+	return append(out, outsideIP)
 }
 
 // rest are those that a machine is cut off from: the other cores, and with n
 // odd those outside.
-func (s *search) rest(ip string, n int) []string {
-	return slices.DeleteFunc(s.others(ip), func(o string) bool { return o == outside && n%2 == 0 })
+func (s *simulation) peersOf(ip string, n int) []string {
+	return slices.DeleteFunc(s.othersThan(ip), func(o string) bool { return o == outsideIP && n%2 == 0 })
 }
 
-func (s *search) isolate(ms int, ip string, n int) {
-	rest := s.rest(ip, n)
-	s.cut(ms, []string{ip}, rest)
-	s.cut(ms, rest, []string{ip})
+func (s *simulation) isolate(ms int, ip string, n int) {
+	rest := s.peersOf(ip, n)
+	s.block(ms, []string{ip}, rest)
+	s.block(ms, rest, []string{ip})
 }
 
 // freeze holds all that a machine sends and gets. Its process runs on, but what
 // it does reaches nobody before the thaw, and what was sent to it meanwhile
 // comes then, all at once and late.
-func (s *search) freeze(ms int, ip string) {
-	rest := s.others(ip)
-	s.hold(ms, []string{ip}, rest)
-	s.hold(ms, rest, []string{ip})
+func (s *simulation) freeze(ms int, ip string) {
+	rest := s.othersThan(ip)
+	s.holdLinks(ms, []string{ip}, rest)
+	s.holdLinks(ms, rest, []string{ip})
 }
 
-func (s *search) do(x step) {
+func (s *simulation) perform(x step) {
 	a, b := s.cores[x.A], s.cores[x.B]
 	switch x.Kind {
-	case stepOrder, stepRead, stepAgain, stepBurst, stepBeat, stepDrain, stepDelete, stepLate:
-	case stepWhen, stepElect:
-		s.say("when %v", x.On)
+	case stepWrite, stepRead, stepResend, stepBurst, stepHeartbeat, stepDrain, stepDeregister, stepStaleHeartbeat:
+	case stepTrigger, stepViewChange:
+		s.logf("when %v", x.Trigger)
 	default:
-		s.say("%s %s %s for %d ms, %d", x.Kind, a.name, b.name, x.For, x.N)
+		s.logf("%s %s %s for %d ms, %d", x.Kind, a.name, b.name, x.DurationMs, x.N)
 	}
 	switch x.Kind {
-	case stepOrder:
-		o := s.next(x.N%2, x.N/2)
-		s.ops.Go(func() { s.send(o, x.A, 1+x.B*2, time.Second) })
+	case stepWrite:
+		o := s.newWrite(x.N%2, x.N/2)
+		s.clientOps.Go(func() { s.sendWrite(o, x.A, 1+x.B*2, time.Second) })
 	case stepRead:
-		s.ops.Go(func() {
+		s.clientOps.Go(func() {
 			for range 1 + x.N {
-				s.read(a)
-				if s.over() {
+				s.readConfiguration(a)
+				if s.hasFailed() {
 					return
 				}
-				time.Sleep(contact / 16)
+				time.Sleep(contactTimeout / 16)
 			}
 		})
-	case stepAgain:
-		s.hist.mu.Lock()
-		o := s.hist.orders[x.N*(len(s.hist.orders)-1)/7]
-		s.hist.mu.Unlock()
-		s.ops.Go(func() { s.send(o, x.A, 1+x.B, time.Second) })
+	case stepResend:
+		s.history.mu.Lock()
+		o := s.history.writes[x.N*(len(s.history.writes)-1)/7]
+		s.history.mu.Unlock()
+		s.clientOps.Go(func() { s.sendWrite(o, x.A, 1+x.B, time.Second) })
 	case stepBurst:
-		s.ops.Go(func() {
+		s.clientOps.Go(func() {
 			for range x.N {
-				if s.over() || s.send(s.next(0, 0), x.A, 2, time.Second) == 0 {
+				if s.hasFailed() || s.sendWrite(s.newWrite(0, 0), x.A, 2, time.Second) == 0 {
 					return
 				}
 			}
 		})
-	case stepBeat, stepDrain, stepDelete, stepLate:
-		s.beat(x)
+	case stepHeartbeat, stepDrain, stepDeregister, stepStaleHeartbeat:
+		s.handlerStep(x)
 	case stepKill:
-		s.down(x.For, false, a)
+		s.crash(x.DurationMs, false, a)
 	case stepKillAll:
-		s.down(x.For, false, s.cores...)
-	case stepPower:
-		s.down(x.For, true, s.cores...)
+		s.crash(x.DurationMs, false, s.cores...)
+	case stepPowerLoss:
+		s.crash(x.DurationMs, true, s.cores...)
 	case stepReset:
-		s.w.net.reset(a.ip, b.ip)
-		s.w.net.reset(a.ip, outside)
-	case stepCut:
-		s.isolate(x.For, a.ip, x.N)
-	case stepCutOut:
-		s.cut(x.For, []string{a.ip}, s.rest(a.ip, x.N))
-	case stepCutIn:
-		s.cut(x.For, s.rest(a.ip, x.N), []string{a.ip})
-	case stepSplit:
+		s.world.network.reset(a.ip, b.ip)
+		s.world.network.reset(a.ip, outsideIP)
+	case stepIsolate:
+		s.isolate(x.DurationMs, a.ip, x.N)
+	case stepDropOutgoing:
+		s.block(x.DurationMs, []string{a.ip}, s.peersOf(a.ip, x.N))
+	case stepDropIncoming:
+		s.block(x.DurationMs, s.peersOf(a.ip, x.N), []string{a.ip})
+	case stepPartition:
 		var here []string
 		for i, m := range s.cores {
 			if x.N>>(i%3)&1 == 1 {
 				here = append(here, m.ip)
 			}
 		}
-		there := slices.DeleteFunc(s.others(here...), func(ip string) bool { return ip == outside })
-		s.cut(x.For, here, there)
-		s.cut(x.For, there, here)
-	case stepDeaf:
-		s.cut(x.For, []string{a.ip}, []string{outside})
-	case stepHold:
-		s.hold(x.For, []string{a.ip}, []string{b.ip})
+		there := slices.DeleteFunc(s.othersThan(here...), func(ip string) bool { return ip == outsideIP })
+		s.block(x.DurationMs, here, there)
+		s.block(x.DurationMs, there, here)
+	case stepDropAnswers:
+		s.block(x.DurationMs, []string{a.ip}, []string{outsideIP})
+	case stepHoldLink:
+		s.holdLinks(x.DurationMs, []string{a.ip}, []string{b.ip})
 	case stepFreeze:
-		s.freeze(x.For, a.ip)
+		s.freeze(x.DurationMs, a.ip)
 	case stepSlow:
-		s.during(x.For, func() { s.slows[0]++; s.w.net.slow(time.Duration(1+x.N*10) * time.Millisecond) }, func() {
-			if s.slows[0]--; s.slows[0] == 0 {
-				s.w.net.slow(time.Millisecond)
+		s.injectFor(x.DurationMs, func() { s.overlappingDelays[0]++; s.world.network.setDelay(time.Duration(1+x.N*10) * time.Millisecond) }, func() {
+			if s.overlappingDelays[0]--; s.overlappingDelays[0] == 0 {
+				s.world.network.setDelay(time.Millisecond)
 			}
 		})
-	case stepVary:
-		s.during(x.For, func() { s.slows[1]++; s.w.net.vary(time.Duration(1+x.N*20) * time.Millisecond) }, func() {
-			if s.slows[1]--; s.slows[1] == 0 {
-				s.w.net.vary(0)
+	case stepReorder:
+		s.injectFor(x.DurationMs, func() {
+			s.overlappingDelays[1]++
+			s.world.network.setJitter(time.Duration(1+x.N*20) * time.Millisecond)
+		}, func() {
+			if s.overlappingDelays[1]--; s.overlappingDelays[1] == 0 {
+				s.world.network.setJitter(0)
 			}
 		})
-	case stepWhen, stepElect:
-		if x.Kind == stepElect && x.N > 1 && !s.heal() {
+	case stepTrigger, stepViewChange:
+		if x.Kind == stepViewChange && x.N > 1 && !s.healAll() {
 			return
 		}
 		s.mu.Lock()
-		s.armed = append(s.armed, &trap{x, x.On.Number})
+		s.armedTriggers = append(s.armedTriggers, &trigger{x, x.Trigger.Occurrence})
 		s.mu.Unlock()
 		switch {
-		case x.Kind == stepWhen:
+		case x.Kind == stepTrigger:
 			return
 		case x.N%2 == 0:
-			s.down(x.For, false, a)
+			s.crash(x.DurationMs, false, a)
 		default:
-			s.isolate(x.For, a.ip, x.N/2)
+			s.isolate(x.DurationMs, a.ip, x.N/2)
 		}
-		s.sleep(contact / 2) // until the view has changed
+		s.advance(contactTimeout / 2) // until the view has changed
 	case stepWipe:
-		if s.heal() {
-			s.last(x)
+		if s.healAll() {
+			s.writeBeforeDiskLoss(x)
 			s.kill(a)
-			s.wipe(a)
-			s.during(x.For, func() {}, func() { s.start(a) })
+			s.wipeDisk(a)
+			s.injectFor(x.DurationMs, func() {}, func() { s.start(a) })
 		}
 	case stepReplace:
-		if s.heal() {
-			s.last(x)
+		if s.healAll() {
+			s.writeBeforeDiskLoss(x)
 			s.kill(a)
 			s.mu.Lock()
 			s.cores = slices.Delete(slices.Clone(s.cores), x.A, x.A+1)
 			s.mu.Unlock()
-			s.during(x.For, func() {}, func() {
-				s.say("an empty core comes in place of %s", a.name)
-				s.add(false)
+			s.injectFor(x.DurationMs, func() {}, func() {
+				s.logf("an empty core comes in place of %s", a.name)
+				s.addCore(false)
 			})
-			s.sleep(time.Duration(x.For) * time.Millisecond) // the places are whole again from here on
+			s.advance(time.Duration(x.DurationMs) * time.Millisecond) // the places are whole again from here on
 		}
 	case stepPowerWipe:
-		if s.heal() {
-			s.last(x)
-			s.down(x.For, true, s.cores...)
-			s.wipe(a)
+		if s.healAll() {
+			s.writeBeforeDiskLoss(x)
+			s.crash(x.DurationMs, true, s.cores...)
+			s.wipeDisk(a)
 		}
 	}
 }
 
 // last has something acknowledged, or only sent, right before a disk is lost.
-func (s *search) last(x step) {
+func (s *simulation) writeBeforeDiskLoss(x step) {
 	say := x
 	say.B = 0
 	for _, w := range []struct {
 		bit  int
-		kind kind
-	}{{1, stepBeat}, {1, stepDrain}, {2, stepOrder}} {
+		kind stepKind
+	}{{1, stepHeartbeat}, {1, stepDrain}, {2, stepWrite}} {
 		if x.N&w.bit == 0 {
 			continue
 		}
 		say.Kind = w.kind
 		var done <-chan struct{}
-		if w.kind == stepOrder {
-			o, sent := s.next(0, 0), make(chan struct{})
-			s.ops.Go(func() { s.send(o, x.A, 1, time.Second); close(sent) })
+		if w.kind == stepWrite {
+			o, sent := s.newWrite(0, 0), make(chan struct{})
+			s.clientOps.Go(func() { s.sendWrite(o, x.A, 1, time.Second); close(sent) })
 			done = sent
 		} else {
-			done = s.beat(say)
+			done = s.handlerStep(say)
 		}
-		for end := time.Now().Add(contact / 16); time.Now().Before(end); {
-			s.sleep(time.Millisecond)
-			if x.N&4 != 0 && w.kind != stepBeat {
+		for end := time.Now().Add(contactTimeout / 16); time.Now().Before(end); {
+			s.advance(time.Millisecond)
+			if x.N&4 != 0 && w.kind != stepHeartbeat {
 				break // it is not waited for
 			}
 			select {
--- a/internal/cluster/search_messages_test.go
+++ b/internal/cluster/search_messages_test.go
@@ -13,24 +13,24 @@
 )
 
 // trap waits for a message.
-type trap struct {
+type trigger struct {
 	step
-	left int
+	remaining int
 }
 
 // request sees each request between processes before it is sent.
-func (s *search) request(from *process, to string, raw []byte) (out, answer []byte) {
+func (s *simulation) interceptRequest(from *process, to string, raw []byte) (out, answer []byte) {
 	head, body, ok := bytes.Cut(raw, []byte("\r\n\r\n"))
 	words := strings.SplitN(string(head[:min(len(head), 64)]), " ", 3)
-	if !ok || from.free || len(words) < 3 || from.ip == outside {
+	if !ok || from.exempt || len(words) < 3 || from.ip == outsideIP {
 		return raw, nil
 	}
 	ip, _, _ := strings.Cut(to, ":")
-	s.spring(words[1], body, from.ip, ip)
-	if s.plant.request == nil {
+	s.fireTriggers(words[1], body, from.ip, ip)
+	if s.fault.interceptRequest == nil {
 		return raw, nil
 	}
-	changed, answer := s.plant.request(s, from.ip, ip, words[1], body)
+	changed, answer := s.fault.interceptRequest(s, from.ip, ip, words[1], body)
 	lines := strings.Split(string(head), "\r\n")
 	if answer != nil {
 		call := "" // an answer repeats the name of its call
@@ -53,38 +53,38 @@
 }
 
 // spring lets the traps strike that wait for a message.
-func (s *search) spring(path string, body []byte, from, to string) {
+func (s *simulation) fireTriggers(path string, body []byte, from, to string) {
 	s.mu.Lock()
 	var due []step
-	s.armed = slices.DeleteFunc(s.armed, func(t *trap) bool {
-		if m := messages[t.On.Message]; m.path != path || !bytes.Contains(body, []byte(m.words)) {
+	s.armedTriggers = slices.DeleteFunc(s.armedTriggers, func(t *trigger) bool {
+		if m := triggerMessages[t.Trigger.Message]; m.path != path || !bytes.Contains(body, []byte(m.words)) {
 			return false
 		}
-		t.left--
-		if t.left == 0 {
+		t.remaining--
+		if t.remaining == 0 {
 			due = append(due, t.step)
 		}
-		return t.left == 0
+		return t.remaining == 0
 	})
 	s.mu.Unlock()
 	for _, x := range due {
-		what := strikes[x.On.Strike].name
-		for _, l := range s.struck(what, from, to, x.A) {
+		what := triggeredFaults[x.Trigger.Fault].name
+		for _, l := range s.affectedLinks(what, from, to, x.A) {
 			// These strike before the message is sent.
 			if l.hold {
-				s.w.net.hold(l.from, l.to)
+				s.world.network.hold(l.from, l.to)
 			} else {
-				s.links(1, []string{l.from}, []string{l.to})
+				s.adjustBlocks(1, []string{l.from}, []string{l.to})
 			}
-			s.later(x.For, func() {
+			s.endFaultAfter(x.DurationMs, func() {
 				if l.hold {
-					s.w.net.release(l.from, l.to)
+					s.world.network.release(l.from, l.to)
 				} else {
-					s.links(-1, []string{l.from}, []string{l.to})
+					s.adjustBlocks(-1, []string{l.from}, []string{l.to})
 				}
 			})
 		}
-		s.later(x.On.Lag, func() { s.strike(what, x.For, from, to) })
+		s.endFaultAfter(x.Trigger.DelayMs, func() { s.inject(what, x.DurationMs, from, to) })
 	}
 }
 
@@ -95,9 +95,9 @@
 }
 
 // struck are the links that a strike cuts or holds.
-func (s *search) struck(what, from, to string, n int) (out []link) {
+func (s *simulation) affectedLinks(what, from, to string, n int) (out []link) {
 	around := func(ip string, hold bool) {
-		for _, o := range s.rest(ip, n) {
+		for _, o := range s.peersOf(ip, n) {
 			out = append(out, link{ip, o, hold}, link{o, ip, hold})
 		}
 	}
@@ -120,7 +120,7 @@
 	return out
 }
 
-func (s *search) strike(what string, ms int, from, to string) {
+func (s *simulation) inject(what string, ms int, from, to string) {
 	at := func(ip string) (out []*machine) {
 		for _, m := range s.cores {
 			if m.ip == ip {
@@ -131,34 +131,34 @@
 	}
 	s.mu.Lock()
 	// A disk may be lost only where all has been calm for long enough.
-	mayWipe := s.faults <= 1 && time.Since(s.calm) > syncTime && time.Since(s.began) > syncTime
-	s.note("strikes: %s, from %s to %s, for %d ms", what, from, to, ms)
+	mayWipe := s.activeFaults <= 1 && time.Since(s.lastFaultEnd) > syncTime && time.Since(s.startedAt) > syncTime
+	s.logLocked("strikes: %s, from %s to %s, for %d ms", what, from, to, ms)
 	s.mu.Unlock()
 	switch what {
 	case "reset":
-		s.w.net.reset(from, to)
+		s.world.network.reset(from, to)
 	case "kill the sender":
-		s.down(ms, false, at(from)...)
+		s.crash(ms, false, at(from)...)
 	case "kill the receiver":
-		s.down(ms, false, at(to)...)
+		s.crash(ms, false, at(to)...)
 	case "cut off the sender and kill the receiver":
-		s.down(100, false, at(to)...)
+		s.crash(100, false, at(to)...)
 	case "cut off the receiver and kill the sender":
-		s.down(100, false, at(from)...)
+		s.crash(100, false, at(from)...)
 	case "kill all":
-		s.down(ms, false, s.cores...)
+		s.crash(ms, false, s.cores...)
 	case "power":
-		s.down(ms, true, s.cores...)
+		s.crash(ms, true, s.cores...)
 	case "wipe the sender", "power, wipe the sender":
 		m := at(from)
 		if !mayWipe || len(m) == 0 {
 			return
 		}
 		if what == "wipe the sender" {
-			s.down(ms, false, m...)
+			s.crash(ms, false, m...)
 		} else {
-			s.down(ms, true, s.cores...)
+			s.crash(ms, true, s.cores...)
 		}
-		s.wipe(m[0])
+		s.wipeDisk(m[0])
 	}
 }
--- a/internal/cluster/search_plant_test.go
+++ b/internal/cluster/search_plant_test.go
@@ -21,7 +21,7 @@
 
 // planted plays the seeds of a build with a fault that is put in from outside.
 // The search must find it: the same schedules, the same checks.
-func planted(t *testing.T, classes string, likely []int, fault func() plant) {
+func requireFaultFound(t *testing.T, classes string, likely []int, fault func() plantedFault) {
 	t.Helper()
 	t.Parallel()
 	began, others := time.Now(), 0
@@ -36,13 +36,13 @@
 	}
 	var found []int
 	for _, seed := range seeds {
-		f := play(t, draw(seed), fault())
+		f := runSchedule(t, drawSchedule(seed), fault())
 		if f == nil {
 			continue
 		}
 		// What shows in another way, or without the fault too, is not how the
 		// fault is to be found.
-		if !strings.Contains(classes, f.class) || play(t, draw(seed), plant{}) != nil {
+		if !strings.Contains(classes, f.class) || runSchedule(t, drawSchedule(seed), plantedFault{}) != nil {
 			others++
 			continue
 		}
@@ -58,25 +58,25 @@
 }
 
 // What was written in the last moments before a loss of power is not there.
-func TestSearchFindsASkippedSync(t *testing.T) {
-	planted(t, "view, history, news", []int{2}, func() plant {
+func TestSearchFindsSkippedSync(t *testing.T) {
+	requireFaultFound(t, "view, history, news", []int{2}, func() plantedFault {
 		type image struct {
 			at  time.Time
 			raw []byte
 		}
 		images := map[string][]image{}
-		path := func(m *machine) string { return filepath.Join(m.data, "core.db") }
-		return plant{
-			tick: func(s *search) {
+		path := func(m *machine) string { return filepath.Join(m.dataPath, "core.db") }
+		return plantedFault{
+			onTick: func(s *simulation) {
 				synctest.Wait()
 				for _, m := range s.cores {
 					list := images[m.name]
-					if raw, err := os.ReadFile(path(m)); err == nil && s.runs(m) {
+					if raw, err := os.ReadFile(path(m)); err == nil && s.isRunning(m) {
 						images[m.name] = append(list[max(0, len(list)-9):], image{time.Now(), raw})
 					}
 				}
 			},
-			power: func(s *search, m *machine) {
+			afterPowerLoss: func(s *simulation, m *machine) {
 				for i := len(images[m.name]) - 1; i >= 0; i-- {
 					if old := images[m.name][i]; time.Since(old.at) > 300*time.Millisecond {
 						if err := os.WriteFile(path(m), old.raw, 0o600); err != nil {
@@ -92,17 +92,17 @@
 
 // The tail answers a read although it cannot reach a majority: whoever is out of
 // reach is taken to agree.
-func TestSearchFindsAReadWithoutAMajority(t *testing.T) {
-	planted(t, "history", []int{77, 16, 90}, majorityPlant)
+func TestSearchFindsReadWithoutMajority(t *testing.T) {
+	requireFaultFound(t, "history", []int{77, 16, 90}, readWithoutMajority)
 }
 
-func majorityPlant() plant {
-	return plant{opens: true, request: func(s *search, from, to, path string, body []byte) (out, answer []byte) {
+func readWithoutMajority() plantedFault {
+	return plantedFault{dialsIgnorePartitions: true, interceptRequest: func(s *simulation, from, to, path string, body []byte) (out, answer []byte) {
 		var q chain.StatusRequest
 		if path != "/chain/standing" || json.Unmarshal(body, &q) != nil || len(q.View.Members) == 0 {
 			return nil, nil
 		}
-		if !strings.HasPrefix(q.View.Members[len(q.View.Members)-1].Address, from+":") || s.w.net.clear(from, to) {
+		if !strings.HasPrefix(q.View.Members[len(q.View.Members)-1].Address, from+":") || s.world.network.reachable(from, to) {
 			return nil, nil
 		}
 		answer, _ = json.Marshal(chain.ReplicaStatus{View: q.View, Complete: true, Ready: true})
@@ -111,12 +111,12 @@
 }
 
 // An old whole state is taken as if it were the newest pass.
-func TestSearchFindsAnIgnoredOrderOfPasses(t *testing.T) {
-	planted(t, "history", nil, func() plant {
+func TestSearchFindsIgnoredUpdateOrder(t *testing.T) {
+	requireFaultFound(t, "history", nil, func() plantedFault {
 		var mu sync.Mutex
 		old := map[string]any{} // the first whole state by receiver
 		signs := 0
-		return plant{request: func(s *search, from, to, path string, body []byte) (out, answer []byte) {
+		return plantedFault{interceptRequest: func(s *simulation, from, to, path string, body []byte) (out, answer []byte) {
 			if path != "/chain/pass" {
 				return nil, nil
 			}
@@ -143,14 +143,14 @@
 }
 
 // A view is adopted in which two voters are others than before.
-func TestSearchFindsTwoVotersChangedAtOnce(t *testing.T) {
-	planted(t, "voters", nil, func() plant {
+func TestSearchFindsTwoVotersReplacedAtOnce(t *testing.T) {
+	requireFaultFound(t, "voters", nil, func() plantedFault {
 		done := false
-		return plant{tick: func(s *search) {
-			if done || time.Since(s.began) < 6*time.Second {
+		return plantedFault{onTick: func(s *simulation) {
+			if done || time.Since(s.startedAt) < 6*time.Second {
 				return
 			}
-			v, err := s.view(s.cores[0])
+			v, err := s.viewOf(s.cores[0])
 			if err != nil || len(v.Voters) < 3 {
 				return
 			}
@@ -160,20 +160,20 @@
 				v.Voters[len(v.Voters)-1-i] = chain.Member{Address: fmt.Sprintf("10.1.9.%d:7100", i), Disk: fmt.Sprint("ghost ", i)}
 			}
 			for _, m := range s.cores {
-				s.tell(m, "/chain/adopt", v)
+				s.post(m, "/chain/adopt", v)
 			}
 		}}
 	})
 }
 
 // A voter that starts again knows nothing of how it voted.
-func TestSearchFindsAForgottenPromise(t *testing.T) {
-	planted(t, "view", []int{58, 35}, promisePlant)
+func TestSearchFindsForgottenPromise(t *testing.T) {
+	requireFaultFound(t, "view", []int{58, 35}, forgottenPromise)
 }
 
-func promisePlant() plant {
-	return plant{restart: func(s *search, m *machine) {
-		db, err := bbolt.Open(filepath.Join(m.data, "core.db"), 0o600, &bbolt.Options{Timeout: time.Second})
+func forgottenPromise() plantedFault {
+	return plantedFault{beforeRestart: func(s *simulation, m *machine) {
+		db, err := bbolt.Open(filepath.Join(m.dataPath, "core.db"), 0o600, &bbolt.Options{Timeout: time.Second})
 		if err != nil {
 			return // a wiped one
 		}
@@ -196,11 +196,11 @@
 
 // A leaving is counted as kept by cores that have not heard of it: for its first
 // second it reaches no other core, and each says that it has it.
-func TestSearchFindsALeavingCountedWithoutAFence(t *testing.T) {
-	planted(t, "instance", []int{46, 55, 43}, func() plant {
+func TestSearchFindsTombstoneCountedWithoutFence(t *testing.T) {
+	requireFaultFound(t, "instance", []int{46, 55, 43}, func() plantedFault {
 		var mu sync.Mutex
 		first := map[string]time.Time{}
-		return plant{request: func(s *search, from, to, path string, body []byte) (out, answer []byte) {
+		return plantedFault{interceptRequest: func(s *simulation, from, to, path string, body []byte) (out, answer []byte) {
 			if path != "/exchange" || !bytes.Contains(body, []byte(`"instance/`)) {
 				return nil, nil
 			}
@@ -241,17 +241,17 @@
 	})
 }
 
-func (s *search) runs(m *machine) bool {
+func (s *simulation) isRunning(m *machine) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.running[m.name]
 }
 
 // tell posts something to a core past all cuts.
-func (s *search) tell(m *machine, path string, in any) {
-	s.ops.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), contact)
+func (s *simulation) post(m *machine, path string, in any) {
+	s.clientOps.Go(func() {
+		ctx, cancel := context.WithTimeout(context.Background(), contactTimeout)
 		defer cancel()
-		_ = s.eyes.Call(ctx, internal(m), path, in, nil, nil)
+		_ = s.observer.Call(ctx, internalAddress(m), path, in, nil, nil)
 	})
 }
--- a/internal/cluster/search_test.go
+++ b/internal/cluster/search_test.go
@@ -45,7 +45,7 @@
 
 func TestSearch(t *testing.T) {
 	if *searchSeed != 0 {
-		judgeSeed(t, *searchSeed, *searchAgain)
+		checkSeed(t, *searchSeed, *searchAgain)
 		return
 	}
 	began := time.Now()
@@ -59,7 +59,7 @@
 					if *searchFor > 0 && time.Since(began) > *searchFor || *searchFor == 0 && n >= *searchCount {
 						return
 					}
-					if !judgeSeed(t, *searchFirst+n, 1) {
+					if !checkSeed(t, *searchFirst+n, 1) {
 						failed.Add(1)
 					}
 					played.Add(1)
@@ -67,21 +67,21 @@
 			})
 		}
 	})
-	counted.Lock()
-	defer counted.Unlock()
-	t.Logf("%d schedules in %v, %d failed; in them %v", played.Load(), time.Since(began).Round(time.Second), failed.Load(), counted.n)
+	totals.Lock()
+	defer totals.Unlock()
+	t.Logf("%d schedules in %v, %d failed; in them %v", played.Load(), time.Since(began).Round(time.Second), failed.Load(), totals.n)
 }
 
 // judgeSeed plays the schedule of a seed; one that fails is shrunk and shown.
-func judgeSeed(t *testing.T, seed, times int) bool {
+func checkSeed(t *testing.T, seed, times int) bool {
 	t.Helper()
-	plan := draw(seed)
+	plan := drawSchedule(seed)
 	for range times {
-		f := play(t, plan, plant{})
+		f := runSchedule(t, plan, plantedFault{})
 		if f == nil {
 			continue
 		}
-		small, g := shrink(t, seed, plan, f, plant{})
+		small, g := shrinkSchedule(t, seed, plan, f, plantedFault{})
 		t.Errorf("seed %d fails (-search.seed %[1]d): %s\n\nshrunk:\n%v\n\n%v\n\nas drawn:\n%v\n\n%v", seed, f.class, small, g, plan, f)
 		return false
 	}
@@ -92,14 +92,14 @@
 var rapidFlags sync.Mutex
 
 // draw gives the schedule of a seed.
-func draw(seed int) schedule {
+func drawSchedule(seed int) schedule {
 	rapidFlags.Lock()
 	defer rapidFlags.Unlock()
-	return schedules.Example(seed)
+	return scheduleGenerator.Example(seed)
 }
 
 // shrink looks for a smaller schedule that fails in the same way.
-func shrink(t *testing.T, seed int, plan schedule, f *finding, p plant) (schedule, *finding) {
+func shrinkSchedule(t *testing.T, seed int, plan schedule, f *violation, p plantedFault) (schedule, *violation) {
 	t.Helper()
 	if *shrinkFor <= 0 {
 		return plan, f
@@ -117,12 +117,12 @@
 	done := make(chan struct{})
 	go func() { // rapid ends the goroutine of a check that failed
 		defer close(done)
-		rapid.Check(&quiet{}, func(rt *rapid.T) {
-			x := schedules.Draw(rt, "schedule")
+		rapid.Check(&silentTB{}, func(rt *rapid.T) {
+			x := scheduleGenerator.Draw(rt, "schedule")
 			key := x.String()
 			fails, ok := known[key]
 			for try := 0; !ok && !fails && try < 2; try++ {
-				if g := play(t, x, p); g != nil && g.class == f.class {
+				if g := runSchedule(t, x, p); g != nil && g.class == f.class {
 					fails, best, small = true, x, g
 				}
 			}
@@ -137,32 +137,32 @@
 }
 
 // quiet is what rapid tells; the search tells itself what it found.
-type quiet struct{ failed atomic.Bool }
+type silentTB struct{ failed atomic.Bool }
 
-func (*quiet) Helper()                 {}
-func (*quiet) Name() string            { return "search" }
-func (*quiet) Logf(string, ...any)     {}
-func (*quiet) Log(...any)              {}
-func (*quiet) Skipf(string, ...any)    {}
-func (*quiet) Skip(...any)             {}
-func (*quiet) SkipNow()                {}
-func (q *quiet) Errorf(string, ...any) { q.Fail() }
-func (q *quiet) Error(...any)          { q.Fail() }
-func (q *quiet) Fatalf(string, ...any) { q.FailNow() }
-func (q *quiet) Fatal(...any)          { q.FailNow() }
-func (q *quiet) FailNow()              { q.Fail(); runtime.Goexit() }
-func (q *quiet) Fail()                 { q.failed.Store(true) }
-func (q *quiet) Failed() bool          { return q.failed.Load() }
+func (*silentTB) Helper()                 {}
+func (*silentTB) Name() string            { return "search" }
+func (*silentTB) Logf(string, ...any)     {}
+func (*silentTB) Log(...any)              {}
+func (*silentTB) Skipf(string, ...any)    {}
+func (*silentTB) Skip(...any)             {}
+func (*silentTB) SkipNow()                {}
+func (q *silentTB) Errorf(string, ...any) { q.Fail() }
+func (q *silentTB) Error(...any)          { q.Fail() }
+func (q *silentTB) Fatalf(string, ...any) { q.FailNow() }
+func (q *silentTB) Fatal(...any)          { q.FailNow() }
+func (q *silentTB) FailNow()              { q.Fail(); runtime.Goexit() }
+func (q *silentTB) Fail()                 { q.failed.Store(true) }
+func (q *silentTB) Failed() bool          { return q.failed.Load() }
 
 // The schedule that rapid shrinks must be the one that the seed stands for.
-func TestShrinkingBeginsWithTheSchedulePlayed(t *testing.T) {
+func TestShrinkingStartsFromTheExecutedSchedule(t *testing.T) {
 	for seed := 1; seed < 50; seed++ {
-		plan := draw(seed)
+		plan := drawSchedule(seed)
 		rapidFlags.Lock()
 		_ = flag.Set("rapid.seed", fmt.Sprint(seed))
 		_ = flag.Set("rapid.checks", "1")
 		same := false
-		rapid.Check(&quiet{}, func(rt *rapid.T) { same = schedules.Draw(rt, "schedule").String() == plan.String() })
+		rapid.Check(&silentTB{}, func(rt *rapid.T) { same = scheduleGenerator.Draw(rt, "schedule").String() == plan.String() })
 		rapidFlags.Unlock()
 		if !same {
 			t.Fatalf("seed %d: another schedule is shrunk than played", seed)
--- a/internal/cluster/wire_test.go
+++ b/internal/cluster/wire_test.go
@@ -14,17 +14,17 @@
 // our processes come behind another call's, before it, twice, or cut short.
 // Every message must be taken, run and told of as its own all the same, and
 // every configuration read back as it was acknowledged.
-func TestAnswersOfOtherCallsMisleadNobody(t *testing.T) {
-	run(t, func(w *world) {
-		plain := w.service("plain", "z1", "z2", "z3")
-		w.configure(options{})
+func TestMismatchedResponsesAreRejected(t *testing.T) {
+	runCluster(t, func(w *world) {
+		plain := w.newService("plain", "z1", "z2", "z3")
+		w.applyConfiguration(options{})
 		var mu sync.Mutex
 		rng := rand.New(rand.NewPCG(5, 13))
 		var old [][]byte // answers that were given
 		done := map[string]int{}
 		rate := 60
-		w.net.mu.Lock()
-		w.net.meddle = func(b []byte) []byte {
+		w.network.mu.Lock()
+		w.network.rewrite = func(b []byte) []byte {
 			if !bytes.HasPrefix(b, []byte("HTTP/1.1 200")) || !bytes.Contains(b, []byte("\r\nCall: ")) {
 				return b
 			}
@@ -54,20 +54,20 @@
 			}
 			return b
 		}
-		w.net.mu.Unlock()
+		w.network.mu.Unlock()
 		var last []byte
-		names := w.during(plain, func() {
+		names := w.withTraffic(plain, func() {
 			for range 3 {
 				time.Sleep(time.Second)
-				last = w.change("among wrong answers", options{})
+				last = w.changeConfiguration("among wrong answers", options{})
 			}
 		})
-		w.readBack("the last one", last)
+		w.verifyConfiguration("the last one", last)
 		mu.Lock()
 		rate = 24
 		mu.Unlock()
 		for id, name := range names {
-			if code, body := w.ask("z1", "/v1/message/"+name); code == 200 && !strings.Contains(body, `"seal-`+id+`"`) {
+			if code, body := w.get("z1", "/v1/message/"+name); code == 200 && !strings.Contains(body, `"seal-`+id+`"`) {
 				t.Errorf("of %s is told %s", id, body)
 			}
 		}
