--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -25,63 +25,62 @@
 	"saltreel/internal/store"
 )
 
-// world is a cluster with its handlers, operator and clients.
+// world is one simulated cluster: its machines, the network between them, and
+// the clients and operators that call it.
 type world struct {
 	t             *testing.T
 	network       *network
-	clientProcess *process // clients and the operator
+	clientProcess *process // clients and operators
 	client        *rpc.Client
-	machines      map[string]*machine
+	machines      map[string]*machine // by name; handlers too, which are only stopped
 	dataPath      string
-	kills         int
+	kills         int // so far, to name the copies of disks
 	goroutines    sync.WaitGroup
-	revision      int
-	lastID        int
-	hostFailures  int // host-failures
+	revision      int // of the configuration written last
+	lastID        int // of newID
+	hostFailures  int // that the cluster tolerates
 	mu            sync.Mutex
-	coreAddresses []string // addresses of cores
+	coreAddresses []string // IPs; guarded by mu
 }
 
+// machine is one host with one process of ours. Its name, address and disk
+// outlive the process.
 type machine struct {
 	name, role, ip, zone string
-	process              *process
+	process              *process // the current incarnation
 	cancel               context.CancelFunc
-	done                 chan struct{}
+	done                 chan struct{} // closed when the process has ended
 	dataPath             string
 }
 
 var zones = []string{"z1", "z2", "z3"}
 
+// clientIP is the address of operators, clients and handlers' callers.
+const clientIP = "10.9.0.1"
+
+// runCluster runs a test on a cluster of one core, store and edge in each of
+// three zones, once it has placed its partitions.
 func runCluster(t *testing.T, f func(w *world)) {
 	t.Helper()
 	runClusterWith(t, 1, 1, f)
 }
 
-// runWide runs a cluster that bears a number of losses, with several cores and
-// stores in each zone.
-func runClusterWith(t *testing.T, losses, each int, f func(w *world)) {
+// runClusterWith runs a test on a cluster with so many cores and stores in each
+// zone, which tolerates a number of host failures.
+func runClusterWith(t *testing.T, hostFailures, perZone int, f func(w *world)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, network: newNetwork(), machines: map[string]*machine{}, dataPath: t.TempDir(), hostFailures: losses,
-			coreAddresses: []string{"10.1.0.1", "10.2.0.1", "10.3.0.1"}}
-		w.clientProcess = &process{network: w.network, ip: "10.9.0.1"}
-		w.client = rpc.NewClient(&httpwire.Pool{Network: w.clientProcess.httpNetwork()})
+		w := newWorld(t, t.TempDir(), hostFailures, "10.1.0.1", "10.2.0.1", "10.3.0.1")
 		for i, z := range zones {
 			for j, role := range []string{"core", "store", "edge"} {
 				name := role + "-" + z
-				w.machines[name] = &machine{name: name, role: role, zone: z, ip: fmt.Sprintf("10.%d.0.%d", i+1, j+1), dataPath: filepath.Join(w.dataPath, name)}
-				w.startMachine(name, true)
-				for k := 1; k < each && role != "edge"; k++ {
+				w.addMachine(name, role, z, fmt.Sprintf("10.%d.0.%d", i+1, j+1), true)
+				for k := 1; k < perZone && role != "edge"; k++ {
 					w.addMachine(fmt.Sprintf("%s%d", name, k), role, z, fmt.Sprintf("10.%d.0.%d", i+1, 10*k+j+1), true)
 				}
 			}
 		}
-		defer func() {
-			for _, m := range w.machines {
-				m.cancel()
-			}
-			w.goroutines.Wait()
-		}()
+		defer w.stopAll()
 		w.waitFor(15*time.Second, "the first placement", func() bool {
 			s, err := w.status()
 			return err == nil && len(s.Placement.Partitions) > 0
@@ -90,14 +89,32 @@
 	})
 }
 
-// add starts one more machine, with an empty disk.
+// newWorld makes a world without machines. It must be called in a bubble of
+// synctest.
+func newWorld(t *testing.T, dataPath string, hostFailures int, coreAddresses ...string) *world {
+	w := &world{t: t, network: newNetwork(), machines: map[string]*machine{}, dataPath: dataPath,
+		hostFailures: hostFailures, coreAddresses: coreAddresses}
+	w.clientProcess = &process{network: w.network, ip: clientIP}
+	w.client = rpc.NewClient(&httpwire.Pool{Network: w.clientProcess.httpNetwork()})
+	return w
+}
+
+// stopAll stops all machines and handlers and waits until they have ended.
+func (w *world) stopAll() {
+	for _, m := range w.machines {
+		m.cancel()
+	}
+	w.goroutines.Wait()
+}
+
+// addMachine starts one more machine, with an empty disk.
 func (w *world) addMachine(name, role, zone, ip string, bootstrap bool) {
 	w.t.Helper()
 	w.machines[name] = &machine{name: name, role: role, zone: zone, ip: ip, dataPath: filepath.Join(w.dataPath, name)}
 	w.startMachine(name, bootstrap)
 }
 
-// wipe empties the disk of a machine that was killed.
+// wipeDisk empties the disk of a machine that was killed.
 func (w *world) wipeDisk(name string) {
 	w.t.Helper()
 	if err := os.RemoveAll(w.machines[name].dataPath); err != nil {
@@ -141,33 +158,33 @@
 	return s
 }
 
+// startMachine starts the process of a machine on the disk that it has.
 func (w *world) startMachine(name string, bootstrap bool) {
 	w.t.Helper()
 	m := w.machines[name]
 	m.process = &process{network: w.network, ip: m.ip}
+	network := m.process.httpNetwork()
 	set := w.machineSettings(m, bootstrap)
-	logger := log.New(io.Discard, "", 0)
-	if os.Getenv("SALTREEL_TEST_LOG") != "" {
-		logger = log.New(os.Stderr, name+" ", log.Lmicroseconds)
-	}
+	logger := newLogger(name)
 	ctx, cancel := context.WithCancel(context.Background())
-	m.cancel, m.done = cancel, make(chan struct{})
+	done := make(chan struct{})
+	m.cancel = cancel
+	m.done = done
 	var p platform.Process
 	var err error
 	switch m.role {
 	case "edge":
-		p = edge.New(set, m.process.httpNetwork(), logger)
+		p = edge.New(set, network, logger)
 	case "store":
-		p, err = store.New(set, m.process.httpNetwork(), logger)
+		p, err = store.New(set, network, logger)
 	case "core":
 		var c *controlplane.Server
-		c, err = controlplane.New(set, m.process.httpNetwork(), logger)
-		p = coreProcess{c, set, m.process.httpNetwork(), logger}
+		c, err = controlplane.New(set, network, logger)
+		p = coreProcess{c, set, network, logger}
 	}
 	if err != nil {
 		w.t.Fatalf("start %s: %v", name, err)
 	}
-	done := m.done
 	w.goroutines.Go(func() {
 		defer close(done)
 		if err := p.Run(ctx); err != nil {
@@ -176,6 +193,15 @@
 	})
 }
 
+// newLogger logs to standard error where SALTREEL_TEST_LOG is set.
+func newLogger(name string) *log.Logger {
+	if os.Getenv("SALTREEL_TEST_LOG") != "" {
+		return log.New(os.Stderr, name+" ", log.Lmicroseconds)
+	}
+	return log.New(io.Discard, "", 0)
+}
+
+// coreProcess serves the operator's calls with those of a core, as the command does.
 type coreProcess struct {
 	server   *controlplane.Server
 	settings *settings.Settings
@@ -187,7 +213,8 @@
 	return operator.Serve(ctx, c.server, c.settings, c.network, c.logger)
 }
 
-// kill ends a process without a word. Its disk stays as it was.
+// killMachine crashes a machine: its connections are reset and its process does
+// nothing any more. Its disk stays as it was.
 func (w *world) killMachine(name string) {
 	m := w.machines[name]
 	m.process.kill()
@@ -203,7 +230,8 @@
 	m.cancel()
 }
 
-// terminate asks a process to stop and waits until it has.
+// terminateMachine stops a process in order, as SIGTERM does, and returns how
+// long that took.
 func (w *world) terminateMachine(name string) time.Duration {
 	began := time.Now()
 	w.machines[name].cancel()
@@ -211,6 +239,7 @@
 	return time.Since(began)
 }
 
+// waitFor polls until f holds; the test fails if it does not within the limit.
 func (w *world) waitFor(limit time.Duration, what string, f func() bool) {
 	w.t.Helper()
 	for end := time.Now().Add(limit); !f(); time.Sleep(20 * time.Millisecond) {
@@ -220,13 +249,14 @@
 	}
 }
 
-// seed names another core in place of one that is gone.
+// replaceCoreAddress puts the address of a new core in place of a lost one's.
 func (w *world) replaceCoreAddress(at int, ip string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.coreAddresses[at] = ip
 }
 
+// controlAddresses returns the addresses of the control plane, with ports.
 func (w *world) controlAddresses() (out []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/cluster/configuration_writes_test.go
+++ b/internal/cluster/configuration_writes_test.go
@@ -39,48 +39,22 @@
 	})
 }
 
+// Of three writes at once that build on the same revision one is acknowledged,
+// and it is acknowledged again when it is sent again. What is rejected never
+// comes into force.
 func TestConcurrentConfigurationWritesHaveOneWinner(t *testing.T) {
 	runCluster(t, func(w *world) {
 		w.applyConfiguration(options{})
-		ctx := context.Background()
-		put := func(raw []byte, match int64, control string) int {
-			a, err := w.request(control, &httpwire.Call{Method: "PUT", Target: "/v1/configuration", Host: control, Header: []string{"If-Match", fmt.Sprint(match)}, Body: raw}, 2*time.Second)
-			if err != nil {
-				return 0
-			}
-			return a.Status
-		}
 		for round := range 5 {
-			base := int64(w.revision)
-			got := make([]int, 3)
-			var wg sync.WaitGroup
-			for i, c := range w.controlAddresses() {
-				wg.Go(func() { got[i] = put(w.configuration(w.revision+1+i, options{maxAttempts: round + 2}), base, c) })
-			}
-			wg.Wait()
-			won := 0
-			for i, code := range got {
-				if code == 200 {
-					won++
-					w.revision = int(base) + 1 + i
-				} else if code != 412 {
-					t.Errorf("round %d: %v", round, got)
-				}
-			}
-			if won != 1 {
-				t.Fatalf("round %d: %v", round, got)
-			}
-			if code := put(w.configuration(w.revision, options{maxAttempts: round + 2}), base, w.controlAddresses()[round%3]); code != 200 {
-				t.Errorf("the same again: %d", code)
-			}
+			w.verifyOneOfThreeWritesWins(t, round)
 		}
-		good := w.configuration(w.revision, options{maxAttempts: 6})
+		inForce := w.configuration(w.revision, options{maxAttempts: 6})
 		for what, c := range map[string]struct {
 			raw   []byte
 			match int
 			want  int
 		}{
-			"cut short":       {w.configuration(w.revision+1, options{})[:200], w.revision, 400},
+			"truncated":       {w.configuration(w.revision+1, options{})[:200], w.revision, 400},
 			"unknown service": {w.configuration(w.revision+1, options{unknownService: true}), w.revision, 400},
 			"no time-out":     {w.configuration(w.revision+1, options{zeroTimeout: true}), w.revision, 400},
 			"shared key":      {w.configuration(w.revision+1, options{duplicateKey: true}), w.revision, 400},
@@ -88,43 +62,72 @@
 			"stale match":     {w.configuration(w.revision+1, options{}), w.revision - 1, 412},
 			"over the limit":  {make([]byte, 5<<20), w.revision, 413},
 		} {
-			if code := put(c.raw, int64(c.match), w.controlAddresses()[0]); code != c.want {
+			if code := w.putConfigurationWithin(2*time.Second, w.controlAddresses()[0], c.match, c.raw); code != c.want {
 				t.Errorf("%s: %d, not %d", what, code, c.want)
 			}
 		}
-		if raw, err := w.operator().Get(ctx, "/v1/configuration"); err != nil || !bytes.Equal(raw, good) {
-			t.Errorf("a refused configuration is in force: %v", err)
+		if raw, err := w.operator().Get(context.Background(), "/v1/configuration"); err != nil || !bytes.Equal(raw, inForce) {
+			t.Errorf("a rejected configuration is in force: %v", err)
 		}
 	})
 }
 
-// change is what an operator sends, the same bytes each time.
+// verifyOneOfThreeWritesWins sends one write to each core at the same time.
+func (w *world) verifyOneOfThreeWritesWins(t *testing.T, round int) {
+	t.Helper()
+	base := w.revision
+	statuses := make([]int, 3)
+	var wg sync.WaitGroup
+	for i, c := range w.controlAddresses() {
+		wg.Go(func() {
+			statuses[i] = w.putConfigurationWithin(2*time.Second, c, base, w.configuration(base+1+i, options{maxAttempts: round + 2}))
+		})
+	}
+	wg.Wait()
+	winners := 0
+	for i, code := range statuses {
+		if code == 200 {
+			winners++
+			w.revision = base + 1 + i
+		} else if code != 412 {
+			t.Errorf("round %d: %v", round, statuses)
+		}
+	}
+	if winners != 1 {
+		t.Fatalf("round %d: %v", round, statuses)
+	}
+	winner := w.configuration(w.revision, options{maxAttempts: round + 2})
+	if code := w.putConfigurationWithin(2*time.Second, w.controlAddresses()[round%3], base, winner); code != 200 {
+		t.Errorf("the winner, sent again: %d", code)
+	}
+}
+
+// operatorChange is one write of an operator, sent as the same bytes each time.
 type operatorChange struct {
 	ifMatch     int
 	body        []byte
-	finalStatus int // the clear one, 0 without
+	finalStatus int // 200 or a rejection; 0 while the outcome is unknown
 	attempts    int
 }
 
-// An order that the head wrote, and that met a sealed view on its way down, has
-// no clear answer: what stood in its way is no word on the order.
+// The outcome of a write that the head has stored, and that met a sealed view
+// on its way down the chain, is unknown: the conflict between members is no
+// answer to the operator.
 func TestSealedViewConflictIsNotReportedAsRejection(t *testing.T) {
 	runCluster(t, func(w *world) {
 		w.applyConfiguration(options{})
-		rest := []string{"10.2.0.1", "10.3.0.1"}
-		w.network.setBlocked(w.coreAddresses[:1], rest, true)
-		w.network.setBlocked(rest, w.coreAddresses[:1], true)
+		head, rest := w.coreAddresses[:1], []string{"10.2.0.1", "10.3.0.1"}
+		w.setPartition(head, rest, bothDirections, true)
 		w.waitFor(8*time.Second, "a view without the head", func() bool {
 			members, _ := w.viewSize()
 			return members == 2
 		})
 		raw := w.configuration(w.revision+1, options{maxAttempts: 4})
-		w.network.setBlocked(w.coreAddresses[:1], rest, false)
-		w.network.setBlocked(rest, w.coreAddresses[:1], false)
+		w.setPartition(head, rest, bothDirections, false)
 		if code := w.putConfiguration("10.1.0.1:82", w.revision, raw); code/100 == 4 {
 			t.Errorf("the head of the view before answers %d", code)
 		}
-		w.waitFor(8*time.Second, "the same order is acknowledged", func() bool { return w.putConfiguration("10.2.0.1:82", w.revision, raw) == 200 })
+		w.waitFor(8*time.Second, "the same write is acknowledged", func() bool { return w.putConfiguration("10.2.0.1:82", w.revision, raw) == 200 })
 	})
 }
 
@@ -145,7 +148,8 @@
 	})
 }
 
-// send sends an order to one core after the other until an answer is clear.
+// sendUntilFinal sends the write to one core after the other until its outcome
+// is known.
 func (o *operatorChange) sendUntilFinal(w *world, first int) {
 	for o.attempts = 0; o.finalStatus == 0 && o.attempts < 60; o.attempts++ {
 		switch code := w.putConfiguration(w.controlAddresses()[(first+o.attempts)%3], o.ifMatch, o.body); code {
@@ -157,104 +161,133 @@
 	}
 }
 
-// Eight operators at once pick the same numbers, at three cores whose answers
-// get lost. For each version one change wins, and each one that was taken is
-// acknowledged again at any core: at once, after 300 more changes, and after a
-// kill of all cores.
+// Eight operators write at once, with the same revision numbers, to three cores
+// whose answers get lost. For each revision one write wins, and each
+// acknowledged one is acknowledged again at any core: at once, after 300 more
+// writes, and after a kill of all cores.
 func TestRetriedWriteIsAcknowledgedAgain(t *testing.T) {
 	runCluster(t, func(w *world) {
 		w.applyConfiguration(options{})
-		random := rand.New(rand.NewPCG(1, 8))
-		lossy, stop := make(chan struct{}), make(chan struct{})
-		go func() {
-			defer close(lossy)
-			outside := []string{w.clientProcess.ip}
-			for {
-				for _, core := range w.coreAddresses {
-					w.network.setBlocked([]string{core}, outside, random.IntN(2) == 0)
-				}
-				select {
-				case <-stop:
-					w.network.setBlocked(w.coreAddresses, outside, false)
-					return
-				case <-time.After(time.Duration(random.IntN(100)) * time.Millisecond):
-				}
-			}
-		}()
-		var mu sync.Mutex
-		var orders []*operatorChange
-		var operators sync.WaitGroup
-		for i := range 8 {
-			operators.Go(func() {
-				for n := range 12 {
-					var head struct {
-						Revision int `json:"revision"`
-					}
-					raw, err := w.operator().Get(context.Background(), "/v1/configuration")
-					if err != nil || json.Unmarshal(raw, &head) != nil {
-						continue
-					}
-					o := &operatorChange{ifMatch: head.Revision, body: w.configuration(head.Revision+1, options{rate: float64(1000 + 100*i + n)})}
-					o.sendUntilFinal(w, i)
-					mu.Lock()
-					orders = append(orders, o)
-					mu.Unlock()
-				}
-			})
-		}
-		operators.Wait()
-		close(stop)
-		<-lossy
-		winners := map[int]*operatorChange{}
-		resent, lost := 0, 0
-		for _, o := range orders {
-			resent += o.attempts - 1
-			switch o.finalStatus {
-			case 200:
-				if winners[o.ifMatch] != nil {
-					t.Errorf("two changes of %d are acknowledged", o.ifMatch)
-				}
-				winners[o.ifMatch] = o
-				w.revision = max(w.revision, o.ifMatch+1)
-			case 412:
-				lost++
-			default:
-				t.Errorf("a change of %d: %d after %d tries", o.ifMatch, o.finalStatus, o.attempts)
-			}
-		}
-		t.Logf("%d orders, %d taken, %d of others first, sent again %d times", len(orders), len(winners), lost, resent)
-		if len(winners) < 8 || lost < 8 || resent < 8 {
-			t.Error("too little was tried")
-		}
-		again := func(when string) {
-			for _, c := range w.controlAddresses() {
-				for _, o := range orders {
-					w.waitFor(8*time.Second, "a clear answer "+when, func() bool {
-						code := w.putConfiguration(c, o.ifMatch, o.body)
-						if code/100 != 5 && code != 0 && code != 307 && code != o.finalStatus {
-							t.Fatalf("%s: a change of %d that was answered %d is answered %d", when, o.ifMatch, o.finalStatus, code)
-						}
-						return code == o.finalStatus
-					})
-				}
-			}
-		}
-		again("at once")
+		stop := w.loseAnswers()
+		writes := w.writeConcurrently()
+		stop()
+		w.verifyWinners(t, writes)
+		w.verifySameStatus(t, "at once", writes)
 		var last []byte
 		for range 300 {
 			last = w.changeConfiguration("more", options{})
 		}
-		again("after 300 changes")
+		w.verifySameStatus(t, "after 300 writes", writes)
 		for _, z := range zones {
 			w.killMachine("core-" + z)
 		}
 		for _, z := range zones {
 			w.startMachine("core-"+z, false)
 		}
-		again("after a kill of all cores")
+		w.verifySameStatus(t, "after a kill of all cores", writes)
 		w.verifyConfiguration("at the end", last)
 		if s, err := w.status(); err != nil || !bytes.Contains(last, fmt.Appendf(nil, `"revision":%d,`, s.Revision)) {
-			t.Errorf("status tells revision %d: %v", s.Revision, err)
+			t.Errorf("status reports revision %d: %v", s.Revision, err)
 		}
 	})
 }
+
+// loseAnswers blocks the links from the cores to the operators at random, until
+// stop is called.
+func (w *world) loseAnswers() (stop func()) {
+	random := rand.New(rand.NewPCG(1, 8))
+	stopping := make(chan struct{})
+	stopped := make(chan struct{})
+	operators := []string{w.clientProcess.ip}
+	go func() {
+		defer close(stopped)
+		for {
+			for _, core := range w.coreAddresses {
+				w.network.setBlocked([]string{core}, operators, random.IntN(2) == 0)
+			}
+			select {
+			case <-stopping:
+				w.network.setBlocked(w.coreAddresses, operators, false)
+				return
+			case <-time.After(time.Duration(random.IntN(100)) * time.Millisecond):
+			}
+		}
+	}()
+	return func() {
+		close(stopping)
+		<-stopped
+	}
+}
+
+// writeConcurrently runs eight operators that each read the configuration and
+// write the next one, twelve times.
+func (w *world) writeConcurrently() []*operatorChange {
+	var mu sync.Mutex
+	var writes []*operatorChange
+	var operators sync.WaitGroup
+	for i := range 8 {
+		operators.Go(func() {
+			for n := range 12 {
+				var current struct {
+					Revision int `json:"revision"`
+				}
+				raw, err := w.operator().Get(context.Background(), "/v1/configuration")
+				if err != nil || json.Unmarshal(raw, &current) != nil {
+					continue
+				}
+				o := &operatorChange{ifMatch: current.Revision, body: w.configuration(current.Revision+1, options{rate: float64(1000 + 100*i + n)})}
+				o.sendUntilFinal(w, i)
+				mu.Lock()
+				writes = append(writes, o)
+				mu.Unlock()
+			}
+		})
+	}
+	operators.Wait()
+	return writes
+}
+
+// verifyWinners checks that at most one write of each revision won, and that
+// enough was tried.
+func (w *world) verifyWinners(t *testing.T, writes []*operatorChange) {
+	t.Helper()
+	winners := map[int]*operatorChange{}
+	resent := 0
+	conflicts := 0
+	for _, o := range writes {
+		resent += o.attempts - 1
+		switch o.finalStatus {
+		case 200:
+			if winners[o.ifMatch] != nil {
+				t.Errorf("two writes on revision %d are acknowledged", o.ifMatch)
+			}
+			winners[o.ifMatch] = o
+			w.revision = max(w.revision, o.ifMatch+1)
+		case 412:
+			conflicts++
+		default:
+			t.Errorf("a write on revision %d: %d after %d attempts", o.ifMatch, o.finalStatus, o.attempts)
+		}
+	}
+	t.Logf("%d writes, %d acknowledged, %d conflicts, %d sent again", len(writes), len(winners), conflicts, resent)
+	if len(winners) < 8 || conflicts < 8 || resent < 8 {
+		t.Error("too little was tried")
+	}
+}
+
+// verifySameStatus sends each write to each core again; it must be answered as
+// it was the first time.
+func (w *world) verifySameStatus(t *testing.T, when string, writes []*operatorChange) {
+	t.Helper()
+	for _, c := range w.controlAddresses() {
+		for _, o := range writes {
+			w.waitFor(8*time.Second, "a final answer "+when, func() bool {
+				code := w.putConfiguration(c, o.ifMatch, o.body)
+				if code/100 != 5 && code != 0 && code != 307 && code != o.finalStatus {
+					t.Fatalf("%s: a write on revision %d that was answered %d is answered %d", when, o.ifMatch, o.finalStatus, code)
+				}
+				return code == o.finalStatus
+			})
+		}
+	}
+}
--- a/internal/cluster/control_traffic_test.go
+++ b/internal/cluster/control_traffic_test.go
@@ -7,7 +7,6 @@
 	"flag"
 	"fmt"
 	"maps"
-	"path/filepath"
 	"slices"
 	"strings"
 	"sync"
@@ -16,27 +15,31 @@
 	"testing/synctest"
 	"time"
 
-	"saltreel/internal/rpc"
-
 	"saltreel/internal/httpwire"
 )
 
 var runScaled = flag.Bool("scale", false, "count calls and bytes of clusters of several sizes, and print them")
 
-// plan is what docs/CAPACITY.md allows a node for control, in bytes a second.
+// controlBudget is what docs/CAPACITY.md allows a node for control, in bytes a second.
 const controlBudget = 9000
 
-// size is one cluster to count: machines of ours, four of them cores; handlers
-// that beat; messages a second.
+// clusterSize is one cluster to measure: machines of ours, four of them cores;
+// handlers that send heartbeats; messages a second.
 type clusterSize struct{ machines, handlers, messages int }
 
-// tallied is the traffic of one kind at one machine, with headers.
+const measuredCores = 4
+
+// stores is how many of the machines are stores; the rest are edges.
+func (s clusterSize) stores() int { return max(3, s.machines/5) }
+
+// traffic is what one machine sent and received of one kind: calls, and bytes
+// with headers.
 type traffic struct{ in, out, bytesIn, bytesOut int }
 
-// counter counts what goes over the network, by machine and kind.
+// trafficCounter counts what goes over the network, by machine and kind.
 type trafficCounter struct {
 	mu         sync.Mutex
-	kindByPipe map[*pipe]string // what was last asked in this direction
+	kindByPipe map[*pipe]string // the kind of the last request in this direction
 	byMachine  map[string]map[string]*traffic
 }
 
@@ -68,17 +71,17 @@
 	return n.byMachine[ip][kind]
 }
 
-// kindOf names the kind of a request; what is no request is an answer.
-func requestKind(c *conn, b []byte) (string, bool) {
-	line, _, _ := bytes.Cut(b, []byte("\r\n"))
-	method, rest, ok := strings.Cut(string(line), " ")
+// requestKind returns the kind of a request, and false for what is an answer.
+func requestKind(c *conn, b []byte) (kind string, isRequest bool) {
+	requestLine, _, _ := bytes.Cut(b, []byte("\r\n"))
+	method, rest, ok := strings.Cut(string(requestLine), " ")
 	if !ok || !slices.Contains([]string{"GET", "POST", "PUT", "DELETE"}, method) {
 		return "", false
 	}
 	path, _, _ := strings.Cut(rest, " ")
 	switch {
 	case strings.HasPrefix(path, "/v1/instances/"):
-		return "handler beats", true
+		return "heartbeats", true
 	case strings.HasPrefix(path, "/v1/"):
 		return "operator", true
 	case !strings.HasPrefix(path, "/plain/"):
@@ -89,15 +92,13 @@
 	return "deliveries", true
 }
 
-// ofMessages tells whether a kind belongs to messages rather than to control.
-// The leases of partitions travel with /copy and count there.
+// isMessageTraffic reports whether a kind belongs to messages rather than to
+// control. The leases of partitions travel with /copy and count there.
 func isMessageTraffic(kind string) bool {
 	return slices.Contains([]string{"messages", "deliveries", "/accept", "/copy", "/grant", "/status", "/digest", "/fetch"}, kind)
 }
 
-const clientIP = "10.9.0.1"
-
-// result is what was tallied for one role.
+// roleTraffic is what was measured for the machines of one role.
 type roleTraffic struct {
 	busiest  map[string]*traffic // the machine with the most bytes, by kind
 	mean     map[string]float64  // bytes both ways of a machine, by kind
@@ -105,106 +106,131 @@
 	machines int
 }
 
-// processor is the processor time of this process so far, with the kernel's part.
+// processorTime is what this process has used of the processor so far, in user
+// mode and in the kernel.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// count runs a cluster in calm for a while and counts, by role; it also tells
-// the processor time of all together, handlers, clients and the simulated
-// network with them.
-func measureTraffic(t *testing.T, s clusterSize, during time.Duration) (out map[string]*roleTraffic, spent time.Duration) {
+// measureTraffic runs a cluster without faults for a while and returns its
+// traffic by role, and the processor time of everything in it: handlers, clients
+// and the simulated network too.
+func measureTraffic(t *testing.T, s clusterSize, duration time.Duration) (byRole map[string]*roleTraffic, spent time.Duration) {
 	t.Helper()
-	out = map[string]*roleTraffic{}
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, network: newNetwork(), machines: map[string]*machine{}, dataPath: t.TempDir(), hostFailures: 1, coreAddresses: []string{"10.1.0.1", "10.2.0.1", "10.3.0.1"}}
-		w.clientProcess = &process{network: w.network, ip: clientIP}
-		w.client = rpc.NewClient(&httpwire.Pool{Network: w.clientProcess.httpNetwork()})
-		defer func() {
-			if h := w.machines["handlers"]; h != nil { // before the cores, which would refuse their beats
-				h.cancel()
-				synctest.Wait()
-			}
-			for _, m := range w.machines {
-				m.cancel()
-			}
-			w.goroutines.Wait()
-		}()
-		cores, stores := 4, max(3, s.machines/5)
-		roles := map[string]string{} // by IP
-		for i := range s.machines {
-			role, z := "edge", i%3
-			switch {
-			case i < cores:
-				role = "core"
-			case i < cores+stores:
-				role, z = "store", (i-cores)%3
-			}
-			name, ip := fmt.Sprintf("%s-%s", role, zones[z]), fmt.Sprintf("10.%d.0.%d", z+1, 1+i/3)
-			if w.machines[name] != nil {
-				name += fmt.Sprintf("-%d", i)
-			}
-			if i >= 3 {
-				ip = fmt.Sprintf("10.%d.%d.%d", z+1, 1+i/250, 1+i%250)
-			}
-			w.machines[name] = &machine{name: name, role: role, zone: zones[z], ip: ip, dataPath: filepath.Join(w.dataPath, name)}
-			roles[ip] = role
-			w.startMachine(name, true)
-		}
+		w := newWorld(t, t.TempDir(), 1, "10.1.0.1", "10.2.0.1", "10.3.0.1")
+		defer w.stopMeasured()
+		roleOf := w.startMeasured(s)
 		w.waitFor(20*time.Second, "the first placement", func() bool {
 			st, err := w.status()
-			return err == nil && len(st.Placement.Stores) == stores && len(st.View.Members) == cores
+			return err == nil && len(st.Placement.Stores) == s.stores() && len(st.View.Members) == measuredCores
 		})
 		w.applyConfiguration(options{})
 		w.startHandlers(s.handlers)
 		time.Sleep(10 * time.Second)
 		n := &trafficCounter{kindByPipe: map[*pipe]string{}, byMachine: map[string]map[string]*traffic{}}
-		w.network.mu.Lock()
-		w.network.observe = n.observe
-		w.network.mu.Unlock()
-		end, began := time.Now().Add(during), processorTime()
-		for i := 0; s.messages > 0 && time.Now().Before(end); i++ {
-			zone, id := zones[i%3], fmt.Sprintf("m%d", i)
-			w.goroutines.Go(func() {
-				if a := w.sendMessage(zone, "/plain/x", id); a.Status != 202 {
-					t.Errorf("message %s: %d", id, a.Status)
-				}
-			})
-			time.Sleep(time.Second / time.Duration(s.messages))
-		}
+		w.network.setObserver(n.observe)
+		end, began := time.Now().Add(duration), processorTime()
+		w.sendMessagesUntil(end, s.messages)
 		time.Sleep(time.Until(end))
 		spent = processorTime() - began
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		w.network.mu.Lock()
-		w.network.observe = nil
-		open := map[string]int{}
-		for c := range w.network.conns {
-			open[c.owner.ip]++
+		w.network.setObserver(nil)
+		byRole = n.byRoleLocked(roleOf, w.network.openConnections())
+	})
+	return byRole, spent
+}
+
+// startMeasured starts the machines of a cluster and returns their roles by IP.
+func (w *world) startMeasured(s clusterSize) (roleOf map[string]string) {
+	roleOf = map[string]string{}
+	for i := range s.machines {
+		role, z := "edge", i%3
+		switch {
+		case i < measuredCores:
+			role = "core"
+		case i < measuredCores+s.stores():
+			role, z = "store", (i-measuredCores)%3
 		}
-		w.network.mu.Unlock()
-		for ip, role := range roles {
-			r := out[role]
-			if r == nil {
-				r = &roleTraffic{mean: map[string]float64{}}
-				out[role] = r
-			}
-			if totalBytes(n.byMachine[ip], true) > totalBytes(r.busiest, true) {
-				r.busiest = n.byMachine[ip]
-			}
-			r.conns = max(r.conns, open[ip])
-			r.machines++
-			for kind, c := range n.byMachine[ip] {
-				r.mean[kind] += float64(c.bytesIn + c.bytesOut)
+		name, ip := fmt.Sprintf("%s-%s", role, zones[z]), fmt.Sprintf("10.%d.0.%d", z+1, 1+i/3)
+		if w.machines[name] != nil {
+			name += fmt.Sprintf("-%d", i)
+		}
+		if i >= 3 {
+			ip = fmt.Sprintf("10.%d.%d.%d", z+1, 1+i/250, 1+i%250)
+		}
+		roleOf[ip] = role
+		w.addMachine(name, role, zones[z], ip, true)
+	}
+	return roleOf
+}
+
+// stopMeasured stops the handlers before the cores, which would refuse their
+// heartbeats.
+func (w *world) stopMeasured() {
+	if h := w.machines["handlers"]; h != nil {
+		h.cancel()
+		synctest.Wait()
+	}
+	w.stopAll()
+}
+
+// sendMessagesUntil sends so many messages a second, none if that is 0.
+func (w *world) sendMessagesUntil(end time.Time, perSecond int) {
+	for i := 0; perSecond > 0 && time.Now().Before(end); i++ {
+		zone, id := zones[i%3], fmt.Sprintf("m%d", i)
+		w.goroutines.Go(func() {
+			if a := w.sendMessage(zone, "/plain/x", id); a.Status != 202 {
+				w.t.Errorf("message %s: %d", id, a.Status)
 			}
+		})
+		time.Sleep(time.Second / time.Duration(perSecond))
+	}
+}
+
+// setObserver has a function called with all that is sent and not lost.
+func (n *network) setObserver(observe func(c *conn, b []byte)) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.observe = observe
+}
+
+// openConnections counts the open connections by IP.
+func (n *network) openConnections() map[string]int {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	open := map[string]int{}
+	for c := range n.conns {
+		open[c.owner.ip]++
+	}
+	return open
+}
+
+// byRoleLocked sums up the traffic of the machines of each role.
+func (n *trafficCounter) byRoleLocked(roleOf map[string]string, open map[string]int) map[string]*roleTraffic {
+	byRole := map[string]*roleTraffic{}
+	for ip, role := range roleOf {
+		r := byRole[role]
+		if r == nil {
+			r = &roleTraffic{mean: map[string]float64{}}
+			byRole[role] = r
 		}
-	})
-	return out, spent
+		if totalBytes(n.byMachine[ip], true) > totalBytes(r.busiest, true) {
+			r.busiest = n.byMachine[ip]
+		}
+		r.conns = max(r.conns, open[ip])
+		r.machines++
+		for kind, c := range n.byMachine[ip] {
+			r.mean[kind] += float64(c.bytesIn + c.bytesOut)
+		}
+	}
+	return byRole
 }
 
-// sumOf is the bytes of all kinds, or of those that are not of messages.
+// totalBytes sums up the bytes of all kinds, or only those of control.
 func totalBytes(kinds map[string]*traffic, all bool) (sum int) {
 	for kind, c := range kinds {
 		if all || !isMessageTraffic(kind) {
@@ -214,7 +240,8 @@
 	return sum
 }
 
-// beats runs handlers that beat to the cores in turn and take what they are sent.
+// startHandlers runs handlers that send heartbeats to the cores in turn and
+// accept what is delivered to them.
 func (w *world) startHandlers(n int) {
 	s := &service{world: w, name: "plain", instances: map[string]*instance{}}
 	var controls []string
@@ -235,32 +262,37 @@
 		}
 		server := &httpwire.Server{Handle: func(_ context.Context, r *httpwire.Request) *httpwire.Response { return s.serve(in, r) }}
 		w.goroutines.Go(func() { _ = server.Serve(ctx, l) })
-		pool, core := &httpwire.Pool{Network: in.process.httpNetwork()}, controls[i%len(controls)]
-		w.goroutines.Go(func() {
-			pause := time.NewTimer(time.Duration(i) * 1200 * time.Millisecond / time.Duration(n))
-			for seq := 1; ; seq++ {
-				select {
-				case <-ctx.Done():
-					return
-				case <-pause.C:
-				}
-				pause.Reset(1200 * time.Millisecond)
-				body := fmt.Sprintf(`{"service":"plain","address":%q,"zone":%q,"revision":"v1","slots":2,"oper-state":"ready","call-seq":%d}`, in.address, in.zone, seq)
-				cctx, stop := context.WithTimeout(context.Background(), time.Second)
-				a, err := pool.Do(cctx, core, &httpwire.Call{Method: "PUT", Target: "/v1/instances/" + in.id, Host: core, Body: []byte(body)})
-				stop()
-				if (err != nil || a.Status != 200) && ctx.Err() == nil {
-					w.t.Errorf("beat %d of %s: %v %v", seq, in.id, a, err)
-				}
-			}
-		})
+		firstAfter := time.Duration(i) * 1200 * time.Millisecond / time.Duration(n)
+		w.goroutines.Go(func() { w.sendHeartbeats(ctx, in, controls[i%len(controls)], firstAfter) })
+	}
+}
+
+// sendHeartbeats sends the heartbeats of one handler, one each keepalive-ms,
+// until ctx ends.
+func (w *world) sendHeartbeats(ctx context.Context, in *instance, core string, firstAfter time.Duration) {
+	pool := &httpwire.Pool{Network: in.process.httpNetwork()}
+	interval := time.NewTimer(firstAfter)
+	for seq := 1; ; seq++ {
+		select {
+		case <-ctx.Done():
+			return
+		case <-interval.C:
+		}
+		interval.Reset(1200 * time.Millisecond)
+		body := fmt.Sprintf(`{"service":"plain","address":%q,"zone":%q,"revision":"v1","slots":2,"oper-state":"ready","call-seq":%d}`, in.address, in.zone, seq)
+		callCtx, stop := context.WithTimeout(context.Background(), time.Second)
+		a, err := pool.Do(callCtx, core, &httpwire.Call{Method: "PUT", Target: "/v1/instances/" + in.id, Host: core, Body: []byte(body)})
+		stop()
+		if (err != nil || a.Status != 200) && ctx.Err() == nil {
+			w.t.Errorf("heartbeat %d of %s: %v %v", seq, in.id, a, err)
+		}
 	}
 }
 
-// What control costs a node that is no core stays within the plan at a small
-// size; with -scale the traffic of larger ones is tallied and printed.
+// What control costs a node that is no core stays within the budget at a small
+// size; with -scale the traffic of larger ones is measured and printed.
 func TestControlTrafficPerNode(t *testing.T) {
-	const during = 12 * time.Second
+	const duration = 12 * time.Second
 	for _, s := range []clusterSize{
 		{10, 10, 0}, {10, 100, 0}, {30, 100, 0}, {90, 100, 0}, {270, 300, 0}, // by machines
 		{30, 10, 0}, {30, 1000, 0}, // by handlers
@@ -269,19 +301,19 @@
 		if s != (clusterSize{10, 10, 0}) && !*runScaled {
 			continue
 		}
-		per := func(n int) float64 { return float64(n) / during.Seconds() }
-		roles, spent := measureTraffic(t, s, during)
-		t.Logf("%+v: %.2f ms of processor time a second, all together", s, per(int(spent.Microseconds()))/1000)
+		perSecond := func(n int) float64 { return float64(n) / duration.Seconds() }
+		roles, spent := measureTraffic(t, s, duration)
+		t.Logf("%+v: %.2f ms of processor time a second, all together", s, perSecond(int(spent.Microseconds()))/1000)
 		for role, r := range roles {
-			if got := per(totalBytes(r.busiest, false)); role != "core" && got > controlBudget {
+			if got := perSecond(totalBytes(r.busiest, false)); role != "core" && got > controlBudget {
 				t.Errorf("%+v: control takes %.0f B/s at the busiest %s, the plan is %d", s, got, role, controlBudget)
 			}
 			t.Logf("%+v: busiest of %d %ss: %.0f B/s, control %.0f B/s; %d connections", s, r.machines, role,
-				per(totalBytes(r.busiest, true)), per(totalBytes(r.busiest, false)), r.conns)
+				perSecond(totalBytes(r.busiest, true)), perSecond(totalBytes(r.busiest, false)), r.conns)
 			for _, kind := range slices.Sorted(maps.Keys(r.busiest)) {
 				c := r.busiest[kind]
-				t.Logf("    %-14s in %7.1f/s %9.0f B/s   out %7.1f/s %9.0f B/s   mean machine %9.0f B/s", kind, per(c.in), per(c.bytesIn), per(c.out), per(c.bytesOut),
-					r.mean[kind]/float64(r.machines)/during.Seconds())
+				t.Logf("    %-14s in %7.1f/s %9.0f B/s   out %7.1f/s %9.0f B/s   mean machine %9.0f B/s", kind, perSecond(c.in), perSecond(c.bytesIn), perSecond(c.out), perSecond(c.bytesOut),
+					r.mean[kind]/float64(r.machines)/duration.Seconds())
 			}
 		}
 	}
--- a/internal/cluster/core_isolation_test.go
+++ b/internal/cluster/core_isolation_test.go
@@ -12,146 +12,220 @@
 	"saltreel/internal/httpwire"
 )
 
+// Directions in which the links between two groups of machines are blocked.
+const (
+	bothDirections = "both directions"
+	outgoing       = "outgoing"
+	incoming       = "incoming"
+)
+
+var directions = []string{bothDirections, outgoing, incoming}
+
+// setPartition blocks the links between a group of machines and its peers, or
+// unblocks them. Outgoing links lead from the group to its peers.
+func (w *world) setPartition(group, peers []string, direction string, blocked bool) {
+	if direction != incoming {
+		w.network.setBlocked(group, peers, blocked)
+	}
+	if direction != outgoing {
+		w.network.setBlocked(peers, group, blocked)
+	}
+}
+
+// Whichever core is isolated in whichever direction, at most one of two
+// conflicting writes, one on each side, is acknowledged, and all cores agree on
+// the outcome afterwards.
 func TestAtMostOneSideOfPartitionAcknowledges(t *testing.T) {
-	ips := []string{"10.1.0.1", "10.2.0.1", "10.3.0.1"}
-	for lone := range 3 {
-		for _, way := range []string{"both ways", "out", "in"} {
+	for isolated := range 3 {
+		for _, direction := range directions {
 			runCluster(t, func(w *world) {
-				w.applyConfiguration(options{})
-				base := w.revision
-				rest := append(append([]string{}, ips[:lone]...), ips[lone+1:]...)
-				sever := func(yes bool) {
-					if way != "in" {
-						w.network.setBlocked(ips[lone:lone+1], rest, yes)
-					}
-					if way != "out" {
-						w.network.setBlocked(rest, ips[lone:lone+1], yes)
-					}
-				}
-				sever(true)
-				a, b := w.configuration(base+1, options{maxAttempts: 2}), w.configuration(base+2, options{maxAttempts: 4})
-				gotA, gotB := 0, 0
-				for end := time.Now().Add(7 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-					if gotA != 200 {
-						gotA = w.putConfiguration(ips[lone]+":82", base, a)
-					}
-					if gotB != 200 {
-						gotB = w.putConfiguration(rest[0]+":82", base, b)
-					}
-				}
-				sever(false)
-				if gotA == 200 && gotB == 200 {
-					t.Fatalf("core %d cut %s: both changes are acknowledged", lone, way)
-				}
-				time.Sleep(5 * time.Second)
-				if gotA != 200 && gotB != 200 { // the lone one was heard but could not hear: its change won
-					if gotA = w.putConfiguration(rest[0]+":82", base, a); gotA != 200 || gotB != 412 {
-						t.Errorf("core %d cut %s: neither side takes a change: %d %d", lone, way, gotA, gotB)
-					}
-				}
-				for _, c := range w.controlAddresses() { // all tell the same history
-					w.waitFor(5*time.Second, "reading from "+c, func() bool {
-						r, err := w.request(c, &httpwire.Call{Method: "GET", Target: "/v1/configuration", Host: c}, time.Second)
-						if err == nil && r.Status == 200 && (gotA == 200 && !bytes.Equal(r.Body, a) || gotB == 200 && !bytes.Equal(r.Body, b)) {
-							t.Fatalf("core %d cut %s: %s tells another configuration", lone, way, c)
-						}
-						return err == nil && r.Status == 200
-					})
-				}
-				// What was taken is acknowledged again, even after the next change.
-				won, winner := a, base+1
-				if gotB == 200 {
-					won, winner = b, base+2
-				}
-				w.revision = winner
-				w.changeConfiguration("after the cut", options{})
-				if code := w.putConfiguration(ips[0]+":82", base, won); code != 200 {
-					t.Errorf("a change taken earlier, sent again: %d", code)
-				}
+				p := newPartitionedWrite(w, isolated, direction)
+				p.writeOnBothSides()
+				p.verifyOneWinner(t)
+				p.verifyReads(t)
+				p.verifyRetry(t)
 			})
 		}
 	}
 }
 
-// A core that is cut off for twenty seconds says nothing old, neither while it
-// is cut off nor in the moment when the cut heals.
+// partitionedWrite is a pair of conflicting writes, one for each side of a
+// partition, with the last status that each was answered.
+type partitionedWrite struct {
+	w                              *world
+	name                           string // of the case, for errors
+	direction                      string
+	isolated, majority             []string // IPs
+	base                           int      // revision that both writes build on
+	isolatedWrite, majorityWrite   []byte
+	isolatedStatus, majorityStatus int
+}
+
+func newPartitionedWrite(w *world, isolated int, direction string) *partitionedWrite {
+	w.applyConfiguration(options{})
+	base := w.revision
+	ips := []string{"10.1.0.1", "10.2.0.1", "10.3.0.1"}
+	return &partitionedWrite{
+		w: w, name: fmt.Sprintf("core %d isolated, %s", isolated, direction), direction: direction,
+		isolated: ips[isolated : isolated+1], majority: append(append([]string{}, ips[:isolated]...), ips[isolated+1:]...),
+		base:          base,
+		isolatedWrite: w.configuration(base+1, options{maxAttempts: 2}),
+		majorityWrite: w.configuration(base+2, options{maxAttempts: 4}),
+	}
+}
+
+// writeOnBothSides sends each write to its side for the duration of the
+// partition, until it is acknowledged.
+func (p *partitionedWrite) writeOnBothSides() {
+	p.w.setPartition(p.isolated, p.majority, p.direction, true)
+	for end := time.Now().Add(7 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+		if p.isolatedStatus != 200 {
+			p.isolatedStatus = p.w.putConfiguration(p.isolated[0]+":82", p.base, p.isolatedWrite)
+		}
+		if p.majorityStatus != 200 {
+			p.majorityStatus = p.w.putConfiguration(p.majority[0]+":82", p.base, p.majorityWrite)
+		}
+	}
+	p.w.setPartition(p.isolated, p.majority, p.direction, false)
+}
+
+func (p *partitionedWrite) verifyOneWinner(t *testing.T) {
+	t.Helper()
+	if p.isolatedStatus == 200 && p.majorityStatus == 200 {
+		t.Fatalf("%s: both writes are acknowledged", p.name)
+	}
+	time.Sleep(5 * time.Second)
+	if p.isolatedStatus == 200 || p.majorityStatus == 200 {
+		return
+	}
+	// The isolated core could send but not receive, so its write won unseen.
+	p.isolatedStatus = p.w.putConfiguration(p.majority[0]+":82", p.base, p.isolatedWrite)
+	if p.isolatedStatus != 200 || p.majorityStatus != 412 {
+		t.Errorf("%s: neither write is acknowledged: %d %d", p.name, p.isolatedStatus, p.majorityStatus)
+	}
+}
+
+// verifyReads checks that no core answers with the write that lost.
+func (p *partitionedWrite) verifyReads(t *testing.T) {
+	t.Helper()
+	differs := func(body []byte) bool {
+		return p.isolatedStatus == 200 && !bytes.Equal(body, p.isolatedWrite) ||
+			p.majorityStatus == 200 && !bytes.Equal(body, p.majorityWrite)
+	}
+	for _, c := range p.w.controlAddresses() {
+		p.w.waitFor(5*time.Second, "reading from "+c, func() bool {
+			r, err := p.w.request(c, &httpwire.Call{Method: "GET", Target: "/v1/configuration", Host: c}, time.Second)
+			if err == nil && r.Status == 200 && differs(r.Body) {
+				t.Fatalf("%s: %s answers with another configuration", p.name, c)
+			}
+			return err == nil && r.Status == 200
+		})
+	}
+}
+
+// verifyRetry checks that the winner is acknowledged again, even after the
+// write that follows it.
+func (p *partitionedWrite) verifyRetry(t *testing.T) {
+	t.Helper()
+	winner, revision := p.isolatedWrite, p.base+1
+	if p.majorityStatus == 200 {
+		winner, revision = p.majorityWrite, p.base+2
+	}
+	p.w.revision = revision
+	p.w.changeConfiguration("after the partition", options{})
+	if code := p.w.putConfiguration("10.1.0.1:82", p.base, winner); code != 200 {
+		t.Errorf("an acknowledged write, sent again: %d", code)
+	}
+}
+
+// A core that was isolated for longer than its contact time-out publishes no
+// stale state, neither while it is isolated nor right after the partition heals.
 func TestIsolatedCorePublishesNoStaleState(t *testing.T) {
-	for _, way := range []string{"both ways", "out", "in"} {
+	isolated := []string{"10.3.0.1"}
+	peers := []string{"10.1.0.1", "10.2.0.1", "10.1.0.2", "10.2.0.2", "10.3.0.2", "10.1.0.3", "10.2.0.3", "10.3.0.3"}
+	for _, direction := range directions {
 		runCluster(t, func(w *world) {
 			plain := w.newService("plain", "z1", "z2")
 			w.applyConfiguration(options{})
-			lone, rest := []string{"10.3.0.1"}, []string{"10.1.0.1", "10.2.0.1", "10.1.0.2", "10.2.0.2", "10.3.0.2", "10.1.0.3", "10.2.0.3", "10.3.0.3"}
-			sever := func(yes bool) {
-				if way != "in" {
-					w.network.setBlocked(lone, rest, yes)
-				}
-				if way != "out" {
-					w.network.setBlocked(rest, lone, yes)
-				}
+			if _, status := w.watchIsolatedCore(); status != 200 {
+				t.Fatalf("events before the partition: %d", status)
 			}
-			news := func() (page string, status int) { // as a node that starts asks for it
-				a, err := w.request("10.3.0.1:7100", &httpwire.Call{Method: "POST", Target: "/news", Host: "10.3.0.1", Body: []byte(`{"wait-ms":0,"role":"store"}`)}, time.Second)
-				if err != nil {
-					return "", 0
-				}
-				return string(a.Body), a.Status
-			}
-			if _, status := news(); status != 200 {
-				t.Fatalf("news before the cut: %d", status)
-			}
-			sever(true)
+			w.setPartition(isolated, peers, direction, true)
 			time.Sleep(2 * time.Second) // contact-ms/2
-			w.changeConfiguration("during the cut", options{maxAttempts: 9})
-			leaver := plain.instances["plain-i0"]
-			leaver.cancel()
-			w.waitFor(5*time.Second, "the leaving is acknowledged", func() bool { return plain.callCore("DELETE", leaver.id, "") == 200 })
-			beat := func() int {
-				a, err := w.request("10.3.0.1:82", &httpwire.Call{Method: "PUT", Target: "/v1/instances/" + leaver.id, Host: "10.3.0.1", Body: fmt.Appendf(nil,
-					`{"service":"plain","address":%q,"zone":"z1","slots":2,"oper-state":"ready","call-seq":1}`, leaver.address)}, time.Second)
-				if err != nil {
-					return 0
-				}
-				return a.Status
-			}
-			for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(300 * time.Millisecond) {
-				if _, status := news(); status == 200 {
-					t.Fatalf("cut off %s: it tells news", way)
-				}
-				if status := beat(); status == 200 {
-					t.Fatalf("cut off %s: it takes beats", way)
-				}
-			}
-			sever(false)
+			w.changeConfiguration("during the partition", options{maxAttempts: 9})
+			deregistered := plain.instances["plain-i0"]
+			deregistered.cancel()
+			w.waitFor(5*time.Second, "the deregistration is acknowledged", func() bool { return plain.callCore("DELETE", deregistered.id, "") == 200 })
+			w.verifyIsolatedCoreRefuses(t, direction, deregistered)
+			w.setPartition(isolated, peers, direction, false)
 			var page string
-			w.waitFor(10*time.Second, "news after the cut", func() bool {
-				p, status := news()
+			w.waitFor(10*time.Second, "events after the partition", func() bool {
+				p, status := w.watchIsolatedCore()
 				page = p
 				return status == 200
 			})
-			var told struct {
-				Events []struct {
-					Key     string `json:"key"`
-					Version struct {
-						Major int64 `json:"major"`
-					} `json:"version"`
-					Value any `json:"value"`
-				} `json:"events"`
-			}
-			if err := json.Unmarshal([]byte(page), &told); err != nil || len(told.Events) == 0 {
-				t.Fatalf("the page cannot be read: %v %.200s", err, page)
-			}
-			for _, e := range told.Events {
-				if e.Key == "configuration" && e.Version.Major != int64(w.revision) {
-					t.Errorf("cut off %s: revision %d is told after the cut, %d is in force", way, e.Version.Major, w.revision)
-				}
-				if e.Key == "instance/"+leaver.id && e.Value != nil {
-					t.Errorf("cut off %s: %s is told as there after the cut: %v", way, leaver.id, e.Value)
-				}
-			}
+			w.verifyNoStaleEvents(t, direction, page, deregistered.id)
 		})
 	}
 }
 
+// watchIsolatedCore asks the core of z3 for its events, as a node that starts does.
+func (w *world) watchIsolatedCore() (page string, status int) {
+	a, err := w.request("10.3.0.1:7100", &httpwire.Call{Method: "POST", Target: "/news", Host: "10.3.0.1", Body: []byte(`{"wait-ms":0,"role":"store"}`)}, time.Second)
+	if err != nil {
+		return "", 0
+	}
+	return string(a.Body), a.Status
+}
+
+// verifyIsolatedCoreRefuses checks for fifteen seconds that the core of z3 gives
+// no events and accepts no stale heartbeat.
+func (w *world) verifyIsolatedCoreRefuses(t *testing.T, direction string, deregistered *instance) {
+	t.Helper()
+	heartbeat := func() int {
+		a, err := w.request("10.3.0.1:82", &httpwire.Call{Method: "PUT", Target: "/v1/instances/" + deregistered.id, Host: "10.3.0.1", Body: fmt.Appendf(nil,
+			`{"service":"plain","address":%q,"zone":"z1","slots":2,"oper-state":"ready","call-seq":1}`, deregistered.address)}, time.Second)
+		if err != nil {
+			return 0
+		}
+		return a.Status
+	}
+	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(300 * time.Millisecond) {
+		if _, status := w.watchIsolatedCore(); status == 200 {
+			t.Fatalf("isolated, %s: it answers with events", direction)
+		}
+		if status := heartbeat(); status == 200 {
+			t.Fatalf("isolated, %s: it accepts heartbeats", direction)
+		}
+	}
+}
+
+// verifyNoStaleEvents checks that a page of events holds the revision in force
+// and the tombstone.
+func (w *world) verifyNoStaleEvents(t *testing.T, direction, page, deregistered string) {
+	t.Helper()
+	var watched struct {
+		Events []struct {
+			Key     string `json:"key"`
+			Version struct {
+				Major int64 `json:"major"`
+			} `json:"version"`
+			Value any `json:"value"`
+		} `json:"events"`
+	}
+	if err := json.Unmarshal([]byte(page), &watched); err != nil || len(watched.Events) == 0 {
+		t.Fatalf("the page cannot be read: %v %.200s", err, page)
+	}
+	for _, e := range watched.Events {
+		if e.Key == "configuration" && e.Version.Major != int64(w.revision) {
+			t.Errorf("isolated, %s: revision %d is published afterwards, %d is in force", direction, e.Version.Major, w.revision)
+		}
+		if e.Key == "instance/"+deregistered && e.Value != nil {
+			t.Errorf("isolated, %s: %s is published as registered afterwards: %v", direction, deregistered, e.Value)
+		}
+	}
+}
+
 func TestIsolatedTailServesNoStaleRead(t *testing.T) {
 	runCluster(t, func(w *world) {
 		w.applyConfiguration(options{})
--- a/internal/cluster/core_membership_test.go
+++ b/internal/cluster/core_membership_test.go
@@ -9,7 +9,6 @@
 	"time"
 
 	"saltreel/internal/httpwire"
-	"saltreel/internal/rpc"
 )
 
 func TestEveryInitialCoreCanBeReplaced(t *testing.T) {
@@ -78,6 +77,8 @@
 	})
 }
 
+// With host-failures=2, two cores and two stores that lose their disks at once
+// cost no accepted message and no acknowledged write.
 func TestTwoSimultaneousHostFailuresAreTolerated(t *testing.T) {
 	runClusterWith(t, 2, 2, func(w *world) {
 		plain := w.newService("plain", "z1", "z2", "z3")
@@ -90,27 +91,8 @@
 		}
 		var want []byte
 		w.withTraffic(plain, func() {
-			for _, pair := range [][2]string{{"z1", "z11"}, {"z2", "z31"}} {
-				for _, z := range pair {
-					w.killMachine("store-" + z)
-					w.wipeDisk("store-" + z)
-					w.killMachine("core-" + z)
-				}
-				time.Sleep(2 * time.Second)
-				want = w.changeConfiguration("without "+strings.Join(pair[:], " and "), options{maxAttempts: 4})
-				for _, z := range pair {
-					w.startMachine("store-"+z, false)
-					w.wipeDisk("core-" + z)
-					w.startMachine("core-"+z, false)
-				}
-				w.waitFor(10*time.Second, "all copies are in step and all cores vote", func() bool {
-					s, err := w.status()
-					ok := err == nil && len(s.View.Members) == 6 && len(s.View.Voters) == 6
-					for _, p := range s.Placement.Partitions {
-						ok = ok && p.InSync(2)
-					}
-					return ok
-				})
+			for _, pair := range [][]string{{"z1", "z11"}, {"z2", "z31"}} {
+				want = w.loseAndReplace(pair)
 			}
 		})
 		w.verifyConfiguration("after two losses, twice", want)
@@ -123,6 +105,34 @@
 	})
 }
 
+// loseAndReplace kills the store and the core of each suffix, writes without
+// them, and waits until they have joined again with empty disks. It returns the
+// configuration written.
+func (w *world) loseAndReplace(suffixes []string) []byte {
+	w.t.Helper()
+	for _, suffix := range suffixes {
+		w.killMachine("store-" + suffix)
+		w.wipeDisk("store-" + suffix)
+		w.killMachine("core-" + suffix)
+	}
+	time.Sleep(2 * time.Second)
+	written := w.changeConfiguration("without "+strings.Join(suffixes, " and "), options{maxAttempts: 4})
+	for _, suffix := range suffixes {
+		w.startMachine("store-"+suffix, false)
+		w.wipeDisk("core-" + suffix)
+		w.startMachine("core-"+suffix, false)
+	}
+	w.waitFor(10*time.Second, "all replicas are in sync and all cores vote", func() bool {
+		s, err := w.status()
+		ok := err == nil && len(s.View.Members) == 6 && len(s.View.Voters) == 6
+		for _, p := range s.Placement.Partitions {
+			ok = ok && p.InSync(2)
+		}
+		return ok
+	})
+	return written
+}
+
 // A handler's later beats go to the core of its zone as long as that one is
 // there, and whichever core it asks names the same one.
 func TestHeartbeatTargetIsNearestAvailableCore(t *testing.T) {
@@ -169,21 +179,16 @@
 	}
 }
 
-// One core alone is a system too, where nothing need be borne.
+// One core alone serves operators and handlers, also after a restart.
 func TestSingleCoreServes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, network: newNetwork(), machines: map[string]*machine{}, dataPath: t.TempDir(), coreAddresses: []string{"10.1.0.1"}}
-		w.clientProcess = &process{network: w.network, ip: "10.9.0.1"}
-		w.client = rpc.NewClient(&httpwire.Pool{Network: w.clientProcess.httpNetwork()})
+		w := newWorld(t, t.TempDir(), 0, "10.1.0.1")
 		w.addMachine("core-z1", "core", "z1", "10.1.0.1", true)
-		defer func() {
-			w.machines["core-z1"].cancel()
-			w.goroutines.Wait()
-		}()
-		for _, life := range []string{"first", "second"} {
-			want := w.changeConfiguration("in the "+life+" life", options{})
-			w.verifyConfiguration("in the "+life+" life", want)
-			w.waitFor(5*time.Second, "a beat is taken in the "+life+" life", func() bool {
+		defer w.stopAll()
+		for _, incarnation := range []string{"first", "second"} {
+			want := w.changeConfiguration("in the "+incarnation+" incarnation", options{})
+			w.verifyConfiguration("in the "+incarnation+" incarnation", want)
+			w.waitFor(5*time.Second, "a heartbeat is accepted in the "+incarnation+" incarnation", func() bool {
 				a, err := w.request("10.1.0.1:82", &httpwire.Call{Method: "PUT", Target: "/v1/instances/x1", Host: "10.1.0.1:82", Body: fmt.Appendf(nil,
 					`{"service":"plain","address":"10.20.1.1:90","zone":"z1","slots":2,"oper-state":"ready","call-seq":%d}`, time.Now().UnixMilli())}, time.Second)
 				return err == nil && a.Status == 200
--- a/internal/cluster/core_restart_test.go
+++ b/internal/cluster/core_restart_test.go
@@ -9,32 +9,21 @@
 	"testing/synctest"
 	"time"
 
-	"saltreel/internal/rpc"
-
 	"saltreel/internal/boltstore"
-	"saltreel/internal/httpwire"
 )
 
 // catchUp is how long a core that comes back may take (sync-time-s).
 const recoveryLimit = 8 * time.Second
 
-// runCores runs three cores and nothing else.
+// runCores runs a test on three cores alone, once all are members and voters.
 func runCores(t *testing.T, f func(w *world)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, network: newNetwork(), machines: map[string]*machine{}, dataPath: t.TempDir(), hostFailures: 1,
-			coreAddresses: []string{"10.1.0.1", "10.2.0.1", "10.3.0.1"}}
-		w.clientProcess = &process{network: w.network, ip: "10.9.0.1"}
-		w.client = rpc.NewClient(&httpwire.Pool{Network: w.clientProcess.httpNetwork()})
+		w := newWorld(t, t.TempDir(), 1, "10.1.0.1", "10.2.0.1", "10.3.0.1")
 		for i, z := range zones {
 			w.addMachine("core-"+z, "core", z, w.coreAddresses[i], true)
 		}
-		defer func() {
-			for _, m := range w.machines {
-				m.cancel()
-			}
-			w.goroutines.Wait()
-		}()
+		defer w.stopAll()
 		w.waitForFullView("the first view")
 		f(w)
 	})
@@ -124,34 +113,28 @@
 	})
 }
 
+// A core whose database is corrupt starts empty, answers no operator before it
+// has joined again, and moves the damaged file aside.
 func TestCoreWithCorruptDatabaseRejoinsEmpty(t *testing.T) {
 	runCores(t, func(w *world) {
 		want := w.makeChanges(5, 0)
-		for _, all := range []bool{false, true} { // it alone, or with all power lost
-			was := w.diskID("core-z1")
+		for _, powerLoss := range []bool{false, true} { // the core alone, or all of them
+			oldDisk := w.diskID("core-z1")
 			for _, z := range zones {
-				if all || z == "z1" {
+				if powerLoss || z == "z1" {
 					w.killMachine("core-" + z)
 				}
 			}
 			raw := w.readDatabase("core-z1")
 			w.writeDatabase("core-z1", append(bytes.Repeat([]byte{0xA5}, len(raw)/2), raw[len(raw)/2:]...))
-			w.startMachine("core-z1", true) // an operator did not change the settings back
-			if all {
+			w.startMachine("core-z1", true) // the operator has left bootstrap in the settings
+			if powerLoss {
 				time.Sleep(3 * time.Second)
-				for range 2 {
-					if code := w.putConfiguration("10.1.0.1:82", 0, w.configuration(1, options{})); code == 200 || code == 412 {
-						t.Errorf("the core with the damaged file answers the operator with %d", code)
-					}
-				}
+				w.verifyDamagedCoreRefuses(t)
 				w.startMachine("core-z2", false)
 				w.startMachine("core-z3", false)
 			}
-			w.waitFor(recoveryLimit, "the damaged core is back on another disk", func() bool {
-				m, v := w.viewSize()
-				now := w.diskID("core-z1")
-				return m == 3 && v == 3 && now != "" && now != was
-			})
+			w.waitForNewDisk("core-z1", oldDisk, recoveryLimit)
 			if !boltstore.Replaced(w.databaseFile("core-z1")) {
 				t.Error("the damaged file was not moved aside")
 			}
@@ -162,22 +145,38 @@
 	})
 }
 
-// Damage that shows only while the core runs: it goes on as an empty one.
+func (w *world) verifyDamagedCoreRefuses(t *testing.T) {
+	t.Helper()
+	for range 2 {
+		if code := w.putConfiguration("10.1.0.1:82", 0, w.configuration(1, options{})); code == 200 || code == 412 {
+			t.Errorf("the core with the damaged file answers the operator with %d", code)
+		}
+	}
+}
+
+// waitForNewDisk waits until all three cores are members and voters, the named
+// one with another disk than before.
+func (w *world) waitForNewDisk(name, oldDisk string, limit time.Duration) {
+	w.t.Helper()
+	w.waitFor(limit, name+" is back on another disk", func() bool {
+		members, voters := w.viewSize()
+		disk := w.diskID(name)
+		return members == 3 && voters == 3 && disk != "" && disk != oldDisk
+	})
+}
+
+// A core that meets the damage only while it runs goes on as an empty one.
 func TestCoreWithDatabaseCorruptedWhileRunningRejoinsEmpty(t *testing.T) {
 	for _, z := range zones { // head, middle and tail
 		runCores(t, func(w *world) {
 			w.makeChanges(3, 0)
 			name := "core-" + z
-			was := w.diskID(name)
+			oldDisk := w.diskID(name)
 			if err := os.Truncate(w.databaseFile(name), int64(2*os.Getpagesize())); err != nil {
 				t.Fatal(err)
 			}
 			last := w.makeChanges(3, time.Second)
-			w.waitFor(2*recoveryLimit, name+" is back on another disk", func() bool {
-				m, v := w.viewSize()
-				now := w.diskID(name)
-				return m == 3 && v == 3 && now != "" && now != was
-			})
+			w.waitForNewDisk(name, oldDisk, 2*recoveryLimit)
 			for _, other := range zones {
 				if other != z {
 					w.verifyWithout("core-"+other, last)
@@ -187,71 +186,94 @@
 	}
 }
 
-// An old file put back carries the identity of the disk. It is a lost disk and
-// leads nothing, also in the view that it knows.
+// restoreCase is one way in which a core comes back with less than what it had
+// acknowledged.
+type restoreCase struct {
+	name        string
+	viewChanged bool // the view has changed since the file was copied
+	powerLoss   bool // of all cores
+	writes      bool // operators write while the core comes back
+	wiped       bool // no file at all, and bootstrap as at the first start
+}
+
+// An old database put back has the disk identity of the one it replaces. Its
+// core counts as one that lost its disk and does not lead, not even in the view
+// that it knows.
 func TestCoreWithRestoredOldDatabaseDoesNotLead(t *testing.T) {
-	for _, c := range []struct {
-		name         string
-		changed, all bool // the view changed since; all power is lost
-		orders       bool // go on while it comes back
-		wiped        bool // no file at all, and bootstrap as on the first day
-	}{
-		{name: "the view changed", changed: true},
-		{name: "the view changed and all power was lost", changed: true, all: true},
-		{name: "the same view, all power was lost", all: true},
+	for _, c := range []restoreCase{
+		{name: "the view changed", viewChanged: true},
+		{name: "the view changed and all power was lost", viewChanged: true, powerLoss: true},
+		{name: "the same view, all power was lost", powerLoss: true},
 		{name: "the same view, back at once"},
-		{name: "the same view, back at once under orders", orders: true},
-		{name: "wiped and bootstrap, all power was lost", all: true, wiped: true},
-		{name: "wiped and bootstrap, back at once under orders", orders: true, wiped: true},
+		{name: "the same view, back at once under writes", writes: true},
+		{name: "wiped and bootstrap, all power was lost", powerLoss: true, wiped: true},
+		{name: "wiped and bootstrap, back at once under writes", writes: true, wiped: true},
 	} {
 		for _, z := range zones {
 			t.Run(c.name+", core-"+z, func(t *testing.T) {
-				runCores(t, func(w *world) {
-					w.makeChanges(3, 0)
-					name := "core-" + z
-					old := w.readDatabase(name)
-					if c.changed {
-						w.killMachine(name)
-						w.makeChanges(2, 2*time.Second)
-						w.startMachine(name, false)
-						w.waitForFullView("back with its own file")
-					}
-					last := w.makeChanges(8, 0)
-					for _, other := range zones {
-						if c.all || other == z {
-							w.killMachine("core-" + other)
-						}
-					}
-					w.writeDatabase(name, old)
-					if c.wiped {
-						w.wipeDisk(name)
-					}
-					w.startMachine(name, c.wiped)
-					if c.all {
-						time.Sleep(500 * time.Millisecond)
-					}
-					for _, other := range zones {
-						if c.all && other != z {
-							w.startMachine("core-"+other, false)
-						}
-					}
-					if c.orders {
-						last = w.makeChanges(20, 20*time.Millisecond)
-					}
-					w.verifyConfiguration("with an old file put back", last)
-					w.waitForFullView("all are members")
-					last = w.makeChanges(2, 0)
-					for _, other := range zones {
-						if other != z {
-							w.verifyWithout("core-"+other, last)
-						}
-					}
-				})
+				runCores(t, func(w *world) { w.verifyRestoredCore(c, z) })
 			})
 		}
 	}
 }
 
+func (w *world) verifyRestoredCore(c restoreCase, zone string) {
+	w.t.Helper()
+	w.makeChanges(3, 0)
+	name := "core-" + zone
+	old := w.readDatabase(name)
+	if c.viewChanged {
+		w.killMachine(name)
+		w.makeChanges(2, 2*time.Second)
+		w.startMachine(name, false)
+		w.waitForFullView("back with its own file")
+	}
+	last := w.makeChanges(8, 0)
+	w.restoreDatabase(c, zone, old)
+	if c.writes {
+		last = w.makeChanges(20, 20*time.Millisecond)
+	}
+	w.verifyConfiguration("with an old file put back", last)
+	w.waitForFullView("all are members")
+	last = w.makeChanges(2, 0)
+	for _, other := range otherZones(zone) {
+		w.verifyWithout("core-"+other, last)
+	}
+}
+
+// restoreDatabase kills a core, or all of them, puts an old database in place
+// and starts them again, the others later.
+func (w *world) restoreDatabase(c restoreCase, zone string, old []byte) {
+	w.t.Helper()
+	for _, z := range zones {
+		if c.powerLoss || z == zone {
+			w.killMachine("core-" + z)
+		}
+	}
+	name := "core-" + zone
+	w.writeDatabase(name, old)
+	if c.wiped {
+		w.wipeDisk(name)
+	}
+	w.startMachine(name, c.wiped)
+	if !c.powerLoss {
+		return
+	}
+	time.Sleep(500 * time.Millisecond)
+	for _, z := range otherZones(zone) {
+		w.startMachine("core-"+z, false)
+	}
+}
+
+func otherZones(zone string) (others []string) {
+	for _, z := range zones {
+		if z != zone {
+			others = append(others, z)
+		}
+	}
+	return others
+}
+
 // A core that is killed while it is handed the whole state, again and again, is
 // handed it anew, and does not lead with the part that it got. The moments are
 // spread over the time that joining takes.
--- a/internal/cluster/messages_test.go
+++ b/internal/cluster/messages_test.go
@@ -112,11 +112,14 @@
 	})
 }
 
+// Messages of one order key run one after the other although every fourth
+// delivery fails and a store crashes: a message starts only after its
+// predecessor has succeeded.
 func TestKeyOrderSurvivesRetriesAndStoreCrash(t *testing.T) {
 	runCluster(t, func(w *world) {
 		ordered := w.newService("ordered", "z1", "z2", "z3")
 		n := 0
-		ordered.respond = func(d delivery) (int, time.Duration) {
+		ordered.respond = func(delivery) (int, time.Duration) {
 			if n++; n%4 == 0 {
 				return 500, 20 * time.Millisecond
 			}
@@ -139,28 +142,33 @@
 		for _, id := range ids {
 			w.waitForState(names[id], "complete seal-"+id, 20*time.Second)
 		}
-		firstEnd := map[string]time.Time{}
-		for _, d := range ordered.received() {
-			if e, ok := firstEnd[d.id]; !ok || d.endedAt.Before(e) {
-				firstEnd[d.id] = d.endedAt
-			}
-		}
-		lastStart := time.Time{}
-		for _, id := range ids { // a later message starts only after an earlier one has succeeded
-			for _, d := range ordered.received() {
-				if d.id == id && d.startedAt.Before(lastStart) {
-					t.Errorf("%s started before its predecessor ended", id)
-				}
-			}
-			for _, d := range ordered.received() {
-				if d.id == id && d.endedAt.After(lastStart) && d.endedAt.Equal(firstEnd[id]) {
-					lastStart = d.endedAt
-				}
-			}
-		}
+		verifyKeyOrder(t, ids, ordered.received())
 	})
 }
 
+// verifyKeyOrder checks that no message, in the order in which they were
+// accepted, started before the first end of its predecessors.
+func verifyKeyOrder(t *testing.T, ids []string, deliveries []delivery) {
+	t.Helper()
+	firstEnd := map[string]time.Time{}
+	for _, d := range deliveries {
+		if e, ok := firstEnd[d.id]; !ok || d.endedAt.Before(e) {
+			firstEnd[d.id] = d.endedAt
+		}
+	}
+	earliestStart := time.Time{}
+	for _, id := range ids {
+		for _, d := range deliveries {
+			if d.id == id && d.startedAt.Before(earliestStart) {
+				t.Errorf("%s started before its predecessor ended", id)
+			}
+		}
+		if firstEnd[id].After(earliestStart) {
+			earliestStart = firstEnd[id]
+		}
+	}
+}
+
 func TestRemovedRouteAndKeyAreRejectedAtEveryEdge(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1")
--- a/internal/cluster/network_conn_test.go
+++ b/internal/cluster/network_conn_test.go
@@ -1,6 +1,7 @@
 package cluster
 
 import (
+	"errors"
 	"io"
 	"net"
 	"os"
@@ -44,10 +45,11 @@
 
 func (a address) String() string { return string(a) }
 
+// conn is one side of a connection.
 type conn struct {
 	in, out     *pipe
 	owner, peer *process
-	dialled     string // the address that was dialled; empty for the side that accepted
+	dialled     string // the address; empty for the side that accepted
 }
 
 func (c *conn) reset() {
@@ -63,15 +65,16 @@
 	if n.interceptRequest != nil && c.dialled != "" {
 		var answer []byte
 		if sent, answer = n.interceptRequest(c.owner, c.dialled, b); answer != nil {
-			_, err := c.in.write(answer, n.latency(), false)
-			return len(b), err
+			return len(b), c.in.write(answer, n.latency(), false)
 		}
 	}
-	free := c.owner.exempt || c.peer.exempt
+	exempt := c.owner.exempt || c.peer.exempt
 	link := [2]string{c.owner.ip, c.peer.ip}
 	n.mu.Lock()
-	lost, held, delay := !free && n.dropsLocked(link[0], link[1]), !free && n.heldLinks[link] > 0, n.delay
-	if n.jitter > 0 && !free {
+	lost := !exempt && n.dropsLocked(link[0], link[1])
+	held := !exempt && n.heldLinks[link] > 0
+	delay := n.delay
+	if n.jitter > 0 && !exempt {
 		delay += time.Duration(n.rng.Int64N(int64(n.jitter)))
 	}
 	if held && !lost {
@@ -80,19 +83,18 @@
 		}
 		n.heldPipes[link][c.out] = true
 	}
-	meddle, seen := n.rewrite, n.observe
+	rewrite, observe := n.rewrite, n.observe
 	n.mu.Unlock()
 	if lost {
 		return len(b), nil
 	}
-	if seen != nil {
-		seen(c, b)
+	if observe != nil {
+		observe(c, b)
 	}
-	if meddle != nil {
-		sent = meddle(sent)
+	if rewrite != nil {
+		sent = rewrite(sent)
 	}
-	_, err := c.out.write(sent, delay, held)
-	if err != nil {
+	if err := c.out.write(sent, delay, held); err != nil {
 		return 0, err
 	}
 	return len(b), nil
@@ -116,17 +118,18 @@
 
 func (c *conn) SetReadDeadline(t time.Time) error { return c.in.setDeadline(t) }
 
-func (c *conn) SetWriteDeadline(t time.Time) error { return nil }
+func (c *conn) SetWriteDeadline(time.Time) error { return nil }
 
 // pipe is one direction of a connection.
 type pipe struct {
 	mu       sync.Mutex
 	chunks   []chunk
-	closeErr error
+	closeErr error // what readers get; they get io.EOF only after all chunks
 	deadline time.Time
-	changed  chan struct{}
+	changed  chan struct{} // closed and replaced at each change
 }
 
+// chunk is what one write sent. It arrives at its time, unless it is held.
 type chunk struct {
 	arrivesAt time.Time
 	held      bool
@@ -157,15 +160,15 @@
 	}
 }
 
-func (p *pipe) write(b []byte, delay time.Duration, held bool) (int, error) {
+func (p *pipe) write(b []byte, delay time.Duration, held bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closeErr != nil {
-		return 0, syscall.EPIPE
+		return syscall.EPIPE
 	}
 	p.chunks = append(p.chunks, chunk{time.Now().Add(delay), held, append([]byte(nil), b...)})
 	p.notifyLocked()
-	return len(b), nil
+	return nil
 }
 
 // release lets the bytes that were held arrive after a delay.
@@ -182,40 +185,46 @@
 
 func (p *pipe) read(b []byte) (int, error) {
 	for {
-		p.mu.Lock()
-		now := time.Now()
-		wait := time.Hour
-		if !p.deadline.IsZero() {
-			if wait = p.deadline.Sub(now); wait <= 0 {
-				p.mu.Unlock()
-				return 0, os.ErrDeadlineExceeded
-			}
+		n, wait, changed, err := p.tryRead(b)
+		if changed == nil {
+			return n, err
 		}
-		if p.closeErr != nil && (p.closeErr != io.EOF || len(p.chunks) == 0) {
-			defer p.mu.Unlock()
-			return 0, p.closeErr
-		}
-		if len(p.chunks) > 0 {
-			c := &p.chunks[0]
-			if !c.held && !c.arrivesAt.After(now) {
-				n := copy(b, c.data)
-				if c.data = c.data[n:]; len(c.data) == 0 {
-					p.chunks = p.chunks[1:]
-				}
-				p.mu.Unlock()
-				return n, nil
-			}
-			if !c.held {
-				wait = min(wait, c.arrivesAt.Sub(now))
-			}
-		}
-		wake := p.changed
-		p.mu.Unlock()
 		t := time.NewTimer(wait)
 		select {
 		case <-t.C:
-		case <-wake:
+		case <-changed:
 		}
 		t.Stop()
 	}
 }
+
+// tryRead reads what has arrived, or returns the error of the pipe. Where there
+// is neither yet, changed is set: the caller waits for so long, or until then.
+func (p *pipe) tryRead(b []byte) (n int, wait time.Duration, changed <-chan struct{}, err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := time.Now()
+	wait = time.Hour
+	if !p.deadline.IsZero() {
+		if wait = p.deadline.Sub(now); wait <= 0 {
+			return 0, 0, nil, os.ErrDeadlineExceeded
+		}
+	}
+	if p.closeErr != nil && (!errors.Is(p.closeErr, io.EOF) || len(p.chunks) == 0) {
+		return 0, 0, nil, p.closeErr
+	}
+	if len(p.chunks) > 0 {
+		c := &p.chunks[0]
+		if !c.held && !c.arrivesAt.After(now) {
+			n = copy(b, c.data)
+			if c.data = c.data[n:]; len(c.data) == 0 {
+				p.chunks = p.chunks[1:]
+			}
+			return n, 0, nil, nil
+		}
+		if !c.held {
+			wait = min(wait, c.arrivesAt.Sub(now))
+		}
+	}
+	return 0, wait, p.changed, nil
+}
--- a/internal/cluster/network_test.go
+++ b/internal/cluster/network_test.go
@@ -12,24 +12,26 @@
 	"saltreel/internal/httpwire"
 )
 
-// network is a simulated network: delays, cuts and machines that die. It runs
-// on the clock of the test's bubble.
+// network is a simulated network: delays, partitions and machines that crash. It
+// runs on the clock of the test's bubble. Its links lead from one IP to another.
 type network struct {
-	mu                    sync.Mutex
-	listeners             map[string]*listener
-	conns                 map[*conn]bool
-	isolated              map[string]bool    // by IP: packets to and from it are lost
-	blocked               map[[2]string]bool // from one IP to another: lost too
-	delay                 time.Duration
-	heldLinks             map[[2]string]int            // from one IP to another: delivered once nobody holds it any more
-	heldPipes             map[[2]string]map[*pipe]bool // what has held bytes
-	jitter                time.Duration                // what a packet may take longer than others
-	rng                   *rand.Rand                   // draws the jitter
-	dialsIgnorePartitions bool                         // connections open past all cuts; what is sent on them does not
-	// request, where it is set, sees each request before it is sent. It gives
-	// the bytes to send in its place, and an answer if it is not to be sent.
+	mu        sync.Mutex
+	listeners map[string]*listener
+	conns     map[*conn]bool
+	isolated  map[string]bool    // IPs that reach nobody and that nobody reaches
+	blocked   map[[2]string]bool // links on which all is lost
+	delay     time.Duration
+	heldLinks map[[2]string]int            // holds by link: delivered once there is none
+	heldPipes map[[2]string]map[*pipe]bool // what has held bytes
+	jitter    time.Duration                // what a packet may take longer than others
+	rng       *rand.Rand                   // draws the jitter
+	// dialsIgnorePartitions lets connections open past all partitions; what is
+	// sent on them is lost all the same.
+	dialsIgnorePartitions bool
+	// interceptRequest, where it is set, sees each request before it is sent. It
+	// gives the bytes to send in its place, and an answer if it is not to be sent.
 	interceptRequest func(from *process, to string, b []byte) (out, answer []byte)
-	rewrite          func(b []byte) []byte   // makes something else of what is written
+	rewrite          func(b []byte) []byte   // changes what is written, if set
 	observe          func(c *conn, b []byte) // called with all that is written and not lost, if set
 }
 
@@ -38,12 +40,12 @@
 		heldLinks: map[[2]string]int{}, heldPipes: map[[2]string]map[*pipe]bool{}, rng: rand.New(rand.NewPCG(1, 2))}
 }
 
-// process is one life of a process on the network.
+// process is one incarnation of a process on the network.
 type process struct {
 	network *network
 	ip      string
 	dead    bool
-	exempt  bool // no cut and no hold strikes what it sends and gets
+	exempt  bool // no partition and no hold applies to what it sends and receives
 }
 
 func (address) Network() string { return "tcp" }
@@ -101,28 +103,28 @@
 	return near, nil
 }
 
-// kill ends a life: its sockets close with a reset, and it reaches nobody any more.
+// kill crashes a process: its connections are reset, and it reaches nobody any more.
 func (p *process) kill() {
 	n := p.network
 	n.mu.Lock()
 	p.dead = true
-	var ls []*listener
+	var listeners []*listener
 	for _, l := range n.listeners {
 		if l.owner == p {
-			ls = append(ls, l)
+			listeners = append(listeners, l)
 		}
 	}
-	var cs []*conn
+	var conns []*conn
 	for c := range n.conns {
 		if c.owner == p || c.peer == p {
-			cs = append(cs, c)
+			conns = append(conns, c)
 		}
 	}
 	n.mu.Unlock()
-	for _, l := range ls {
-		l.Close()
+	for _, l := range listeners {
+		_ = l.Close()
 	}
-	for _, c := range cs {
+	for _, c := range conns {
 		c.reset()
 	}
 }
@@ -130,21 +132,21 @@
 // reset ends the connections between two machines.
 func (n *network) reset(a, b string) {
 	n.mu.Lock()
-	var cs []*conn
+	var conns []*conn
 	for c := range n.conns {
 		if c.owner.ip == a && c.peer.ip == b || c.owner.ip == b && c.peer.ip == a {
-			cs = append(cs, c)
+			conns = append(conns, c)
 		}
 	}
 	n.mu.Unlock()
-	for _, c := range cs {
+	for _, c := range conns {
 		c.reset()
 	}
 }
 
-// hold keeps back what goes from one machine to another, also what a sender
-// that gave up and closed has written, as a network stack does that sends
-// again until a cut heals. Each hold needs its release.
+// hold delays what goes from one machine to another until it is released, also
+// what a sender that gave up and closed has written: as TCP does that
+// retransmits until a partition heals. Each hold needs its release.
 func (n *network) hold(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -165,36 +167,37 @@
 	delete(n.heldPipes, link)
 }
 
-// holds tells whether a handshake between two machines is held up.
+// handshakeHeld reports whether a handshake between two machines is held.
 func (n *network) handshakeHeld(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.heldLinks[[2]string{a, b}] > 0 || n.heldLinks[[2]string{b, a}] > 0
 }
 
-// clear tells whether two machines reach each other, as far as cuts and holds say.
+// reachable reports whether two machines reach each other, as far as partitions
+// and holds decide.
 func (n *network) reachable(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.dropsLocked(a, b) && !n.dropsLocked(b, a) && n.heldLinks[[2]string{a, b}] <= 0 && n.heldLinks[[2]string{b, a}] <= 0
 }
 
-// vary lets each packet take up to so much longer, so that what is sent on one
-// connection overtakes what is sent on another.
-func (n *network) setJitter(most time.Duration) {
+// setJitter lets each packet take up to so much longer, so that what is sent on
+// one connection overtakes what is sent on another.
+func (n *network) setJitter(limit time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.jitter = most
+	n.jitter = limit
 }
 
-// cut makes a machine dark, or lights it again.
-func (n *network) isolate(ip string, dark bool) {
+// isolate cuts a machine off from all others, or connects it again.
+func (n *network) isolate(ip string, isolated bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.isolated[ip] = dark
+	n.isolated[ip] = isolated
 }
 
-// slow sets how long packets take from now on.
+// setDelay sets how long packets take from now on.
 func (n *network) setDelay(delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -207,18 +210,19 @@
 	return n.delay
 }
 
-// sever loses what goes from any of some machines to any of others, or mends it.
-func (n *network) setBlocked(from, to []string, yes bool) {
+// setBlocked blocks the links from any of some machines to any of others, or
+// unblocks them.
+func (n *network) setBlocked(from, to []string, blocked bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, a := range from {
 		for _, b := range to {
-			n.blocked[[2]string{a, b}] = yes
+			n.blocked[[2]string{a, b}] = blocked
 		}
 	}
 }
 
-// loses tells whether packets from one machine to another are lost. The lock is held.
+// dropsLocked reports whether packets from one machine to another are lost.
 func (n *network) dropsLocked(from, to string) bool {
 	return n.isolated[from] || n.isolated[to] || n.blocked[[2]string{from, to}]
 }
--- a/internal/cluster/operator_test.go
+++ b/internal/cluster/operator_test.go
@@ -99,10 +99,15 @@
 	}
 }
 
-// put sends the next configuration to one core and tells its answer.
+// putConfiguration sends a configuration to one core and returns the status of
+// its answer, 0 without one.
 func (w *world) putConfiguration(control string, match int, raw []byte) int {
+	return w.putConfigurationWithin(time.Second, control, match, raw)
+}
+
+func (w *world) putConfigurationWithin(limit time.Duration, control string, match int, raw []byte) int {
 	a, err := w.request(control, &httpwire.Call{Method: "PUT", Target: "/v1/configuration", Host: control,
-		Header: []string{"If-Match", fmt.Sprint(match)}, Body: raw}, time.Second)
+		Header: []string{"If-Match", fmt.Sprint(match)}, Body: raw}, limit)
 	if err != nil {
 		return 0
 	}
--- a/internal/cluster/search_checks_test.go
+++ b/internal/cluster/search_checks_test.go
@@ -18,14 +18,14 @@
 	"saltreel/internal/journal"
 )
 
-// finding is what a schedule showed to be wrong.
+// violation is a property that a schedule showed not to hold.
 type violation struct {
 	class, text string
 }
 
 func (f *violation) String() string { return f.class + ": " + f.text }
 
-// counted is what happened in all schedules played, so that a search that asks
+// totals is what happened in all schedules run, so that a search that exercises
 // nothing shows.
 var totals struct {
 	sync.Mutex
@@ -56,14 +56,13 @@
 	totals.n["seconds simulated"] += int(time.Since(s.startedAt).Seconds())
 }
 
-// fail notes the first thing that is wrong; the schedule ends there.
+// fail records the first violation; the schedule ends there.
 func (s *simulation) fail(class, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failLocked(class, format, args...)
 }
 
-// wrong is fail where the lock is held.
 func (s *simulation) failLocked(class, format string, args ...any) {
 	if s.violation == nil {
 		s.violation = &violation{class, fmt.Sprintf(format, args...)}
@@ -71,7 +70,7 @@
 	}
 }
 
-// note adds a line to what is printed with a finding. The lock is held.
+// logLocked adds an entry to the log that is printed with a violation.
 func (s *simulation) logLocked(format string, args ...any) {
 	fmt.Fprintf(&s.eventLog, "  %8.3f %s\n", time.Since(s.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
@@ -94,55 +93,35 @@
 	return v, s.observer.Call(ctx, internalAddress(m), "/view", struct{}{}, nil, &v)
 }
 
-// watch asks all cores for their view and their news, past all cuts: as a node
-// on their side of a cut would see them.
+// coreObservation is what one core has published so far, as a node would know it.
+type coreObservation struct {
+	page     journal.Page
+	states   map[string]string // of handlers, by ID
+	revision int64             // of the configuration; 0 without one
+}
+
+// observeCores asks all cores for their view and their events again and again,
+// past all partitions: as a node on their side of a partition would see them.
 func (s *simulation) observeCores(ctx context.Context) {
-	type told struct {
-		page  journal.Page
-		state map[string]string
-		conf  int64
-	}
-	known := map[string]*told{}
+	observations := map[string]*coreObservation{}
 	var mu sync.Mutex
+	observationOf := func(name string) *coreObservation {
+		mu.Lock()
+		defer mu.Unlock()
+		o := observations[name]
+		if o == nil {
+			o = &coreObservation{states: map[string]string{}}
+			observations[name] = o
+		}
+		return o
+	}
 	for ctx.Err() == nil {
 		s.mu.Lock()
-		list := slices.Clone(s.cores)
+		cores := slices.Clone(s.cores)
 		s.mu.Unlock()
 		var all sync.WaitGroup
-		for _, m := range list {
-			all.Go(func() {
-				if v, err := s.viewOf(m); err == nil {
-					s.checkView(m, v)
-				}
-				mu.Lock()
-				k := known[m.name]
-				if k == nil {
-					k = &told{state: map[string]string{}}
-					known[m.name] = k
-				}
-				mu.Unlock()
-				asked := time.Now()
-				pctx, cancel := context.WithTimeout(ctx, 400*time.Millisecond)
-				defer cancel()
-				var page journal.Page
-				if s.observer.Call(pctx, internalAddress(m), "/news", distribution.WatchRequest{Source: k.page.Source, Number: k.page.Number}, nil, &page) != nil {
-					return
-				}
-				if page.Source != k.page.Source {
-					k.state, k.conf = map[string]string{}, 0
-				}
-				k.page = page
-				for _, e := range page.Events {
-					if id, ok := strings.CutPrefix(e.Key, distribution.PrefixInstance); ok {
-						k.state[id] = journal.Decode[handler.Instance](e).State
-					}
-					if e.Key == distribution.KeyConfiguration {
-						k.conf = e.Version.Major
-						s.checkPublishedConfiguration(m, journal.Decode[[]byte](e))
-					}
-				}
-				s.checkPublishedState(m, asked, k.conf, k.state)
-			})
+		for _, m := range cores {
+			all.Go(func() { s.observeCore(ctx, m, observationOf) })
 		}
 		all.Wait()
 		select {
@@ -152,27 +131,65 @@
 	}
 }
 
-// published looks at a configuration that a core tells the nodes.
+// observeCore asks one core once.
+func (s *simulation) observeCore(ctx context.Context, m *machine, observationOf func(name string) *coreObservation) {
+	if v, err := s.viewOf(m); err == nil {
+		s.checkView(m, v)
+	}
+	o := observationOf(m.name)
+	asked := time.Now()
+	pageCtx, cancel := context.WithTimeout(ctx, 400*time.Millisecond)
+	defer cancel()
+	var page journal.Page
+	if s.observer.Call(pageCtx, internalAddress(m), "/news", distribution.WatchRequest{Source: o.page.Source, Number: o.page.Number}, nil, &page) != nil {
+		return
+	}
+	s.applyPage(m, o, page)
+	s.checkPublishedState(m, asked, o.revision, o.states)
+}
+
+// applyPage adds a page of events to what is known of a core. A page of another
+// source begins anew.
+func (s *simulation) applyPage(m *machine, o *coreObservation, page journal.Page) {
+	if page.Source != o.page.Source {
+		o.states = map[string]string{}
+		o.revision = 0
+	}
+	o.page = page
+	for _, e := range page.Events {
+		if id, ok := strings.CutPrefix(e.Key, distribution.PrefixInstance); ok {
+			o.states[id] = journal.Decode[handler.Instance](e).State
+		}
+		if e.Key == distribution.KeyConfiguration {
+			o.revision = e.Version.Major
+			s.checkPublishedConfiguration(m, journal.Decode[[]byte](e))
+		}
+	}
+}
+
+// checkPublishedConfiguration checks a configuration that a core gave a node.
 func (s *simulation) checkPublishedConfiguration(m *machine, raw []byte) {
 	o := s.findWrite(raw)
 	if o == nil {
-		s.fail("news", "%s tells a configuration that nobody sent: %s", m.name, raw)
+		s.fail("events", "%s publishes a configuration that nobody sent: %s", m.name, raw)
 		return
 	}
 	s.history.mu.Lock()
-	refused := len(o.rejections) > 0
+	rejected := len(o.rejections) > 0
 	s.history.mu.Unlock()
-	if refused {
-		s.fail("news", "%s tells %s, which was refused", m.name, o.name)
+	if rejected {
+		s.fail("events", "%s publishes %s, which was rejected", m.name, o.name)
 	}
 }
 
-// judge looks at what a core told the nodes.
-func (s *simulation) checkPublishedState(m *machine, asked time.Time, conf int64, state map[string]string) {
+// checkPublishedState checks what a core has published: its configuration may
+// be stale for the contact time-out at most, and a handler that is deregistered
+// or drains may not become ready again.
+func (s *simulation) checkPublishedState(m *machine, asked time.Time, revision int64, states map[string]string) {
 	s.history.mu.Lock()
 	for _, o := range s.history.writes {
-		if conf > 0 && o.acknowledged > 0 && o.revision > conf && asked.Sub(o.acknowledgedAt) > contactTimeout {
-			defer s.fail("news", "%s tells revision %d, %v after %s was acknowledged", m.name, conf, asked.Sub(o.acknowledgedAt), o.name)
+		if revision > 0 && o.acknowledged > 0 && o.revision > revision && asked.Sub(o.acknowledgedAt) > contactTimeout {
+			defer s.fail("events", "%s publishes revision %d, %v after %s was acknowledged", m.name, revision, asked.Sub(o.acknowledgedAt), o.name)
 			break
 		}
 	}
@@ -180,22 +197,24 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, l := range s.deregistered {
-		shown, key := state[id], m.name+" "+id
+		published, key := states[id], m.name+" "+id
 		switch {
 		case !asked.After(l.acknowledgedAt):
-		case shown != handler.Ready:
-			if shown != "" {
+		case published != handler.Ready:
+			if published != "" {
 				s.seenNotReady[key] = true
 			}
 		case s.seenNotReady[key]:
-			s.failLocked("instance", "%s tells that %s is ready again, %v after its leaving was acknowledged", m.name, id, asked.Sub(l.acknowledgedAt))
+			s.failLocked("instance", "%s publishes that %s is ready again, %v after its deregistration was acknowledged", m.name, id, asked.Sub(l.acknowledgedAt))
 		case s.activeFaults == 0 && asked.Sub(l.acknowledgedAt) > drainTimeout && asked.Sub(s.lastFaultEnd) > drainTimeout:
-			s.failLocked("instance", "%s tells that %s is ready, %v after its leaving was acknowledged", m.name, id, asked.Sub(l.acknowledgedAt))
+			s.failLocked("instance", "%s publishes that %s is ready, %v after its deregistration was acknowledged", m.name, id, asked.Sub(l.acknowledgedAt))
 		}
 	}
 }
 
-// saw looks at a view that a core told.
+// checkView checks a view that a core reported: a core never goes back to an
+// older view, a number belongs to one view, and at most one voter changes
+// between successive views.
 func (s *simulation) checkView(m *machine, v chain.View) {
 	if v.Number == 0 {
 		return
@@ -228,7 +247,7 @@
 	}
 }
 
-// without counts the members of one list that are not in another.
+// countMissing counts the members of one list that are not in another.
 func countMissing(a, b []chain.Member) (n int) {
 	for _, m := range a {
 		if !slices.ContainsFunc(b, func(o chain.Member) bool { return o.Address == m.Address && o.Disk == m.Disk }) {
--- a/internal/cluster/search_clients_test.go
+++ b/internal/cluster/search_clients_test.go
@@ -17,18 +17,21 @@
 	"saltreel/internal/httpwire"
 )
 
-// caller is one handler, from outside.
+// simulatedHandler is a handler as the cores see it.
 type simulatedHandler struct {
 	id      string
 	callSeq int64
 	state   string
 }
 
-// leaving is an instance whose leaving was acknowledged.
+// deregisteredState is the state of a simulatedHandler that has sent its DELETE.
+const deregisteredState = "gone"
+
+// deregistration is an acknowledged one, or an acknowledged change to draining.
 type deregistration struct{ acknowledgedAt time.Time }
 
-// next makes a change on top of the newest revision that is known, or of an
-// older one.
+// newWrite makes a write on top of the newest revision that is known, or of the
+// one before.
 func (s *simulation) newWrite(more, older int) *configurationWrite {
 	s.mu.Lock()
 	match := s.latestKnownRevision
@@ -51,7 +54,8 @@
 	s.latestKnownRevision = max(s.latestKnownRevision, revision)
 }
 
-// call sends one request to a core and follows 307 twice; 0 is no clear answer.
+// callCore sends one request to a core and follows two redirects; it returns 0
+// where the outcome is unknown.
 func (s *simulation) callCore(m *machine, limit time.Duration, c httpwire.Call) (int, []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -76,62 +80,71 @@
 	return 0, nil
 }
 
-// send brings an order to one core after another, until there is a clear
-// answer, but no more than some times.
-func (s *simulation) sendWrite(o *configurationWrite, first, tries int, limit time.Duration) int {
-	pause := 50 * time.Millisecond
-	for try := range tries {
+// sendWrite sends a write to one core after the other until its outcome is
+// known, for a number of attempts at most. It returns the status, 0 where the
+// outcome is unknown.
+func (s *simulation) sendWrite(o *configurationWrite, first, attempts int) int {
+	backoff := 50 * time.Millisecond
+	for attempt := range attempts {
 		s.mu.Lock()
-		m := s.cores[(first+try)%len(s.cores)]
+		m := s.cores[(first+attempt)%len(s.cores)]
 		s.mu.Unlock()
-		from := s.history.tick()
+		begin := s.history.tick()
 		s.history.mu.Lock()
-		o.firstSent = cmp.Or(o.firstSent, from)
+		o.firstSent = cmp.Or(o.firstSent, begin)
 		s.history.mu.Unlock()
-		code, body := s.callCore(m, limit, httpwire.Call{Method: "PUT", Target: "/v1/configuration", Header: []string{"If-Match", fmt.Sprint(o.ifMatch)}, Body: o.body})
-		to := s.history.tick()
-		s.logf("%s: %d on %d, to %s from %d to %d: %d %.120s", o.name, o.revision, o.ifMatch, m.name, from, to, code, body)
+		code, body := s.callCore(m, time.Second, httpwire.Call{Method: "PUT", Target: "/v1/configuration", Header: []string{"If-Match", fmt.Sprint(o.ifMatch)}, Body: o.body})
+		end := s.history.tick()
+		s.logf("%s: %d on %d, to %s from %d to %d: %d %.120s", o.name, o.revision, o.ifMatch, m.name, begin, end, code, body)
 		s.history.mu.Lock()
 		switch {
 		case code == 200:
 			if o.acknowledged == 0 {
-				o.acknowledged, o.acknowledgedAt = to, time.Now()
+				o.acknowledged = end
+				o.acknowledgedAt = time.Now()
 			}
 		case code != 0:
-			o.rejections = append(o.rejections, invocation{from, to, code})
+			o.rejections = append(o.rejections, invocation{begin, end, code})
 		}
 		both := o.acknowledged > 0 && len(o.rejections) > 0
 		s.history.mu.Unlock()
 		switch {
 		case both:
-			s.fail("refused", "%s is both acknowledged and refused: %d from %s: %s", o.name, code, m.name, body)
+			s.fail("rejection", "%s is both acknowledged and rejected: %d from %s: %s", o.name, code, m.name, body)
 		case code == 200:
 			s.noteRevision(o.revision)
 			s.fireTriggers("acked", nil, m.ip, m.ip)
 			return code
 		case code == 412:
-			if n, err := strconv.ParseInt(strings.Fields(strings.TrimPrefix(string(body), `{"error-text":"revision `) + " 0")[0], 10, 64); err == nil {
-				s.noteRevision(n)
-			}
+			s.noteConflict(body)
 			return code
 		case code != 0:
-			s.fail("refused", "%s is refused with %d by %s: %s", o.name, code, m.name, body)
+			s.fail("rejection", "%s is rejected with %d by %s: %s", o.name, code, m.name, body)
 			return code
 		}
 		if s.hasFailed() {
 			return 0
 		}
-		time.Sleep(pause)
-		pause = min(2*pause, time.Second)
+		time.Sleep(backoff)
+		backoff = min(2*backoff, time.Second)
 	}
 	return 0
 }
 
-// read gets the configuration from one core.
+// noteConflict takes the revision in force from the text of a 412.
+func (s *simulation) noteConflict(body []byte) {
+	words := strings.Fields(strings.TrimPrefix(string(body), `{"error-text":"revision `) + " 0")
+	if n, err := strconv.ParseInt(words[0], 10, 64); err == nil {
+		s.noteRevision(n)
+	}
+}
+
+// readConfiguration reads the configuration from one core and records what was
+// read; false without an answer.
 func (s *simulation) readConfiguration(m *machine) bool {
-	from := s.history.tick()
+	begin := s.history.tick()
 	code, body := s.callCore(m, time.Second, httpwire.Call{Method: "GET", Target: "/v1/configuration"})
-	r := configurationRead{invocation{from, s.history.tick(), code}, "", m.name}
+	r := configurationRead{invocation{begin, s.history.tick(), code}, "", m.name}
 	switch code {
 	case 0:
 		return false
@@ -139,13 +152,13 @@
 	case 200:
 		o := s.findWrite(body)
 		if o == nil {
-			s.fail("history", "%s tells a configuration that nobody sent: %s", m.name, body)
+			s.fail("history", "%s answers with a configuration that nobody sent: %s", m.name, body)
 			return false
 		}
 		r.writeName = o.name
 		s.noteRevision(o.revision)
 	default:
-		s.fail("refused", "a read at %s is refused with %d: %s", m.name, code, body)
+		s.fail("rejection", "a read at %s is rejected with %d: %s", m.name, code, body)
 		return false
 	}
 	s.logf("%s is read at %s from %d to %d", r.writeName, m.name, r.begin, r.end)
@@ -169,69 +182,92 @@
 	return o, json.Unmarshal(body, &o)
 }
 
-// beat has a handler say something; the channel is closed when it was answered.
+// handlerCall is one call of a handler, as a step of a schedule asks for it.
+type handlerCall struct {
+	handler       *simulatedHandler
+	number        int // of the handler
+	method, state string
+	stale         bool // a heartbeat from before all others
+}
+
+// handlerStep has a handler call the cores; the channel is closed when it was
+// answered.
 func (s *simulation) handlerStep(x step) <-chan struct{} {
 	done := make(chan struct{})
+	call := s.newHandlerCall(x)
+	s.clientOps.Go(func() {
+		defer close(done)
+		for attempt := range 1 + x.B {
+			if s.sendHandlerCall(call, x.A+attempt) || s.hasFailed() {
+				return
+			}
+			time.Sleep(100 * time.Millisecond)
+		}
+	})
+	return done
+}
+
+// newHandlerCall moves a handler to the state that a step says. A handler that
+// is deregistered comes back under another ID.
+func (s *simulation) newHandlerCall(x step) *handlerCall {
 	n := x.N % 3
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	h := s.handlers[n]
-	if h == nil || h.state == "gone" && x.Kind == stepHeartbeat {
+	if h == nil || h.state == deregisteredState && x.Kind == stepHeartbeat {
 		h = &simulatedHandler{id: fmt.Sprintf("handler-%d-%d", n, s.nextMachine+int(time.Since(s.startedAt).Milliseconds())), state: handler.Ready}
 		s.handlers[n] = h
 	}
-	state, method := h.state, "PUT"
+	call := &handlerCall{handler: h, number: n, method: "PUT", state: h.state, stale: x.Kind == stepStaleHeartbeat}
 	switch x.Kind {
 	case stepDrain:
 		if h.state == handler.Ready {
 			h.state = handler.Draining
 		}
-		state = h.state
+		call.state = h.state
 	case stepDeregister:
-		h.state, state, method = "gone", "gone", "DELETE"
+		h.state = deregisteredState
+		call.state = deregisteredState
 	case stepStaleHeartbeat:
-		state = handler.Ready
+		call.state = handler.Ready
+	}
+	if call.state == deregisteredState {
+		call.method = "DELETE"
 	}
-	if state == "gone" {
-		method = "DELETE"
+	return call
+}
+
+// sendHandlerCall sends a call to one core and reports whether it was
+// acknowledged.
+func (s *simulation) sendHandlerCall(call *handlerCall, core int) bool {
+	h := call.handler
+	s.mu.Lock()
+	m := s.cores[core%len(s.cores)]
+	seq := int64(1)
+	if !call.stale {
+		h.callSeq++
+		seq = h.callSeq
 	}
-	late := x.Kind == stepStaleHeartbeat
 	s.mu.Unlock()
-	s.clientOps.Go(func() {
-		defer close(done)
-		for try := range 1 + x.B {
-			s.mu.Lock()
-			m := s.cores[(x.A+try)%len(s.cores)]
-			seq := int64(1)
-			if !late {
-				h.callSeq++
-				seq = h.callSeq
-			}
-			s.mu.Unlock()
-			c := httpwire.Call{Method: method, Target: "/v1/instances/" + h.id}
-			if method == "PUT" {
-				c.Body = fmt.Appendf(nil, `{"service":"plain","address":"10.20.0.%d:90","zone":"z1","revision":"v1","slots":2,"oper-state":%q,"call-seq":%d}`, n, state, seq)
-			}
-			code, body := s.callCore(m, time.Second, c)
-			s.logf("%s says %s (%d) to %s: %d %.80s", h.id, state, seq, m.name, code, body)
-			if code/100 == 2 {
-				if state != handler.Ready {
-					s.mu.Lock()
-					if s.deregistered[h.id] == nil {
-						s.deregistered[h.id] = &deregistration{time.Now()}
-					}
-					s.mu.Unlock()
-					s.fireTriggers("left", nil, m.ip, m.ip)
-				}
-				return
-			}
-			if code != 0 {
-				s.fail("refused", "a beat is refused with %d: %s", code, body)
-			}
-			if s.hasFailed() {
-				return
-			}
-			time.Sleep(100 * time.Millisecond)
+	c := httpwire.Call{Method: call.method, Target: "/v1/instances/" + h.id}
+	if call.method == "PUT" {
+		c.Body = fmt.Appendf(nil, `{"service":"plain","address":"10.20.0.%d:90","zone":"z1","revision":"v1","slots":2,"oper-state":%q,"call-seq":%d}`, call.number, call.state, seq)
+	}
+	code, body := s.callCore(m, time.Second, c)
+	s.logf("%s says %s (%d) to %s: %d %.80s", h.id, call.state, seq, m.name, code, body)
+	if code/100 != 2 {
+		if code != 0 {
+			s.fail("rejection", "a heartbeat is rejected with %d: %s", code, body)
 		}
-	})
-	return done
+		return false
+	}
+	if call.state != handler.Ready {
+		s.mu.Lock()
+		if s.deregistered[h.id] == nil {
+			s.deregistered[h.id] = &deregistration{time.Now()}
+		}
+		s.mu.Unlock()
+		s.fireTriggers("left", nil, m.ip, m.ip)
+	}
+	return true
 }
--- a/internal/cluster/search_history_test.go
+++ b/internal/cluster/search_history_test.go
@@ -10,49 +10,51 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// order is one configuration of an operator: the same bytes, sent once or more.
-// It takes effect at most once.
+// configurationWrite is one configuration of an operator: the same bytes, sent
+// once or more. It takes effect at most once. Times are ticks of the history.
 type configurationWrite struct {
 	name              string
 	ifMatch, revision int64
 	body              []byte
-	firstSent         int64 // the moment of the first send
-	acknowledged      int64 // the moment of the first 200; 0 without one
+	firstSent         int64
+	acknowledged      int64 // the first 200; 0 without one
 	acknowledgedAt    time.Time
-	rejections        []invocation // definite refusals
+	rejections        []invocation
 }
 
-// sending is one call, by the moments at which it began and ended.
+// invocation is one call, by the ticks at which it began and ended.
 type invocation struct {
 	begin, end int64
 	status     int
 }
 
-// reading is what a GET told.
+// configurationRead is what a GET was answered.
 type configurationRead struct {
 	invocation
-	writeName string // of the order read; empty before the first
+	writeName string // of the write read; empty before the first
 	core      string
 }
 
-// history is all that operators and readers saw. Moments are counted, so that
-// what happens at one time of the simulated clock has an order too.
+// history is all that operators and readers were answered. It counts ticks, so
+// that what happens at one time of the simulated clock has an order too.
 type history struct {
-	mu         sync.Mutex
-	lastMoment int64
-	writes     []*configurationWrite
-	byBytes    map[string]*configurationWrite
-	reads      []configurationRead
+	mu       sync.Mutex
+	lastTick int64
+	writes   []*configurationWrite
+	byBytes  map[string]*configurationWrite
+	reads    []configurationRead
 }
 
+// tick returns the next tick.
 func (h *history) tick() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lastMoment++
-	return h.lastMoment
+	h.lastTick++
+	return h.lastTick
 }
 
-// operation is one of the model: an order, a reading, or the end of all.
+// operation is one of the model: a write, a read, a rejection, or the end of the
+// history.
 type operation struct {
 	name              string
 	ifMatch, revision int64
@@ -70,37 +72,38 @@
 	ended    bool
 }
 
-// model is a register with a revision. An order is in force only if the one
-// that it builds on was. An order with no clear answer is an operation that
-// never returns: it takes effect at any time, or comes behind the end and has
-// none. A refusal is an operation without effect, and right only where another
-// revision was current.
+// registerModel is a register with a revision. A write takes effect only if the
+// one that it builds on is in force. A write whose outcome is unknown is an
+// operation that never returns: it takes effect at any time, or comes after the
+// end and has none. A rejection is an operation without effect, and right only
+// where another revision was in force.
 var registerModel = porcupine.Model{
 	Init: func() any { return register{} },
 	Step: func(state, input, _ any) (bool, any) {
-		now, o := state.(register), input.(operation)
+		current, o := state.(register), input.(operation)
 		switch {
 		case o.end:
-			return true, register{now.revision, now.name, true}
-		case now.ended:
-			return o.status == 0, now
+			return true, register{current.revision, current.name, true}
+		case current.ended:
+			return o.status == 0, current
 		case o.read:
-			return now.name == o.name, now
+			return current.name == o.name, current
 		case o.rejected:
-			return now.revision != o.ifMatch, now
+			return current.revision != o.ifMatch, current
 		}
-		return now.revision == o.ifMatch, register{o.revision, o.name, false}
+		return current.revision == o.ifMatch, register{o.revision, o.name, false}
 	},
 	DescribeOperation: func(input, _ any) string { return fmt.Sprintf("%+v", input) },
 }
 
-// check tells what is wrong with the history; "" if nothing is.
+// check returns what is wrong with the history: that it is not linearizable; ""
+// if nothing is.
 func (h *history) check() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var ops []porcupine.Operation
-	add := func(o operation, from, to int64) {
-		ops = append(ops, porcupine.Operation{ClientId: len(ops), Input: o, Call: from, Return: to})
+	add := func(o operation, call, ret int64) {
+		ops = append(ops, porcupine.Operation{ClientId: len(ops), Input: o, Call: call, Return: ret})
 	}
 	for _, o := range h.writes {
 		op := operation{name: o.name, ifMatch: o.ifMatch, revision: o.revision}
@@ -118,20 +121,20 @@
 	for _, r := range h.reads {
 		add(operation{name: r.writeName, read: true, core: r.core}, r.begin, r.end)
 	}
-	h.lastMoment++
-	add(operation{end: true}, h.lastMoment, math.MaxInt64)
-	// The history is bounded and what is under way at once is little; a minute
-	// is far more than it takes.
+	h.lastTick++
+	add(operation{end: true}, h.lastTick, math.MaxInt64)
+	// The history is bounded and few calls overlap; a minute is far more than it
+	// takes.
 	switch porcupine.CheckOperationsTimeout(registerModel, ops, time.Minute) {
 	case porcupine.Illegal:
-		return "orders and readings have no order that explains them:\n" + h.textLocked()
+		return "no order explains the writes and reads:\n" + h.textLocked()
 	case porcupine.Unknown:
 		return "the history is too long to be checked:\n" + h.textLocked()
 	}
 	return ""
 }
 
-// words lists the history. The lock is held.
+// textLocked lists the history.
 func (h *history) textLocked() string {
 	var b strings.Builder
 	for _, o := range h.writes {
@@ -140,7 +143,7 @@
 			fmt.Fprintf(&b, "acknowledged at %d", o.acknowledged)
 		}
 		for _, r := range o.rejections {
-			fmt.Fprintf(&b, " refused with %d from %d to %d", r.status, r.begin, r.end)
+			fmt.Fprintf(&b, " rejected with %d from %d to %d", r.status, r.begin, r.end)
 		}
 		fmt.Fprintln(&b)
 	}
--- a/internal/cluster/search_planted_faults_test.go
+++ b/internal/cluster/search_planted_faults_test.go
@@ -19,13 +19,15 @@
 	"saltreel/internal/chain"
 )
 
-// planted plays the seeds of a build with a fault that is put in from outside.
-// The search must find it: the same schedules, the same checks.
+// requireFaultFound runs the schedules of the seeds with a fault that is planted
+// from outside. The search must find it with the same schedules and checks. The
+// classes are those of the violations by which it may show, and likely are the
+// seeds that found it before: they run first, to save time.
 func requireFaultFound(t *testing.T, classes string, likely []int, fault func() plantedFault) {
 	t.Helper()
 	t.Parallel()
 	began, others := time.Now(), 0
-	seeds := likely // those that found it before come first, to save time
+	seeds := likely
 	if *searchAll {
 		seeds = nil
 	}
@@ -40,8 +42,8 @@
 		if f == nil {
 			continue
 		}
-		// What shows in another way, or without the fault too, is not how the
-		// fault is to be found.
+		// A violation of another class, or one without the fault too, does not
+		// count as having found it.
 		if !strings.Contains(classes, f.class) || runSchedule(t, drawSchedule(seed), plantedFault{}) != nil {
 			others++
 			continue
@@ -59,39 +61,43 @@
 
 // What was written in the last moments before a loss of power is not there.
 func TestSearchFindsSkippedSync(t *testing.T) {
-	requireFaultFound(t, "view, history, news", []int{2}, func() plantedFault {
-		type image struct {
-			at  time.Time
-			raw []byte
-		}
-		images := map[string][]image{}
-		path := func(m *machine) string { return filepath.Join(m.dataPath, "core.db") }
-		return plantedFault{
-			onTick: func(s *simulation) {
-				synctest.Wait()
-				for _, m := range s.cores {
-					list := images[m.name]
-					if raw, err := os.ReadFile(path(m)); err == nil && s.isRunning(m) {
-						images[m.name] = append(list[max(0, len(list)-9):], image{time.Now(), raw})
-					}
+	requireFaultFound(t, "view, history, events", []int{2}, skippedSync)
+}
+
+// skippedSync puts an image of the database that is older than 300 ms in its
+// place when power is lost.
+func skippedSync() plantedFault {
+	type image struct {
+		at  time.Time
+		raw []byte
+	}
+	images := map[string][]image{}
+	path := func(m *machine) string { return filepath.Join(m.dataPath, "core.db") }
+	return plantedFault{
+		onTick: func(s *simulation) {
+			synctest.Wait()
+			for _, m := range s.cores {
+				list := images[m.name]
+				if raw, err := os.ReadFile(path(m)); err == nil && s.isRunning(m) {
+					images[m.name] = append(list[max(0, len(list)-9):], image{time.Now(), raw})
 				}
-			},
-			afterPowerLoss: func(s *simulation, m *machine) {
-				for i := len(images[m.name]) - 1; i >= 0; i-- {
-					if old := images[m.name][i]; time.Since(old.at) > 300*time.Millisecond {
-						if err := os.WriteFile(path(m), old.raw, 0o600); err != nil {
-							s.fail("start", "%v", err)
-						}
-						return
+			}
+		},
+		afterPowerLoss: func(s *simulation, m *machine) {
+			for i := len(images[m.name]) - 1; i >= 0; i-- {
+				if old := images[m.name][i]; time.Since(old.at) > 300*time.Millisecond {
+					if err := os.WriteFile(path(m), old.raw, 0o600); err != nil {
+						s.fail("start", "%v", err)
 					}
+					return
 				}
-			},
-		}
-	})
+			}
+		},
+	}
 }
 
-// The tail answers a read although it cannot reach a majority: whoever is out of
-// reach is taken to agree.
+// The tail answers a read although it cannot reach a majority: whoever is
+// unreachable is taken to agree.
 func TestSearchFindsReadWithoutMajority(t *testing.T) {
 	requireFaultFound(t, "history", []int{77, 16, 90}, readWithoutMajority)
 }
@@ -110,63 +116,69 @@
 	}}
 }
 
-// An old whole state is taken as if it were the newest pass.
+// An old snapshot is installed as if it were the newest update.
 func TestSearchFindsIgnoredUpdateOrder(t *testing.T) {
-	requireFaultFound(t, "history", nil, func() plantedFault {
-		var mu sync.Mutex
-		old := map[string]any{} // the first whole state by receiver
-		signs := 0
-		return plantedFault{interceptRequest: func(s *simulation, from, to, path string, body []byte) (out, answer []byte) {
-			if path != "/chain/pass" {
-				return nil, nil
-			}
-			pass := map[string]any{}
-			if json.Unmarshal(body, &pass) != nil {
-				return nil, nil
-			}
-			mu.Lock()
-			defer mu.Unlock()
-			if pass["all"] == true {
-				if pass["set"] != nil {
-					old[to] = pass["set"]
-				}
-				return nil, nil
-			}
-			if signs++; pass["set"] != nil || old[to] == nil || signs%16 != 0 {
-				return nil, nil
+	requireFaultFound(t, "history", nil, ignoredUpdateOrder)
+}
+
+// ignoredUpdateOrder turns every sixteenth empty update to a receiver into the
+// first snapshot that this receiver was sent.
+func ignoredUpdateOrder() plantedFault {
+	var mu sync.Mutex
+	firstSnapshots := map[string]any{} // by receiver
+	emptyUpdates := 0
+	return plantedFault{interceptRequest: func(_ *simulation, _, to, path string, body []byte) (out, answer []byte) {
+		if path != "/chain/pass" {
+			return nil, nil
+		}
+		update := map[string]any{}
+		if json.Unmarshal(body, &update) != nil {
+			return nil, nil
+		}
+		mu.Lock()
+		defer mu.Unlock()
+		if update["all"] == true {
+			if update["set"] != nil {
+				firstSnapshots[to] = update["set"]
 			}
-			pass["all"], pass["set"] = true, old[to]
-			out, _ = json.Marshal(pass)
-			return out, nil
-		}}
-	})
+			return nil, nil
+		}
+		if emptyUpdates++; update["set"] != nil || firstSnapshots[to] == nil || emptyUpdates%16 != 0 {
+			return nil, nil
+		}
+		update["all"], update["set"] = true, firstSnapshots[to]
+		out, _ = json.Marshal(update)
+		return out, nil
+	}}
 }
 
-// A view is adopted in which two voters are others than before.
+// A view is installed in which two voters are others than before.
 func TestSearchFindsTwoVotersReplacedAtOnce(t *testing.T) {
-	requireFaultFound(t, "voters", nil, func() plantedFault {
-		done := false
-		return plantedFault{onTick: func(s *simulation) {
-			if done || time.Since(s.startedAt) < 6*time.Second {
-				return
-			}
-			v, err := s.viewOf(s.cores[0])
-			if err != nil || len(v.Voters) < 3 {
-				return
-			}
-			done = true
-			v.Number++
-			for i := range 2 {
-				v.Voters[len(v.Voters)-1-i] = chain.Member{Address: fmt.Sprintf("10.1.9.%d:7100", i), Disk: fmt.Sprint("ghost ", i)}
-			}
-			for _, m := range s.cores {
-				s.post(m, "/chain/adopt", v)
-			}
-		}}
-	})
+	requireFaultFound(t, "voters", nil, twoVotersReplaced)
+}
+
+func twoVotersReplaced() plantedFault {
+	done := false
+	return plantedFault{onTick: func(s *simulation) {
+		if done || time.Since(s.startedAt) < 6*time.Second {
+			return
+		}
+		v, err := s.viewOf(s.cores[0])
+		if err != nil || len(v.Voters) < 3 {
+			return
+		}
+		done = true
+		v.Number++
+		for i := range 2 {
+			v.Voters[len(v.Voters)-1-i] = chain.Member{Address: fmt.Sprintf("10.1.9.%d:7100", i), Disk: fmt.Sprint("ghost ", i)}
+		}
+		for _, m := range s.cores {
+			s.post(m, "/chain/adopt", v)
+		}
+	}}
 }
 
-// A voter that starts again knows nothing of how it voted.
+// An acceptor that starts again has forgotten its promises and what it accepted.
 func TestSearchFindsForgottenPromise(t *testing.T) {
 	requireFaultFound(t, "view", []int{58, 35}, forgottenPromise)
 }
@@ -194,51 +206,57 @@
 	}}
 }
 
-// A leaving is counted as kept by cores that have not heard of it: for its first
-// second it reaches no other core, and each says that it has it.
+// A tombstone is counted as stored by cores that have not received it: for its
+// first second it reaches no other core, and each says that it has it.
 func TestSearchFindsTombstoneCountedWithoutFence(t *testing.T) {
-	requireFaultFound(t, "instance", []int{46, 55, 43}, func() plantedFault {
-		var mu sync.Mutex
-		first := map[string]time.Time{}
-		return plantedFault{interceptRequest: func(s *simulation, from, to, path string, body []byte) (out, answer []byte) {
-			if path != "/exchange" || !bytes.Contains(body, []byte(`"instance/`)) {
-				return nil, nil
-			}
-			call := map[string]any{}
-			items := json.NewDecoder(bytes.NewReader(body))
-			items.UseNumber()
-			if items.Decode(&call) != nil {
-				return nil, nil
-			}
-			list, _ := call["items"].([]any)
-			var left []any
-			mu.Lock()
-			defer mu.Unlock()
-			for _, it := range list {
-				raw, _ := json.Marshal(it)
-				var item struct {
-					Key     string
-					Version struct{ Major int64 }
-				}
-				_ = json.Unmarshal(raw, &item)
-				if item.Version.Major >= 1<<60 {
-					if first[item.Key].IsZero() {
-						first[item.Key] = time.Now()
-					}
-					if time.Since(first[item.Key]) < time.Second {
-						continue
-					}
-				}
-				left = append(left, it)
-			}
-			if len(left) == len(list) {
-				return nil, nil
+	requireFaultFound(t, "instance", []int{46, 55, 43}, unfencedTombstone)
+}
+
+func unfencedTombstone() plantedFault {
+	var mu sync.Mutex
+	firstSeen := map[string]time.Time{} // of a tombstone, by key
+	// withheld reports whether an item is a tombstone in its first second.
+	withheld := func(item any) bool {
+		raw, _ := json.Marshal(item)
+		var decoded struct {
+			Key     string
+			Version struct{ Major int64 }
+		}
+		_ = json.Unmarshal(raw, &decoded)
+		if decoded.Version.Major < 1<<60 {
+			return false
+		}
+		if firstSeen[decoded.Key].IsZero() {
+			firstSeen[decoded.Key] = time.Now()
+		}
+		return time.Since(firstSeen[decoded.Key]) < time.Second
+	}
+	return plantedFault{interceptRequest: func(_ *simulation, _, _, path string, body []byte) (out, answer []byte) {
+		if path != "/exchange" || !bytes.Contains(body, []byte(`"instance/`)) {
+			return nil, nil
+		}
+		call := map[string]any{}
+		decoder := json.NewDecoder(bytes.NewReader(body))
+		decoder.UseNumber()
+		if decoder.Decode(&call) != nil {
+			return nil, nil
+		}
+		items, _ := call["items"].([]any)
+		var delivered []any
+		mu.Lock()
+		defer mu.Unlock()
+		for _, item := range items {
+			if !withheld(item) {
+				delivered = append(delivered, item)
 			}
-			call["items"] = left
-			out, _ = json.Marshal(call)
-			return out, nil
-		}}
-	})
+		}
+		if len(delivered) == len(items) {
+			return nil, nil
+		}
+		call["items"] = delivered
+		out, _ = json.Marshal(call)
+		return out, nil
+	}}
 }
 
 func (s *simulation) isRunning(m *machine) bool {
@@ -247,7 +265,7 @@
 	return s.running[m.name]
 }
 
-// tell posts something to a core past all cuts.
+// post sends a call to a core past all partitions and does not wait for its answer.
 func (s *simulation) post(m *machine, path string, in any) {
 	s.clientOps.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), contactTimeout)
--- a/internal/cluster/search_run_test.go
+++ b/internal/cluster/search_run_test.go
@@ -13,19 +13,19 @@
 	"saltreel/internal/handler"
 )
 
-// event is something that happens later.
+// delayedAction is something that happens later.
 type delayedAction struct {
 	dueAt   time.Time
 	perform func()
 }
 
-// run plays the schedule, and what each one ends with.
+// run performs the schedule, and then verifies the final state.
 func (s *simulation) run() {
 	for range s.schedule.Cores {
 		s.addCore(true)
 	}
 	first := s.newWrite(0, 0)
-	if !s.requireWithin(15*time.Second, "the first configuration is not taken", func() bool { return s.sendWrite(first, 0, 1, time.Second) == 200 }) {
+	if !s.requireWithin(15*time.Second, "the first configuration is not accepted", func() bool { return s.sendWrite(first, 0, 1) == 200 }) {
 		return
 	}
 	s.advance(syncTime / 2)
@@ -42,9 +42,9 @@
 	s.verifyFinalState()
 }
 
-// bustle has an operator change something all the time, and each core be read.
+// startBackgroundLoad has an operator write all the time, and each core be read.
 func (s *simulation) startBackgroundLoad() {
-	all := func(f func(n int)) {
+	repeat := func(f func(n int)) {
 		s.clientOps.Go(func() {
 			for n := 0; !s.hasFailed() && !s.isFinishing(); n++ {
 				f(n)
@@ -52,25 +52,26 @@
 			}
 		})
 	}
-	all(func(n int) { s.sendWrite(s.newWrite(0, 0), n, 3, time.Second) })
-	for place := range s.schedule.Cores {
-		all(func(int) {
+	repeat(func(n int) { s.sendWrite(s.newWrite(0, 0), n, 3) })
+	for i := range s.schedule.Cores {
+		repeat(func(int) {
 			s.mu.Lock()
-			m := s.cores[place%len(s.cores)]
+			m := s.cores[i%len(s.cores)]
 			s.mu.Unlock()
 			s.readConfiguration(m)
 		})
 	}
 }
 
-// quiet tells whether the schedule is over.
+// isFinishing reports whether all steps have been performed.
 func (s *simulation) isFinishing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.finishing
 }
 
-// finish heals everything and looks whether all is as it must be.
+// verifyFinalState ends all faults and verifies that the cores converge, also
+// after one more crash.
 func (s *simulation) verifyFinalState() {
 	s.mu.Lock()
 	s.finishing = true
@@ -92,23 +93,27 @@
 		return
 	}
 	for _, m := range s.cores {
-		s.requireWithin(8*time.Second, m.name+" does not tell what it knows", func() bool {
-			o, err := s.statusOf(m)
-			if err != nil {
-				return false
-			}
-			for _, h := range o.Handlers {
-				if h.State == handler.Ready && s.deregistered[h.ID] != nil {
-					s.fail("instance", "%s tells of %s, which left, in the end", m.name, h.ID)
-				}
-			}
-			return true
-		})
+		s.requireWithin(8*time.Second, m.name+" does not report its status", func() bool { return s.verifyHandlers(m) })
+	}
+}
+
+// verifyHandlers checks that no deregistered handler is ready in the status of a
+// core; false without an answer.
+func (s *simulation) verifyHandlers(m *machine) bool {
+	o, err := s.statusOf(m)
+	if err != nil {
+		return false
+	}
+	for _, h := range o.Handlers {
+		if h.State == handler.Ready && s.deregistered[h.ID] != nil {
+			s.fail("instance", "%s reports %s, which is deregistered, in the end", m.name, h.ID)
+		}
 	}
+	return true
 }
 
-// settle looks whether a write is taken, all cores are members and vote, and
-// each tells the newest configuration.
+// verifyConverged verifies that a write is acknowledged, all cores are members
+// and voters, and each can be read.
 func (s *simulation) verifyConverged(what string) bool {
 	if !s.verifyWrite(what) || !s.verifyFullView(2*syncTime, what) {
 		return false
@@ -121,12 +126,12 @@
 	return !s.hasFailed()
 }
 
-// write has a change acknowledged.
+// verifyWrite verifies that a write is acknowledged.
 func (s *simulation) verifyWrite(what string) bool {
-	return s.requireWithin(15*time.Second, "no change is taken "+what, func() bool {
+	return s.requireWithin(15*time.Second, "no write is acknowledged "+what, func() bool {
 		o := s.newWrite(0, 0)
-		for range 8 { // its answer may be lost: then it is the same again
-			if code := s.sendWrite(o, 0, s.schedule.Cores, time.Second); code != 0 {
+		for range 8 { // the same write again, since its answer may be lost
+			if code := s.sendWrite(o, 0, s.schedule.Cores); code != 0 {
 				return code == 200
 			}
 		}
@@ -134,41 +139,48 @@
 	})
 }
 
-// whole waits until all cores that run are members and voters of one view.
+// verifyFullView waits until all running cores are members and voters of one view.
 func (s *simulation) verifyFullView(limit time.Duration, what string) bool {
-	var last string
-	ok := s.pollUntil(limit, func() bool {
-		var want []string
-		views := map[string]bool{}
-		for _, m := range s.cores {
-			want = append(want, internalAddress(m))
-		}
-		slices.Sort(want)
-		addresses := func(list []chain.Member) (out []string) {
-			for _, m := range list {
-				out = append(out, m.Address)
-			}
-			slices.Sort(out)
-			return out
-		}
-		last = ""
-		for _, m := range s.cores {
-			v, err := s.viewOf(m)
-			last += fmt.Sprintf("\n    %s: %v, %v", m.name, v, err)
-			if err != nil || !slices.Equal(addresses(v.Members), want) || !slices.Equal(addresses(v.Voters), want) {
-				return false
-			}
-			views[fmt.Sprint(v.Number)] = true
-		}
-		return len(views) == 1
+	var report string
+	ok := s.pollUntil(limit, func() (full bool) {
+		full, report = s.hasFullView()
+		return full
 	})
 	if !ok && !s.hasFailed() {
-		s.fail("whole", "not all cores are members and vote %s within %v:%s", what, limit, last)
+		s.fail("membership", "not all cores are members and vote %s within %v:%s", what, limit, report)
 	}
 	return ok
 }
 
-// wait plays on until f holds or the time is over.
+// hasFullView asks the cores for their views, up to the first that is not as it
+// must be, and reports what they answered.
+func (s *simulation) hasFullView() (full bool, report string) {
+	var want []string
+	for _, m := range s.cores {
+		want = append(want, internalAddress(m))
+	}
+	slices.Sort(want)
+	numbers := map[int64]bool{}
+	for _, m := range s.cores {
+		v, err := s.viewOf(m)
+		report += fmt.Sprintf("\n    %s: %v, %v", m.name, v, err)
+		if err != nil || !slices.Equal(sortedAddresses(v.Members), want) || !slices.Equal(sortedAddresses(v.Voters), want) {
+			return false, report
+		}
+		numbers[v.Number] = true
+	}
+	return len(numbers) == 1, report
+}
+
+func sortedAddresses(list []chain.Member) (out []string) {
+	for _, m := range list {
+		out = append(out, m.Address)
+	}
+	slices.Sort(out)
+	return out
+}
+
+// pollUntil advances until f holds or the time is over.
 func (s *simulation) pollUntil(limit time.Duration, f func() bool) bool {
 	for end := time.Now().Add(limit); !s.hasFailed(); s.advance(50 * time.Millisecond) {
 		if f() {
@@ -181,6 +193,7 @@
 	return false
 }
 
+// requireWithin is pollUntil whose time-out is a violation.
 func (s *simulation) requireWithin(limit time.Duration, what string, f func() bool) bool {
 	ok := s.pollUntil(limit, f)
 	if !ok && !s.hasFailed() {
@@ -189,7 +202,7 @@
 	return ok
 }
 
-// sleep lets time pass; what was to happen meanwhile happens.
+// advance lets time elapse; the actions that become due meanwhile are performed.
 func (s *simulation) advance(d time.Duration) {
 	end := time.Now().Add(d)
 	for {
@@ -214,32 +227,39 @@
 				next = tick
 			}
 		}
-		timer := time.NewTimer(next.Sub(now))
-		select {
-		case <-timer.C:
-		case e := <-s.delayed:
-			s.pendingEvents = append(s.pendingEvents, e)
-		}
-		timer.Stop()
+		s.waitForAction(next.Sub(now))
+	}
+}
+
+// waitForAction waits, but no longer than until a trigger adds an action.
+func (s *simulation) waitForAction(limit time.Duration) {
+	timer := time.NewTimer(limit)
+	select {
+	case <-timer.C:
+	case e := <-s.delayed:
+		s.pendingEvents = append(s.pendingEvents, e)
 	}
+	timer.Stop()
 }
 
-// during strikes now and ends it later.
-func (s *simulation) injectFor(ms int, strike, end func()) {
-	strike()
+// injectFor starts a fault now and ends it later.
+func (s *simulation) injectFor(ms int, start, end func()) {
+	start()
 	s.mu.Lock()
 	s.activeFaults++
 	s.mu.Unlock()
-	s.pendingEvents = append(s.pendingEvents, delayedAction{time.Now().Add(time.Duration(ms) * time.Millisecond), func() {
-		end()
-		s.mu.Lock()
-		s.activeFaults--
-		s.lastFaultEnd = time.Now()
-		s.mu.Unlock()
-	}})
+	s.pendingEvents = append(s.pendingEvents, delayedAction{time.Now().Add(time.Duration(ms) * time.Millisecond), func() { s.endFault(end) }})
+}
+
+func (s *simulation) endFault(end func()) {
+	end()
+	s.mu.Lock()
+	s.activeFaults--
+	s.lastFaultEnd = time.Now()
+	s.mu.Unlock()
 }
 
-// undo ends all that is under way.
+// endAllFaults performs all pending actions at once.
 func (s *simulation) endAllFaults() {
 	for {
 		select {
@@ -257,29 +277,24 @@
 	}
 }
 
-// heal ends all that is under way and waits until all cores are back: only
-// then another disk may be lost. A disk that was put back with less than what
-// was acknowledged on it would be a lost one that still has its name: nothing is
-// promised for that, and no schedule does it.
+// healAll ends all faults and waits until all cores are back: only then another
+// disk may be lost. A disk that was put back with less than what was
+// acknowledged on it would be a lost one that still has its identity: nothing is
+// guaranteed for that, and no schedule does it.
 func (s *simulation) healAll() bool {
 	s.mu.Lock()
 	s.armedTriggers = nil
 	s.mu.Unlock()
 	s.endAllFaults()
 	s.advance(syncTime)
-	return s.verifyFullView(2*syncTime, "in calm")
+	return s.verifyFullView(2*syncTime, "without faults")
 }
 
-// later has the schedule do something, from whichever goroutine.
-func (s *simulation) endFaultAfter(ms int, do func()) {
+// endFaultAfter counts a fault as active and has the schedule's goroutine end it
+// later. It may be called from any goroutine.
+func (s *simulation) endFaultAfter(ms int, end func()) {
 	s.mu.Lock()
 	s.activeFaults++
 	s.mu.Unlock()
-	s.delayed <- delayedAction{time.Now().Add(time.Duration(ms) * time.Millisecond), func() {
-		do()
-		s.mu.Lock()
-		s.activeFaults--
-		s.lastFaultEnd = time.Now()
-		s.mu.Unlock()
-	}}
+	s.delayed <- delayedAction{time.Now().Add(time.Duration(ms) * time.Millisecond), func() { s.endFault(end) }}
 }
--- a/internal/cluster/search_schedule_test.go
+++ b/internal/cluster/search_schedule_test.go
@@ -7,62 +7,66 @@
 	"pgregory.net/rapid"
 )
 
-// schedule is what strikes one cluster, and what is asked of it meanwhile.
+// schedule is the faults that a cluster meets, and what its clients do meanwhile.
+// The seed of a schedule stands for it: what scheduleGenerator draws, in which
+// order and from which tables, must stay the same.
 type schedule struct {
 	Cores          int  // at the start
-	HostFailures   int  // host-failures
-	FinalLoss      int  // the core that is lost in the end
-	BackgroundLoad bool // an operator changes something all the time, and all cores are read
+	HostFailures   int  // that the cluster tolerates
+	FinalLoss      int  // index of the core that crashes in the end
+	BackgroundLoad bool // an operator writes all the time, and all cores are read
 	Steps          []step
 }
 
-// step is one thing that happens after a pause. A and B are places of cores;
-// each kind reads what it needs of the rest.
+// step is one thing that happens after a wait. A and B are indexes of cores; each
+// kind uses what it needs of the other fields.
 type step struct {
 	Kind       stepKind
-	WaitMs     int // ms
+	WaitMs     int
 	A, B       int
-	DurationMs int // ms
+	DurationMs int
 	N          int
-	Trigger    triggerCondition // of stepWhen
+	Trigger    triggerCondition // of stepTrigger and stepViewChange
 }
 
-// on is the message on which something strikes, and what does.
+// triggerCondition is the message on which a fault is injected, and the fault.
 type triggerCondition struct {
-	Message, Fault int
-	Occurrence     int // the how many-th of these messages
-	DelayMs        int // ms from the message to the strike; with 0 it may be lost
+	Message, Fault int // indexes of triggerMessages and triggeredFaults
+	Occurrence     int // how many such messages there must be
+	DelayMs        int // from the message to the fault; with 0 the message may be lost
 }
 
+// stepKind is the kind of a step, by the name under which recorded schedules
+// print it.
 type stepKind string
 
 const (
-	stepWrite          stepKind = "order"      // an operator sends a change, first to A, N picks what it builds on
-	stepRead           stepKind = "read"       // somebody reads at A, N times more
-	stepResend         stepKind = "again"      // order N is sent again, to A
-	stepBurst          stepKind = "burst"      // one operator sends N changes, each after the one before
-	stepHeartbeat      stepKind = "beat"       // handler N beats at A
-	stepDrain          stepKind = "drain"      // handler N says at A that it drains
-	stepDeregister     stepKind = "delete"     // handler N leaves at A
-	stepStaleHeartbeat stepKind = "late"       // an old beat of handler N comes to A
+	stepWrite          stepKind = "order"      // an operator sends a write, first to A; N picks the revision that it builds on
+	stepRead           stepKind = "read"       // A is read 1+N times
+	stepResend         stepKind = "again"      // an earlier write, picked by N, is sent again, to A
+	stepBurst          stepKind = "burst"      // one operator sends N writes, each after the one before
+	stepHeartbeat      stepKind = "beat"       // handler N sends a heartbeat to A
+	stepDrain          stepKind = "drain"      // handler N reports to A that it drains
+	stepDeregister     stepKind = "delete"     // handler N deregisters at A
+	stepStaleHeartbeat stepKind = "late"       // an old heartbeat of handler N arrives at A
 	stepKill           stepKind = "kill"       // A is killed and started again
 	stepKillAll        stepKind = "kill-all"   // all are killed and started again
 	stepPowerLoss      stepKind = "power"      // all lose power
-	stepReset          stepKind = "reset"      // the connections between A and B end
-	stepIsolate        stepKind = "cut"        // A is cut off, both ways; with N odd also from those outside
+	stepReset          stepKind = "reset"      // the connections between A and B are reset
+	stepIsolate        stepKind = "cut"        // A is isolated, both ways; with N odd also from clients
 	stepDropOutgoing   stepKind = "cut-out"    // what A sends is lost
 	stepDropIncoming   stepKind = "cut-in"     // what is sent to A is lost
-	stepPartition      stepKind = "split"      // those in N are cut from the others
-	stepDropAnswers    stepKind = "deaf"       // A's answers to those outside are lost
-	stepHoldLink       stepKind = "hold"       // what A sends to B is held up, and delivered later
-	stepFreeze         stepKind = "freeze"     // all that A sends and gets is held up
+	stepPartition      stepKind = "split"      // the cores in the bits of N are partitioned from the others
+	stepDropAnswers    stepKind = "deaf"       // A's answers to clients are lost
+	stepHoldLink       stepKind = "hold"       // what A sends to B is held, and delivered later
+	stepFreeze         stepKind = "freeze"     // all that A sends and receives is held
 	stepSlow           stepKind = "slow"       // packets take long
 	stepReorder        stepKind = "vary"       // packets overtake each other
-	stepTrigger        stepKind = "when"       // on the message N, something strikes its sender or receiver
-	stepViewChange     stepKind = "elect"      // A is lost for a while (with N over 1 in calm), and on a message of the change of views something strikes
-	stepWipe           stepKind = "wipe"       // in calm, A loses its disk; N says what is acknowledged right before
-	stepReplace        stepKind = "replace"    // in calm, A ends for good and an empty one comes elsewhere
-	stepPowerWipe      stepKind = "power-wipe" // in calm, all lose power and A its disk
+	stepTrigger        stepKind = "when"       // on a message, a fault of its sender or receiver
+	stepViewChange     stepKind = "elect"      // A is lost for a while (with N over 1 while no other fault is active), and on a message of the view change there is a fault
+	stepWipe           stepKind = "wipe"       // without other faults, A loses its disk; N says what is acknowledged right before
+	stepReplace        stepKind = "replace"    // without other faults, A is gone for good and an empty core starts at another address
+	stepPowerWipe      stepKind = "power-wipe" // without other faults, all lose power and A its disk
 )
 
 // kinds are drawn with these weights; shrinking goes toward the first.
@@ -106,7 +110,7 @@
 	{"kill all", 2}, {"power", 2}, {"wipe the sender", 2}, {"power, wipe the sender", 1},
 }
 
-// weighted lists each number as often as its weight says.
+// expandWeights lists each number below n as often as its weight says.
 func expandWeights(n int, weight func(int) int) (out []int) {
 	for i := range n {
 		for range weight(i) {
@@ -125,7 +129,8 @@
 	faultChoices       = expandWeights(len(triggeredFaults), func(i int) int { return triggeredFaults[i].weight })
 )
 
-// pick draws a number below n, each as often: rapid by itself prefers small ones.
+// drawBelow draws a number below n with equal chances: rapid by itself prefers
+// small ones.
 func drawBelow(t *rapid.T, label string, n int) int {
 	u := 0
 	for _, bit := range rapid.SliceOfN(rapid.Bool(), 10, 10).Draw(t, label) {
--- a/internal/cluster/search_simulation_test.go
+++ b/internal/cluster/search_simulation_test.go
@@ -8,9 +8,7 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"io/fs"
-	"log"
 	"math/rand/v2"
 	"os"
 	"path/filepath"
@@ -35,52 +33,55 @@
 	outsideIP      = "10.9.0.1"      // operators, readers and handlers
 )
 
-// plant is a fault put in from outside, to see whether the search finds it.
+// plantedFault is a fault put in from outside, to see whether the search finds it.
 type plantedFault struct {
-	dialsIgnorePartitions bool                                                                         // connections open past cuts, for request to answer on them
+	dialsIgnorePartitions bool                                                                         // for interceptRequest to answer past them
 	interceptRequest      func(s *simulation, from, to, path string, body []byte) (out, answer []byte) // nil, nil: as it is
-	beforeRestart         func(s *simulation, m *machine)                                              // before a core starts again
-	afterPowerLoss        func(s *simulation, m *machine)                                              // after a core lost power
-	onTick                func(s *simulation)                                                          // every 100 ms
+	beforeRestart         func(s *simulation, m *machine)
+	afterPowerLoss        func(s *simulation, m *machine)
+	onTick                func(s *simulation) // every 100 ms
 }
 
-// search plays one schedule on one cluster of real cores.
+// simulation runs one schedule on one cluster of real cores.
 type simulation struct {
-	world             *world
-	schedule          schedule
-	fault             plantedFault
-	cores             []*machine // by place; a replacement takes the place
-	nextMachine       int        // of the next machine's address
-	clientProcess     *process   // operators, readers and handlers
-	observerProcess   *process   // sees all, and no cut strikes it
-	clientPool        *httpwire.Pool
-	observer          *rpc.Client
-	history           history
-	clientOps         sync.WaitGroup
-	delayed           chan delayedAction
-	pendingEvents     []delayedAction // what ends or strikes later, by time
-	blockedLinks      map[[2]string]int
-	overlappingDelays [2]int // how many slow the network now, and how many let packets overtake
-	diskLosses        int
-	startedAt         time.Time
-
-	mu                  sync.Mutex
+	world         *world
+	schedule      schedule
+	fault         plantedFault
+	cores         []*machine // a replacement comes last
+	nextMachine   int        // of the next machine's address
+	clientProcess *process   // operators, readers and handlers
+	clientPool    *httpwire.Pool
+	observer      *rpc.Client // observes all cores past all partitions
+	history       history
+	clientOps     sync.WaitGroup
+	startedAt     time.Time
+
+	// What belongs to the goroutine that performs the steps.
+	pendingEvents  []delayedAction // sorted by time in advance
+	activeSlows    int             // faults that slow the network now
+	activeReorders int             // faults that let packets overtake now
+	diskLosses     int
+
+	delayed chan delayedAction // what triggers add to pendingEvents, from any goroutine
+
+	mu                  sync.Mutex // guards what follows
+	blockedLinks        map[[2]string]int
 	violation           *violation
 	finishing           bool
 	running             map[string]bool // by name
 	armedTriggers       []*trigger
-	latestKnownRevision int64 // the newest revision that anybody was told of
+	latestKnownRevision int64 // the newest that a client was answered
 	knownViews          map[int64]chain.View
-	newestViewOf        map[string]int64 // view that a core told
+	newestViewOf        map[string]int64 // by core
 	handlers            map[int]*simulatedHandler
 	deregistered        map[string]*deregistration
-	activeFaults        int       // under way
-	lastFaultEnd        time.Time // since when there is none
-	seenNotReady        map[string]bool
+	activeFaults        int
+	lastFaultEnd        time.Time
+	seenNotReady        map[string]bool // by core and handler
 	eventLog            bytes.Buffer
 }
 
-// play runs one schedule and tells what was wrong; nil if nothing was.
+// runSchedule runs one schedule and returns its first violation, nil without one.
 func runSchedule(t *testing.T, plan schedule, p plantedFault) (f *violation) {
 	t.Helper()
 	// Syncs are most of what a schedule costs, and a file in memory outlives all
@@ -93,31 +94,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	synctest.Test(t, func(t *testing.T) {
-		s := &simulation{
-			world:    &world{t: t, network: newNetwork(), machines: map[string]*machine{}, dataPath: dir, hostFailures: plan.HostFailures},
-			schedule: plan, fault: p, delayed: make(chan delayedAction, 64), blockedLinks: map[[2]string]int{}, startedAt: time.Now(),
-			running: map[string]bool{}, knownViews: map[int64]chain.View{}, newestViewOf: map[string]int64{}, handlers: map[int]*simulatedHandler{},
-			deregistered: map[string]*deregistration{}, seenNotReady: map[string]bool{},
-		}
-		s.history.byBytes = map[string]*configurationWrite{}
-		s.world.network.rng = rand.New(rand.NewPCG(uint64(plan.Cores), uint64(len(plan.Steps))))
-		s.world.network.interceptRequest, s.world.network.dialsIgnorePartitions = s.interceptRequest, p.dialsIgnorePartitions
-		s.clientProcess, s.observerProcess = &process{network: s.world.network, ip: outsideIP}, &process{network: s.world.network, ip: "10.9.0.2", exempt: true}
-		s.clientPool, s.observer = &httpwire.Pool{Network: s.clientProcess.httpNetwork()}, rpc.NewClient(&httpwire.Pool{Network: s.observerProcess.httpNetwork()})
-		watching, stop := context.WithCancel(context.Background())
-		var watched sync.WaitGroup
-		watched.Go(func() { s.observeCores(watching) })
+		s := newSimulation(t, dir, plan, p)
+		observing, stop := context.WithCancel(context.Background())
+		var observers sync.WaitGroup
+		observers.Go(func() { s.observeCores(observing) })
 		s.run()
 		stop()
-		watched.Wait()
+		observers.Wait()
 		s.endAllFaults()
 		s.clientOps.Wait()
-		for _, m := range s.world.machines {
-			m.cancel()
-		}
-		s.world.goroutines.Wait()
+		s.world.stopAll()
 		s.addTotals()
 		time.Sleep(2 * contactTimeout) // calls that nobody waits for end by their time-outs
 		if s.violation == nil {
@@ -133,14 +121,35 @@
 	return f
 }
 
+func newSimulation(t *testing.T, dir string, plan schedule, p plantedFault) *simulation {
+	s := &simulation{
+		world: newWorld(t, dir, plan.HostFailures), schedule: plan, fault: p,
+		delayed: make(chan delayedAction, 64), blockedLinks: map[[2]string]int{}, startedAt: time.Now(),
+		running: map[string]bool{}, knownViews: map[int64]chain.View{}, newestViewOf: map[string]int64{}, handlers: map[int]*simulatedHandler{},
+		deregistered: map[string]*deregistration{}, seenNotReady: map[string]bool{},
+	}
+	s.history.byBytes = map[string]*configurationWrite{}
+	n := s.world.network
+	n.rng = rand.New(rand.NewPCG(uint64(plan.Cores), uint64(len(plan.Steps))))
+	n.interceptRequest = s.interceptRequest
+	n.dialsIgnorePartitions = p.dialsIgnorePartitions
+	s.clientProcess = &process{network: n, ip: outsideIP}
+	s.clientPool = &httpwire.Pool{Network: s.clientProcess.httpNetwork()}
+	observerProcess := &process{network: n, ip: "10.9.0.2", exempt: true}
+	s.observer = rpc.NewClient(&httpwire.Pool{Network: observerProcess.httpNetwork()})
+	return s
+}
+
 func internalAddress(m *machine) string { return m.ip + ":7100" }
-func controlAddress(m *machine) string  { return m.ip + ":82" }
 
-// add brings an empty machine at an address of its own.
+func controlAddress(m *machine) string { return m.ip + ":82" }
+
+// addCore adds an empty core at an address of its own. With bootstrap all cores
+// are started once there are as many as the schedule says.
 func (s *simulation) addCore(bootstrap bool) {
-	place := s.nextMachine
+	n := s.nextMachine
 	s.nextMachine++
-	m := &machine{name: fmt.Sprintf("core-%d", place), role: "core", zone: zones[place%3], ip: fmt.Sprintf("10.%d.0.%d", place%3+1, place/3+1)}
+	m := &machine{name: fmt.Sprintf("core-%d", n), role: "core", zone: zones[n%3], ip: fmt.Sprintf("10.%d.0.%d", n%3+1, n/3+1)}
 	m.dataPath = filepath.Join(s.world.dataPath, m.name)
 	s.world.machines[m.name] = m
 	s.mu.Lock()
@@ -159,17 +168,17 @@
 	}
 }
 
-// boot starts a core on the disk that it has.
+// startProcess starts a core on the disk that it has.
 func (s *simulation) startProcess(m *machine, bootstrap bool) {
 	set := s.world.machineSettings(m, bootstrap)
-	m.process = &process{network: s.world.network, ip: m.ip}
-	logger := log.New(io.Discard, "", 0)
-	if os.Getenv("SALTREEL_TEST_LOG") != "" {
-		logger = log.New(os.Stderr, m.name+" ", log.Lmicroseconds)
-	}
+	p := &process{network: s.world.network, ip: m.ip}
+	m.process = p
+	logger := newLogger(m.name)
 	ctx, cancel := context.WithCancel(context.Background())
-	m.cancel, m.done = cancel, make(chan struct{})
-	c, err := controlplane.New(set, m.process.httpNetwork(), logger)
+	done := make(chan struct{})
+	m.cancel = cancel
+	m.done = done
+	c, err := controlplane.New(set, p.httpNetwork(), logger)
 	if err != nil {
 		s.fail("start", "%s does not start: %v", m.name, err)
 		return
@@ -177,10 +186,9 @@
 	s.mu.Lock()
 	s.running[m.name] = true
 	s.mu.Unlock()
-	life, done := m.process, m.done
 	s.world.goroutines.Go(func() {
 		defer close(done)
-		if err := operator.Serve(ctx, c, set, life.httpNetwork(), logger); err != nil && !s.isDead(life) {
+		if err := operator.Serve(ctx, c, set, p.httpNetwork(), logger); err != nil && !s.isDead(p) {
 			s.fail("start", "%s ended: %v", m.name, err)
 		}
 	})
@@ -207,8 +215,8 @@
 }
 
 // kill ends cores at one moment; their disks stay as they are. What a core wrote
-// is on its disk: each write it makes is synced before it goes on, and a moment
-// at which all is quiet is one between two writes.
+// is on its disk: it syncs each write before it goes on, and a moment at which no
+// goroutine runs is one between two writes.
 func (s *simulation) kill(list ...*machine) (killed []*machine) {
 	for _, m := range list {
 		s.mu.Lock()
--- a/internal/cluster/search_test.go
+++ b/internal/cluster/search_test.go
@@ -72,7 +72,7 @@
 	t.Logf("%d schedules in %v, %d failed; in them %v", played.Load(), time.Since(began).Round(time.Second), failed.Load(), totals.n)
 }
 
-// judgeSeed plays the schedule of a seed; one that fails is shrunk and shown.
+// checkSeed runs the schedule of a seed; one that fails is shrunk and printed.
 func checkSeed(t *testing.T, seed, times int) bool {
 	t.Helper()
 	plan := drawSchedule(seed)
@@ -91,7 +91,7 @@
 // rapidFlags guards the flags of rapid, by which alone a seed can be given to it.
 var rapidFlags sync.Mutex
 
-// draw gives the schedule of a seed.
+// drawSchedule returns the schedule of a seed.
 func drawSchedule(seed int) schedule {
 	rapidFlags.Lock()
 	defer rapidFlags.Unlock()
@@ -136,23 +136,36 @@
 	return best, small
 }
 
-// quiet is what rapid tells; the search tells itself what it found.
+// silentTB is a rapid.TB without output: the search reports what it found itself.
 type silentTB struct{ failed atomic.Bool }
 
-func (*silentTB) Helper()                 {}
-func (*silentTB) Name() string            { return "search" }
-func (*silentTB) Logf(string, ...any)     {}
-func (*silentTB) Log(...any)              {}
-func (*silentTB) Skipf(string, ...any)    {}
-func (*silentTB) Skip(...any)             {}
-func (*silentTB) SkipNow()                {}
+func (*silentTB) Helper() {}
+
+func (*silentTB) Name() string { return "search" }
+
+func (*silentTB) Logf(string, ...any) {}
+
+func (*silentTB) Log(...any) {}
+
+func (*silentTB) Skipf(string, ...any) {}
+
+func (*silentTB) Skip(...any) {}
+
+func (*silentTB) SkipNow() {}
+
 func (q *silentTB) Errorf(string, ...any) { q.Fail() }
-func (q *silentTB) Error(...any)          { q.Fail() }
+
+func (q *silentTB) Error(...any) { q.Fail() }
+
 func (q *silentTB) Fatalf(string, ...any) { q.FailNow() }
-func (q *silentTB) Fatal(...any)          { q.FailNow() }
-func (q *silentTB) FailNow()              { q.Fail(); runtime.Goexit() }
-func (q *silentTB) Fail()                 { q.failed.Store(true) }
-func (q *silentTB) Failed() bool          { return q.failed.Load() }
+
+func (q *silentTB) Fatal(...any) { q.FailNow() }
+
+func (q *silentTB) FailNow() { q.Fail(); runtime.Goexit() }
+
+func (q *silentTB) Fail() { q.failed.Store(true) }
+
+func (q *silentTB) Failed() bool { return q.failed.Load() }
 
 // The schedule that rapid shrinks must be the one that the seed stands for.
 func TestShrinkingStartsFromTheExecutedSchedule(t *testing.T) {
@@ -165,7 +178,7 @@
 		rapid.Check(&silentTB{}, func(rt *rapid.T) { same = scheduleGenerator.Draw(rt, "schedule").String() == plan.String() })
 		rapidFlags.Unlock()
 		if !same {
-			t.Fatalf("seed %d: another schedule is shrunk than played", seed)
+			t.Fatalf("seed %d: another schedule is shrunk than executed", seed)
 		}
 	}
 }
--- a/internal/cluster/search_triggers_test.go
+++ b/internal/cluster/search_triggers_test.go
@@ -12,13 +12,15 @@
 	"time"
 )
 
-// trap waits for a message.
+// trigger is a step whose fault waits for a message.
 type trigger struct {
 	step
-	remaining int
+	remaining int // messages until the fault
 }
 
-// request sees each request between processes before it is sent.
+// interceptRequest sees each request between processes before it is sent: it
+// fires the triggers that wait for it, and lets a planted fault change it, or
+// answer it in place of the receiver.
 func (s *simulation) interceptRequest(from *process, to string, raw []byte) (out, answer []byte) {
 	head, body, ok := bytes.Cut(raw, []byte("\r\n\r\n"))
 	words := strings.SplitN(string(head[:min(len(head), 64)]), " ", 3)
@@ -31,12 +33,12 @@
 		return raw, nil
 	}
 	changed, answer := s.fault.interceptRequest(s, from.ip, ip, words[1], body)
-	lines := strings.Split(string(head), "\r\n")
+	header := strings.Split(string(head), "\r\n")
 	if answer != nil {
-		call := "" // an answer repeats the name of its call
-		for _, l := range lines {
-			if strings.HasPrefix(l, "Call:") {
-				call = l + "\r\n"
+		call := "" // an answer repeats the identity of its call
+		for _, field := range header {
+			if strings.HasPrefix(field, "Call:") {
+				call = field + "\r\n"
 			}
 		}
 		return nil, fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", call, len(answer), answer)
@@ -44,15 +46,15 @@
 	if changed == nil {
 		return raw, nil
 	}
-	for i, l := range lines {
-		if strings.HasPrefix(l, "Content-Length:") {
-			lines[i] = "Content-Length: " + strconv.Itoa(len(changed))
+	for i, field := range header {
+		if strings.HasPrefix(field, "Content-Length:") {
+			header[i] = "Content-Length: " + strconv.Itoa(len(changed))
 		}
 	}
-	return append([]byte(strings.Join(lines, "\r\n")+"\r\n\r\n"), changed...), nil
+	return append([]byte(strings.Join(header, "\r\n")+"\r\n\r\n"), changed...), nil
 }
 
-// spring lets the traps strike that wait for a message.
+// fireTriggers injects the faults that wait for a message.
 func (s *simulation) fireTriggers(path string, body []byte, from, to string) {
 	s.mu.Lock()
 	var due []step
@@ -70,31 +72,37 @@
 	for _, x := range due {
 		what := triggeredFaults[x.Trigger.Fault].name
 		for _, l := range s.affectedLinks(what, from, to, x.A) {
-			// These strike before the message is sent.
-			if l.hold {
-				s.world.network.hold(l.from, l.to)
-			} else {
-				s.adjustBlocks(1, []string{l.from}, []string{l.to})
-			}
-			s.endFaultAfter(x.DurationMs, func() {
-				if l.hold {
-					s.world.network.release(l.from, l.to)
-				} else {
-					s.adjustBlocks(-1, []string{l.from}, []string{l.to})
-				}
-			})
+			// The links are blocked or held before the message is sent.
+			s.breakLink(l)
+			s.endFaultAfter(x.DurationMs, func() { s.mendLink(l) })
 		}
 		s.endFaultAfter(x.Trigger.DelayMs, func() { s.inject(what, x.DurationMs, from, to) })
 	}
 }
 
-// link is a way from one machine to another that is cut or held.
+func (s *simulation) breakLink(l link) {
+	if l.hold {
+		s.world.network.hold(l.from, l.to)
+	} else {
+		s.adjustBlocks(1, []string{l.from}, []string{l.to})
+	}
+}
+
+func (s *simulation) mendLink(l link) {
+	if l.hold {
+		s.world.network.release(l.from, l.to)
+	} else {
+		s.adjustBlocks(-1, []string{l.from}, []string{l.to})
+	}
+}
+
+// link leads from one machine to another; a triggered fault holds it or blocks it.
 type link struct {
 	from, to string
 	hold     bool
 }
 
-// struck are the links that a strike cuts or holds.
+// affectedLinks returns the links that a triggered fault blocks or holds.
 func (s *simulation) affectedLinks(what, from, to string, n int) (out []link) {
 	around := func(ip string, hold bool) {
 		for _, o := range s.peersOf(ip, n) {
@@ -120,6 +128,8 @@
 	return out
 }
 
+// inject starts the part of a triggered fault that strikes machines or
+// connections; affectedLinks is the part that strikes links.
 func (s *simulation) inject(what string, ms int, from, to string) {
 	at := func(ip string) (out []*machine) {
 		for _, m := range s.cores {
@@ -130,9 +140,9 @@
 		return out
 	}
 	s.mu.Lock()
-	// A disk may be lost only where all has been calm for long enough.
+	// A disk may be lost only where there has been no other fault for long enough.
 	mayWipe := s.activeFaults <= 1 && time.Since(s.lastFaultEnd) > syncTime && time.Since(s.startedAt) > syncTime
-	s.logLocked("strikes: %s, from %s to %s, for %d ms", what, from, to, ms)
+	s.logLocked("fault: %s, from %s to %s, for %d ms", what, from, to, ms)
 	s.mu.Unlock()
 	switch what {
 	case "reset":
