--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -1,5 +1,35 @@
-// Package cluster tests whole clusters in one process, on a simulated network
-// and clock.
+// Package cluster tests whole clusters in one process: the real cores, stores and
+// edges run on a simulated network and on the clock of a testing/synctest bubble,
+// so that minutes of simulated time take seconds.
+//
+// A new test calls runCluster, or runCores where no messages are needed, and does
+// all in the function that it gives:
+//
+//	func TestStoreCrashLosesNoAcceptedMessage(t *testing.T) {
+//		runCluster(t, func(w *world) {
+//			plain := w.newService("plain", "z1", "z2", "z3") // handlers
+//			w.applyConfiguration(options{})                  // routes to them
+//			w.withTraffic(plain, func() {                    // checks each accepted message
+//				w.killMachine("store-z1")
+//				time.Sleep(3 * time.Second) // simulated
+//				w.startMachine("store-z1", false)
+//			})
+//		})
+//	}
+//
+// Machines are named after their role and zone: core-z1, store-z2, edge-z3. Zone
+// zN has the addresses 10.N.0.1 of its core, .2 of its store and .3 of its edge.
+// Faults are killMachine (a crash), wipeDisk, terminateMachine (in order), and
+// those of network: isolate, setBlocked or setPartition, setDelay, setJitter.
+// Wait with waitFor and a limit rather than for an exact time. Check what clients,
+// handlers and operators see (sendMessage, get, received, status) rather than the
+// state of a process. The name of a test states the behaviour that must hold, and
+// the test stands in the file of its concern.
+//
+// The search (search_test.go) runs random schedules of faults against cores and
+// checks invariants and linearizability. A violation that it finds becomes a case
+// of TestSchedulesFoundBySearch; a new check comes with a planted fault that it
+// must find (search_planted_faults_test.go).
 package cluster
 
 import (
--- a/internal/cluster/search_run_test.go
+++ b/internal/cluster/search_run_test.go
@@ -1,8 +1,7 @@
 package cluster
 
-// The course of a schedule: its steps one after the other, time that passes and
-// what strikes or ends meanwhile, and the calm at the end in which all must be
-// whole.
+// The run of a schedule: its steps one after the other, the clock with the faults
+// that start and end as it advances, and the verification of the final state.
 
 import (
 	"fmt"
