--- /dev/null
+++ b/internal/cluster/search_run_test.go
@@ -0,0 +1,299 @@
+package cluster
+
+// The run of a schedule: its steps one after the other, the clock with the faults
+// that start and end as it advances, and the verification of the final state.
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"saltreel/internal/chain"
+	"saltreel/internal/handler"
+)
+
+// delayedAction is something that happens later.
+type delayedAction struct {
+	dueAt   time.Time
+	perform func()
+}
+
+// run performs the schedule, and then verifies the final state.
+func (s *simulation) run() {
+	for range s.schedule.Cores {
+		s.addCore(true)
+	}
+	first := s.newWrite(0, 0)
+	if !s.requireWithin(15*time.Second, "the first configuration is not accepted", func() bool { return s.sendWrite(first, 0, 1) == 200 }) {
+		return
+	}
+	s.advance(syncTime / 2)
+	if s.schedule.BackgroundLoad {
+		s.startBackgroundLoad()
+	}
+	for _, x := range s.schedule.Steps {
+		s.advance(time.Duration(x.WaitMs) * time.Millisecond)
+		if s.hasFailed() {
+			return
+		}
+		s.perform(x)
+	}
+	s.verifyFinalState()
+}
+
+// startBackgroundLoad has an operator write all the time, and each core be read.
+func (s *simulation) startBackgroundLoad() {
+	repeat := func(f func(n int)) {
+		s.clientOps.Go(func() {
+			for n := 0; !s.hasFailed() && !s.isFinishing(); n++ {
+				f(n)
+				time.Sleep(contactTimeout / 8)
+			}
+		})
+	}
+	repeat(func(n int) { s.sendWrite(s.newWrite(0, 0), n, 3) })
+	for i := range s.schedule.Cores {
+		repeat(func(int) {
+			s.mu.Lock()
+			m := s.cores[i%len(s.cores)]
+			s.mu.Unlock()
+			s.readConfiguration(m)
+		})
+	}
+}
+
+// isFinishing reports whether all steps have been performed.
+func (s *simulation) isFinishing() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.finishing
+}
+
+// verifyFinalState ends all faults and verifies that the cores converge, also
+// after one more crash.
+func (s *simulation) verifyFinalState() {
+	s.mu.Lock()
+	s.finishing = true
+	s.mu.Unlock()
+	if !s.healAll() {
+		return
+	}
+	s.clientOps.Wait()
+	if !s.verifyConverged("after all is healed") {
+		return
+	}
+	last := s.cores[s.schedule.FinalLoss]
+	s.kill(last)
+	if !s.verifyWrite("after one more loss") {
+		return
+	}
+	s.start(last)
+	if !s.verifyConverged("after the last one is back") {
+		return
+	}
+	for _, m := range s.cores {
+		s.requireWithin(8*time.Second, m.name+" does not report its status", func() bool { return s.verifyHandlers(m) })
+	}
+}
+
+// verifyHandlers checks that no deregistered handler is ready in the status of a
+// core; false without an answer.
+func (s *simulation) verifyHandlers(m *machine) bool {
+	o, err := s.statusOf(m)
+	if err != nil {
+		return false
+	}
+	for _, h := range o.Handlers {
+		if h.State == handler.Ready && s.deregistered[h.ID] != nil {
+			s.fail("instance", "%s reports %s, which is deregistered, in the end", m.name, h.ID)
+		}
+	}
+	return true
+}
+
+// verifyConverged verifies that a write is acknowledged, all cores are members
+// and voters, and each can be read.
+func (s *simulation) verifyConverged(what string) bool {
+	if !s.verifyWrite(what) || !s.verifyFullView(2*syncTime, what) {
+		return false
+	}
+	for _, m := range s.cores {
+		if !s.requireWithin(8*time.Second, m.name+" cannot be read "+what, func() bool { return s.readConfiguration(m) }) {
+			return false
+		}
+	}
+	return !s.hasFailed()
+}
+
+// verifyWrite verifies that a write is acknowledged.
+func (s *simulation) verifyWrite(what string) bool {
+	return s.requireWithin(15*time.Second, "no write is acknowledged "+what, func() bool {
+		o := s.newWrite(0, 0)
+		for range 8 { // the same write again, since its answer may be lost
+			if code := s.sendWrite(o, 0, s.schedule.Cores); code != 0 {
+				return code == 200
+			}
+		}
+		return false
+	})
+}
+
+// verifyFullView waits until all running cores are members and voters of one view.
+func (s *simulation) verifyFullView(limit time.Duration, what string) bool {
+	var report string
+	ok := s.pollUntil(limit, func() (full bool) {
+		full, report = s.hasFullView()
+		return full
+	})
+	if !ok && !s.hasFailed() {
+		s.fail("membership", "not all cores are members and vote %s within %v:%s", what, limit, report)
+	}
+	return ok
+}
+
+// hasFullView asks the cores for their views, up to the first that is not as it
+// must be, and reports what they answered.
+func (s *simulation) hasFullView() (full bool, report string) {
+	var want []string
+	for _, m := range s.cores {
+		want = append(want, internalAddress(m))
+	}
+	slices.Sort(want)
+	numbers := map[int64]bool{}
+	for _, m := range s.cores {
+		v, err := s.viewOf(m)
+		report += fmt.Sprintf("\n    %s: %v, %v", m.name, v, err)
+		if err != nil || !slices.Equal(sortedAddresses(v.Members), want) || !slices.Equal(sortedAddresses(v.Voters), want) {
+			return false, report
+		}
+		numbers[v.Number] = true
+	}
+	return len(numbers) == 1, report
+}
+
+func sortedAddresses(list []chain.Member) (out []string) {
+	for _, m := range list {
+		out = append(out, m.Address)
+	}
+	slices.Sort(out)
+	return out
+}
+
+// pollUntil advances until f holds or the time is over.
+func (s *simulation) pollUntil(limit time.Duration, f func() bool) bool {
+	for end := time.Now().Add(limit); !s.hasFailed(); s.advance(50 * time.Millisecond) {
+		if f() {
+			return !s.hasFailed()
+		}
+		if time.Now().After(end) {
+			return false
+		}
+	}
+	return false
+}
+
+// requireWithin is pollUntil whose time-out is a violation.
+func (s *simulation) requireWithin(limit time.Duration, what string, f func() bool) bool {
+	ok := s.pollUntil(limit, f)
+	if !ok && !s.hasFailed() {
+		s.fail("stuck", "%s within %v", what, limit)
+	}
+	return ok
+}
+
+// advance lets time elapse; the actions that become due meanwhile are performed.
+func (s *simulation) advance(d time.Duration) {
+	end := time.Now().Add(d)
+	for {
+		now := time.Now()
+		slices.SortStableFunc(s.pendingEvents, func(a, b delayedAction) int { return a.dueAt.Compare(b.dueAt) })
+		if len(s.pendingEvents) > 0 && !s.pendingEvents[0].dueAt.After(now) {
+			e := s.pendingEvents[0]
+			s.pendingEvents = s.pendingEvents[1:]
+			e.perform()
+			continue
+		}
+		if !now.Before(end) {
+			return
+		}
+		next := end
+		if len(s.pendingEvents) > 0 && s.pendingEvents[0].dueAt.Before(next) {
+			next = s.pendingEvents[0].dueAt
+		}
+		if s.fault.onTick != nil {
+			s.fault.onTick(s)
+			if tick := now.Add(100 * time.Millisecond); tick.Before(next) {
+				next = tick
+			}
+		}
+		s.waitForAction(next.Sub(now))
+	}
+}
+
+// waitForAction waits, but no longer than until a trigger adds an action.
+func (s *simulation) waitForAction(limit time.Duration) {
+	timer := time.NewTimer(limit)
+	select {
+	case <-timer.C:
+	case e := <-s.delayed:
+		s.pendingEvents = append(s.pendingEvents, e)
+	}
+	timer.Stop()
+}
+
+// injectFor starts a fault now and ends it later.
+func (s *simulation) injectFor(ms int, start, end func()) {
+	start()
+	s.mu.Lock()
+	s.activeFaults++
+	s.mu.Unlock()
+	s.pendingEvents = append(s.pendingEvents, delayedAction{time.Now().Add(time.Duration(ms) * time.Millisecond), func() { s.endFault(end) }})
+}
+
+func (s *simulation) endFault(end func()) {
+	end()
+	s.mu.Lock()
+	s.activeFaults--
+	s.lastFaultEnd = time.Now()
+	s.mu.Unlock()
+}
+
+// endAllFaults performs all pending actions at once.
+func (s *simulation) endAllFaults() {
+	for {
+		select {
+		case e := <-s.delayed:
+			s.pendingEvents = append(s.pendingEvents, e)
+			continue
+		default:
+		}
+		if len(s.pendingEvents) == 0 {
+			return
+		}
+		e := s.pendingEvents[0]
+		s.pendingEvents = s.pendingEvents[1:]
+		e.perform()
+	}
+}
+
+// healAll ends all faults and waits until all cores are back: only then another
+// disk may be lost. A disk that was put back with less than what was
+// acknowledged on it would be a lost one that still has its identity: nothing is
+// guaranteed for that, and no schedule does it.
+func (s *simulation) healAll() bool {
+	s.mu.Lock()
+	s.armedTriggers = nil
+	s.mu.Unlock()
+	s.endAllFaults()
+	s.advance(syncTime)
+	return s.verifyFullView(2*syncTime, "without faults")
+}
+
+// endFaultAfter counts a fault as active and has the schedule's goroutine end it
+// later. It may be called from any goroutine.
+func (s *simulation) endFaultAfter(ms int, end func()) {
+	s.mu.Lock()
+	s.activeFaults++
+	s.mu.Unlock()
+	s.delayed <- delayedAction{time.Now().Add(time.Duration(ms) * time.Millisecond), func() { s.endFault(end) }}
+}
--- a/internal/cluster/search_test.go
+++ b/internal/cluster/search_test.go
@@ -14,8 +14,8 @@
 	"pgregory.net/rapid"
 )
 
-// The search plays random schedules on whole clusters of cores and looks
-// whether what operators, readers, handlers and nodes saw was right.
+// The search runs random schedules on whole clusters of cores and checks what
+// operators, readers, handlers and nodes were answered.
 //
 //	go test ./internal/cluster -run TestSearch                       the seeds of each build
 //	go test ./internal/cluster -run TestSearch -search.seed 17       one of them again
@@ -23,16 +23,16 @@
 //	go test ./internal/cluster -run TestSearch -search.for 1h        as many as there is time for
 //
 // The simulated clock does not order what goroutines do at one moment, so a
-// schedule is the same each time, and what happens in it nearly so: one seed
-// alone is played -search.again times before it counts as passed. In CI each is
-// played once.
+// schedule is the same each time, and what happens in it nearly so: a single seed
+// is run -search.again times before it counts as successful. In CI each is run
+// once.
 var (
-	searchSeed  = flag.Int("search.seed", envInt("SALTREEL_SEARCH_SEED", 0), "play only the schedule of this seed")
+	searchSeed  = flag.Int("search.seed", envInt("SALTREEL_SEARCH_SEED", 0), "run only the schedule of this seed")
 	searchFirst = flag.Int("search.first", 1, "the first seed")
-	searchCount = flag.Int("search.count", 100, "how many schedules are played")
-	searchFor   = flag.Duration("search.for", 0, "play schedules for so long")
-	searchAgain = flag.Int("search.again", 5, "how often one seed alone is played")
-	searchAll   = flag.Bool("search.all", false, "play all seeds with each planted fault, and list those that find it")
+	searchCount = flag.Int("search.count", 100, "how many schedules are run")
+	searchFor   = flag.Duration("search.for", 0, "run schedules for so long")
+	searchAgain = flag.Int("search.again", 5, "how often a single seed is run")
+	searchAll   = flag.Bool("search.all", false, "run all seeds with each planted fault, and list those that find it")
 	shrinkFor   = flag.Duration("search.shrink", 20*time.Second, "how long a schedule that fails is shrunk")
 )
 
@@ -45,11 +45,11 @@
 
 func TestSearch(t *testing.T) {
 	if *searchSeed != 0 {
-		judgeSeed(t, *searchSeed, *searchAgain)
+		checkSeed(t, *searchSeed, *searchAgain)
 		return
 	}
 	began := time.Now()
-	var next, played, failed atomic.Int64
+	var next, executed, failed atomic.Int64
 	t.Run("seeds", func(t *testing.T) {
 		for worker := range runtime.GOMAXPROCS(0) {
 			t.Run(fmt.Sprint(worker), func(t *testing.T) {
@@ -59,29 +59,29 @@
 					if *searchFor > 0 && time.Since(began) > *searchFor || *searchFor == 0 && n >= *searchCount {
 						return
 					}
-					if !judgeSeed(t, *searchFirst+n, 1) {
+					if !checkSeed(t, *searchFirst+n, 1) {
 						failed.Add(1)
 					}
-					played.Add(1)
+					executed.Add(1)
 				}
 			})
 		}
 	})
-	counted.Lock()
-	defer counted.Unlock()
-	t.Logf("%d schedules in %v, %d failed; in them %v", played.Load(), time.Since(began).Round(time.Second), failed.Load(), counted.n)
+	totals.Lock()
+	defer totals.Unlock()
+	t.Logf("%d schedules in %v, %d failed; in them %v", executed.Load(), time.Since(began).Round(time.Second), failed.Load(), totals.n)
 }
 
-// judgeSeed plays the schedule of a seed; one that fails is shrunk and shown.
-func judgeSeed(t *testing.T, seed, times int) bool {
+// checkSeed runs the schedule of a seed; one that fails is shrunk and printed.
+func checkSeed(t *testing.T, seed, times int) bool {
 	t.Helper()
-	plan := draw(seed)
+	plan := drawSchedule(seed)
 	for range times {
-		f := play(t, plan, plant{})
+		f := runSchedule(t, plan, plantedFault{})
 		if f == nil {
 			continue
 		}
-		small, g := shrink(t, seed, plan, f, plant{})
+		small, g := shrinkSchedule(t, seed, plan, f, plantedFault{})
 		t.Errorf("seed %d fails (-search.seed %[1]d): %s\n\nshrunk:\n%v\n\n%v\n\nas drawn:\n%v\n\n%v", seed, f.class, small, g, plan, f)
 		return false
 	}
@@ -91,15 +91,15 @@
 // rapidFlags guards the flags of rapid, by which alone a seed can be given to it.
 var rapidFlags sync.Mutex
 
-// draw gives the schedule of a seed.
-func draw(seed int) schedule {
+// drawSchedule returns the schedule of a seed.
+func drawSchedule(seed int) schedule {
 	rapidFlags.Lock()
 	defer rapidFlags.Unlock()
-	return schedules.Example(seed)
+	return scheduleGenerator.Example(seed)
 }
 
 // shrink looks for a smaller schedule that fails in the same way.
-func shrink(t *testing.T, seed int, plan schedule, f *finding, p plant) (schedule, *finding) {
+func shrinkSchedule(t *testing.T, seed int, plan schedule, f *violation, p plantedFault) (schedule, *violation) {
 	t.Helper()
 	if *shrinkFor <= 0 {
 		return plan, f
@@ -117,12 +117,12 @@
 	done := make(chan struct{})
 	go func() { // rapid ends the goroutine of a check that failed
 		defer close(done)
-		rapid.Check(&quiet{}, func(rt *rapid.T) {
-			x := schedules.Draw(rt, "schedule")
+		rapid.Check(&discardTB{}, func(rt *rapid.T) {
+			x := scheduleGenerator.Draw(rt, "schedule")
 			key := x.String()
 			fails, ok := known[key]
 			for try := 0; !ok && !fails && try < 2; try++ {
-				if g := play(t, x, p); g != nil && g.class == f.class {
+				if g := runSchedule(t, x, p); g != nil && g.class == f.class {
 					fails, best, small = true, x, g
 				}
 			}
@@ -136,36 +136,49 @@
 	return best, small
 }
 
-// quiet is what rapid tells; the search tells itself what it found.
-type quiet struct{ failed atomic.Bool }
-
-func (*quiet) Helper()                 {}
-func (*quiet) Name() string            { return "search" }
-func (*quiet) Logf(string, ...any)     {}
-func (*quiet) Log(...any)              {}
-func (*quiet) Skipf(string, ...any)    {}
-func (*quiet) Skip(...any)             {}
-func (*quiet) SkipNow()                {}
-func (q *quiet) Errorf(string, ...any) { q.Fail() }
-func (q *quiet) Error(...any)          { q.Fail() }
-func (q *quiet) Fatalf(string, ...any) { q.FailNow() }
-func (q *quiet) Fatal(...any)          { q.FailNow() }
-func (q *quiet) FailNow()              { q.Fail(); runtime.Goexit() }
-func (q *quiet) Fail()                 { q.failed.Store(true) }
-func (q *quiet) Failed() bool          { return q.failed.Load() }
+// silentTB is a rapid.TB without output: the search reports what it found itself.
+type discardTB struct{ failed atomic.Bool }
+
+func (*discardTB) Helper() {}
+
+func (*discardTB) Name() string { return "search" }
+
+func (*discardTB) Logf(string, ...any) {}
+
+func (*discardTB) Log(...any) {}
+
+func (*discardTB) Skipf(string, ...any) {}
+
+func (*discardTB) Skip(...any) {}
+
+func (*discardTB) SkipNow() {}
+
+func (q *discardTB) Errorf(string, ...any) { q.Fail() }
+
+func (q *discardTB) Error(...any) { q.Fail() }
+
+func (q *discardTB) Fatalf(string, ...any) { q.FailNow() }
+
+func (q *discardTB) Fatal(...any) { q.FailNow() }
+
+func (q *discardTB) FailNow() { q.Fail(); runtime.Goexit() }
+
+func (q *discardTB) Fail() { q.failed.Store(true) }
+
+func (q *discardTB) Failed() bool { return q.failed.Load() }
 
 // The schedule that rapid shrinks must be the one that the seed stands for.
-func TestShrinkingBeginsWithTheSchedulePlayed(t *testing.T) {
+func TestShrinkingStartsFromTheExecutedSchedule(t *testing.T) {
 	for seed := 1; seed < 50; seed++ {
-		plan := draw(seed)
+		plan := drawSchedule(seed)
 		rapidFlags.Lock()
 		_ = flag.Set("rapid.seed", fmt.Sprint(seed))
 		_ = flag.Set("rapid.checks", "1")
 		same := false
-		rapid.Check(&quiet{}, func(rt *rapid.T) { same = schedules.Draw(rt, "schedule").String() == plan.String() })
+		rapid.Check(&discardTB{}, func(rt *rapid.T) { same = scheduleGenerator.Draw(rt, "schedule").String() == plan.String() })
 		rapidFlags.Unlock()
 		if !same {
-			t.Fatalf("seed %d: another schedule is shrunk than played", seed)
+			t.Fatalf("seed %d: another schedule is shrunk than executed", seed)
 		}
 	}
 }
--- /dev/null
+++ b/internal/cluster/search_triggers_test.go
@@ -0,0 +1,174 @@
+package cluster
+
+// The faults that are triggered by a message between cores, or by an
+// acknowledgement to a client.
+
+import (
+	"bytes"
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// trigger is a step whose fault waits for a message.
+type trigger struct {
+	step
+	remaining int // messages until the fault
+}
+
+// interceptRequest sees each request between processes before it is sent: it
+// fires the triggers that wait for it, and lets a planted fault change it, or
+// answer it in place of the receiver.
+func (s *simulation) interceptRequest(from *process, to string, raw []byte) (out, answer []byte) {
+	head, body, ok := bytes.Cut(raw, []byte("\r\n\r\n"))
+	words := strings.SplitN(string(head[:min(len(head), 64)]), " ", 3)
+	if !ok || from.exempt || len(words) < 3 || from.ip == clientIP {
+		return raw, nil
+	}
+	ip, _, _ := strings.Cut(to, ":")
+	s.fireTriggers(words[1], body, from.ip, ip)
+	if s.fault.interceptRequest == nil {
+		return raw, nil
+	}
+	changed, answer := s.fault.interceptRequest(s, from.ip, ip, words[1], body)
+	header := strings.Split(string(head), "\r\n")
+	if answer != nil {
+		call := "" // an answer repeats the identity of its call
+		for _, field := range header {
+			if strings.HasPrefix(field, "Call:") {
+				call = field + "\r\n"
+			}
+		}
+		return nil, fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", call, len(answer), answer)
+	}
+	if changed == nil {
+		return raw, nil
+	}
+	for i, field := range header {
+		if strings.HasPrefix(field, "Content-Length:") {
+			header[i] = "Content-Length: " + strconv.Itoa(len(changed))
+		}
+	}
+	return append([]byte(strings.Join(header, "\r\n")+"\r\n\r\n"), changed...), nil
+}
+
+// fireTriggers injects the faults that wait for a message.
+func (s *simulation) fireTriggers(path string, body []byte, from, to string) {
+	s.mu.Lock()
+	var due []step
+	s.armedTriggers = slices.DeleteFunc(s.armedTriggers, func(t *trigger) bool {
+		if m := triggerMessages[t.Trigger.Message]; m.path != path || !bytes.Contains(body, []byte(m.words)) {
+			return false
+		}
+		t.remaining--
+		if t.remaining == 0 {
+			due = append(due, t.step)
+		}
+		return t.remaining == 0
+	})
+	s.mu.Unlock()
+	for _, x := range due {
+		what := triggeredFaults[x.Trigger.Fault].name
+		for _, l := range s.affectedLinks(what, from, to, x.A) {
+			// The links are blocked or held before the message is sent.
+			s.breakLink(l)
+			s.endFaultAfter(x.DurationMs, func() { s.restoreLink(l) })
+		}
+		s.endFaultAfter(x.Trigger.DelayMs, func() { s.inject(what, x.DurationMs, from, to) })
+	}
+}
+
+func (s *simulation) breakLink(l link) {
+	if l.hold {
+		s.world.network.hold(l.from, l.to)
+	} else {
+		s.adjustBlocks(1, []string{l.from}, []string{l.to})
+	}
+}
+
+func (s *simulation) restoreLink(l link) {
+	if l.hold {
+		s.world.network.release(l.from, l.to)
+	} else {
+		s.adjustBlocks(-1, []string{l.from}, []string{l.to})
+	}
+}
+
+// link leads from one machine to another; a triggered fault holds it or blocks it.
+type link struct {
+	from, to string
+	hold     bool
+}
+
+// affectedLinks returns the links that a triggered fault blocks or holds.
+func (s *simulation) affectedLinks(what, from, to string, n int) (out []link) {
+	around := func(ip string, hold bool) {
+		for _, o := range s.peersOf(ip, n) {
+			out = append(out, link{ip, o, hold}, link{o, ip, hold})
+		}
+	}
+	switch what {
+	case "hold the link":
+		out = append(out, link{from, to, true})
+	case "hold the answers":
+		out = append(out, link{to, from, true})
+	case "lose the link":
+		out = append(out, link{from, to, false})
+	case "cut off the sender", "cut off the sender and kill the receiver":
+		around(from, false)
+	case "cut off the receiver", "cut off the receiver and kill the sender":
+		around(to, false)
+	case "freeze the sender":
+		around(from, true)
+	case "freeze the receiver":
+		around(to, true)
+	}
+	return out
+}
+
+// inject starts the part of a triggered fault that concerns machines or
+// connections; affectedLinks is the part that concerns links.
+func (s *simulation) inject(what string, ms int, from, to string) {
+	at := func(ip string) (out []*machine) {
+		for _, m := range s.cores {
+			if m.ip == ip {
+				out = append(out, m)
+			}
+		}
+		return out
+	}
+	s.mu.Lock()
+	// A disk may be lost only where there has been no other fault for long enough.
+	mayWipe := s.activeFaults <= 1 && time.Since(s.lastFaultEnd) > syncTime && time.Since(s.startedAt) > syncTime
+	s.logLocked("fault: %s, from %s to %s, for %d ms", what, from, to, ms)
+	s.mu.Unlock()
+	switch what {
+	case "reset":
+		s.world.network.reset(from, to)
+	case "kill the sender":
+		s.crash(ms, false, at(from)...)
+	case "kill the receiver":
+		s.crash(ms, false, at(to)...)
+	case "cut off the sender and kill the receiver":
+		s.crash(100, false, at(to)...)
+	case "cut off the receiver and kill the sender":
+		s.crash(100, false, at(from)...)
+	case "kill all":
+		s.crash(ms, false, s.cores...)
+	case "power":
+		s.crash(ms, true, s.cores...)
+	case "wipe the sender", "power, wipe the sender":
+		m := at(from)
+		if !mayWipe || len(m) == 0 {
+			return
+		}
+		if what == "wipe the sender" {
+			s.crash(ms, false, m...)
+		} else {
+			s.crash(ms, true, s.cores...)
+		}
+		s.wipeDisk(m[0])
+	}
+}
--- /dev/null
+++ b/internal/cluster/store_failure_test.go
@@ -0,0 +1,307 @@
+package cluster
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"os"
+	"testing"
+	"time"
+
+	"saltreel/internal/rpc"
+)
+
+// Each store crashes in turn under load: every accepted message completes, and
+// the partitions return to their first placement.
+func TestStoreCrashLosesNoAcceptedMessage(t *testing.T) {
+	runCluster(t, func(w *world) {
+		plain := w.newService("plain", "z1", "z2", "z3")
+		w.applyConfiguration(options{})
+		n := len(w.withTraffic(plain, func() {
+			for _, z := range zones {
+				time.Sleep(2 * time.Second)
+				w.killMachine("store-" + z)
+				time.Sleep(3 * time.Second)
+				w.startMachine("store-"+z, false)
+				time.Sleep(5 * time.Second)
+			}
+		}))
+		if n < 1200 {
+			t.Errorf("only %d messages were accepted", n)
+		}
+		w.waitFor(10*time.Second, "the first placement again", func() bool {
+			s, err := w.status()
+			lead := map[string]int{}
+			for _, p := range s.Placement.Partitions {
+				if p.InSync(1) {
+					lead[p.Primary]++
+				}
+			}
+			return err == nil && lead["store-z1"] == 4 && lead["store-z2"] == 4 && lead["store-z3"] == 4
+		})
+	})
+}
+
+// Stores and edges that are restarted in order hand over what they do: no message
+// is delivered twice.
+func TestRollingRestartDeliversExactlyOnce(t *testing.T) {
+	runCluster(t, func(w *world) {
+		plain := w.newService("plain", "z1", "z2", "z3")
+		w.applyConfiguration(options{})
+		names := w.withTraffic(plain, func() {
+			for _, z := range zones {
+				time.Sleep(time.Second)
+				if took := w.terminateMachine("store-" + z); took > 6*time.Second {
+					t.Errorf("store-%s took %v to stop", z, took)
+				}
+				w.startMachine("store-"+z, false)
+				time.Sleep(4 * time.Second)
+				if took := w.terminateMachine("edge-" + z); took > 6*time.Second {
+					t.Errorf("edge-%s took %v to stop", z, took)
+				}
+				w.startMachine("edge-"+z, false)
+			}
+		})
+		for id := range names {
+			if n := plain.deliveryCount(id); n != 1 {
+				t.Errorf("%s ran %d times", id, n)
+			}
+		}
+	})
+}
+
+// A primary that was isolated while its messages became due delivers none of them
+// when it is connected again.
+func TestDeposedPrimaryDeliversNothingAfterIsolation(t *testing.T) {
+	runCluster(t, func(w *world) {
+		plain := w.newService("plain", "z1", "z2", "z3")
+		w.applyConfiguration(options{})
+		var names []string
+		for i := range 60 {
+			names = append(names, w.sendUntilAccepted("z1", "/plain/", fmt.Sprintf("w%d", i), "Saltreel-Delay-Ms", "3000"))
+		}
+		w.network.isolate("10.1.0.2", true) // the store of z1 runs on, but reaches nobody
+		w.withTraffic(plain, func() { time.Sleep(6 * time.Second) })
+		w.network.isolate("10.1.0.2", false)
+		w.withTraffic(plain, func() { time.Sleep(6 * time.Second) })
+		for i, name := range names {
+			id := fmt.Sprintf("w%d", i)
+			w.waitForState(name, "complete seal-"+id, 5*time.Second)
+			if n := plain.deliveryCount(id); n != 1 {
+				t.Errorf("%s ran %d times", id, n)
+			}
+		}
+	})
+}
+
+// After a power loss of all machines, delayed messages are delivered once and the
+// configuration is in force.
+func TestMessagesSurvivePowerLossOfAllMachines(t *testing.T) {
+	runCluster(t, func(w *world) {
+		plain := w.newService("plain", "z2")
+		w.applyConfiguration(options{})
+		names := map[string]string{}
+		for i := range 30 {
+			id := fmt.Sprintf("p%d", i)
+			names[id] = w.sendUntilAccepted(zones[i%3], "/plain/", id, "Saltreel-Delay-Ms", "8000")
+		}
+		for name, m := range w.machines {
+			if m.role != "" {
+				w.killMachine(name)
+			}
+		}
+		time.Sleep(2 * time.Second)
+		for name, m := range w.machines {
+			if m.role != "" {
+				w.startMachine(name, false)
+			}
+		}
+		for id, name := range names {
+			w.waitForState(name, "complete seal-"+id, 30*time.Second)
+			if n := plain.deliveryCount(id); n != 1 {
+				t.Errorf("%s ran %d times", id, n)
+			}
+		}
+		raw, err := w.operator().Get(context.Background(), "/v1/configuration")
+		if err != nil || !bytes.Equal(raw, w.configuration(w.revision, options{})) {
+			t.Errorf("the configuration is not what was sent: %v", err)
+		}
+	})
+}
+
+// A store that comes back with an empty disk gets its replicas from the others and
+// leads its partitions again.
+func TestWipedStoreIsResynchronizedFromReplicas(t *testing.T) {
+	runCluster(t, func(w *world) {
+		plain := w.newService("plain", "z2")
+		w.applyConfiguration(options{})
+		names := map[string]string{}
+		for i := range 40 {
+			id := fmt.Sprintf("d%d", i)
+			names[id] = w.sendUntilAccepted(zones[i%3], "/plain/", id, "Saltreel-Delay-Ms", "15000")
+		}
+		before, _ := w.status()
+		w.killMachine("store-z1")
+		if err := os.RemoveAll(w.machines["store-z1"].dataPath); err != nil {
+			t.Fatal(err)
+		}
+		w.startMachine("store-z1", false)
+		w.waitFor(8*time.Second, "all partitions in sync again", func() bool {
+			s, err := w.status()
+			lead, ok := 0, err == nil && s.Placement.Stores["store-z1"].Disk != before.Placement.Stores["store-z1"].Disk
+			for _, p := range s.Placement.Partitions {
+				ok = ok && p.InSync(1)
+				if p.Primary == "store-z1" {
+					lead++
+				}
+			}
+			return ok && lead == 4
+		})
+		w.killMachine("store-z2") // what it stored is on the new disk by now
+		for id, name := range names {
+			w.waitForState(name, "complete seal-"+id, 30*time.Second)
+			if n := plain.deliveryCount(id); n != 1 {
+				t.Errorf("%s ran %d times", id, n)
+			}
+		}
+	})
+}
+
+// With one store left, messages are rejected at once with 503 and a Retry-After,
+// and a rejected one is never delivered.
+func TestSingleReplicaAcceptsNoMessage(t *testing.T) {
+	runCluster(t, func(w *world) {
+		plain := w.newService("plain", "z3")
+		w.applyConfiguration(options{})
+		w.killMachine("store-z1")
+		time.Sleep(5 * time.Second)
+		w.killMachine("store-z2")
+		time.Sleep(5 * time.Second)
+		rejected := []string{}
+		for i := range 6 {
+			id := fmt.Sprintf("n%d", i)
+			began := time.Now()
+			a := w.sendMessage(zones[i%3], "/plain/", id)
+			switch {
+			case a.Status == 202:
+				t.Errorf("%s was accepted on one disk", id)
+			case a.Status == 503 && a.Header.Get("Retry-After") == "":
+				t.Errorf("a 503 has no Retry-After")
+			case a.Status == 503:
+				rejected = append(rejected, id)
+			}
+			if took := time.Since(began); took > 300*time.Millisecond {
+				t.Errorf("%s waited %v for its answer, %d", id, took, a.Status)
+			}
+		}
+		w.startMachine("store-z1", false)
+		w.startMachine("store-z2", false)
+		w.withTraffic(plain, func() { time.Sleep(8 * time.Second) })
+		for _, id := range rejected {
+			if plain.deliveryCount(id) != 0 {
+				t.Errorf("%s ran after a 503", id)
+			}
+		}
+	})
+}
+
+// A store is retired once its replicas are elsewhere, and only if enough stores
+// remain.
+func TestRetiredStoreIsDrained(t *testing.T) {
+	runCluster(t, func(w *world) {
+		plain := w.newService("plain", "z1", "z2")
+		w.applyConfiguration(options{})
+		op := w.operator()
+		ctx := context.Background()
+		if err := op.Retire(ctx, "store-nowhere", time.Second); rpc.StatusCode(err) != 404 {
+			t.Errorf("unknown store: %v", err)
+		}
+		w.withTraffic(plain, func() {
+			if err := op.Retire(ctx, "store-z2", 10*time.Second); err != nil {
+				t.Errorf("retire: %v", err)
+			}
+			w.waitFor(10*time.Second, "the store is empty", func() bool {
+				raw, err := op.Get(ctx, "/v1/retire/store-z2")
+				return err == nil && string(raw) == `{"oper-state":"complete"}`
+			})
+			w.killMachine("store-z2")
+		})
+		if err := op.Retire(ctx, "store-z1", time.Second); rpc.StatusCode(err) != 409 {
+			t.Errorf("too few would be left: %v", err)
+		}
+	})
+}
+
+// When all links are slow for a while, no store loses its partitions, and what is
+// accepted is delivered once.
+func TestUniformSlownessCausesNoFailover(t *testing.T) {
+	runCluster(t, func(w *world) {
+		plain := w.newService("plain", "z1", "z2", "z3")
+		w.applyConfiguration(options{})
+		before, err := w.status()
+		if err != nil {
+			t.Fatal(err)
+		}
+		names := w.withTraffic(plain, func() {
+			time.Sleep(time.Second)
+			w.network.setDelay(60 * time.Millisecond)
+			time.Sleep(2 * time.Second)
+			w.network.setDelay(time.Millisecond)
+			time.Sleep(3 * time.Second)
+		})
+		after, err := w.status()
+		if err != nil {
+			t.Fatal(err)
+		}
+		for i, p := range after.Placement.Partitions {
+			if p.Epoch != before.Placement.Partitions[i].Epoch {
+				t.Errorf("partition %d moved from %s to %s", i, before.Placement.Partitions[i].Primary, p.Primary)
+			}
+		}
+		for id := range names {
+			if n := plain.deliveryCount(id); n != 1 {
+				t.Errorf("%s ran %d times", id, n)
+			}
+		}
+	})
+}
+
+// A store that the cores cannot reach is declared dead while it delivers: its
+// outcomes must reach its successor before that one may deliver.
+func TestSuccessorDoesNotRedeliverWorkOfDeposedPrimary(t *testing.T) {
+	runCluster(t, func(w *world) {
+		plain := w.newService("plain", "z1", "z2", "z3")
+		w.applyConfiguration(options{})
+		cores, isolated := []string{"10.1.0.1", "10.2.0.1", "10.3.0.1"}, []string{"10.1.0.2"}
+		stop := make(chan struct{})
+		accepted := w.streamMessages("/plain/", 4*time.Millisecond, stop)
+		time.Sleep(time.Second)
+		w.setPartition(cores, isolated, bothDirections, true)
+		w.waitFor(5*time.Second, "the store leads nothing", func() bool {
+			s, err := w.status()
+			leads := 0
+			for _, p := range s.Placement.Partitions {
+				if p.Primary == "store-z1" {
+					leads++
+				}
+			}
+			return err == nil && leads == 0
+		})
+		time.Sleep(2 * time.Second)
+		close(stop)
+		names := accepted()
+		for id, name := range names {
+			w.waitForState(name, "complete seal-"+id, 20*time.Second)
+		}
+		for id := range names {
+			if n := plain.deliveryCount(id); n != 1 {
+				t.Errorf("%s ran %d times", id, n)
+				for _, d := range plain.received() {
+					if d.id == id {
+						t.Logf("%s: %v to %v at %s", names[id], d.startedAt, d.endedAt, d.instance)
+					}
+				}
+			}
+		}
+	})
+}
