--- a/internal/boltstore/damage.go
+++ b/internal/boltstore/damage.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// Replaced reports whether a file of this name was ever moved aside as damaged.
+// WasReplaced reports whether a file of this name was ever moved aside as damaged.
 // It errs towards true: an unreadable directory may hold one.
-func Replaced(path string) bool {
+func WasReplaced(path string) bool {
 	entries, err := os.ReadDir(filepath.Dir(path))
 	return err != nil || slices.ContainsFunc(entries, func(e fs.DirEntry) bool {
 		return strings.HasPrefix(e.Name(), filepath.Base(path)+damagedInfix)
--- a/internal/boltstore/file_test.go
+++ b/internal/boltstore/file_test.go
@@ -164,7 +164,7 @@
 	path := filepath.Join(t.TempDir(), "deep[1", "down", "state.db")
 	s := newState(path)
 	s.mustOpen(t)
-	if Replaced(path) {
+	if WasReplaced(path) {
 		t.Error("an intact file counts as replaced")
 	}
 	for n := 1; n < 3; n++ {
@@ -176,7 +176,7 @@
 			t.Fatalf("%v, %d entries", err, len(s.memory))
 		}
 		aside := fmt.Sprintf("%s.damaged-%d", path, n)
-		if len(s.lines) != 1 || !strings.Contains(s.lines[0], aside) || !Replaced(path) {
+		if len(s.lines) != 1 || !strings.Contains(s.lines[0], aside) || !WasReplaced(path) {
 			t.Errorf("lines: %q", s.lines)
 		}
 		if _, err := os.Stat(aside); err != nil {
@@ -211,8 +211,8 @@
 	if err := s.Batch(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put([]byte("7"), []byte("new")) }); !errors.Is(err, ErrDamaged) {
 		t.Fatal(err)
 	}
-	<-s.Lost()
-	if err := s.put("8", "new"); !errors.Is(err, ErrDamaged) || len(s.lines) != 1 || !Replaced(s.Path) {
+	<-s.Damaged()
+	if err := s.put("8", "new"); !errors.Is(err, ErrDamaged) || len(s.lines) != 1 || !WasReplaced(s.Path) {
 		t.Errorf("%v, %q", err, s.lines)
 	}
 	s.mustClose(t)
@@ -232,7 +232,7 @@
 			if err := s.Open(); !errors.Is(err, refusal) || errors.Is(err, ErrDamaged) || !strings.Contains(err.Error(), s.Path) {
 				t.Errorf("%s: %v", step, err)
 			}
-			if Replaced(s.Path) || s.Err() == nil {
+			if WasReplaced(s.Path) || s.Err() == nil {
 				t.Errorf("%s: moved aside", step)
 			}
 		}
--- a/internal/boltstore/recovery.go
+++ b/internal/boltstore/recovery.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Lost returns a channel that is closed once the file was found damaged, and
+// Damaged returns a channel that is closed once the file was found damaged, and
 // moved aside, while it was in use.
-func (f *File) Lost() <-chan struct{} {
+func (f *File) Damaged() <-chan struct{} {
 	f.init()
 	return f.damaged
 }
--- a/internal/cluster/core_restart_test.go
+++ b/internal/cluster/core_restart_test.go
@@ -138,7 +138,7 @@
 				w.startMachine("core-z3", false)
 			}
 			w.waitForNewDisk("core-z1", oldDisk, recoveryLimit)
-			if !boltstore.Replaced(w.databaseFile("core-z1")) {
+			if !boltstore.WasReplaced(w.databaseFile("core-z1")) {
 				t.Error("the damaged file was not moved aside")
 			}
 			w.verifyConfiguration("with the damaged core back", want)
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -18,7 +18,7 @@
 			t.Errorf("%s: %v, not %s", target, r, want)
 		}
 	}
-	if table.Route("h", "/z") != nil || table.Route("i", "/x/") != nil || table.Holder("") != nil || table.Holder("k2").Name != "t" {
+	if table.Route("h", "/z") != nil || table.Route("i", "/x/") != nil || table.TenantOfKey("") != nil || table.TenantOfKey("k2").Name != "t" {
 		t.Error("a lookup is wrong")
 	}
 	for what, change := range map[string][2]string{
--- a/internal/configuration/table.go
+++ b/internal/configuration/table.go
@@ -80,8 +80,8 @@
 // Tenant returns the tenant of a name; nil if there is none.
 func (t *Table) Tenant(name string) *Tenant { return t.tenants[name] }
 
-// Holder returns the tenant that an API key belongs to; nil if there is none.
-func (t *Table) Holder(key string) *Tenant {
+// TenantOfKey returns the tenant that an API key belongs to; nil if there is none.
+func (t *Table) TenantOfKey(key string) *Tenant {
 	if key == "" {
 		return nil
 	}
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -106,7 +106,7 @@
 	if partition.Epoch != replica.Epoch {
 		return false, partition.Epoch > replica.Epoch
 	}
-	at := partition.Backup(replica.Store)
+	at := partition.BackupIndex(replica.Store)
 	switch {
 	case at < 0:
 		return false, false
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -38,13 +38,13 @@
 	return s.store.RetireState(ctx, name)
 }
 
-// Steady says whether this core is in contact with its chain.
-func (s *Server) Steady() bool { return s.chain.InContact() }
+// InContact says whether this core is in contact with its chain.
+func (s *Server) InContact() bool { return s.chain.InContact() }
 
-// Elsewhere is the control-plane address of the core that answers changes, or
+// RedirectAddress is the control-plane address of the core that answers changes, or
 // reads, in the view known here. It is "" if that is this core, if none is known,
 // or if its machine refused a connection a moment ago.
-func (s *Server) Elsewhere(write bool) string {
+func (s *Server) RedirectAddress(write bool) string {
 	target := s.store.RedirectTarget(write)
 	if target == "" {
 		return ""
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -66,7 +66,7 @@
 // New makes the process; Run opens the state on disk.
 func New(set *settings.Settings, network httpwire.Network, logger *log.Logger) (*Server, error) {
 	incarnation := rand.Text()
-	s := &Server{settings: set, timing: timing{set.Contact()}, log: logger, network: network, address: set.Internal()}
+	s := &Server{settings: set, timing: timing{set.Contact()}, log: logger, network: network, address: set.InternalAddress()}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.node = membership.Node{Name: set.NodeName, Role: "core", Address: s.address, Zone: set.Zone, Region: set.Region, Incarnation: incarnation}
 	s.client = rpc.NewClient(&httpwire.Pool{Network: network})
@@ -113,7 +113,7 @@
 	}
 	s.registry, err = registry.New(registry.Config{
 		Address:        s.address,
-		Seeds:          s.settings.Cores,
+		Seeds:          s.settings.CoreAddresses,
 		Self:           func() chain.Member { return s.chain.Self },
 		Chain:          s.chain,
 		Client:         s.client,
@@ -206,7 +206,7 @@
 	s.goBackground(func(ctx context.Context) { s.state.Recover(ctx, s.timing.diskRetryInterval()) })
 	select {
 	case <-ctx.Done():
-	case <-s.state.Lost():
+	case <-s.state.Damaged():
 		err = s.state.Err()
 	}
 	shutdown, cancel := context.WithTimeout(context.Background(), s.timing.shutdownTimeout())
@@ -302,8 +302,8 @@
 // one does not bootstrap the chain: what it held is on the others.
 func (s *Server) prepareState(tx *bbolt.Tx) error {
 	var founders []string
-	if s.settings.Bootstrap && !boltstore.Replaced(s.state.Path) {
-		founders = s.settings.Cores()
+	if s.settings.Bootstrap && !boltstore.WasReplaced(s.state.Path) {
+		founders = s.settings.CoreAddresses()
 	}
 	if err := s.registry.InitState(tx); err != nil {
 		return err
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -50,7 +50,7 @@
 		return overview, err
 	}
 	overview.Placement = placement.Readable(current)
-	page, _ := s.journal.Since("", 0, nil, nil)
+	page, _ := s.journal.EventsSince("", 0, nil, nil)
 	overview.addEvents(page.Events)
 	return overview, nil
 }
--- a/internal/delivery/attempt.go
+++ b/internal/delivery/attempt.go
@@ -27,7 +27,7 @@
 	now := time.Now()
 	e.inFlight--
 	m.running = false
-	if !result.Kept {
+	if !result.IdleConnectionBroke {
 		s.recordOutcomeLocked(e, m.queue, result.Outcome, now)
 	}
 	if m.ended {
@@ -86,14 +86,14 @@
 // recordOutcomeLocked takes an outcome into account for the endpoint and its
 // service.
 func (s *Scheduler) recordOutcomeLocked(e *endpoint, q *serviceQueue, o handler.Outcome, now time.Time) {
-	if o != handler.NotRun {
+	if o != handler.NotExecuted {
 		q.failureRate = smooth(q.failureRate, o, 16)
 	}
 	e.health.recordOutcome(o, now, s.timing)
 	switch o {
-	case handler.Wrong: // another endpoint has its address: it does not run any more
+	case handler.WrongInstance: // another endpoint has its address: it does not run any more
 		s.endpoints.removeIfCurrent(e, q.service)
-	case handler.Silent:
+	case handler.NoResponse:
 		s.config.Pool.Forget(e.Address) // its connections may be stalled
 	default:
 	}
@@ -111,7 +111,7 @@
 	switch {
 	case o == handler.Failed && lastAttempt && m.queue.failureRate > 2*ordinaryFailureRate:
 		mean = s.timing.lastRetry()
-	case o == handler.Failed, o == handler.Unclear, o == handler.Silent:
+	case o == handler.Failed, o == handler.Indeterminate, o == handler.NoResponse:
 		mean <<= min(m.tries-1, maxRetryDoublings)
 	}
 	return mean/2 + rand.N(mean)
--- a/internal/delivery/attempt_test.go
+++ b/internal/delivery/attempt_test.go
@@ -20,10 +20,10 @@
 		{handler.Failed, 2, true},
 		{handler.Failed, 3, true},
 		{handler.Done, 2, false},
-		{handler.NotRun, 9, false},
-		{handler.Wrong, 9, false},
-		{handler.Unclear, 9, false},
-		{handler.Silent, 9, false},
+		{handler.NotExecuted, 9, false},
+		{handler.WrongInstance, 9, false},
+		{handler.Indeterminate, 9, false},
+		{handler.NoResponse, 9, false},
 	} {
 		if got := isDead(c.o, c.failedBefore, 3); got != c.want {
 			t.Errorf("%v after %d failures: %v", c.o, c.failedBefore, got)
@@ -42,16 +42,16 @@
 	}{
 		"first failure":                {handler.Failed, 1, 1, 0, 20},
 		"second failure":               {handler.Failed, 2, 1, 0, 40},
-		"no answer, third try":         {handler.Silent, 3, 0, 0, 80},
-		"unclear, fourth try":          {handler.Unclear, 4, 0, 0, 160},
+		"no answer, third try":         {handler.NoResponse, 3, 0, 0, 80},
+		"unclear, fourth try":          {handler.Indeterminate, 4, 0, 0, 160},
 		"bounded":                      {handler.Failed, 50, 1, 0, 320},
-		"declined":                     {handler.NotRun, 9, 0, 0, 20},
-		"wrong handler":                {handler.Wrong, 9, 0, 0, 20},
+		"declined":                     {handler.NotExecuted, 9, 0, 0, 20},
+		"wrong handler":                {handler.WrongInstance, 9, 0, 0, 20},
 		"last attempt, service fails":  {handler.Failed, 2, 2, 0.21, 2000},
 		"last attempt, service works":  {handler.Failed, 2, 2, 0.2, 40},
 		"not the last, service fails":  {handler.Failed, 1, 1, 0.9, 20},
-		"no answer before the last":    {handler.Silent, 3, 2, 0.9, 80},
-		"declined before the last one": {handler.NotRun, 3, 2, 0.9, 20},
+		"no answer before the last":    {handler.NoResponse, 3, 2, 0.9, 80},
+		"declined before the last one": {handler.NotExecuted, 3, 2, 0.9, 20},
 	} {
 		m := &message{tries: c.tries, failedAttempts: c.failed, queue: &serviceQueue{failureRate: c.failureRate}}
 		mean := c.mean * time.Millisecond
--- a/internal/delivery/health.go
+++ b/internal/delivery/health.go
@@ -58,25 +58,25 @@
 
 // recordOutcome takes the outcome of one attempt into account.
 func (h *endpointHealth) recordOutcome(o handler.Outcome, now time.Time, t timing) {
-	if o != handler.NotRun {
+	if o != handler.NotExecuted {
 		h.failureRate = smooth(h.failureRate, o, 8)
 	}
 	switch o {
 	case handler.Done, handler.Refused, handler.Failed: // it answers
 		h.consecutiveFailures = 0
 		h.unproven = false
-	case handler.NotRun:
+	case handler.NotExecuted:
 		h.blockedUntil = now.Add(t.declineBackoff() + rand.N(t.declineBackoff()))
-	case handler.Silent:
+	case handler.NoResponse:
 		h.consecutiveFailures++
 		h.eject(t.baseEjection(), now, t)
-	case handler.Unclear:
+	case handler.Indeterminate:
 		h.consecutiveFailures++
 		if h.consecutiveFailures > 1 {
 			h.consecutiveFailures++ // after another failure it counts twice
 			h.eject(t.baseUnclearEjection(), now, t)
 		}
-	case handler.Wrong: // another endpoint has its address: the caller removes it
+	case handler.WrongInstance: // another endpoint has its address: the caller removes it
 	}
 }
 
--- a/internal/delivery/health_test.go
+++ b/internal/delivery/health_test.go
@@ -25,18 +25,18 @@
 		"new":                        {0, nil, []look{{0, healthy}}},
 		"warming up":                 {time.Second, nil, []look{{0, slowStart}, {999 * time.Millisecond, slowStart}, {time.Second, healthy}}},
 		"answers":                    {0, outcomes(handler.Done, handler.Refused, handler.Failed), []look{{0, healthy}}},
-		"does not answer":            {0, outcomes(handler.Silent), []look{{74 * time.Millisecond, ejected}, {126 * time.Millisecond, probing}, {time.Hour, probing}}},
-		"one unclear outcome":        {0, outcomes(handler.Unclear), []look{{0, healthy}}},
-		"two unclear outcomes":       {0, outcomes(handler.Unclear, handler.Unclear), []look{{149 * time.Millisecond, ejected}, {251 * time.Millisecond, probing}}},
-		"unclear, done, unclear":     {0, outcomes(handler.Unclear, handler.Done, handler.Unclear), []look{{0, healthy}}},
-		"declines":                   {0, outcomes(handler.NotRun), []look{{19 * time.Millisecond, backingOff}, {40 * time.Millisecond, healthy}}},
-		"declines while warming up":  {time.Second, outcomes(handler.NotRun), []look{{0, backingOff}, {40 * time.Millisecond, slowStart}}},
-		"ejected while warming up":   {time.Second, outcomes(handler.Silent), []look{{0, ejected}, {126 * time.Millisecond, probing}}},
-		"done after the ejection":    {0, outcomes(handler.Silent, handler.Done), []look{{126 * time.Millisecond, healthy}}},
-		"done within the ejection":   {0, outcomes(handler.Silent, handler.Done), []look{{74 * time.Millisecond, backingOff}}},
-		"failed after the ejection":  {0, outcomes(handler.Silent, handler.Failed), []look{{126 * time.Millisecond, healthy}}},
-		"declined in the ejection":   {0, outcomes(handler.Silent, handler.NotRun), []look{{19 * time.Millisecond, ejected}, {40 * time.Millisecond, probing}}},
-		"another one at the address": {0, outcomes(handler.Wrong), []look{{0, healthy}}},
+		"does not answer":            {0, outcomes(handler.NoResponse), []look{{74 * time.Millisecond, ejected}, {126 * time.Millisecond, probing}, {time.Hour, probing}}},
+		"one unclear outcome":        {0, outcomes(handler.Indeterminate), []look{{0, healthy}}},
+		"two unclear outcomes":       {0, outcomes(handler.Indeterminate, handler.Indeterminate), []look{{149 * time.Millisecond, ejected}, {251 * time.Millisecond, probing}}},
+		"unclear, done, unclear":     {0, outcomes(handler.Indeterminate, handler.Done, handler.Indeterminate), []look{{0, healthy}}},
+		"declines":                   {0, outcomes(handler.NotExecuted), []look{{19 * time.Millisecond, backingOff}, {40 * time.Millisecond, healthy}}},
+		"declines while warming up":  {time.Second, outcomes(handler.NotExecuted), []look{{0, backingOff}, {40 * time.Millisecond, slowStart}}},
+		"ejected while warming up":   {time.Second, outcomes(handler.NoResponse), []look{{0, ejected}, {126 * time.Millisecond, probing}}},
+		"done after the ejection":    {0, outcomes(handler.NoResponse, handler.Done), []look{{126 * time.Millisecond, healthy}}},
+		"done within the ejection":   {0, outcomes(handler.NoResponse, handler.Done), []look{{74 * time.Millisecond, backingOff}}},
+		"failed after the ejection":  {0, outcomes(handler.NoResponse, handler.Failed), []look{{126 * time.Millisecond, healthy}}},
+		"declined in the ejection":   {0, outcomes(handler.NoResponse, handler.NotExecuted), []look{{19 * time.Millisecond, ejected}, {40 * time.Millisecond, probing}}},
+		"another one at the address": {0, outcomes(handler.WrongInstance), []look{{0, healthy}}},
 	} {
 		now := time.Now()
 		h := endpointHealth{slowStartUntil: now.Add(c.warmUp)}
@@ -64,13 +64,13 @@
 	var h endpointHealth
 	for i, mean := range []time.Duration{100, 200, 400, 500, 500, 500, 500, 500, 500} {
 		mean *= time.Millisecond
-		h.recordOutcome(handler.Silent, now, testTiming)
+		h.recordOutcome(handler.NoResponse, now, testTiming)
 		if got := h.blockedUntil.Sub(now); got < mean*3/4 || got > mean*5/4 {
 			t.Errorf("failure %d: ejected for %v, not about %v", i+1, got, mean)
 		}
 	}
 	h.recordOutcome(handler.Done, now, testTiming)
-	h.recordOutcome(handler.Silent, now, testTiming)
+	h.recordOutcome(handler.NoResponse, now, testTiming)
 	if got := h.blockedUntil.Sub(now); got > 125*time.Millisecond {
 		t.Errorf("ejected for %v after a success", got)
 	}
@@ -83,12 +83,12 @@
 		want   float64
 	}{
 		{0, handler.Failed, 0.125},
-		{0, handler.Silent, 0.125},
-		{0, handler.Unclear, 0.125},
-		{0, handler.Wrong, 0.125},
+		{0, handler.NoResponse, 0.125},
+		{0, handler.Indeterminate, 0.125},
+		{0, handler.WrongInstance, 0.125},
 		{1, handler.Done, 0.875},
 		{1, handler.Refused, 0.875},
-		{0.5, handler.NotRun, 0.5}, // it did not run
+		{0.5, handler.NotExecuted, 0.5}, // it did not run
 	} {
 		h := endpointHealth{failureRate: c.before}
 		if h.recordOutcome(c.o, time.Now(), testTiming); h.failureRate != c.want {
--- a/internal/delivery/scheduler_test.go
+++ b/internal/delivery/scheduler_test.go
@@ -233,7 +233,7 @@
 	if e.health.state(now) != slowStart || e.health.state(now.Add(time.Second)) != healthy {
 		t.Errorf("a new instance is %v, then %v", e.health.state(now), e.health.state(now.Add(time.Second)))
 	}
-	e.health.recordOutcome(handler.Silent, now, s.timing)
+	e.health.recordOutcome(handler.NoResponse, now, s.timing)
 	s.endpoints.update("i", handler.Instance{ID: "i", Service: "a", Slots: 5}, now)
 	if got := s.endpoints["a"]["i"]; got != e || got.Slots != 5 || got.health.state(now) != ejected {
 		t.Errorf("after a renewal: %+v", got)
--- a/internal/distribution/following.go
+++ b/internal/distribution/following.go
@@ -59,7 +59,7 @@
 		f.parent = parent
 		f.log.Printf("distribution: following %s", parent)
 	}
-	f.journal.Load(page)
+	f.journal.Apply(page)
 	f.position = position{parent: parent, source: page.Source, number: page.Number}
 	f.noteResponse()
 }
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -94,7 +94,7 @@
 	expired := false
 	for {
 		changed, urgentChange := p.config.Journal.Changes()
-		page, urgent := p.config.Journal.Since(request.Source, request.Number, request.Digest, request.wants)
+		page, urgent := p.config.Journal.EventsSince(request.Source, request.Number, request.Digest, request.wants)
 		var batchComplete <-chan time.Time
 		if len(page.Events) > 0 {
 			remaining := p.config.BatchDelay - time.Since(page.Oldest())
--- a/internal/distribution/publisher_test.go
+++ b/internal/distribution/publisher_test.go
@@ -58,7 +58,7 @@
 		if n := len(page.Events); n < 6 || n > 6+6*(2+nodes/100) {
 			t.Errorf("of %d nodes: %d events, 6 differ", nodes, n)
 		}
-		child.Load(page)
+		child.Apply(page)
 		if n := len(watch(t, p, WatchRequest{Digest: child.Digest()}).Events); n != 0 {
 			t.Errorf("of %d nodes: %d events when nothing differs", nodes, n)
 		}
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -112,7 +112,7 @@
 
 // Run follows parents until ctx ends. It may be called once.
 func (s *Subscriber) Run(ctx context.Context) {
-	s.journal.Fold(s.applyEvent)
+	s.journal.Subscribe(s.applyEvent)
 	f := &following{Subscriber: s, failedAt: map[string]time.Time{}}
 	for ctx.Err() == nil {
 		if parent := f.chooseParent(); parent != "" {
--- a/internal/edge/admission_test.go
+++ b/internal/edge/admission_test.go
@@ -61,8 +61,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			q := newQuotas()
-			q.requestBytes.Limit(quota.Entity{Tenant: quota.Default}, 1000)
-			q.requestTime.Limit(quota.Entity{Tenant: quota.Default}, 0.5)
+			q.requestBytes.SetLimit(quota.Entity{Tenant: quota.Default}, 1000)
+			q.requestTime.SetLimit(quota.Entity{Tenant: quota.Default}, 0.5)
 			x, by := q.recordRequest("one", "route", test.bytes, test.worked, test.accepted)
 			if (x > 0) != test.throttle {
 				t.Errorf("throttle time %v, want one: %v", x, test.throttle)
@@ -84,7 +84,7 @@
 	for _, rate := range []float64{10, 20} {
 		q.applyLimits(table(rate))
 		reference := quota.NewManager(quota.Accepted)
-		reference.Limit(quota.Entity{Tenant: "one"}, rate)
+		reference.SetLimit(quota.Entity{Tenant: "one"}, rate)
 		want, _ := reference.MaxInWindow("one", "route")
 		if got, limited := q.accepted.MaxInWindow("one", "route"); !limited || got != want {
 			t.Errorf("rate %v: most in a window %v, limited %v; want %v", rate, got, limited, want)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -49,7 +49,7 @@
 		stalled: newStalledPrimaries(timing.stallMemory()),
 	}
 	// One tenant may have half of what this node's processor can do.
-	e.quotas.requestTime.Limit(quota.Entity{Tenant: quota.Default}, set.Limits.CpuShare*max(1, set.Limits.CoreCount)/2)
+	e.quotas.requestTime.SetLimit(quota.Entity{Tenant: quota.Default}, set.Limits.CpuShare*max(1, set.Limits.CoreCount)/2)
 	e.leases = ratelimit.NewLeases(e.node.Client, e.node.Placement, set.Contact())
 	return e
 }
@@ -113,7 +113,7 @@
 }
 
 func (e *Edge) listen() (opened listeners, err error) {
-	opened.internal, err = e.network.Listen(e.set.Internal())
+	opened.internal, err = e.network.Listen(e.set.InternalAddress())
 	if err != nil {
 		return opened, fmt.Errorf("listen for our own processes: %w", err)
 	}
--- a/internal/edge/quotas.go
+++ b/internal/edge/quotas.go
@@ -35,14 +35,14 @@
 		return
 	}
 	q.limits = t
-	q.requestBytes.Replace(store.ByteLimits(t))
+	q.requestBytes.SetLimits(store.ByteLimits(t))
 	rates := map[quota.Entity]float64{}
 	for _, tenant := range t.TenantTable {
 		if tenant.RatePerS > 0 {
 			rates[quota.Entity{Tenant: tenant.Name}] = tenant.RatePerS
 		}
 	}
-	q.accepted.Replace(rates)
+	q.accepted.SetLimits(rates)
 }
 
 // recordRequest records the bytes of a request and the time that it was worked
--- a/internal/handler/deliver.go
+++ b/internal/handler/deliver.go
@@ -32,7 +32,7 @@
 	Seal    string
 	Status  int   // 0: there was no response
 	Err     error // why there was none
-	Kept    bool  // only an idle connection broke, which says nothing about the handler
+	IdleConnectionBroke    bool  // only an idle connection broke, which says nothing about the handler
 }
 
 // Deliver makes the attempt and waits for its outcome.
@@ -79,8 +79,8 @@
 // failedResult classifies an attempt without a complete response.
 func failedResult(err error) Result {
 	if httpwire.NotSent(err) || errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded) {
-		return Result{Outcome: Silent, Err: err}
+		return Result{Outcome: NoResponse, Err: err}
 	}
 	var e *httpwire.Error
-	return Result{Outcome: Unclear, Err: err, Kept: errors.As(err, &e) && e.Reused}
+	return Result{Outcome: Indeterminate, Err: err, IdleConnectionBroke: errors.As(err, &e) && e.Reused}
 }
--- a/internal/handler/handler_test.go
+++ b/internal/handler/handler_test.go
@@ -25,19 +25,19 @@
 	}{
 		"success":                       {200, seal, Done},
 		"success without content":       {204, seal, Done},
-		"success without a seal":        {200, nil, Unclear},
-		"success that was not executed": {200, both, NotRun},
-		"another instance":              {421, declined, Wrong},
+		"success without a seal":        {200, nil, Indeterminate},
+		"success that was not executed": {200, both, NotExecuted},
+		"another instance":              {421, declined, WrongInstance},
 		"rejected":                      {422, nil, Refused},
 		"failed":                        {500, nil, Failed},
-		"failed and not executed":       {500, declined, NotRun},
-		"bad request":                   {400, nil, NotRun},
-		"conflict":                      {409, nil, NotRun},
-		"too many requests":             {429, nil, NotRun},
-		"unavailable":                   {503, nil, NotRun},
-		"of a proxy":                    {502, seal, Unclear},
-		"redirection":                   {302, seal, Unclear},
-		"not found":                     {404, nil, Unclear},
+		"failed and not executed":       {500, declined, NotExecuted},
+		"bad request":                   {400, nil, NotExecuted},
+		"conflict":                      {409, nil, NotExecuted},
+		"too many requests":             {429, nil, NotExecuted},
+		"unavailable":                   {503, nil, NotExecuted},
+		"of a proxy":                    {502, seal, Indeterminate},
+		"redirection":                   {302, seal, Indeterminate},
+		"not found":                     {404, nil, Indeterminate},
 	} {
 		if got := outcomeOf(&httpwire.Answer{Status: c.status, Header: c.header}); got != c.want {
 			t.Errorf("%s: %v, not %v", name, got, c.want)
@@ -51,15 +51,15 @@
 		want Outcome
 		kept bool
 	}{
-		"not sent":               {&httpwire.Error{Err: errors.New("refused")}, Silent, false},
-		"time-out of the socket": {&httpwire.Error{Sent: true, Err: os.ErrDeadlineExceeded}, Silent, false},
-		"time-out of the call":   {&httpwire.Error{Sent: true, Err: context.DeadlineExceeded}, Silent, false},
-		"broken":                 {&httpwire.Error{Sent: true, Err: errors.New("reset")}, Unclear, false},
-		"broken while idle":      {&httpwire.Error{Sent: true, Reused: true, Err: errors.New("reset")}, Unclear, true},
-		"of another kind":        {errors.New("unknown"), Unclear, false},
+		"not sent":               {&httpwire.Error{Err: errors.New("refused")}, NoResponse, false},
+		"time-out of the socket": {&httpwire.Error{Sent: true, Err: os.ErrDeadlineExceeded}, NoResponse, false},
+		"time-out of the call":   {&httpwire.Error{Sent: true, Err: context.DeadlineExceeded}, NoResponse, false},
+		"broken":                 {&httpwire.Error{Sent: true, Err: errors.New("reset")}, Indeterminate, false},
+		"broken while idle":      {&httpwire.Error{Sent: true, Reused: true, Err: errors.New("reset")}, Indeterminate, true},
+		"of another kind":        {errors.New("unknown"), Indeterminate, false},
 	} {
 		err := fmt.Errorf("deliver: %w", c.err)
-		if got := failedResult(err); got.Outcome != c.want || got.Kept != c.kept || !errors.Is(got.Err, c.err) {
+		if got := failedResult(err); got.Outcome != c.want || got.IdleConnectionBroke != c.kept || !errors.Is(got.Err, c.err) {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
--- a/internal/handler/outcome.go
+++ b/internal/handler/outcome.go
@@ -14,10 +14,10 @@
 	Done    Outcome = iota // it ran and succeeded; the response carries a seal
 	Refused                // the handler will never run it
 	Failed                 // it ran and failed; a later attempt may succeed
-	NotRun                 // the handler declined before running it
-	Wrong                  // another instance answers at the address
-	Unclear                // indeterminate: it may have run
-	Silent                 // no response in time, or no connection
+	NotExecuted                 // the handler declined before running it
+	WrongInstance                  // another instance answers at the address
+	Indeterminate                // indeterminate: it may have run
+	NoResponse                 // no response in time, or no connection
 )
 
 func (o Outcome) String() string {
@@ -38,10 +38,10 @@
 // outcomeOf classifies a complete response.
 func outcomeOf(a *httpwire.Answer) Outcome {
 	if a.Status == http.StatusMisdirectedRequest {
-		return Wrong
+		return WrongInstance
 	}
 	if a.Header.Get(headerNotExecuted) != "" {
-		return NotRun
+		return NotExecuted
 	}
 	if a.Status/100 == 2 && a.Header.Get(headerSeal) != "" {
 		return Done
@@ -52,7 +52,7 @@
 	case http.StatusInternalServerError:
 		return Failed
 	case http.StatusBadRequest, http.StatusConflict, http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return NotRun
+		return NotExecuted
 	}
-	return Unclear // such as success without a seal, or a proxy's response
+	return Indeterminate // such as success without a seal, or a proxy's response
 }
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -14,8 +14,8 @@
 type Pool struct {
 	Network Network
 	MaxIdle int           // idle connections for one peer; 0: defaultMaxIdle
-	Expire  time.Duration // an idle connection older than this is not used; 0: as the peer's Keep-Alive says
-	Opening time.Duration // how long opening a connection may take; 0: as long as the call
+	IdleTimeout  time.Duration // an idle connection older than this is not used; 0: as the peer's Keep-Alive says
+	DialTimeout time.Duration // how long opening a connection may take; 0: as long as the call
 
 	mu   sync.Mutex
 	idle map[string][]*clientConn // by address
@@ -58,9 +58,9 @@
 	if c := p.acquireIdle(addr); c != nil {
 		return c, nil
 	}
-	if p.Opening > 0 {
+	if p.DialTimeout > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, p.Opening)
+		ctx, cancel = context.WithTimeout(ctx, p.DialTimeout)
 		defer cancel()
 	}
 	conn, err := p.Network.Dial(ctx, addr)
@@ -93,7 +93,7 @@
 
 // release makes a connection idle after a call, or closes it.
 func (p *Pool) release(addr string, c *clientConn, answer *Answer) {
-	if c.detached && c.prepareReuse(answer, p.Expire) {
+	if c.detached && c.prepareReuse(answer, p.IdleTimeout) {
 		p.addIdle(addr, c)
 		return
 	}
--- a/internal/httpwire/pool_test.go
+++ b/internal/httpwire/pool_test.go
@@ -141,7 +141,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			pool, dials := newEchoPool(t, c.header)
-			pool.Expire = c.expire
+			pool.IdleTimeout = c.expire
 			for range 2 {
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				if _, err := pool.Do(ctx, "h:1", &Call{Method: "GET", Target: "/", Host: "h"}); err != nil {
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// Fold calls f for all events that there are and then for each new one, in
+// Subscribe calls f for all events that there are and then for each new one, in
 // order, with the journal locked: f must not call it.
-func (j *Journal) Fold(f func(Event)) {
+func (j *Journal) Subscribe(f func(Event)) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, e := range j.eventsAfterLocked(0) {
@@ -119,11 +119,11 @@
 	return Event{}, false
 }
 
-// Since returns the events with a higher number that a reader wants (nil: all),
+// EventsSince returns the events with a higher number that a reader wants (nil: all),
 // and whether any of them is urgent. If source is another journal's, number says
 // nothing: then the page holds all events except those that the reader's digest,
 // if it sent one, shows to be there.
-func (j *Journal) Since(source string, number uint64, readerDigest []byte, wants func(Event) bool) (page Page, urgent bool) {
+func (j *Journal) EventsSince(source string, number uint64, readerDigest []byte, wants func(Event) bool) (page Page, urgent bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	known := source == j.source && number <= j.number
@@ -183,8 +183,8 @@
 	return events
 }
 
-// Load appends the events of a page.
-func (j *Journal) Load(page Page) {
+// Apply appends the events of a page.
+func (j *Journal) Apply(page Page) {
 	for _, e := range page.Events {
 		j.Append(e)
 	}
--- a/internal/journal/journal_bench_test.go
+++ b/internal/journal/journal_bench_test.go
@@ -73,7 +73,7 @@
 			j := newFilledJournal(n)
 			b.ReportAllocs()
 			for b.Loop() {
-				p, _ := j.Since("bench", uint64(n-1), nil, nil)
+				p, _ := j.EventsSince("bench", uint64(n-1), nil, nil)
 				p.Encode()
 			}
 		})
@@ -84,12 +84,12 @@
 func BenchmarkFullPage(b *testing.B) {
 	for _, n := range sizes {
 		j := newFilledJournal(n)
-		p, _ := j.Since("", 0, nil, nil)
+		p, _ := j.EventsSince("", 0, nil, nil)
 		raw := p.Encode()
 		b.Run(fmt.Sprintf("encode/keys=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				p, _ := j.Since("", 0, nil, nil)
+				p, _ := j.EventsSince("", 0, nil, nil)
 				p.Encode()
 			}
 			b.ReportMetric(float64(len(raw)), "page-B")
@@ -101,7 +101,7 @@
 				if err := json.Unmarshal(raw, &p); err != nil {
 					b.Fatal(err)
 				}
-				New("reader", time.Hour, "node/").Load(p)
+				New("reader", time.Hour, "node/").Apply(p)
 			}
 		})
 	}
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -53,7 +53,7 @@
 	if e, ok := j.Get("k"); !ok || e.Version.Major != 3 {
 		t.Errorf("%v %v", e, ok)
 	}
-	if page, _ := j.Since("a", 0, nil, nil); len(page.Events) != 1 || page.Number != 2 {
+	if page, _ := j.EventsSince("a", 0, nil, nil); len(page.Events) != 1 || page.Number != 2 {
 		t.Errorf("%+v", page)
 	}
 }
@@ -86,7 +86,7 @@
 		"the digest of a reader in step":    {"a", 3, same.Digest(), nil, all[3:]},
 		"a filter":                          {"", 0, nil, func(e Event) bool { return e.Key == "node/2" }, all[2:3]},
 	} {
-		page, _ := j.Since(c.source, c.number, c.digest, c.wants)
+		page, _ := j.EventsSince(c.source, c.number, c.digest, c.wants)
 		if got := keys(page); !slices.Equal(got, c.want) || page.Source != "a" || page.Number != 5 {
 			t.Errorf("%s: %v, not %v, of %s at %d", name, got, c.want, page.Source, page.Number)
 		}
@@ -98,7 +98,7 @@
 	j := New(`quoted "source"`, time.Hour, "")
 	j.Append(event("a", 1, `{"x":1}`))
 	j.Append(Event{Key: "b", Version: Version{1, 2}, Value: json.RawMessage("null"), Scope: "zone"})
-	page, _ := j.Since("", 0, nil, nil)
+	page, _ := j.EventsSince("", 0, nil, nil)
 	want, err := json.Marshal(page)
 	if err != nil {
 		t.Fatal(err)
@@ -163,7 +163,7 @@
 	j.Append(event("b", 1, "1"))
 	j.Append(event("a", 2, "1"))
 	var seen []string
-	j.Fold(func(e Event) { seen = append(seen, fmt.Sprint(e.Key, e.Version.Major)) })
+	j.Subscribe(func(e Event) { seen = append(seen, fmt.Sprint(e.Key, e.Version.Major)) })
 	j.Append(event("a", 1, "1"))
 	j.Append(event("c", 1, "1"))
 	if want := []string{"b1", "a2", "c1"}; !slices.Equal(seen, want) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -80,17 +80,17 @@
 		log:               config.Log,
 		timing:            timing,
 		healthy:           config.Healthy,
-		watchClient:       rpc.NewClient(&httpwire.Pool{Network: config.Network, Opening: timing.watchDialTimeout()}),
+		watchClient:       rpc.NewClient(&httpwire.Pool{Network: config.Network, DialTimeout: timing.watchDialTimeout()}),
 		heartbeats:        newHeartbeats(),
 		reportRate:        newReportRate(timing.reportInterval()),
 		background:        newBackground(),
 	}
 	n.self = membership.Node{
-		Name: set.NodeName, Role: config.Role, Address: set.Internal(),
+		Name: set.NodeName, Role: config.Role, Address: set.InternalAddress(),
 		Zone: set.Zone, Region: set.Region, Incarnation: incarnation,
 	}
 	n.subscriber = n.newSubscriber()
-	n.Journal.Fold(n.applyEvent)
+	n.Journal.Subscribe(n.applyEvent)
 	return n
 }
 
@@ -98,7 +98,7 @@
 func (n *Node) newSubscriber() *distribution.Subscriber {
 	return distribution.NewSubscriber(distribution.SubscriberConfig{
 		Self: n.self, Journal: n.Journal, Client: n.watchClient,
-		Seeds: n.Settings.Cores(), ContactTimeout: n.timing.contact, Log: n.log,
+		Seeds: n.Settings.CoreAddresses(), ContactTimeout: n.timing.contact, Log: n.log,
 	})
 }
 
@@ -126,7 +126,7 @@
 
 // Reload applies the settings that may change while the process runs: the
 // addresses of the seeds.
-func (n *Node) Reload(s *settings.Settings) { n.subscriber.SetSeeds(s.Cores()) }
+func (n *Node) Reload(s *settings.Settings) { n.subscriber.SetSeeds(s.CoreAddresses()) }
 
 // Cores gives the internal addresses of the cores that are known, or of the
 // seeds before any is.
@@ -134,7 +134,7 @@
 	if known := n.subscriber.KnownCores(); len(known) > 0 {
 		return known
 	}
-	return n.Settings.Cores()
+	return n.Settings.CoreAddresses()
 }
 
 // Drain says in all heartbeats from now on that this process is about to end,
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -32,8 +32,8 @@
 // that can, if it knows one: the client may reach what this core cannot.
 func (s *Server) Handle(ctx context.Context, r *httpwire.Request) *httpwire.Response {
 	write := r.Method != http.MethodGet
-	if !s.Core.Steady() {
-		if target := s.Core.Elsewhere(write); target != "" {
+	if !s.Core.InContact() {
+		if target := s.Core.RedirectAddress(write); target != "" {
 			return redirect(target, r)
 		}
 	}
@@ -42,7 +42,7 @@
 		return answer
 	}
 	if isUnavailable(err) {
-		if target := s.Core.Elsewhere(write); target != "" {
+		if target := s.Core.RedirectAddress(write); target != "" {
 			return redirect(target, r)
 		}
 	}
--- a/internal/partition/assignment.go
+++ b/internal/partition/assignment.go
@@ -61,7 +61,7 @@
 	wasPrimary := m.leadsLocked(p)
 	p.epoch = assignment.Epoch
 	p.primary = assignment.Primary
-	p.isBackup = assignment.Backup(m.config.Self) >= 0
+	p.isBackup = assignment.BackupIndex(m.config.Self) >= 0
 	p.handover.resume()
 	m.epochs[p.number] = p.epoch
 	p.announceChange()
@@ -90,7 +90,7 @@
 	m.events.push(Event{Partition: p.number, BecamePrimary: true, Records: p.pending()})
 	// A former primary that handed the partition over is a backup now, and holds
 	// nothing that is not here. One that is none was taken for failed.
-	if _, known := m.placement.Stores[former]; known && assignment.Backup(former) < 0 {
+	if _, known := m.placement.Stores[former]; known && assignment.BackupIndex(former) < 0 {
 		m.recoverFromLocked(p, former)
 	}
 }
--- a/internal/placement/helpers_test.go
+++ b/internal/placement/helpers_test.go
@@ -120,7 +120,7 @@
 		if changed != (now.Epoch > was.Epoch) {
 			t.Fatalf("partition %d: the epoch does not follow the change from %+v to %+v", i, was, now)
 		}
-		if at := was.Backup(now.Primary); now.Primary != was.Primary && (at < 0 || !was.Backups[at].InSync) {
+		if at := was.BackupIndex(now.Primary); now.Primary != was.Primary && (at < 0 || !was.Backups[at].InSync) {
 			t.Fatalf("partition %d: a replica not in sync becomes primary: %+v to %+v", i, was, now)
 		}
 		if now.Primary != was.Primary && available(was.Primary) && released[i] != was.Epoch {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -71,13 +71,13 @@
 	Regions int
 }
 
-// Backup returns the index of a store in the backups, or -1 if it is none.
-func (p Partition) Backup(store string) int {
+// BackupIndex returns the index of a store in the backups, or -1 if it is none.
+func (p Partition) BackupIndex(store string) int {
 	return slices.IndexFunc(p.Backups, func(b Backup) bool { return b.Store == store })
 }
 
 // Has reports whether a store holds a replica.
-func (p Partition) Has(store string) bool { return p.Primary == store || p.Backup(store) >= 0 }
+func (p Partition) Has(store string) bool { return p.Primary == store || p.BackupIndex(store) >= 0 }
 
 // InSync reports whether there are at least that many backups and all of them
 // are in sync.
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -229,7 +229,7 @@
 		}
 		return ""
 	}
-	if p.restored && partition.Primary != desired[0] && partition.Backup(desired[0]) >= 0 {
+	if p.restored && partition.Primary != desired[0] && partition.BackupIndex(desired[0]) >= 0 {
 		return desired[0]
 	}
 	return ""
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -12,7 +12,7 @@
 	primaries := map[string]int{}
 	for _, partition := range first.Partitions {
 		primaries[partition.Primary]++
-		if partition.Backup(partition.Primary) >= 0 || !partition.InSync(1) {
+		if partition.BackupIndex(partition.Primary) >= 0 || !partition.InSync(1) {
 			t.Fatalf("%+v", partition)
 		}
 	}
--- a/internal/placement/preferred_test.go
+++ b/internal/placement/preferred_test.go
@@ -12,7 +12,7 @@
 			names = append(names, fmt.Sprint("s", i))
 		}
 		for i, partition := range Initial(storesInOwnZones(names...), oneBackup).Partitions {
-			if partition.Backup(partition.Primary) >= 0 || len(partition.Backups) != min(1, n-1) {
+			if partition.BackupIndex(partition.Primary) >= 0 || len(partition.Backups) != min(1, n-1) {
 				t.Errorf("%d stores, partition %d: %+v", n, i, partition)
 			}
 		}
--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -54,23 +54,23 @@
 	}
 }
 
-// Limit sets the limit of an entity, a second. Its sensor is unaffected.
-func (m *Manager) Limit(e Entity, perSecond float64) {
+// SetLimit sets the limit of an entity, a second. Its sensor is unaffected.
+func (m *Manager) SetLimit(e Entity, perSecond float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.limits[e] = perSecond
 }
 
-// Unlimit removes the limit of an entity.
-func (m *Manager) Unlimit(e Entity) {
+// RemoveLimit removes the limit of an entity.
+func (m *Manager) RemoveLimit(e Entity) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.limits, e)
 }
 
-// Replace sets all limits at once; the manager owns the map from then on. The
+// SetLimits sets all limits at once; the manager owns the map from then on. The
 // sensors are unaffected.
-func (m *Manager) Replace(limits map[Entity]float64) {
+func (m *Manager) SetLimits(limits map[Entity]float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.limits = limits
@@ -125,7 +125,7 @@
 		return 0
 	}
 	s.record(value, now)
-	return Throttle(s.Rate(now), bound)
+	return ThrottleTime(s.Rate(now), bound)
 }
 
 // Rate returns the measured rate a second; 0 if there is no limit.
--- a/internal/quota/quota_bench_test.go
+++ b/internal/quota/quota_bench_test.go
@@ -18,7 +18,7 @@
 			runtime.GC()
 			runtime.ReadMemStats(&before)
 			m := NewManager(RequestBytes)
-			m.Limit(Entity{Tenant: Default}, 1e12)
+			m.SetLimit(Entity{Tenant: Default}, 1e12)
 			for _, name := range names {
 				m.Record(name, "r", 1)
 			}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -37,7 +37,7 @@
 
 func TestThrottleTimeBringsRateBackToBound(t *testing.T) {
 	for _, c := range []struct{ o, b, x float64 }{{10, 10, 0}, {5, 10, 0}, {15, 10, 0.5}, {30, 10, 2}} {
-		if x := Throttle(c.o, c.b); !approximately(x.Seconds(), c.x) {
+		if x := ThrottleTime(c.o, c.b); !approximately(x.Seconds(), c.x) {
 			t.Errorf("O=%v T=%v: X=%v, not %v", c.o, c.b, x, c.x)
 		}
 		w, x := Window.Seconds(), c.x
@@ -53,7 +53,7 @@
 		if x := m.Record("a", "r", 1e9); x != 0 {
 			t.Errorf("no limit: X=%v", x)
 		}
-		m.Limit(Entity{Tenant: "a"}, 10)
+		m.SetLimit(Entity{Tenant: "a"}, 10)
 		if x := m.Record("a", "r", 100); x != 0 {
 			t.Errorf("at the bound: X=%v", x)
 		}
@@ -76,13 +76,13 @@
 func TestNewLimitDoesNotResetSensor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := NewManager(Accepted)
-		m.Limit(Entity{Tenant: "a"}, 1000)
+		m.SetLimit(Entity{Tenant: "a"}, 1000)
 		m.Record("a", "r", 200)
-		m.Replace(map[Entity]float64{{Tenant: "a"}: 10})
+		m.SetLimits(map[Entity]float64{{Tenant: "a"}: 10})
 		if x := m.Record("a", "r", 0); !approximately(x.Seconds(), 1) {
 			t.Errorf("after the limit fell: X=%v, not 1 s for 20 a second against 10", x)
 		}
-		m.Limit(Entity{Tenant: "a"}, 1000)
+		m.SetLimit(Entity{Tenant: "a"}, 1000)
 		if r := m.Rate("a", "r"); !approximately(r, 20) {
 			t.Errorf("the use was reset: %v", r)
 		}
@@ -91,7 +91,7 @@
 
 func TestMostSpecificLimitApplies(t *testing.T) {
 	m := NewManager(RequestBytes)
-	m.Replace(map[Entity]float64{{"a", "r"}: 1, {"a", Default}: 2, {"a", ""}: 3, {Default, ""}: 4})
+	m.SetLimits(map[Entity]float64{{"a", "r"}: 1, {"a", Default}: 2, {"a", ""}: 3, {Default, ""}: 4})
 	for _, c := range []struct {
 		tenant, route string
 		bound         float64
@@ -101,7 +101,7 @@
 			t.Errorf("%s %s: %v %v", c.tenant, c.route, e, b)
 		}
 	}
-	m.Unlimit(Entity{"a", Default})
+	m.RemoveLimit(Entity{"a", Default})
 	if e, b, _ := m.resolve("a", "s"); b != 3 || e != (Entity{"a", ""}) {
 		t.Errorf("without the default of its routes: %v %v", e, b)
 	}
@@ -144,7 +144,7 @@
 func TestIdleSensorsAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := NewManager(RequestBytes)
-		m.Limit(Entity{Tenant: Default}, 1)
+		m.SetLimit(Entity{Tenant: Default}, 1)
 		m.Record("a", "r", 1)
 		time.Sleep(Idle / 2)
 		m.Record("b", "r", 1)
--- a/internal/quota/sensor.go
+++ b/internal/quota/sensor.go
@@ -91,9 +91,9 @@
 // minBound avoids a division by zero for a limit of 0.
 const minBound = 1e-3
 
-// Throttle returns the time X that brings an observed rate O back to its bound T
+// ThrottleTime returns the time X that brings an observed rate O back to its bound T
 // over a window W: O·W/(W+X) = T. It is 0 within the bound, and at most Idle.
-func Throttle(observed, bound float64) time.Duration {
+func ThrottleTime(observed, bound float64) time.Duration {
 	if observed <= bound {
 		return 0
 	}
--- a/internal/ratelimit/leases.go
+++ b/internal/ratelimit/leases.go
@@ -60,7 +60,7 @@
 	if x := l.tenants[tenant.Name]; x != nil && x.grantRate > 0 {
 		bound = min(bound, x.grantRate)
 	}
-	return quota.Throttle(observed, bound)
+	return quota.ThrottleTime(observed, bound)
 }
 
 // Acquire admits one message of a tenant and returns 0; if the tenant is over
--- a/internal/settings/derived.go
+++ b/internal/settings/derived.go
@@ -9,22 +9,22 @@
 // Contact is the contact bound. Most waits inside the system are ratios of it.
 func (s *Settings) Contact() time.Duration { return Ms(s.Timers.ContactMs) }
 
-// Internal returns the address, host:port, at which the system's own processes
+// InternalAddress returns the address, host:port, at which the system's own processes
 // reach this one.
-func (s *Settings) Internal() string { return s.InternalAt(s.IpAddress) }
+func (s *Settings) InternalAddress() string { return s.InternalAddressAt(s.IpAddress) }
 
-// InternalAt returns the internal address of the process on the host with that IP
+// InternalAddressAt returns the internal address of the process on the host with that IP
 // address. All hosts have the same port range.
-func (s *Settings) InternalAt(ip string) string {
+func (s *Settings) InternalAddressAt(ip string) string {
 	return net.JoinHostPort(ip, strconv.Itoa(int(s.InternalPortRange[0])))
 }
 
-// Cores returns the internal addresses of the seed peers.
-func (s *Settings) Cores() []string {
+// CoreAddresses returns the internal addresses of the seed peers.
+func (s *Settings) CoreAddresses() []string {
 	var addresses []string
 	for _, peer := range s.SeedPeers {
 		host, _, _ := net.SplitHostPort(peer) // checked by Parse
-		addresses = append(addresses, s.InternalAt(host))
+		addresses = append(addresses, s.InternalAddressAt(host))
 	}
 	return addresses
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Limits.CpuShare != 0.4 || !s.Bootstrap || s.Timers.SyncTimeS != 4.3 || s.Zones["z"] != "r" || s.Internal() != "10.0.0.1:7100" || s.Cores()[1] != "10.0.0.2:7100" {
+	if s.Limits.CpuShare != 0.4 || !s.Bootstrap || s.Timers.SyncTimeS != 4.3 || s.Zones["z"] != "r" || s.InternalAddress() != "10.0.0.1:7100" || s.CoreAddresses()[1] != "10.0.0.2:7100" {
 		t.Errorf("read as %v", s)
 	}
 	if err := s.Require("store"); err == nil || !strings.Contains(err.Error(), "data-path") {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -61,7 +61,7 @@
 	if err := s.newLimiter(); err != nil {
 		return nil, err
 	}
-	s.node.Journal.Fold(s.applyEvent)
+	s.node.Journal.Subscribe(s.applyEvent)
 	return s, nil
 }
 
@@ -92,7 +92,7 @@
 func (s *Store) newScheduler() error {
 	scheduler, err := delivery.New(delivery.Config{
 		Partitions: s.partitions,
-		Pool:       &httpwire.Pool{Network: s.network, Opening: s.timing.dial()},
+		Pool:       &httpwire.Pool{Network: s.network, DialTimeout: s.timing.dial()},
 		Settings:   s.settings,
 		Log:        s.log,
 		Table:      s.node.Table,
@@ -123,7 +123,7 @@
 		s.partitions.ApplyPlacement(*s.node.Placement()) // which the node has just decoded
 	case distribution.KeyConfiguration:
 		if t := s.node.Table(); t != nil {
-			s.deliveryBytes.Replace(ByteLimits(t))
+			s.deliveryBytes.SetLimits(ByteLimits(t))
 		}
 	}
 	s.scheduler.ApplyEvent(e)
@@ -169,7 +169,7 @@
 // Run serves until ctx ends, hands its partitions over, and returns. If the disk
 // fails for good, it returns at once.
 func (s *Store) Run(ctx context.Context) error {
-	listener, err := s.network.Listen(s.settings.Internal())
+	listener, err := s.network.Listen(s.settings.InternalAddress())
 	if err != nil {
 		return fmt.Errorf("listen for our own processes: %w", err)
 	}
