--- a/internal/handler/deliver.go
+++ b/internal/handler/deliver.go
@@ -28,11 +28,11 @@
 
 // Result is the outcome of an attempt with its circumstances.
 type Result struct {
-	Outcome Outcome
-	Seal    string
-	Status  int   // 0: there was no response
-	Err     error // why there was none
-	IdleConnectionBroke    bool  // only an idle connection broke, which says nothing about the handler
+	Outcome             Outcome
+	Seal                string
+	Status              int   // 0: there was no response
+	Err                 error // why there was none
+	IdleConnectionBroke bool  // only an idle connection broke, which says nothing about the handler
 }
 
 // Deliver makes the attempt and waits for its outcome.
--- a/internal/handler/outcome.go
+++ b/internal/handler/outcome.go
@@ -11,13 +11,13 @@
 
 // The outcomes of an attempt.
 const (
-	Done    Outcome = iota // it ran and succeeded; the response carries a seal
-	Refused                // the handler will never run it
-	Failed                 // it ran and failed; a later attempt may succeed
-	NotExecuted                 // the handler declined before running it
-	WrongInstance                  // another instance answers at the address
+	Done          Outcome = iota // it ran and succeeded; the response carries a seal
+	Refused                      // the handler will never run it
+	Failed                       // it ran and failed; a later attempt may succeed
+	NotExecuted                  // the handler declined before running it
+	WrongInstance                // another instance answers at the address
 	Indeterminate                // indeterminate: it may have run
-	NoResponse                 // no response in time, or no connection
+	NoResponse                   // no response in time, or no connection
 )
 
 func (o Outcome) String() string {
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -12,9 +12,9 @@
 // Pool keeps connections to peers open between calls. The zero value but for
 // Network is ready for use.
 type Pool struct {
-	Network Network
-	MaxIdle int           // idle connections for one peer; 0: defaultMaxIdle
-	IdleTimeout  time.Duration // an idle connection older than this is not used; 0: as the peer's Keep-Alive says
+	Network     Network
+	MaxIdle     int           // idle connections for one peer; 0: defaultMaxIdle
+	IdleTimeout time.Duration // an idle connection older than this is not used; 0: as the peer's Keep-Alive says
 	DialTimeout time.Duration // how long opening a connection may take; 0: as long as the call
 
 	mu   sync.Mutex
