--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,5 +1,5 @@
 // Package client is the HTTP interface for clients beyond plain HTTP: the headers
-// of a request that hands in a message, the names of messages, and the questions
+// of a request that submits a message, the names of messages, and the queries
 // about them.
 package client
 
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -7,7 +7,7 @@
 // new epoch, which fences off the messages of earlier primaries.
 //
 // All functions are pure: they do no I/O, read no clock, and their result
-// depends on the arguments alone. The controller in package controlplane
+// depends on the arguments alone. The controller in package controller
 // observes the stores, calls Plan and commits the result.
 package placement
 
