--- a/internal/cluster/core_restart_test.go
+++ b/internal/cluster/core_restart_test.go
@@ -334,6 +334,9 @@
 		}
 		w.startMachine("core-z1", false)
 		time.Sleep(time.Second)
+		// No attempt of the core to open the disk is under way from here on: it
+		// would create the folder between the two steps.
+		synctest.Wait()
 		if err := os.Remove(data); err != nil {
 			t.Fatal(err)
 		}
