--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -197,7 +197,7 @@
 	if err != nil {
 		return fmt.Errorf("listen for our own processes: %w", err)
 	}
-	server := &httpwire.Server{Handle: s.mux().Handle, Log: s.log}
+	server := &httpwire.Server{Handle: s.mux().Handle}
 	s.goBackground(func(ctx context.Context) { _ = server.Serve(ctx, listener) })
 	s.goBackground(s.registry.RunLoader)
 	s.goBackground(s.chain.Run)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -80,8 +80,8 @@
 	serving, stopServing := context.WithCancel(context.Background())
 	defer stopServing()
 	publisher := e.node.Publisher()
-	internal := &httpwire.Server{Log: e.log, Handle: rpc.Mux{"/news": publisher.Handle}.Handle}
-	clients := &httpwire.Server{Log: e.log, Handle: e.handle, Limits: e.limits}
+	internal := &httpwire.Server{Handle: rpc.Mux{"/news": publisher.Handle}.Handle}
+	clients := &httpwire.Server{Handle: e.handle, Limits: e.limits}
 	var tasks sync.WaitGroup
 	for _, task := range []func(){
 		func() { _ = internal.Serve(serving, listeners.internal) },
--- a/internal/httpwire/server.go
+++ b/internal/httpwire/server.go
@@ -7,7 +7,6 @@
 import (
 	"context"
 	"errors"
-	"log"
 	"net"
 	"sync"
 	"time"
@@ -34,7 +33,6 @@
 type Server struct {
 	Handle Handler
 	Limits func() Limits // asked for each request; nil: no bounds
-	Log    *log.Logger
 
 	mu       sync.Mutex
 	conns    map[*Conn]bool // true while idle
--- a/internal/operator/serve.go
+++ b/internal/operator/serve.go
@@ -35,7 +35,6 @@
 	}
 	orders := &Server{Core: core}
 	server := &httpwire.Server{
-		Log:    logger,
 		Handle: core.ServeControl(orders.Handle),
 		Limits: func() httpwire.Limits { return listenerLimits(set) },
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -177,7 +177,7 @@
 	defer stop()
 	delivering, stopDeliveries := context.WithCancel(serving)
 	defer stopDeliveries()
-	server := &httpwire.Server{Handle: s.calls().Handle, Log: s.log}
+	server := &httpwire.Server{Handle: s.calls().Handle}
 	var tasks sync.WaitGroup
 	tasks.Go(func() { _ = server.Serve(serving, listener) })
 	tasks.Go(func() { s.node.Run(serving) })
