--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -287,7 +287,7 @@
 				s.log.Printf("core: the state is open")
 			}
 			s.node.Disk = s.chain.Self.Disk
-			s.grantor.StayQuiet(s.timing.grantorQuietPeriod())
+			s.grantor.SuspendGrants(s.timing.grantorQuietPeriod())
 			s.opened.Store(true)
 			return true
 		}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -31,9 +31,9 @@
 
 // Grantor grants leases as one of the voters. The zero value is ready for use.
 type Grantor struct {
-	mu         sync.Mutex
-	grants     map[string]grant // by role
-	quietUntil time.Time
+	mu             sync.Mutex
+	grants         map[string]grant // by role
+	suspendedUntil time.Time
 }
 
 // grant is the newest lease that was granted for a role.
@@ -43,13 +43,13 @@
 	expires time.Time
 }
 
-// StayQuiet grants nothing for a while after a restart: the process before may
-// have granted a lease, which is not on disk. What a holder writes is fenced by
-// its term and version, so less than a whole lease will do.
-func (g *Grantor) StayQuiet(d time.Duration) {
+// SuspendGrants refuses new leases for d. It is called after a restart, because the
+// previous process may have granted a lease, which is not on disk. The writes of a
+// holder are fenced by its term and version, so d may be shorter than a lease.
+func (g *Grantor) SuspendGrants(d time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.quietUntil = time.Now().Add(d)
+	g.suspendedUntil = time.Now().Add(d)
 }
 
 // Handle votes on a lease. An expired one goes to the first that asks with a
@@ -59,8 +59,8 @@
 	defer g.mu.Unlock()
 	now := time.Now()
 	current := g.grants[request.Role]
-	vacant := now.After(current.expires) && now.After(g.quietUntil)
-	granted := vacant && request.Term > current.term
+	available := now.After(current.expires) && now.After(g.suspendedUntil)
+	granted := available && request.Term > current.term
 	renewed := current.holder == request.Holder && current.term == request.Term && now.Before(current.expires)
 	if !granted && !renewed {
 		return Response{Granted: false, Holder: current.holder, Term: current.term}
@@ -90,10 +90,10 @@
 	// Go starts a background task; nil: in a goroutine that nobody waits for.
 	Go func(task func())
 
-	mu      sync.Mutex
-	term    int64 // of the newest lease held
-	expires time.Time
-	highest int64 // term known from any voter or holder
+	mu          sync.Mutex
+	term        int64 // of the newest lease held
+	expires     time.Time
+	highestTerm int64 // term known from any voter or holder
 }
 
 // Held tells whether this process holds the lease, and under which term.
@@ -124,7 +124,7 @@
 	defer cancel()
 	request := Request{Role: l.Role, Holder: l.Self, Term: term, DurationMs: l.Duration.Milliseconds()}
 	responses := quorum.Collect(callCtx, l.Voters, request, func(r Response) bool { return r.Granted }, l.Call)
-	granted := l.record(responses)
+	granted := l.recordResponses(responses)
 	switch {
 	case quorum.Majority(granted, len(l.Voters)):
 		l.mu.Lock()
@@ -133,7 +133,7 @@
 		// granted, for clocks that run at different rates.
 		l.term, l.expires = term, began.Add(l.Duration*9/10)
 	case !held && granted > 0:
-		l.release(ctx, request)
+		l.releaseGrants(ctx, request)
 	}
 }
 
@@ -141,26 +141,26 @@
 func (l *Lease) nextTerm(minTerm int64) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.highest = max(l.highest, minTerm, l.term)
-	return l.highest + 1
+	l.highestTerm = max(l.highestTerm, minTerm, l.term)
+	return l.highestTerm + 1
 }
 
-// record notes the terms that the voters know and counts the grants.
-func (l *Lease) record(responses []Response) (granted int) {
+// recordResponses updates the highest known term and counts the grants.
+func (l *Lease) recordResponses(responses []Response) (granted int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range responses {
 		if r.Granted {
 			granted++
 		}
-		l.highest = max(l.highest, r.Term)
+		l.highestTerm = max(l.highestTerm, r.Term)
 	}
 	return granted
 }
 
-// release gives a lease back that no majority granted, so that the voters which
-// did may grant it to another candidate at once.
-func (l *Lease) release(ctx context.Context, request Request) {
+// releaseGrants releases the grants of a minority, so that those voters can grant
+// the lease to another candidate at once.
+func (l *Lease) releaseGrants(ctx context.Context, request Request) {
 	start := l.Go
 	if start == nil {
 		start = func(task func()) { go task() }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -27,31 +27,32 @@
 	return c
 }
 
-func (c *cluster) kill(voter string, down bool) {
+func (c *cluster) setDown(voter string, down bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.down[voter] = down
 }
 
-func (c *cluster) dead(voter string) bool {
+func (c *cluster) isDown(voter string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.down[voter]
 }
 
 func (c *cluster) call(ctx context.Context, voter string, request Request) (Response, error) {
-	if c.dead(voter) {
+	if c.isDown(voter) {
 		<-ctx.Done()
 		return Response{}, ctx.Err()
 	}
 	return c.grantors[voter].Handle(request), nil
 }
 
-// holders records who held the lease under which term.
-type holders map[int64]int
+// holdersByTerm maps each term to the index of the candidate that held it.
+type holdersByTerm map[int64]int
 
-// check has the candidates that hold the lease recorded and gives their number.
-func (h holders) check(t *testing.T, step int, candidates []*Lease) (held int) {
+// record records the candidates that hold the lease now and returns their number.
+// The test fails if a term has two holders or if there are two holders at once.
+func (h holdersByTerm) record(t *testing.T, step int, candidates []*Lease) (held int) {
 	t.Helper()
 	for i, l := range candidates {
 		term, ok := l.Held()
@@ -77,7 +78,7 @@
 		for i := range 3 {
 			candidates = append(candidates, &Lease{Role: "d", Self: fmt.Sprint("c", i), Voters: c.names, Duration: time.Second, Call: c.call})
 		}
-		seen := holders{}
+		seen := holdersByTerm{}
 		vacant := 0
 		for step := range 200 {
 			for i, l := range candidates {
@@ -85,12 +86,12 @@
 				if !stopped && (step+i)%3 == 0 || i > 0 && step%2 == 0 {
 					l.Acquire(t.Context(), 0)
 				}
-				seen.check(t, step, candidates)
+				seen.record(t, step, candidates)
 			}
-			if seen.check(t, step, candidates) == 0 {
+			if seen.record(t, step, candidates) == 0 {
 				vacant++
 			}
-			c.kill("v2", step > 120)
+			c.setDown("v2", step > 120)
 			time.Sleep(100 * time.Millisecond)
 		}
 		if vacant > 40 {
@@ -107,34 +108,34 @@
 	release := Request{Role: "r", Holder: "a", Term: 5}
 	held := Response{Granted: false, Holder: "a", Term: 5} // what is answered while a holds term 5
 	for _, test := range []struct {
-		name    string
-		quiet   time.Duration // after the start
-		first   []Request     // all at the start
-		wait    time.Duration
-		request Request
-		want    Response
+		name      string
+		suspended time.Duration // after the start
+		initial   []Request     // all at the start
+		wait      time.Duration
+		request   Request
+		want      Response
 	}{
 		{name: "nobody holds it", wait: time.Millisecond, request: request("a", 1), want: Response{true, "a", 1}},
-		{name: "quiet after the start", quiet: time.Second, wait: time.Second / 2, request: request("a", 1), want: Response{false, "", 0}},
-		{name: "quiet no longer", quiet: time.Second, wait: time.Second + 1, request: request("a", 1), want: Response{true, "a", 1}},
-		{name: "renewed by its holder", first: []Request{request("a", 5)}, wait: time.Second / 2, request: request("a", 5), want: Response{true, "a", 5}},
-		{name: "another candidate while it runs", first: []Request{request("a", 5)}, wait: time.Second / 2, request: request("b", 6), want: held},
-		{name: "its holder under a higher term while it runs", first: []Request{request("a", 5)}, wait: time.Second / 2, request: request("a", 6), want: held},
-		{name: "another candidate under the same term", first: []Request{request("a", 5)}, wait: time.Second / 2, request: request("b", 5), want: held},
-		{name: "at the moment when it ends", first: []Request{request("a", 5)}, wait: time.Second, request: request("b", 6), want: held},
-		{name: "another candidate once it has expired", first: []Request{request("a", 5)}, wait: time.Second + 1, request: request("b", 6), want: Response{true, "b", 6}},
-		{name: "a term that was used, once it has expired", first: []Request{request("a", 5)}, wait: time.Second + 1, request: request("b", 5), want: held},
-		{name: "renewal once it has expired", first: []Request{request("a", 5)}, wait: time.Second + 1, request: request("a", 5), want: held},
-		{name: "released early", first: []Request{request("a", 5), release}, wait: 1, request: request("b", 6), want: Response{true, "b", 6}},
-		{name: "another role", first: []Request{{Role: "s", Holder: "a", Term: 5, DurationMs: second}}, wait: 1, request: request("b", 1), want: Response{true, "b", 1}},
+		{name: "quiet after the start", suspended: time.Second, wait: time.Second / 2, request: request("a", 1), want: Response{false, "", 0}},
+		{name: "quiet no longer", suspended: time.Second, wait: time.Second + 1, request: request("a", 1), want: Response{true, "a", 1}},
+		{name: "renewed by its holder", initial: []Request{request("a", 5)}, wait: time.Second / 2, request: request("a", 5), want: Response{true, "a", 5}},
+		{name: "another candidate while it runs", initial: []Request{request("a", 5)}, wait: time.Second / 2, request: request("b", 6), want: held},
+		{name: "its holder under a higher term while it runs", initial: []Request{request("a", 5)}, wait: time.Second / 2, request: request("a", 6), want: held},
+		{name: "another candidate under the same term", initial: []Request{request("a", 5)}, wait: time.Second / 2, request: request("b", 5), want: held},
+		{name: "at the moment when it ends", initial: []Request{request("a", 5)}, wait: time.Second, request: request("b", 6), want: held},
+		{name: "another candidate once it has expired", initial: []Request{request("a", 5)}, wait: time.Second + 1, request: request("b", 6), want: Response{true, "b", 6}},
+		{name: "a term that was used, once it has expired", initial: []Request{request("a", 5)}, wait: time.Second + 1, request: request("b", 5), want: held},
+		{name: "renewal once it has expired", initial: []Request{request("a", 5)}, wait: time.Second + 1, request: request("a", 5), want: held},
+		{name: "released early", initial: []Request{request("a", 5), release}, wait: 1, request: request("b", 6), want: Response{true, "b", 6}},
+		{name: "another role", initial: []Request{{Role: "s", Holder: "a", Term: 5, DurationMs: second}}, wait: 1, request: request("b", 1), want: Response{true, "b", 1}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := &Grantor{}
-				if test.quiet > 0 {
-					g.StayQuiet(test.quiet)
+				if test.suspended > 0 {
+					g.SuspendGrants(test.suspended)
 				}
-				for _, r := range test.first {
+				for _, r := range test.initial {
 					if !g.Handle(r).Granted {
 						t.Fatalf("%+v is refused", r)
 					}
