--- a/internal/paxos/paxos_test.go
+++ b/internal/paxos/paxos_test.go
@@ -29,18 +29,18 @@
 	})
 }
 
-type memory struct {
+type memoryStorage struct {
 	mu     sync.Mutex
 	states map[int64]AcceptorState
 }
 
-func (m *memory) LoadState(instance int64) (AcceptorState, error) {
+func (m *memoryStorage) LoadState(instance int64) (AcceptorState, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.states[instance], nil
 }
 
-func (m *memory) SaveState(instance int64, state AcceptorState) error {
+func (m *memoryStorage) SaveState(instance int64, state AcceptorState) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.states[instance] = state
@@ -54,13 +54,13 @@
 	down      map[string]bool
 }
 
-func (c *cluster) kill(acceptor string, down bool) {
+func (c *cluster) setDown(acceptor string, down bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.down[acceptor] = down
 }
 
-func (c *cluster) dead(acceptor string) bool {
+func (c *cluster) isDown(acceptor string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.down[acceptor]
@@ -71,13 +71,13 @@
 	for i := range n {
 		name := fmt.Sprint("v", i)
 		c.names = append(c.names, name)
-		c.acceptors[name] = &Acceptor{Storage: &memory{states: map[int64]AcceptorState{}}}
+		c.acceptors[name] = &Acceptor{Storage: &memoryStorage{states: map[int64]AcceptorState{}}}
 	}
 	return c
 }
 
 func (c *cluster) call(ctx context.Context, acceptor string, request Request) (Response, error) {
-	if c.dead(acceptor) {
+	if c.isDown(acceptor) {
 		<-ctx.Done()
 		return Response{}, ctx.Err()
 	}
@@ -116,14 +116,14 @@
 func TestProposeNeedsMajorityAndSkipsDeadAcceptor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(3)
-		c.kill("v0", true)
+		c.setDown("v0", true)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		began := time.Now()
 		if _, err := Propose(ctx, 1, "p", 1, json.RawMessage("1"), c.names, c.call); err != nil || time.Since(began) > 100*time.Millisecond {
 			t.Errorf("%v after %v", err, time.Since(began))
 		}
-		c.kill("v1", true)
+		c.setDown("v1", true)
 		if _, err := Propose(ctx, 2, "p", 1, json.RawMessage("1"), c.names, c.call); !errors.Is(err, ErrNoQuorum) {
 			t.Errorf("a minority chose: %v", err)
 		}
@@ -161,7 +161,7 @@
 		{"the same accept again", accepted, accept(number(5, "p"), `"x"`), true, accepted, accepted},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			storage := &memory{states: map[int64]AcceptorState{1: test.before}}
+			storage := &memoryStorage{states: map[int64]AcceptorState{1: test.before}}
 			a := &Acceptor{Storage: storage}
 			response, err := a.Handle(test.request)
 			if err != nil || response.Granted != test.granted || !reflect.DeepEqual(response.State, test.answer) {
@@ -180,22 +180,22 @@
 	}
 }
 
-// failing is a storage whose disk fails on reads or on writes.
-type failing struct {
-	memory
+// failingStorage returns the given errors on reads and on writes.
+type failingStorage struct {
+	memoryStorage
 	load, save error
 }
 
-func (f *failing) LoadState(instance int64) (AcceptorState, error) {
-	state, _ := f.memory.LoadState(instance)
+func (f *failingStorage) LoadState(instance int64) (AcceptorState, error) {
+	state, _ := f.memoryStorage.LoadState(instance)
 	return state, f.load
 }
 
-func (f *failing) SaveState(int64, AcceptorState) error { return f.save }
+func (f *failingStorage) SaveState(int64, AcceptorState) error { return f.save }
 
 func TestAcceptorGrantsNothingWhenStorageFails(t *testing.T) {
 	diskError := errors.New("disk")
-	for name, storage := range map[string]*failing{"load": {load: diskError}, "save": {save: diskError}} {
+	for name, storage := range map[string]*failingStorage{"load": {load: diskError}, "save": {save: diskError}} {
 		a := &Acceptor{Storage: storage}
 		response, err := a.Handle(Request{Instance: 1, Number: ProposalNumber{Round: 1}})
 		if !errors.Is(err, diskError) || response.Granted {
