--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -1,14 +1,14 @@
-// Package quorum asks a set of voters at once and counts majorities among them.
+// Package quorum sends a request to a set of voters in parallel and counts majorities.
 package quorum
 
 import "context"
 
-// Majority tells whether granted voters are more than half of all voters.
+// Majority reports whether granted is more than half of voters.
 func Majority(granted, voters int) bool { return granted*2 > voters }
 
-// Collect calls all voters at once. It returns the responses received once a
-// majority has granted the request, or once every voter has answered or failed.
-// Calls that are still under way then end with ctx.
+// Collect calls all voters in parallel. It returns the responses received as soon
+// as a majority has granted the request, or when every voter has answered or
+// failed. Calls still in flight at that point are not cancelled; they end with ctx.
 func Collect[Req, Resp any](ctx context.Context, voters []string, request Req, granted func(Resp) bool,
 	call func(ctx context.Context, voter string, request Req) (Resp, error)) []Resp {
 	received := make(chan *Resp, len(voters))
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -24,19 +24,19 @@
 	}
 }
 
-// voter answers after some time: it grants, refuses or fails.
+// voter is the scripted behavior of one voter: after a delay it grants, refuses or fails.
 type voter struct {
 	after time.Duration
 	grant bool
 	err   error
 }
 
-// testVoters answer requests by their name.
+// testVoters maps the name of a voter to its behavior.
 type testVoters map[string]voter
 
 func (v testVoters) call(ctx context.Context, name, request string) (bool, error) {
 	if request != testRequest {
-		return false, fmt.Errorf("%s is asked %q", name, request)
+		return false, fmt.Errorf("%s received request %q", name, request)
 	}
 	select {
 	case <-time.After(v[name].after):
@@ -64,13 +64,13 @@
 		took      time.Duration
 	}{
 		{"no voters", nil, 0, 0, 0},
-		{"the first majority ends it", []voter{grants(1), grants(2), grants(3)}, 2, 2, 2},
-		{"a refusal is a response", []voter{refuses(1), grants(2), grants(3)}, 3, 2, 3},
-		{"a failure is none", []voter{fails(1), grants(2), grants(3)}, 2, 2, 3},
-		{"without a majority all are awaited", []voter{grants(1), refuses(2), refuses(3)}, 3, 1, 3},
-		{"half is no majority", []voter{grants(1), grants(2), fails(3), fails(4)}, 2, 2, 4},
-		{"a voter that does not answer in time", []voter{grants(1), refuses(2), grants(1000)}, 2, 1, timeout},
-		{"a voter that does not answer is not awaited", []voter{grants(1000), grants(1), grants(2)}, 2, 2, 2},
+		{"returns at the first majority", []voter{grants(1), grants(2), grants(3)}, 2, 2, 2},
+		{"a refusal counts as a response", []voter{refuses(1), grants(2), grants(3)}, 3, 2, 3},
+		{"a failure does not count as a response", []voter{fails(1), grants(2), grants(3)}, 2, 2, 3},
+		{"without a majority waits for all voters", []voter{grants(1), refuses(2), refuses(3)}, 3, 1, 3},
+		{"half of the voters is not a majority", []voter{grants(1), grants(2), fails(3), fails(4)}, 2, 2, 4},
+		{"a voter that does not answer before the deadline", []voter{grants(1), refuses(2), grants(1000)}, 2, 1, timeout},
+		{"a majority does not wait for a voter that does not answer", []voter{grants(1000), grants(1), grants(2)}, 2, 2, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
