--- a/internal/paxos/paxos.go
+++ b/internal/paxos/paxos.go
@@ -1,8 +1,8 @@
-// Package paxos chooses one value for each of a sequence of instances, once and
-// for good, by single-decree Paxos (Lamport, "Paxos Made Simple", 2001, section
-// 2.2): a proposer prepares a proposal number with a majority of the acceptors,
-// adopts the value of the highest-numbered proposal that any of them accepted,
-// and has a majority accept it.
+// Package paxos chooses one immutable value for each of a sequence of instances by
+// single-decree Paxos (Lamport, "Paxos Made Simple", 2001, section 2.2): a proposer
+// prepares a proposal number with a majority of the acceptors, adopts the value of
+// the highest-numbered proposal that any of them has accepted, and has a majority
+// accept it.
 package paxos
 
 import (
@@ -22,48 +22,48 @@
 	Proposer string `json:"who"`
 }
 
-// Less orders by round, then by proposer.
+// Less reports whether n is lower than m, by round and then by proposer.
 func (n ProposalNumber) Less(m ProposalNumber) bool {
 	return n.Round < m.Round || n.Round == m.Round && n.Proposer < m.Proposer
 }
 
-// AcceptorState is what an acceptor keeps on disk of one instance.
+// AcceptorState is the durable state of an acceptor for one instance.
 type AcceptorState struct {
-	Promised ProposalNumber  `json:"promised"` // no lower-numbered proposal is accepted
-	Accepted ProposalNumber  `json:"accepted"` // of Value
+	Promised ProposalNumber  `json:"promised"` // lower-numbered proposals are rejected
+	Accepted ProposalNumber  `json:"accepted"` // the proposal whose value is Value
 	Value    json.RawMessage `json:"value,omitempty"`
 }
 
-// Storage keeps the states of an acceptor. SaveState returns nil only once the
-// state survives a loss of power.
+// Storage persists the states of an acceptor. SaveState returns nil only after the
+// state is durable, so that it survives a power failure.
 type Storage interface {
 	LoadState(instance int64) (AcceptorState, error)
 	SaveState(instance int64, state AcceptorState) error
 }
 
-// Request is a prepare request; with a value it is an accept request.
+// Request is a prepare request or, if Value is set, an accept request.
 type Request struct {
 	Instance int64           `json:"decree"`
 	Number   ProposalNumber  `json:"number"`
 	Value    json.RawMessage `json:"value,omitempty"`
 }
 
-// Response answers a request. State is that of the acceptor: before the request
-// if it was a prepare request or was rejected, after it otherwise.
+// Response answers a Request. State is the state of the acceptor before a prepare
+// request or a rejected request, and after an accept request that was granted.
 type Response struct {
 	Granted bool          `json:"granted"`
 	State   AcceptorState `json:"vote"`
 }
 
-// Acceptor votes for one process.
+// Acceptor is the acceptor of one process for all instances.
 type Acceptor struct {
 	Storage Storage
 
-	mu sync.Mutex // makes each read and write of a state one step
+	mu sync.Mutex // makes each read-modify-write of a state atomic
 }
 
-// Handle answers a prepare or accept request. An error means that Storage
-// failed, and that nothing may be concluded from the request.
+// Handle answers a prepare or accept request. An error means that Storage failed;
+// the request may or may not have taken effect.
 func (a *Acceptor) Handle(request Request) (Response, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -88,8 +88,8 @@
 	return Response{Granted: true, State: state}, nil
 }
 
-// HasAccepted tells whether this acceptor may have accepted a value for an
-// instance: also when its state cannot be read.
+// HasAccepted reports whether this acceptor may have accepted a value for an
+// instance. It returns true if the state cannot be read.
 func (a *Acceptor) HasAccepted(instance int64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -97,22 +97,21 @@
 	return err != nil || state.Value != nil
 }
 
-// ErrNoQuorum says that no majority of the acceptors granted a request.
+// ErrNoQuorum means that no majority of the acceptors granted a request.
 var ErrNoQuorum = errors.New("no majority of the acceptors")
 
-// maxPrepares bounds how often a proposer prepares again with a higher round:
-// the responses carry the round to exceed, so one more is enough unless several
-// proposers compete.
+// maxPrepares limits the prepare requests of one proposal. The responses carry the
+// round to exceed, so a second one is enough unless several proposers compete.
 const maxPrepares = 3
 
 // Caller sends a request to one acceptor.
 type Caller func(ctx context.Context, acceptor string, request Request) (Response, error)
 
-// Propose tries to have a value chosen for an instance and returns the value
-// that was chosen, which is another proposer's where one may have been chosen
-// before. The proposer must differ for each call, also over restarts of the
-// process: a number must not be used twice. The error wraps ErrNoQuorum; then
-// the value may still be chosen by a later proposal.
+// Propose tries to have a value chosen for an instance and returns the chosen value,
+// which is that of another proposer if one may have been chosen before. The proposer
+// must be unique for each call, also across restarts of the process, because a
+// proposal number must not be used twice. The error wraps ErrNoQuorum; the value may
+// still be chosen afterwards by a later proposal.
 func Propose(ctx context.Context, instance int64, proposer string, round int64, value json.RawMessage, acceptors []string, call Caller) (json.RawMessage, error) {
 	number, value, prepared := prepare(ctx, instance, ProposalNumber{Round: round, Proposer: proposer}, value, acceptors, call)
 	if !prepared {
@@ -125,9 +124,9 @@
 	return value, nil
 }
 
-// prepare sends prepare requests, with a higher round where acceptors have
-// promised one, until a majority promises. It returns the number promised and
-// the value that must be proposed with it.
+// prepare sends prepare requests until a majority promises, each time with a round
+// above the highest promised one. It returns the promised number and the value that
+// must be proposed with it.
 func prepare(ctx context.Context, instance int64, number ProposalNumber, value json.RawMessage, acceptors []string, call Caller) (ProposalNumber, json.RawMessage, bool) {
 	nextRound := number.Round
 	highest := ProposalNumber{}
--- a/internal/paxos/paxos_test.go
+++ b/internal/paxos/paxos_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// A proposer with a very high round leaves promises behind. The next proposer
-// learns the round from the responses and exceeds it at once.
+// A proposer that failed after prepare leaves promises with a very high round. The
+// next proposer has to learn that round from the responses and exceed it in one step.
 func TestProposeExceedsHigherPromises(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(5)
@@ -108,12 +108,12 @@
 		}
 		wg.Wait()
 		if len(chosen) != 1 {
-			t.Errorf("chosen: %v", chosen)
+			t.Errorf("chosen values: %v", chosen)
 		}
 	})
 }
 
-func TestProposeNeedsMajorityAndSkipsDeadAcceptor(t *testing.T) {
+func TestProposeNeedsMajorityAndToleratesFailedAcceptor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(3)
 		c.setDown("v0", true)
@@ -125,7 +125,7 @@
 		}
 		c.setDown("v1", true)
 		if _, err := Propose(ctx, 2, "p", 1, json.RawMessage("1"), c.names, c.call); !errors.Is(err, ErrNoQuorum) {
-			t.Errorf("a minority chose: %v", err)
+			t.Errorf("proposal with one of three acceptors: %v", err)
 		}
 	})
 }
@@ -201,7 +201,7 @@
 		if !errors.Is(err, diskError) || response.Granted {
 			t.Errorf("%s: %+v, %v", name, response, err)
 		}
-		// Unread, it may have accepted a value.
+		// An acceptor whose state cannot be read may have accepted a value.
 		if got, want := a.HasAccepted(1), storage.load != nil; got != want {
 			t.Errorf("%s: has accepted %v", name, got)
 		}
