--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,8 +1,8 @@
-// Package lease gives a singleton role to one holder at a time, for as long as
-// a lease from a majority of the voters runs (Gray and Cheriton, "Leases", SOSP
-// 1989). Each lease has a term that only rises, which fences what an earlier
-// holder still sends (as the sequencer in Burrows, "The Chubby lock service",
-// OSDI 2006). Leases are held in memory only.
+// Package lease assigns a singleton role to at most one holder at a time by a
+// time-limited lease from a majority of the voters (Gray and Cheriton, "Leases",
+// SOSP 1989). Each lease has a monotonically increasing term, which serves as the
+// fencing token against requests of earlier holders (the sequencer in Burrows,
+// "The Chubby lock service", OSDI 2006). Leases are held in memory only.
 package lease
 
 import (
@@ -13,7 +13,7 @@
 	"saltreel/internal/quorum"
 )
 
-// Request asks a voter for a lease, or to renew one. A duration of 0 releases it.
+// Request asks a voter to grant or renew a lease. A DurationMs of 0 releases it.
 type Request struct {
 	Role       string `json:"duty"`
 	Holder     string `json:"holder"`
@@ -21,15 +21,15 @@
 	DurationMs int64  `json:"lease-ms"`
 }
 
-// Response tells whether the lease was granted, and otherwise who holds it as
-// far as the voter knows.
+// Response reports whether the lease was granted. Holder and Term are those of the
+// newest lease that the voter has granted for the role, including this one.
 type Response struct {
 	Granted bool   `json:"granted"`
 	Holder  string `json:"holder"`
 	Term    int64  `json:"term"`
 }
 
-// Grantor grants leases as one of the voters. The zero value is ready for use.
+// Grantor grants leases on behalf of one voter. The zero value is ready for use.
 type Grantor struct {
 	mu             sync.Mutex
 	grants         map[string]grant // by role
@@ -52,8 +52,9 @@
 	g.suspendedUntil = time.Now().Add(d)
 }
 
-// Handle votes on a lease. An expired one goes to the first that asks with a
-// higher term; the holder may renew its own while it runs.
+// Handle answers a lease request. An expired lease is granted to the first candidate
+// that requests it under a higher term; the holder may renew its lease until it
+// expires.
 func (g *Grantor) Handle(request Request) Response {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -73,37 +74,41 @@
 	return Response{Granted: true, Holder: request.Holder, Term: request.Term}
 }
 
-// Expired tells whether nobody holds a role, as far as this voter knows.
+// Expired reports whether the newest lease that this voter granted for a role has
+// expired.
 func (g *Grantor) Expired(role string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return time.Now().After(g.grants[role].expires)
 }
 
-// Lease is one process's candidacy for a role.
+// Lease acquires and renews the lease for a role on behalf of one process.
 type Lease struct {
 	Role     string
-	Self     string        // name of this process as a holder
+	Self     string        // identifies this process as a holder
 	Voters   []string      // set by the owner between calls of Acquire
-	Duration time.Duration // of a lease
+	Duration time.Duration // requested from the voters
 	Call     func(ctx context.Context, voter string, request Request) (Response, error)
-	// Go starts a background task; nil: in a goroutine that nobody waits for.
+	// Go starts a background task. If nil, the task runs in a goroutine that is not
+	// waited for.
 	Go func(task func())
 
 	mu          sync.Mutex
 	term        int64 // of the newest lease held
 	expires     time.Time
-	highestTerm int64 // term known from any voter or holder
+	highestTerm int64 // highest term seen in any response or passed to Acquire
 }
 
-// Held tells whether this process holds the lease, and under which term.
+// Held returns the term of the newest lease of this process and reports whether it is
+// still valid.
 func (l *Lease) Held() (term int64, held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.term, time.Now().Before(l.expires)
 }
 
-// Remaining is how long this process still holds the lease, and whether it does.
+// Remaining returns the time until the lease of this process expires and reports
+// whether it is still valid.
 func (l *Lease) Remaining() (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,9 +116,9 @@
 	return remaining, remaining > 0
 }
 
-// Acquire asks the voters once: to renew the lease if it is held, else to win
-// it under a new term. MinTerm is the highest term known from elsewhere. Whether
-// it succeeded, Held tells.
+// Acquire sends one request to the voters: to renew the lease if it is held, or else
+// to acquire it under a new term above minTerm, the highest term that the caller knows.
+// Held reports the outcome.
 func (l *Lease) Acquire(ctx context.Context, minTerm int64) {
 	began := time.Now()
 	term, held := l.Held()
@@ -129,15 +134,15 @@
 	case quorum.Majority(granted, len(l.Voters)):
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		// The holder counts from before its request and a little less than was
-		// granted, for clocks that run at different rates.
+		// The holder counts from before the request was sent, and only 9/10 of the
+		// duration, to allow for clocks that run at different rates.
 		l.term, l.expires = term, began.Add(l.Duration*9/10)
 	case !held && granted > 0:
 		l.releaseGrants(ctx, request)
 	}
 }
 
-// nextTerm is one above every term known.
+// nextTerm returns a term above every known term.
 func (l *Lease) nextTerm(minTerm int64) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// cluster is a set of voters, each of which may be dead.
+// cluster is a set of voters. A voter that is down does not answer.
 type cluster struct {
 	names    []string
 	grantors map[string]*Grantor
@@ -82,7 +82,7 @@
 		vacant := 0
 		for step := range 200 {
 			for i, l := range candidates {
-				stopped := i == 0 && step > 40 && step < 100 // it stops asking, and comes back
+				stopped := i == 0 && step > 40 && step < 100 // stops requesting the lease, and resumes
 				if !stopped && (step+i)%3 == 0 || i > 0 && step%2 == 0 {
 					l.Acquire(t.Context(), 0)
 				}
@@ -95,7 +95,7 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		if vacant > 40 {
-			t.Errorf("vacant in %d of 200 steps", vacant)
+			t.Errorf("no holder in %d of 200 steps", vacant)
 		}
 	})
 }
@@ -106,26 +106,26 @@
 		return Request{Role: "r", Holder: holder, Term: term, DurationMs: second}
 	}
 	release := Request{Role: "r", Holder: "a", Term: 5}
-	held := Response{Granted: false, Holder: "a", Term: 5} // what is answered while a holds term 5
+	held := Response{Granted: false, Holder: "a", Term: 5} // the refusal while a holds term 5
 	for _, test := range []struct {
 		name      string
-		suspended time.Duration // after the start
-		initial   []Request     // all at the start
+		suspended time.Duration // duration passed to SuspendGrants at the start
+		initial   []Request     // sent at the start; all must be granted
 		wait      time.Duration
 		request   Request
 		want      Response
 	}{
-		{name: "nobody holds it", wait: time.Millisecond, request: request("a", 1), want: Response{true, "a", 1}},
-		{name: "quiet after the start", suspended: time.Second, wait: time.Second / 2, request: request("a", 1), want: Response{false, "", 0}},
-		{name: "quiet no longer", suspended: time.Second, wait: time.Second + 1, request: request("a", 1), want: Response{true, "a", 1}},
+		{name: "no holder", wait: time.Millisecond, request: request("a", 1), want: Response{true, "a", 1}},
+		{name: "grants are suspended", suspended: time.Second, wait: time.Second / 2, request: request("a", 1), want: Response{false, "", 0}},
+		{name: "grants are no longer suspended", suspended: time.Second, wait: time.Second + 1, request: request("a", 1), want: Response{true, "a", 1}},
 		{name: "renewed by its holder", initial: []Request{request("a", 5)}, wait: time.Second / 2, request: request("a", 5), want: Response{true, "a", 5}},
-		{name: "another candidate while it runs", initial: []Request{request("a", 5)}, wait: time.Second / 2, request: request("b", 6), want: held},
-		{name: "its holder under a higher term while it runs", initial: []Request{request("a", 5)}, wait: time.Second / 2, request: request("a", 6), want: held},
+		{name: "another candidate before it expires", initial: []Request{request("a", 5)}, wait: time.Second / 2, request: request("b", 6), want: held},
+		{name: "its holder under a higher term before it expires", initial: []Request{request("a", 5)}, wait: time.Second / 2, request: request("a", 6), want: held},
 		{name: "another candidate under the same term", initial: []Request{request("a", 5)}, wait: time.Second / 2, request: request("b", 5), want: held},
-		{name: "at the moment when it ends", initial: []Request{request("a", 5)}, wait: time.Second, request: request("b", 6), want: held},
-		{name: "another candidate once it has expired", initial: []Request{request("a", 5)}, wait: time.Second + 1, request: request("b", 6), want: Response{true, "b", 6}},
-		{name: "a term that was used, once it has expired", initial: []Request{request("a", 5)}, wait: time.Second + 1, request: request("b", 5), want: held},
-		{name: "renewal once it has expired", initial: []Request{request("a", 5)}, wait: time.Second + 1, request: request("a", 5), want: held},
+		{name: "another candidate at the moment of expiry", initial: []Request{request("a", 5)}, wait: time.Second, request: request("b", 6), want: held},
+		{name: "another candidate after expiry", initial: []Request{request("a", 5)}, wait: time.Second + 1, request: request("b", 6), want: Response{true, "b", 6}},
+		{name: "a used term after expiry", initial: []Request{request("a", 5)}, wait: time.Second + 1, request: request("b", 5), want: held},
+		{name: "renewal after expiry", initial: []Request{request("a", 5)}, wait: time.Second + 1, request: request("a", 5), want: held},
 		{name: "released early", initial: []Request{request("a", 5), release}, wait: 1, request: request("b", 6), want: Response{true, "b", 6}},
 		{name: "another role", initial: []Request{{Role: "s", Holder: "a", Term: 5, DurationMs: second}}, wait: 1, request: request("b", 1), want: Response{true, "b", 1}},
 	} {
@@ -137,15 +137,15 @@
 				}
 				for _, r := range test.initial {
 					if !g.Handle(r).Granted {
-						t.Fatalf("%+v is refused", r)
+						t.Fatalf("request %+v was refused", r)
 					}
 				}
 				time.Sleep(test.wait)
 				if got := g.Handle(test.request); got != test.want {
-					t.Errorf("%+v", got)
+					t.Errorf("response %+v", got)
 				}
 				if test.want.Granted && g.Expired("r") {
-					t.Error("granted, and expired")
+					t.Error("the lease is granted and reported as expired")
 				}
 			})
 		})
