--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -76,9 +76,9 @@
 	storage  storage
 	acceptor paxos.Acceptor
 
-	// updating is held by the one update or change of view that is under way.
+	// updateLock is held by the one update or change of view that is under way.
 	// Whoever holds it may read the replica's documents without mu.
-	updating chan struct{}
+	updateLock chan struct{}
 
 	mu            sync.Mutex
 	replica       replica
@@ -96,7 +96,7 @@
 		config:      config,
 		timing:      timing{config.ContactTimeout},
 		storage:     storage{config.File},
-		updating:    make(chan struct{}, 1),
+		updateLock:  make(chan struct{}, 1),
 		viewChanged: make(chan struct{}),
 	}
 	c.replica = replica{
@@ -109,12 +109,12 @@
 	return c, nil
 }
 
-// acquire takes the right to update or to change the view.
-func (c *Chain) acquire(ctx context.Context) error {
+// acquireUpdateLock acquires updateLock for an update or a change of view.
+func (c *Chain) acquireUpdateLock(ctx context.Context) error {
 	select {
-	case c.updating <- struct{}{}:
+	case c.updateLock <- struct{}{}:
 		if err := c.storage.err(); err != nil {
-			c.release()
+			c.releaseUpdateLock()
 			return err
 		}
 		return nil
@@ -123,7 +123,7 @@
 	}
 }
 
-func (c *Chain) release() { <-c.updating }
+func (c *Chain) releaseUpdateLock() { <-c.updateLock }
 
 // View is the newest view known here.
 func (c *Chain) View() View {
--- a/internal/chain/forward.go
+++ b/internal/chain/forward.go
@@ -12,10 +12,10 @@
 // HandleUpdate takes an update of the predecessor. The answer comes once all
 // members behind this one hold it too.
 func (c *Chain) HandleUpdate(ctx context.Context, u *UpdateRequest, _ []byte) (*UpdateResponse, error) {
-	if err := c.acquire(ctx); err != nil {
+	if err := c.acquireUpdateLock(ctx); err != nil {
 		return nil, err
 	}
-	defer c.release()
+	defer c.releaseUpdateLock()
 	c.mu.Lock()
 	admitted, err := c.replica.admit(u)
 	c.mu.Unlock()
@@ -39,8 +39,7 @@
 }
 
 // apply puts an update on disk, then into memory. If the disk refuses it, memory
-// stays as it was until the file is loaded again. The caller holds the right to
-// update.
+// stays as it was until the file is loaded again. The caller holds updateLock.
 func (c *Chain) apply(u *UpdateRequest) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,8 +63,7 @@
 }
 
 // forward sends an update to the successor, if there is one; when it returns nil,
-// the tail holds all that this machine holds. The caller holds the right to
-// update.
+// the tail holds all that this machine holds. The caller holds updateLock.
 func (c *Chain) forward(ctx context.Context, u UpdateRequest) error {
 	received := time.Now()
 	if successor, ok := u.View.successor(c.Self); ok {
@@ -113,7 +111,7 @@
 }
 
 // fallBehind records that the successor holds more than this disk, so that this
-// member is not complete. The caller holds the right to update.
+// member is not complete. The caller holds updateLock.
 func (c *Chain) fallBehind(successor Member) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/chain/propose.go
+++ b/internal/chain/propose.go
@@ -14,10 +14,10 @@
 // other error the update may still be committed later, unless decide was not
 // called: then it does not exist.
 func (c *Chain) Propose(ctx context.Context, decide func(Documents) (Documents, error)) error {
-	if err := c.acquire(ctx); err != nil {
+	if err := c.acquireUpdateLock(ctx); err != nil {
 		return err
 	}
-	defer c.release()
+	defer c.releaseUpdateLock()
 	view, docs, err := c.prepareHead(ctx)
 	if err != nil {
 		return err
@@ -44,10 +44,10 @@
 
 // heartbeat sends an update that sets nothing down the chain.
 func (c *Chain) heartbeat(ctx context.Context) error {
-	if err := c.acquire(ctx); err != nil {
+	if err := c.acquireUpdateLock(ctx); err != nil {
 		return err
 	}
-	defer c.release()
+	defer c.releaseUpdateLock()
 	view, _, err := c.prepareHead(ctx)
 	if err != nil {
 		return err
@@ -57,7 +57,7 @@
 
 // prepareHead gives the view and the state that the next update builds on.
 // Nothing is built on this disk before the other members hold what it holds: it
-// may have an old file. The caller holds the right to update.
+// may have an old file. The caller holds updateLock.
 func (c *Chain) prepareHead(ctx context.Context) (View, Documents, error) {
 	c.mu.Lock()
 	view, docs := c.replica.view, c.replica.docs
--- a/internal/chain/restore.go
+++ b/internal/chain/restore.go
@@ -75,10 +75,10 @@
 	if snapshot.CompleteForView == 0 || snapshot.CompleteForView < since-1 {
 		return fmt.Errorf("it is complete for view %d, not for %d", snapshot.CompleteForView, since-1)
 	}
-	if err := c.acquire(ctx); err != nil {
+	if err := c.acquireUpdateLock(ctx); err != nil {
 		return err
 	}
-	defer c.release()
+	defer c.releaseUpdateLock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := &c.replica
@@ -102,10 +102,10 @@
 	if err := c.checkDisk(request.Disk); err != nil {
 		return nil, err
 	}
-	if err := c.acquire(ctx); err != nil { // the disk and memory say the same
+	if err := c.acquireUpdateLock(ctx); err != nil { // the disk and memory say the same
 		return nil, err
 	}
-	defer c.release()
+	defer c.releaseUpdateLock()
 	if err := c.storage.err(); err != nil {
 		return nil, err
 	}
--- a/internal/chain/status.go
+++ b/internal/chain/status.go
@@ -77,10 +77,10 @@
 	if v.Number <= c.View().Number {
 		return nil
 	}
-	if err := c.acquireForView(ctx); err != nil {
+	if err := c.acquireUpdateLockForView(ctx); err != nil {
 		return err
 	}
-	defer c.release()
+	defer c.releaseUpdateLock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if v.Number <= c.replica.view.Number {
@@ -95,12 +95,12 @@
 	return nil
 }
 
-// acquireForView takes the right to change the view. An update of the view before
+// acquireUpdateLockForView acquires updateLock for a change of view. An update of the view before
 // may be under way, and wait for a member that is lost: after a while it is
 // cancelled.
-func (c *Chain) acquireForView(ctx context.Context) error {
+func (c *Chain) acquireUpdateLockForView(ctx context.Context) error {
 	patient, cancel := context.WithTimeout(ctx, c.timing.installPatience())
-	err := c.acquire(patient)
+	err := c.acquireUpdateLock(patient)
 	cancel()
 	if err == nil {
 		return nil
@@ -111,5 +111,5 @@
 	if cancelForward != nil {
 		cancelForward()
 	}
-	return c.acquire(ctx)
+	return c.acquireUpdateLock(ctx)
 }
--- a/internal/chain/storage.go
+++ b/internal/chain/storage.go
@@ -141,8 +141,8 @@
 		return nil
 	})
 	return func() {
-		c.updating <- struct{}{}
-		defer c.release()
+		c.updateLock <- struct{}{}
+		defer c.releaseUpdateLock()
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.replica.load(disk, state, docs)
