--- a/internal/chain/messages.go
+++ b/internal/chain/messages.go
@@ -45,7 +45,7 @@
 	View         View `json:"view"`
 	NextAccepted bool `json:"next"`  // its acceptor may have accepted a value for the view after this one
 	Complete     bool `json:"whole"` // it is a member and holds every update that was ever committed
-	Ready        bool `json:"ready"` // it knows what a voter must know
+	VoterReady   bool `json:"ready"` // it knows what a voter must know
 	// CompleteForView is the newest view for which its disk holds every update that was
 	// committed; 0 if there is none.
 	CompleteForView int64 `json:"whole-for,omitempty"`
--- a/internal/chain/nextview.go
+++ b/internal/chain/nextview.go
@@ -93,7 +93,7 @@
 
 // join adds a core at the tail.
 func (v *View) join(who Member) {
-	who.Since = v.Number
+	who.SinceView = v.Number
 	v.Members = append(v.Members, who)
 }
 
@@ -104,7 +104,7 @@
 func (in *viewInput) changeVoters(d *viewDecision) {
 	isReady := func(v Member) bool {
 		s := in.status(v)
-		return s != nil && s.Ready
+		return s != nil && s.VoterReady
 	}
 	if _, majority := CountMembers(in.view.Voters, isReady); !majority {
 		return
--- a/internal/chain/nextview_test.go
+++ b/internal/chain/nextview_test.go
@@ -7,7 +7,7 @@
 )
 
 // member is the founder at an address, since view 1.
-func member(address string) Member { return Member{Address: address, Disk: founderDisk, Since: 1} }
+func member(address string) Member { return Member{Address: address, Disk: founderDisk, SinceView: 1} }
 
 func members(list ...string) []Member {
 	var out []Member
@@ -37,8 +37,8 @@
 }
 
 func TestNextView(t *testing.T) {
-	complete := ReplicaStatus{Complete: true, Ready: true}
-	incomplete := ReplicaStatus{Ready: true}
+	complete := ReplicaStatus{Complete: true, VoterReady: true}
+	incomplete := ReplicaStatus{VoterReady: true}
 	notReady := ReplicaStatus{Complete: true}
 	now := time.Unix(1000, 0)
 	a, b, c := member("a"), member("b"), member("c")
@@ -48,7 +48,7 @@
 	ab := View{Number: 4, Members: members("a", "b"), Voters: members("a", "b", "c"), QuorumEpoch: 1}
 	four := View{Number: 4, Members: members("a", "b", "c"), Voters: members("a", "b", "c", "e"), QuorumEpoch: 3}
 	joined := func(m Member) Member {
-		m.Since = 5
+		m.SinceView = 5
 		return m
 	}
 	longAgo := map[Member]time.Time{c.identity(): now.Add(-time.Minute), member("e").identity(): now.Add(-time.Minute)}
--- a/internal/chain/reconfigure.go
+++ b/internal/chain/reconfigure.go
@@ -225,7 +225,7 @@
 	defer cancel()
 	var calls sync.WaitGroup
 	for _, m := range v.Voters {
-		if !m.is(c.Self) {
+		if !m.sameIdentity(c.Self) {
 			calls.Go(func() { _ = c.config.Client.Call(ctx, m.Address, "/chain/adopt", v, nil, nil) })
 		}
 	}
--- a/internal/chain/replica.go
+++ b/internal/chain/replica.go
@@ -59,7 +59,7 @@
 	// A member without a gap that was complete still is: nothing can have been
 	// committed since without it.
 	i := v.indexOf(r.self)
-	if i >= 0 && r.isComplete() && v.Members[i].Since <= r.view.Number {
+	if i >= 0 && r.isComplete() && v.Members[i].SinceView <= r.view.Number {
 		r.completeForView = v.Number
 	}
 	r.view = v
@@ -138,7 +138,7 @@
 // comes from a disk to which an old file was restored.
 func (r *replica) isAheadOf(u *UpdateRequest) bool {
 	i := u.View.indexOf(r.self)
-	withoutGap := u.View.Number == r.view.Number || i >= 0 && u.View.Members[i].Since <= r.view.Number
+	withoutGap := u.View.Number == r.view.Number || i >= 0 && u.View.Members[i].SinceView <= r.view.Number
 	return withoutGap && r.isComplete() && u.Sequence < r.sequence
 }
 
--- a/internal/chain/replica_test.go
+++ b/internal/chain/replica_test.go
@@ -31,7 +31,7 @@
 		return v
 	}
 	rejoined := withNumber(6)
-	rejoined.Members = append(members("a", "b"), Member{Address: "c", Disk: founderDisk, Since: 6})
+	rejoined.Members = append(members("a", "b"), Member{Address: "c", Disk: founderDisk, SinceView: 6})
 	set := Documents{"k": []byte("w")}
 	next := StreamPosition{Head: 7, Number: 21}
 	restarted := func(r *replica) { r.active = false }
@@ -87,7 +87,7 @@
 func TestEnterView(t *testing.T) {
 	next := func(number, since int64) View {
 		v := View{Number: number, Members: members("a", "b", "c")}
-		v.Members[2].Since = since
+		v.Members[2].SinceView = since
 		return v
 	}
 	for _, test := range []struct {
--- a/internal/chain/restore.go
+++ b/internal/chain/restore.go
@@ -22,7 +22,7 @@
 	if i < 0 || r.isComplete() {
 		return 0, false
 	}
-	since = r.view.Members[i].Since
+	since = r.view.Members[i].SinceView
 	isNew := r.completeForView == 0 && r.sequence == 0
 	return since, isNew || r.completeForView > 0 && r.completeForView < since
 }
--- a/internal/chain/restore_test.go
+++ b/internal/chain/restore_test.go
@@ -8,7 +8,7 @@
 func TestRestoreSource(t *testing.T) {
 	a, b, c := member("a"), member("b"), member("c")
 	joined := c
-	joined.Since = 4
+	joined.SinceView = 4
 	view := View{Number: 6, Members: []Member{a, joined}, Voters: members("a", "b", "c")}
 	for name, test := range map[string]struct {
 		statuses map[Member]*ReplicaStatus
@@ -22,7 +22,7 @@
 		"nobody answers":                    {nil, ""},
 		"one that lost its disk is another": {answered(ReplicaStatus{CompleteForView: 3}, Member{Address: "b", Disk: "b2"}), ""},
 	} {
-		if source, found := restoreSource(view, joined.Since, test.statuses); source.Address != test.want || found != (test.want != "") {
+		if source, found := restoreSource(view, joined.SinceView, test.statuses); source.Address != test.want || found != (test.want != "") {
 			t.Errorf("%s: %q, %v", name, source.Address, found)
 		}
 	}
@@ -32,7 +32,7 @@
 	self := member("c")
 	view := func(since int64) View {
 		m := self
-		m.Since = since
+		m.SinceView = since
 		return View{Number: 6, Members: []Member{member("a"), m}}
 	}
 	for name, test := range map[string]struct {
--- a/internal/chain/status.go
+++ b/internal/chain/status.go
@@ -27,7 +27,7 @@
 		View:         view,
 		NextAccepted: c.acceptor.HasAccepted(view.Number + 1),
 		Complete:     complete,
-		Ready:        c.config.VoterReady(),
+		VoterReady:   c.config.VoterReady(),
 
 		CompleteForView: completeForView,
 	}, nil
@@ -44,7 +44,7 @@
 // requestStatus asks one core for its status.
 func (c *Chain) requestStatus(ctx context.Context, who Member, view View) (*ReplicaStatus, error) {
 	request := StatusRequest{Disk: who.Disk, View: view}
-	if who.is(c.Self) {
+	if who.sameIdentity(c.Self) {
 		return c.HandleStatus(ctx, &request, nil)
 	}
 	status := &ReplicaStatus{}
--- a/internal/chain/storage.go
+++ b/internal/chain/storage.go
@@ -121,7 +121,7 @@
 func foundingState(founders []string) durableState {
 	var members []Member
 	for _, address := range slices.Sorted(slices.Values(founders)) {
-		members = append(members, Member{Address: address, Disk: founderDisk, Since: 1})
+		members = append(members, Member{Address: address, Disk: founderDisk, SinceView: 1})
 	}
 	return durableState{view: View{Number: 1, Members: members, Voters: members}, completeForView: 1}
 }
--- a/internal/chain/view.go
+++ b/internal/chain/view.go
@@ -12,13 +12,15 @@
 type Member struct {
 	Address string `json:"address"` // internal
 	Disk    string `json:"disk"`
-	// Since is the view from which on it has been a member without a gap.
-	Since int64 `json:"since,omitempty"`
+	// SinceView is the view from which on it has been a member without a gap.
+	SinceView int64 `json:"since,omitempty"`
 }
 
-// is tells whether both are the same disk in the same machine, since whichever
+// sameIdentity tells whether both are the same disk in the same machine, since whichever
 // view.
-func (m Member) is(other Member) bool { return m.Address == other.Address && m.Disk == other.Disk }
+func (m Member) sameIdentity(other Member) bool {
+	return m.Address == other.Address && m.Disk == other.Disk
+}
 
 // identity is the member without the view that it came in with, for map keys.
 func (m Member) identity() Member { return Member{Address: m.Address, Disk: m.Disk} }
@@ -40,7 +42,7 @@
 }
 
 // CountMembers counts the members of a set for which a condition holds, and tells
-// whether they are a majority of it. The condition gets members without Since.
+// whether they are a majority of it. The condition gets members without SinceView.
 func CountMembers(set []Member, condition func(Member) bool) (n int, majority bool) {
 	for _, m := range set {
 		if condition(m.identity()) {
@@ -52,9 +54,9 @@
 
 // indexOf is the position of a member in the chain, 0 for the head, -1 if it is
 // none.
-func (v View) indexOf(who Member) int { return slices.IndexFunc(v.Members, who.is) }
+func (v View) indexOf(who Member) int { return slices.IndexFunc(v.Members, who.sameIdentity) }
 
-func (v View) isVoter(who Member) bool { return slices.ContainsFunc(v.Voters, who.is) }
+func (v View) isVoter(who Member) bool { return slices.ContainsFunc(v.Voters, who.sameIdentity) }
 
 // successor is the member behind another one; none for the tail.
 func (v View) successor(of Member) (Member, bool) {
--- a/internal/cluster/search_planted_faults_test.go
+++ b/internal/cluster/search_planted_faults_test.go
@@ -111,7 +111,7 @@
 		if !strings.HasPrefix(q.View.Members[len(q.View.Members)-1].Address, from+":") || s.world.network.reachable(from, to) {
 			return nil, nil
 		}
-		answer, _ = json.Marshal(chain.ReplicaStatus{View: q.View, Complete: true, Ready: true})
+		answer, _ = json.Marshal(chain.ReplicaStatus{View: q.View, Complete: true, VoterReady: true})
 		return nil, answer
 	}}
 }
