--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -175,7 +175,7 @@
 	if !c.replica.inContact(time.Now()) {
 		return 0
 	}
-	return time.Since(c.replica.contact.since)
+	return time.Since(c.replica.contact.continuousSince)
 }
 
 // enterViewLocked takes over a view, if it is newer, and wakes those that wait
--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -77,7 +77,7 @@
 	if _, err := New(valid); err != nil {
 		t.Fatal(err)
 	}
-	for name, spoil := range map[string]func(*Config){
+	for name, invalidate := range map[string]func(*Config){
 		"no address":            func(c *Config) { c.Address = "" },
 		"no contact timeout":    func(c *Config) { c.ContactTimeout = 0 },
 		"negative failures":     func(c *Config) { c.MaxFailures = -1 },
@@ -90,7 +90,7 @@
 		"no VoterReady to call": func(c *Config) { c.VoterReady = nil },
 	} {
 		config := valid
-		spoil(&config)
+		invalidate(&config)
 		if _, err := New(config); err == nil {
 			t.Errorf("%s: accepted", name)
 		}
--- a/internal/chain/contact.go
+++ b/internal/chain/contact.go
@@ -10,10 +10,10 @@
 // contact records when this member was provably in contact with all members of
 // its view, so that no other view was in force. It has no lock.
 type contact struct {
-	maxGap time.Duration
-	last   time.Time // at that moment all members held what this one held
-	since  time.Time // from then on there was no gap longer than maxGap
-	recent [recentAnswers]answeredUpdate
+	maxGap          time.Duration
+	lastConfirmed   time.Time // at that moment all members held what this one held
+	continuousSince time.Time // from then on there was no gap longer than maxGap
+	recent          [recentAnswers]answeredUpdate
 }
 
 // answeredUpdate is an update that this member answered, and when it came in.
@@ -24,13 +24,13 @@
 
 // confirm records a proof of contact.
 func (c *contact) confirm(at time.Time) {
-	if !at.After(c.last) {
+	if !at.After(c.lastConfirmed) {
 		return
 	}
-	if at.Sub(c.last) > c.maxGap {
-		c.since = at
+	if at.Sub(c.lastConfirmed) > c.maxGap {
+		c.continuousSince = at
 	}
-	c.last = at
+	c.lastConfirmed = at
 }
 
 // recordAnswer records that a member behind the head answered an update. That it
@@ -51,8 +51,8 @@
 	c.recent[0] = answeredUpdate{position, received}
 }
 
-// forgetAnswers is for a new view: answers of the one before prove nothing in it.
-func (c *contact) forgetAnswers() { c.recent = [recentAnswers]answeredUpdate{} }
+// resetAnswers is for a new view: answers of the one before prove nothing in it.
+func (c *contact) resetAnswers() { c.recent = [recentAnswers]answeredUpdate{} }
 
 // current tells whether the last proof of contact still counts.
-func (c *contact) current(now time.Time) bool { return now.Sub(c.last) < c.maxGap }
+func (c *contact) current(now time.Time) bool { return now.Sub(c.lastConfirmed) < c.maxGap }
--- a/internal/chain/errors.go
+++ b/internal/chain/errors.go
@@ -46,7 +46,7 @@
 	statusUnavailable = 503
 )
 
-var statusOf = []struct {
+var statusCodes = []struct {
 	err  error
 	code int
 }{
@@ -67,7 +67,7 @@
 // StatusCode gives the HTTP status of an error that arose in this core's chain,
 // for rpc.Handler. It is 0 for all others, also for what a peer answered.
 func StatusCode(err error) int {
-	for _, s := range statusOf {
+	for _, s := range statusCodes {
 		if errors.Is(err, s.err) {
 			return s.code
 		}
--- a/internal/chain/forward.go
+++ b/internal/chain/forward.go
@@ -99,7 +99,7 @@
 		}
 		switch {
 		case response.Ahead:
-			return c.fallBehind(successor)
+			return c.recordSuccessorAhead(successor)
 		case !response.Gap:
 			return nil
 		case u.Snapshot:
@@ -110,9 +110,9 @@
 	}
 }
 
-// fallBehind records that the successor holds more than this disk, so that this
+// recordSuccessorAhead records that the successor holds more than this disk, so that this
 // member is not complete. The caller holds updateLock.
-func (c *Chain) fallBehind(successor Member) error {
+func (c *Chain) recordSuccessorAhead(successor Member) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.replica.completeForView != 0 {
--- a/internal/chain/nextview.go
+++ b/internal/chain/nextview.go
@@ -79,11 +79,11 @@
 		if in.status(v) == nil || in.view.indexOf(v) >= 0 {
 			continue
 		}
-		wanted := !quorum.Majority(len(next.Members), len(next.Voters))
+		shouldJoin := !quorum.Majority(len(next.Members), len(next.Voters))
 		if in.active {
-			wanted = !joined
+			shouldJoin = !joined
 		}
-		if wanted {
+		if shouldJoin {
 			next.join(v)
 			joined = true
 		}
@@ -92,9 +92,9 @@
 }
 
 // join adds a core at the tail.
-func (v *View) join(who Member) {
-	who.SinceView = v.Number
-	v.Members = append(v.Members, who)
+func (v *View) join(m Member) {
+	m.SinceView = v.Number
+	v.Members = append(v.Members, m)
 }
 
 // changeVoters makes one more core a voter, in place of a lost one where there
@@ -123,17 +123,17 @@
 
 // addVoter makes a core a voter and a member. It takes the place of the voter at
 // its address, whose disk it replaced, else of a lost one that is no member.
-func (in *viewInput) addVoter(d *viewDecision, who Member) {
-	at := slices.IndexFunc(d.next.Voters, func(v Member) bool { return v.Address == who.Address })
+func (in *viewInput) addVoter(d *viewDecision, m Member) {
+	at := slices.IndexFunc(d.next.Voters, func(v Member) bool { return v.Address == m.Address })
 	if at < 0 {
 		at = in.lostVoter(d)
 	}
 	if at >= 0 && d.next.indexOf(d.next.Voters[at]) < 0 {
-		d.next.Voters[at] = who
+		d.next.Voters[at] = m
 	} else {
-		d.next.Voters = append(d.next.Voters, who)
+		d.next.Voters = append(d.next.Voters, m)
 	}
-	d.next.join(who)
+	d.next.join(m)
 }
 
 func (in *viewInput) removeLostVoter(d *viewDecision) {
--- a/internal/chain/nextview_test.go
+++ b/internal/chain/nextview_test.go
@@ -17,8 +17,8 @@
 	return out
 }
 
-// answered gives a status for each identity.
-func answered(status ReplicaStatus, list ...Member) map[Member]*ReplicaStatus {
+// statusesOf gives a status for each identity.
+func statusesOf(status ReplicaStatus, list ...Member) map[Member]*ReplicaStatus {
 	out := map[Member]*ReplicaStatus{}
 	for _, m := range list {
 		out[m.identity()] = &status
@@ -26,7 +26,7 @@
 	return out
 }
 
-func merge(parts ...map[Member]*ReplicaStatus) map[Member]*ReplicaStatus {
+func mergeStatuses(parts ...map[Member]*ReplicaStatus) map[Member]*ReplicaStatus {
 	out := map[Member]*ReplicaStatus{}
 	for _, part := range parts {
 		for m, s := range part {
@@ -46,7 +46,7 @@
 	replacement := Member{Address: "c", Disk: "c2"}
 	abc := View{Number: 4, Members: members("a", "b", "c"), Voters: members("a", "b", "c"), QuorumEpoch: 1}
 	ab := View{Number: 4, Members: members("a", "b"), Voters: members("a", "b", "c"), QuorumEpoch: 1}
-	four := View{Number: 4, Members: members("a", "b", "c"), Voters: members("a", "b", "c", "e"), QuorumEpoch: 3}
+	fourVoters := View{Number: 4, Members: members("a", "b", "c"), Voters: members("a", "b", "c", "e"), QuorumEpoch: 3}
 	joined := func(m Member) Member {
 		m.SinceView = 5
 		return m
@@ -65,112 +65,112 @@
 	}{
 		{
 			name:    "all answer and nothing changes",
-			in:      viewInput{view: abc, active: true, statuses: answered(complete, a, b, c)},
+			in:      viewInput{view: abc, active: true, statuses: statusesOf(complete, a, b, c)},
 			safe:    true,
 			members: abc.Members, voters: abc.Voters,
 		},
 		{
 			name:    "a lost member leaves the chain and keeps its vote",
-			in:      viewInput{view: abc, statuses: answered(complete, a, b)},
+			in:      viewInput{view: abc, statuses: statusesOf(complete, a, b)},
 			safe:    true,
 			members: members("a", "b"), voters: abc.Voters,
 		},
 		{
 			name:    "a minority may not go on alone",
-			in:      viewInput{view: abc, statuses: answered(complete, a)},
+			in:      viewInput{view: abc, statuses: statusesOf(complete, a)},
 			safe:    false,
 			members: members("a"), voters: abc.Voters,
 		},
 		{
 			name:    "an incomplete head goes behind the complete members",
-			in:      viewInput{view: abc, statuses: merge(answered(incomplete, a), answered(complete, b, c))},
+			in:      viewInput{view: abc, statuses: mergeStatuses(statusesOf(incomplete, a), statusesOf(complete, b, c))},
 			safe:    true,
 			members: members("b", "c", "a"), voters: abc.Voters,
 		},
 		{
 			name:    "no view without a complete member",
-			in:      viewInput{view: abc, statuses: answered(incomplete, a, b, c)},
+			in:      viewInput{view: abc, statuses: statusesOf(incomplete, a, b, c)},
 			safe:    false,
 			members: nil, voters: abc.Voters,
 		},
 		{
 			name:    "no view of a core that did not answer itself",
-			in:      viewInput{view: abc, statuses: answered(complete, b, c)},
+			in:      viewInput{view: abc, statuses: statusesOf(complete, b, c)},
 			safe:    false,
 			members: members("b", "c"), voters: abc.Voters,
 		},
 		{
 			name:    "a voter that came back joins an active view at the tail",
-			in:      viewInput{view: ab, active: true, statuses: answered(complete, a, b, c)},
+			in:      viewInput{view: ab, active: true, statuses: statusesOf(complete, a, b, c)},
 			safe:    true,
 			members: []Member{a, b, joined(c)}, voters: ab.Voters,
 		},
 		{
 			name: "only one voter joins an active view at a time",
 			in: viewInput{view: View{Number: 4, Members: members("a"), Voters: members("a", "b", "c")}, active: true,
-				statuses: answered(complete, a, b, c)},
+				statuses: statusesOf(complete, a, b, c)},
 			safe:    true,
 			members: []Member{a, joined(b)}, voters: members("a", "b", "c"),
 		},
 		{
 			name: "a broken view takes in as many voters as a majority needs",
 			in: viewInput{view: View{Number: 4, Members: members("a"), Voters: members("a", "b", "c", "d", "e")},
-				statuses: answered(complete, members("a", "b", "c", "d", "e")...)},
+				statuses: statusesOf(complete, members("a", "b", "c", "d", "e")...)},
 			safe:    true,
 			members: []Member{a, joined(b), joined(c)}, voters: members("a", "b", "c", "d", "e"),
 		},
 		{
 			name:    "a broken view that has a majority takes in nobody",
-			in:      viewInput{view: ab, statuses: answered(complete, a, b, c)},
+			in:      viewInput{view: ab, statuses: statusesOf(complete, a, b, c)},
 			safe:    true,
 			members: ab.Members, voters: ab.Voters,
 		},
 		{
 			name: "a candidate that is ready becomes voter and member",
 			in: viewInput{view: abc, active: true, candidates: []Member{newcomer},
-				statuses: answered(complete, a, b, c, newcomer)},
+				statuses: statusesOf(complete, a, b, c, newcomer)},
 			safe:    true,
 			members: []Member{a, b, c, joined(newcomer)}, voters: append(members("a", "b", "c"), newcomer), newEpoch: true,
 		},
 		{
 			name: "a candidate that is not ready waits",
 			in: viewInput{view: abc, active: true, candidates: []Member{newcomer},
-				statuses: merge(answered(complete, a, b, c), answered(notReady, newcomer))},
+				statuses: mergeStatuses(statusesOf(complete, a, b, c), statusesOf(notReady, newcomer))},
 			safe:    true,
 			members: abc.Members, voters: abc.Voters,
 		},
 		{
 			name: "a candidate waits for an active view",
 			in: viewInput{view: abc, candidates: []Member{newcomer},
-				statuses: answered(complete, a, b, c, newcomer)},
+				statuses: statusesOf(complete, a, b, c, newcomer)},
 			safe:    true,
 			members: abc.Members, voters: abc.Voters,
 		},
 		{
 			name: "the voters change only when a majority of them is ready",
 			in: viewInput{view: abc, active: true, candidates: []Member{newcomer},
-				statuses: merge(answered(complete, a, newcomer), answered(notReady, b, c))},
+				statuses: mergeStatuses(statusesOf(complete, a, newcomer), statusesOf(notReady, b, c))},
 			safe:    true,
 			members: abc.Members, voters: abc.Voters,
 		},
 		{
 			name: "a new disk takes the vote of the one at its address",
 			in: viewInput{view: ab, active: true, candidates: []Member{replacement},
-				statuses: answered(complete, a, b, replacement), answeredAt: justNow},
+				statuses: statusesOf(complete, a, b, replacement), answeredAt: justNow},
 			safe:    true,
 			members: []Member{a, b, joined(replacement)}, voters: append(members("a", "b"), replacement), newEpoch: true,
 		},
 		{
 			name: "a candidate takes the vote of a voter lost for long",
 			in: viewInput{view: ab, active: true, candidates: []Member{newcomer},
-				statuses: answered(complete, a, b, newcomer), answeredAt: longAgo},
+				statuses: statusesOf(complete, a, b, newcomer), answeredAt: longAgo},
 			safe:    true,
 			members: []Member{a, b, joined(newcomer)}, voters: append(members("a", "b"), newcomer), newEpoch: true,
 		},
 		{
 			name: "a voter that answered lately keeps its vote",
 			in: viewInput{view: ab, active: true, candidates: []Member{newcomer},
-				statuses: answered(complete, a, b, newcomer), answeredAt: justNow},
+				statuses: statusesOf(complete, a, b, newcomer), answeredAt: justNow},
 			safe:    true,
 			members: []Member{a, b, joined(newcomer)}, voters: append(members("a", "b", "c"), newcomer), newEpoch: true,
 			neverAnswered: []Member{a.identity(), b.identity()},
@@ -178,22 +178,22 @@
 		{
 			name: "the time of a voter that never answered begins now",
 			in: viewInput{view: ab, active: true, candidates: []Member{newcomer},
-				statuses: answered(complete, a, b, newcomer)},
+				statuses: statusesOf(complete, a, b, newcomer)},
 			safe:    true,
 			members: []Member{a, b, joined(newcomer)}, voters: append(members("a", "b", "c"), newcomer), newEpoch: true,
 			neverAnswered: []Member{a.identity(), b.identity(), c.identity()},
 		},
 		{
 			name: "a lost voter that is not needed loses its vote",
-			in: viewInput{view: four, active: true,
-				statuses: answered(complete, a, b, c), answeredAt: longAgo},
+			in: viewInput{view: fourVoters, active: true,
+				statuses: statusesOf(complete, a, b, c), answeredAt: longAgo},
 			safe:    true,
-			members: four.Members, voters: members("a", "b", "c"), newEpoch: true,
+			members: fourVoters.Members, voters: members("a", "b", "c"), newEpoch: true,
 		},
 		{
 			name: "a lost voter that is needed keeps its vote",
 			in: viewInput{view: ab, active: true,
-				statuses: answered(complete, a, b), answeredAt: longAgo},
+				statuses: statusesOf(complete, a, b), answeredAt: longAgo},
 			safe:    true,
 			members: ab.Members, voters: ab.Voters,
 		},
--- a/internal/chain/propose.go
+++ b/internal/chain/propose.go
@@ -27,9 +27,9 @@
 	if needed := c.config.MaxFailures + 1; len(view.Members) < needed {
 		return fmt.Errorf("%w: there are %d, %d are needed", ErrTooFewMembers, len(view.Members), needed)
 	}
-	set, refused := decide(docs)
+	set, decideErr := decide(docs)
 	u := c.nextUpdate(view)
-	if refused == nil && len(set) > 0 {
+	if decideErr == nil && len(set) > 0 {
 		u.Sequence++
 		u.Set = set
 		if err := c.apply(&u); err != nil {
@@ -39,7 +39,7 @@
 	if err := c.forward(ctx, u); err != nil {
 		return err
 	}
-	return refused
+	return decideErr
 }
 
 // heartbeat sends an update that sets nothing down the chain.
@@ -89,7 +89,7 @@
 	c.mu.Lock()
 	view, active, docs := c.replica.view, c.replica.active, c.replica.docs
 	c.mu.Unlock()
-	if _, more := view.successor(c.Self); more || view.indexOf(c.Self) < 0 {
+	if _, hasSuccessor := view.successor(c.Self); hasSuccessor || view.indexOf(c.Self) < 0 {
 		return nil, ErrNotTail
 	}
 	if err := c.storage.err(); err != nil {
--- a/internal/chain/reconfigure.go
+++ b/internal/chain/reconfigure.go
@@ -39,12 +39,12 @@
 	if view.indexOf(c.Self) < 0 || c.restore(ctx, view, statuses) {
 		return
 	}
-	next, safe := r.decide(view, statuses)
+	next, safe := r.decideNextView(view, statuses)
 	if !safe {
 		return
 	}
-	begun := c.acceptor.HasAccepted(next.Number)
-	if next.sameMembership(view) && !begun {
+	accepted := c.acceptor.HasAccepted(next.Number)
+	if next.sameMembership(view) && !accepted {
 		return
 	}
 	// The first member that answers goes first; the others follow after a while.
@@ -54,7 +54,7 @@
 			return
 		}
 	}
-	c.choose(ctx, view, next)
+	c.chooseNextView(ctx, view, next)
 }
 
 // collectStatuses asks the voters and the candidates for their status, all at
@@ -64,16 +64,16 @@
 	ctx, cancel := context.WithTimeout(ctx, c.timing.statusTimeout())
 	defer cancel()
 	type answer struct {
-		who    Member
+		member Member
 		status *ReplicaStatus
 		err    error
 	}
 	asked := append(slices.Clone(view.Voters), c.candidates(view)...)
 	answers := make(chan answer, len(asked))
-	for _, who := range asked {
+	for _, member := range asked {
 		go func() {
-			status, err := c.requestStatus(ctx, who, view)
-			answers <- answer{who.identity(), status, err}
+			status, err := c.requestStatus(ctx, member, view)
+			answers <- answer{member.identity(), status, err}
 		}()
 	}
 	statuses := map[Member]*ReplicaStatus{}
@@ -81,22 +81,22 @@
 	for range asked {
 		a := <-answers
 		if a.err != nil {
-			r.noteRefusal(a.who, a.err)
+			r.logReplacedVoter(a.member, a.err)
 			continue
 		}
-		statuses[a.who] = a.status
-		r.answeredAt[a.who] = now
+		statuses[a.member] = a.status
+		r.answeredAt[a.member] = now
 	}
 	return statuses
 }
 
-// noteRefusal logs a voter that has another disk than the view says, once.
-func (r *reconfigurer) noteRefusal(who Member, err error) {
-	if !isWrongDisk(err) || r.replacedVoters[who] {
+// logReplacedVoter logs a voter that has another disk than the view says, once.
+func (r *reconfigurer) logReplacedVoter(m Member, err error) {
+	if !isWrongDisk(err) || r.replacedVoters[m] {
 		return
 	}
-	r.replacedVoters[who] = true
-	r.chain.config.Log.Printf("chain: voter %s was replaced: %v", who.Address, err)
+	r.replacedVoters[m] = true
+	r.chain.config.Log.Printf("chain: voter %s was replaced: %v", m.Address, err)
 }
 
 // newestView is the newest of the view known here and those of the answers.
@@ -109,8 +109,8 @@
 	return view
 }
 
-// decide applies nextView to what is known now.
-func (r *reconfigurer) decide(view View, statuses map[Member]*ReplicaStatus) (next View, safe bool) {
+// decideNextView applies nextView to what is known now.
+func (r *reconfigurer) decideNextView(view View, statuses map[Member]*ReplicaStatus) (next View, safe bool) {
 	c := r.chain
 	c.mu.Lock()
 	active := c.replica.active && time.Since(c.replica.lastUpdate) <= c.timing.neighborTimeout()
@@ -127,15 +127,15 @@
 		maxFailures: c.config.MaxFailures,
 		lostAfter:   c.timing.voterLostAfter(),
 	})
-	for _, who := range d.neverAnswered {
-		r.answeredAt[who] = now
+	for _, m := range d.neverAnswered {
+		r.answeredAt[m] = now
 	}
 	return d.next, d.safe
 }
 
-// choose has the voters choose the view after this one, installs the one that is
+// chooseNextView has the voters choose the view after this one, installs the one that is
 // chosen and announces it.
-func (c *Chain) choose(ctx context.Context, view, next View) {
+func (c *Chain) chooseNextView(ctx context.Context, view, next View) {
 	chosen, err := c.proposeView(ctx, view, next)
 	if c.View().Number >= next.Number {
 		return // a peer announced it meanwhile
--- a/internal/chain/replica.go
+++ b/internal/chain/replica.go
@@ -65,7 +65,7 @@
 	r.view = v
 	r.active = false
 	r.successorDown = false
-	r.contact.forgetAnswers()
+	r.contact.resetAnswers()
 	return true
 }
 
--- a/internal/chain/replica_test.go
+++ b/internal/chain/replica_test.go
@@ -137,8 +137,8 @@
 	if third := r.nextUpdate(r.view); third.Position != (StreamPosition{9, 3}) || third.CommittedThrough != 1 {
 		t.Errorf("third: %+v", third)
 	}
-	if r.contact.last != time.Unix(100, 0) || r.lastUpdate != time.Unix(101, 0) {
-		t.Errorf("in contact at %v, last update at %v", r.contact.last, r.lastUpdate)
+	if r.contact.lastConfirmed != time.Unix(100, 0) || r.lastUpdate != time.Unix(101, 0) {
+		t.Errorf("in contact at %v, last update at %v", r.contact.lastConfirmed, r.lastUpdate)
 	}
 }
 
--- a/internal/chain/restore.go
+++ b/internal/chain/restore.go
@@ -17,27 +17,27 @@
 // wasNeverComplete reports whether this replica is a member that was not complete in any view
 // since it joined, and since which view it is a member. A disk that was found to be put back
 // is marked incomplete, and says nothing of what it held before.
-func (r *replica) wasNeverComplete() (since int64, never bool) {
+func (r *replica) wasNeverComplete() (sinceView int64, neverComplete bool) {
 	i := r.view.indexOf(r.self)
 	if i < 0 || r.isComplete() {
 		return 0, false
 	}
-	since = r.view.Members[i].SinceView
+	sinceView = r.view.Members[i].SinceView
 	isNew := r.completeForView == 0 && r.sequence == 0
-	return since, isNew || r.completeForView > 0 && r.completeForView < since
+	return sinceView, isNew || r.completeForView > 0 && r.completeForView < sinceView
 }
 
 // restoreSource chooses a core from which this member may take the state over: one that was
 // complete for the view before this one joined, or for a later one, where no member is
 // complete.
-func restoreSource(view View, since int64, statuses map[Member]*ReplicaStatus) (source Member, found bool) {
+func restoreSource(view View, sinceView int64, statuses map[Member]*ReplicaStatus) (source Member, found bool) {
 	for _, m := range view.Members {
 		if s := statuses[m.identity()]; s != nil && s.Complete {
 			return Member{}, false
 		}
 	}
 	for _, v := range view.Voters {
-		if s := statuses[v.identity()]; s != nil && s.CompleteForView > 0 && s.CompleteForView >= since-1 {
+		if s := statuses[v.identity()]; s != nil && s.CompleteForView > 0 && s.CompleteForView >= sinceView-1 {
 			return v, true
 		}
 	}
@@ -48,16 +48,16 @@
 // that. It reports whether it has.
 func (c *Chain) restore(ctx context.Context, view View, statuses map[Member]*ReplicaStatus) bool {
 	c.mu.Lock()
-	since, never := c.replica.wasNeverComplete()
+	sinceView, neverComplete := c.replica.wasNeverComplete()
 	c.mu.Unlock()
-	if !never {
+	if !neverComplete {
 		return false
 	}
-	source, found := restoreSource(view, since, statuses)
+	source, found := restoreSource(view, sinceView, statuses)
 	if !found {
 		return false
 	}
-	if err := c.restoreFrom(ctx, view, since, source); err != nil {
+	if err := c.restoreFrom(ctx, view, sinceView, source); err != nil {
 		c.config.Log.Printf("chain: restore the state from %s: %v", source.Address, err)
 		return false
 	}
@@ -65,15 +65,15 @@
 	return true
 }
 
-func (c *Chain) restoreFrom(ctx context.Context, view View, since int64, source Member) error {
+func (c *Chain) restoreFrom(ctx context.Context, view View, sinceView int64, source Member) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timing.forwardTimeout())
 	defer cancel()
 	var snapshot Snapshot
 	if err := c.config.Client.Call(ctx, source.Address, "/chain/snapshot", SnapshotRequest{Disk: source.Disk}, nil, &snapshot); err != nil {
 		return err
 	}
-	if snapshot.CompleteForView == 0 || snapshot.CompleteForView < since-1 {
-		return fmt.Errorf("it is complete for view %d, not for %d", snapshot.CompleteForView, since-1)
+	if snapshot.CompleteForView == 0 || snapshot.CompleteForView < sinceView-1 {
+		return fmt.Errorf("it is complete for view %d, not for %d", snapshot.CompleteForView, sinceView-1)
 	}
 	if err := c.acquireUpdateLock(ctx); err != nil {
 		return err
@@ -82,7 +82,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := &c.replica
-	if now, never := r.wasNeverComplete(); !never || now != since || r.view.Number != view.Number {
+	if currentSince, neverComplete := r.wasNeverComplete(); !neverComplete || currentSince != sinceView || r.view.Number != view.Number {
 		return ErrStaleView
 	}
 	before := r.durableState
--- a/internal/chain/restore_test.go
+++ b/internal/chain/restore_test.go
@@ -14,13 +14,13 @@
 		statuses map[Member]*ReplicaStatus
 		want     string
 	}{
-		"complete for the view before":      {answered(ReplicaStatus{CompleteForView: 3}, b), "b"},
-		"complete for a later one":          {answered(ReplicaStatus{CompleteForView: 5}, b), "b"},
-		"for an earlier one only":           {answered(ReplicaStatus{CompleteForView: 2}, b), ""},
-		"for none":                          {answered(ReplicaStatus{}, a, b, c), ""},
-		"a member is complete":              {merge(answered(ReplicaStatus{Complete: true, CompleteForView: 6}, a), answered(ReplicaStatus{CompleteForView: 3}, b)), ""},
+		"complete for the view before":      {statusesOf(ReplicaStatus{CompleteForView: 3}, b), "b"},
+		"complete for a later one":          {statusesOf(ReplicaStatus{CompleteForView: 5}, b), "b"},
+		"for an earlier one only":           {statusesOf(ReplicaStatus{CompleteForView: 2}, b), ""},
+		"for none":                          {statusesOf(ReplicaStatus{}, a, b, c), ""},
+		"a member is complete":              {mergeStatuses(statusesOf(ReplicaStatus{Complete: true, CompleteForView: 6}, a), statusesOf(ReplicaStatus{CompleteForView: 3}, b)), ""},
 		"nobody answers":                    {nil, ""},
-		"one that lost its disk is another": {answered(ReplicaStatus{CompleteForView: 3}, Member{Address: "b", Disk: "b2"}), ""},
+		"one that lost its disk is another": {statusesOf(ReplicaStatus{CompleteForView: 3}, Member{Address: "b", Disk: "b2"}), ""},
 	} {
 		if source, found := restoreSource(view, joined.SinceView, test.statuses); source.Address != test.want || found != (test.want != "") {
 			t.Errorf("%s: %q, %v", name, source.Address, found)
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestWhoWasNeverComplete(t *testing.T) {
+func TestWasNeverComplete(t *testing.T) {
 	self := member("c")
 	view := func(since int64) View {
 		m := self
@@ -47,8 +47,8 @@
 		"it is no member":                            {durableState{view: View{Number: 6, Members: members("a")}, completeForView: 2}, 0},
 	} {
 		r := replica{durableState: test.state, self: self}
-		if since, never := r.wasNeverComplete(); never != (test.since > 0) || never && since != test.since {
-			t.Errorf("%s: since %d, %v", name, since, never)
+		if since, neverComplete := r.wasNeverComplete(); neverComplete != (test.since > 0) || neverComplete && since != test.since {
+			t.Errorf("%s: since %d, %v", name, since, neverComplete)
 		}
 	}
 }
--- a/internal/chain/run.go
+++ b/internal/chain/run.go
@@ -17,12 +17,12 @@
 	var tasks sync.WaitGroup
 	started := time.Now()
 	tasks.Go(func() { c.sendHeartbeats(ctx, started) })
-	tasks.Go(func() { c.watch(ctx, started) })
+	tasks.Go(func() { c.monitorView(ctx, started) })
 	tasks.Wait()
 }
 
-// repeat runs a task at each heartbeat interval until ctx ends.
-func (c *Chain) repeat(ctx context.Context, task func()) {
+// runPeriodically runs a task at each heartbeat interval until ctx ends.
+func (c *Chain) runPeriodically(ctx context.Context, task func()) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -31,23 +31,23 @@
 			return
 		case <-timer.C:
 		}
-		timer.Reset(c.interval())
+		timer.Reset(c.taskInterval())
 		task()
 	}
 }
 
-func (c *Chain) interval() time.Duration {
+func (c *Chain) taskInterval() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.replica.active {
-		return c.timing.startInterval()
+		return c.timing.inactiveInterval()
 	}
 	return c.timing.heartbeatInterval()
 }
 
 // sendHeartbeats sends heartbeats while this core is the head.
 func (c *Chain) sendHeartbeats(ctx context.Context, started time.Time) {
-	c.repeat(ctx, func() {
+	c.runPeriodically(ctx, func() {
 		if c.View().indexOf(c.Self) != 0 || c.storage.err() != nil { // the file's owner logs that once
 			return
 		}
@@ -61,11 +61,11 @@
 	})
 }
 
-// watch calls for another view where one is needed.
-func (c *Chain) watch(ctx context.Context, started time.Time) {
+// monitorView calls for another view where one is needed.
+func (c *Chain) monitorView(ctx context.Context, started time.Time) {
 	r := newReconfigurer(c)
 	var last time.Time
-	c.repeat(ctx, func() {
+	c.runPeriodically(ctx, func() {
 		if time.Since(started) < c.timing.startGrace() || time.Since(last) < c.timing.reconfigureInterval() {
 			return
 		}
--- a/internal/chain/status.go
+++ b/internal/chain/status.go
@@ -42,13 +42,13 @@
 }
 
 // requestStatus asks one core for its status.
-func (c *Chain) requestStatus(ctx context.Context, who Member, view View) (*ReplicaStatus, error) {
-	request := StatusRequest{Disk: who.Disk, View: view}
-	if who.sameIdentity(c.Self) {
+func (c *Chain) requestStatus(ctx context.Context, m Member, view View) (*ReplicaStatus, error) {
+	request := StatusRequest{Disk: m.Disk, View: view}
+	if m.sameIdentity(c.Self) {
 		return c.HandleStatus(ctx, &request, nil)
 	}
 	status := &ReplicaStatus{}
-	if err := c.config.Client.Call(ctx, who.Address, "/chain/standing", request, nil, status); err != nil {
+	if err := c.config.Client.Call(ctx, m.Address, "/chain/standing", request, nil, status); err != nil {
 		return nil, err
 	}
 	return status, nil
@@ -99,8 +99,8 @@
 // may be under way, and wait for a member that is lost: after a while it is
 // cancelled.
 func (c *Chain) acquireUpdateLockForView(ctx context.Context) error {
-	patient, cancel := context.WithTimeout(ctx, c.timing.installPatience())
-	err := c.acquireUpdateLock(patient)
+	graceCtx, cancel := context.WithTimeout(ctx, c.timing.installGrace())
+	err := c.acquireUpdateLock(graceCtx)
 	cancel()
 	if err == nil {
 		return nil
--- a/internal/chain/storage.go
+++ b/internal/chain/storage.go
@@ -70,14 +70,14 @@
 	}
 	bucket := tx.Bucket(bucketState)
 	return errors.Join(
-		deleteVotes(tx, state.view.Number),
+		deleteAcceptorStates(tx, state.view.Number),
 		bucket.Put(keyView, view),
 		bucket.Put(keySequence, formatNumber(state.sequence)),
 		bucket.Put(keyCompleteForView, formatNumber(state.completeForView)))
 }
 
-// deleteVotes deletes the acceptor states of all instances up to one.
-func deleteVotes(tx *bbolt.Tx, through int64) error {
+// deleteAcceptorStates deletes the acceptor states of all instances up to one.
+func deleteAcceptorStates(tx *bbolt.Tx, through int64) error {
 	votes := tx.Bucket(bucketVotes)
 	var old [][]byte
 	err := votes.ForEach(func(k, _ []byte) error {
--- a/internal/chain/storage_test.go
+++ b/internal/chain/storage_test.go
@@ -21,8 +21,8 @@
 	"saltreel/internal/rpc"
 )
 
-// openSingle opens a chain of one member.
-func openSingle(tb testing.TB, path string) *Chain {
+// openSingleMember opens a chain of one member.
+func openSingleMember(tb testing.TB, path string) *Chain {
 	tb.Helper()
 	config := testConfig(tb, path, "a")
 	config.MaxFailures = 0
@@ -68,10 +68,10 @@
 
 func testRefusedUpdate(t *testing.T, step, want string) {
 	path := filepath.Join(t.TempDir(), "core.db")
-	c := openSingle(t, path)
-	var full atomic.Bool
+	c := openSingleMember(t, path)
+	var diskFailing atomic.Bool
 	c.config.File.Fault = func(at string) error {
-		if full.Load() && at == step {
+		if diskFailing.Load() && at == step {
 			return syscall.EIO
 		}
 		return nil
@@ -82,9 +82,9 @@
 	if err := propose(c, "x", "1"); err != nil {
 		t.Fatal(err)
 	}
-	full.Store(true)
+	diskFailing.Store(true)
 	expectRefusal(t, c)
-	full.Store(false)
+	diskFailing.Store(false)
 	time.Sleep(3 * time.Second)
 	if err := propose(c, "y", "1"); err != nil {
 		t.Fatal(err)
@@ -99,11 +99,11 @@
 	cancel()
 	<-done
 	closeFile(t, c.config.File)
-	again := openSingle(t, path)
-	defer closeFile(t, again.config.File)
-	memory, disk := &c.replica, &again.replica
+	reopened := openSingleMember(t, path)
+	defer closeFile(t, reopened.config.File)
+	memory, disk := &c.replica, &reopened.replica
 	if memory.sequence != disk.sequence || memory.view.Number != disk.view.Number || memory.completeForView != disk.completeForView ||
-		c.Self != again.Self || !sameDocuments(docs, disk.docs) {
+		c.Self != reopened.Self || !sameDocuments(docs, disk.docs) {
 		t.Errorf("memory held %d %s, the disk %d %s", memory.sequence, fmt.Sprint(docs), disk.sequence, fmt.Sprint(disk.docs))
 	}
 }
@@ -111,7 +111,7 @@
 // What is replaced leaves nothing behind on the disk.
 func TestFileDoesNotGrowWithUpdates(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "core.db")
-	c := openSingle(t, path)
+	c := openSingleMember(t, path)
 	defer closeFile(t, c.config.File)
 	size := func() int64 {
 		s, err := os.Stat(path)
@@ -158,7 +158,7 @@
 // One update on a member: a configuration of 20 kB and a placement of 13 kB put
 // on disk.
 func BenchmarkApplyUpdate(b *testing.B) {
-	c := openSingle(b, filepath.Join(b.TempDir(), "core.db"))
+	c := openSingleMember(b, filepath.Join(b.TempDir(), "core.db"))
 	defer closeFile(b, c.config.File)
 	configuration, placement := bytes.Repeat([]byte("c"), 20_000), bytes.Repeat([]byte("p"), 13_000)
 	for b.Loop() {
--- a/internal/chain/timing.go
+++ b/internal/chain/timing.go
@@ -13,18 +13,18 @@
 // one alone changes nothing.
 func (t timing) heartbeatInterval() time.Duration { return t.contactTimeout / 16 }
 
-// startInterval takes the place of heartbeatInterval while no update has come
+// inactiveInterval takes the place of heartbeatInterval while no update has come
 // through in the view: the members that follow may start at any moment.
-func (t timing) startInterval() time.Duration { return t.contactTimeout / 80 }
+func (t timing) inactiveInterval() time.Duration { return t.contactTimeout / 80 }
 
 // forwardTimeout bounds how long an update may take to the tail and back. It is
 // shorter than neighborTimeout, so that an update which is stuck at a lost
 // member has failed by the time the view changes.
 func (t timing) forwardTimeout() time.Duration { return t.contactTimeout / 5 }
 
-// installPatience is how long a new view waits for an update that is under way
+// installGrace is how long a new view waits for an update that is under way
 // before it cancels it.
-func (t timing) installPatience() time.Duration { return t.contactTimeout / 16 }
+func (t timing) installGrace() time.Duration { return t.contactTimeout / 16 }
 
 // statusTimeout bounds the wait for the answers to a StatusRequest or to the
 // announcement of a view. A core that runs answers at once.
--- a/internal/chain/view.go
+++ b/internal/chain/view.go
@@ -54,9 +54,9 @@
 
 // indexOf is the position of a member in the chain, 0 for the head, -1 if it is
 // none.
-func (v View) indexOf(who Member) int { return slices.IndexFunc(v.Members, who.sameIdentity) }
+func (v View) indexOf(m Member) int { return slices.IndexFunc(v.Members, m.sameIdentity) }
 
-func (v View) isVoter(who Member) bool { return slices.ContainsFunc(v.Voters, who.sameIdentity) }
+func (v View) isVoter(m Member) bool { return slices.ContainsFunc(v.Voters, m.sameIdentity) }
 
 // successor is the member behind another one; none for the tail.
 func (v View) successor(of Member) (Member, bool) {
