--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -3,12 +3,12 @@
 // Throughput and Availability", OSDI 2004): updates enter at the head, are
 // committed once the tail holds them, and reads are answered by the tail. The
 // order of the members is a numbered view, as in Viewstamped Replication (Oki and
-// Liskov, PODC 1988). Where the paper has a master that repairs the chain, here
-// the voters of each view choose the next one by single-decree Paxos.
+// Liskov, PODC 1988). The paper has a master that reconfigures the chain; here the
+// voters of each view choose the next one by single-decree Paxos.
 //
-// The rules of the protocol are functions without lock and io: replica decides
-// what becomes of an update, contact when a member is in contact with all others,
-// and nextView which view is to follow. Chain drives them.
+// The protocol rules are implemented without locks and I/O: replica decides how an
+// update is handled, contact decides whether a member is in contact with all others,
+// and nextView decides which view follows. Chain drives them.
 package chain
 
 import (
@@ -24,30 +24,30 @@
 	"saltreel/internal/rpc"
 )
 
-// Config is what a Chain needs. All fields are required but MaxFailures.
+// Config configures a Chain. All fields except MaxFailures are required.
 type Config struct {
 	Address        string        // internal address of this core
-	MaxFailures    int           // how many machines may be lost at once
-	ContactTimeout time.Duration // after which a machine that does not answer counts as lost
+	MaxFailures    int           // number of machines that may fail at the same time
+	ContactTimeout time.Duration // after which an unresponsive machine is considered failed
 	Client         *rpc.Client
 	Log            *log.Logger
-	// File is the state on disk. Its owner has its Prepare call InitState and its
-	// Load call Load, and opens it before Run.
+	// File is the state file. Its owner sets Prepare to call InitState and Load to
+	// call Load, and opens the file before Run.
 	File *boltstore.File
 
-	// OnUpdate is called, beside the forwarding, with what an update sets before
-	// it is known to be committed.
+	// OnUpdate is called with the documents that an update sets, concurrently with
+	// forwarding it and before it is known to be committed.
 	OnUpdate func(set Documents)
-	// OnCommit is called with each state that the tail is known to hold, also
-	// when it is the same as before.
+	// OnCommit is called with each state that the tail is known to hold, even if it
+	// has not changed.
 	OnCommit func(state Documents)
-	// KnownCores are the other cores heard of lately, whether in the view or not.
+	// KnownCores returns the other cores with recent heartbeats, whether or not they
+	// are in the view.
 	KnownCores func() []Member
-	// VoterReady tells whether this core knows what a voter must know.
+	// VoterReady reports whether this core holds everything that a voter must hold.
 	VoterReady func() bool
 }
 
-// validate checks that the fields are there.
 func (c *Config) validate() error {
 	switch {
 	case c.Address == "":
@@ -64,11 +64,11 @@
 	return nil
 }
 
-// Chain is this core's part in the chain. It drives the rules of replica and
-// nextView: it holds the locks, calls the peers and writes the disk.
+// Chain is one member of the chain. It drives the rules of replica and nextView: it
+// holds the locks, calls the peers and writes to disk.
 type Chain struct {
-	// Self is this core. It is complete once the file is open, and does not change
-	// then: Run and the calls of others begin after that, so it needs no lock.
+	// Self is this core. Its Disk is set when the file is opened and does not change
+	// afterwards. Run and requests of peers start after that, so it needs no lock.
 	Self Member
 
 	config   Config
@@ -76,17 +76,17 @@
 	storage  storage
 	acceptor paxos.Acceptor
 
-	// updateLock is held by the one update or change of view that is under way.
-	// Whoever holds it may read the replica's documents without mu.
+	// updateLock serializes updates and view changes. Its holder may read the
+	// documents of the replica without mu.
 	updateLock chan struct{}
 
 	mu            sync.Mutex
 	replica       replica
-	cancelForward func()        // ends the call to the successor that is under way
+	cancelForward func()        // cancels the call to the successor in flight
 	viewChanged   chan struct{} // closed when the next view is entered
 }
 
-// New makes a chain; its state is there once config.File is open.
+// New returns a chain. Its state is loaded when config.File is opened.
 func New(config Config) (*Chain, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -125,25 +125,26 @@
 
 func (c *Chain) releaseUpdateLock() { <-c.updateLock }
 
-// View is the newest view known here.
+// View returns the newest view known to this core.
 func (c *Chain) View() View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.replica.view
 }
 
-// viewAndChange is the number of the view, and what is closed when the next one
-// is entered.
+// viewAndChange returns the number of the current view and a channel that is closed
+// when the next view is entered.
 func (c *Chain) viewAndChange() (int64, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.replica.view.Number, c.viewChanged
 }
 
-// Voters are the addresses of the voters on views and leases.
+// Voters returns the addresses of the voters on views and leases.
 func (c *Chain) Voters() []string { return addresses(c.View().Voters) }
 
-// Head is the address at which updates enter; "" if no view is known.
+// Head returns the address of the head, where updates enter, or "" if no view is
+// known.
 func (c *Chain) Head() string {
 	if members := c.View().Members; len(members) > 0 {
 		return members[0].Address
@@ -151,7 +152,8 @@
 	return ""
 }
 
-// Tail is the address of the member that answers reads; "" if no view is known.
+// Tail returns the address of the tail, which answers reads, or "" if no view is
+// known.
 func (c *Chain) Tail() string {
 	if members := c.View().Members; len(members) > 0 {
 		return members[len(members)-1].Address
@@ -159,16 +161,16 @@
 	return ""
 }
 
-// InContact tells whether this core is a member and was lately in contact with
-// all members, so that no newer view has replaced what it says.
+// InContact reports whether this core is a member and has had contact with all
+// members so recently that no newer view can have superseded its state.
 func (c *Chain) InContact() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.replica.inContact(time.Now())
 }
 
-// InContactFor is how long this core has been in contact without a gap; 0 if it
-// is not.
+// InContactFor returns how long this core has been in contact without interruption,
+// or 0 if it is not in contact.
 func (c *Chain) InContactFor() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,8 +180,8 @@
 	return time.Since(c.replica.contact.continuousSince)
 }
 
-// enterViewLocked takes over a view, if it is newer, and wakes those that wait
-// for one.
+// enterViewLocked enters v if it is newer than the current view, and wakes the
+// waiters for a view change. The caller holds mu.
 func (c *Chain) enterViewLocked(v View) {
 	if !c.replica.enterView(v) {
 		return
--- a/internal/chain/contact.go
+++ b/internal/chain/contact.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// recentAnswers is how many answered updates a member remembers. The head sends
-// one at a time, so the one that it names as committed is among the last two;
-// the others allow for duplicates.
+// recentAnswers is the number of answered updates that a member remembers. The head
+// sends one update at a time, so the one that it names as committed is among the last
+// two; the other entries allow for duplicates.
 const recentAnswers = 4
 
-// contact records when this member was provably in contact with all members of
-// its view, so that no other view was in force. It has no lock.
+// contact records when this member provably had contact with all members of its view,
+// so that no newer view was in force. It is not safe for concurrent use.
 type contact struct {
 	maxGap          time.Duration
-	lastConfirmed   time.Time // at that moment all members held what this one held
-	continuousSince time.Time // from then on there was no gap longer than maxGap
+	lastConfirmed   time.Time // at this time all members held the same updates
+	continuousSince time.Time // no gap between two proofs has exceeded maxGap since
 	recent          [recentAnswers]answeredUpdate
 }
 
-// answeredUpdate is an update that this member answered, and when it came in.
+// answeredUpdate is an update that this member answered, with its time of arrival.
 type answeredUpdate struct {
 	position StreamPosition
 	received time.Time
 }
 
-// confirm records a proof of contact.
+// confirm records a proof of contact at the given time. Older proofs are ignored.
 func (c *contact) confirm(at time.Time) {
 	if !at.After(c.lastConfirmed) {
 		return
@@ -33,13 +33,13 @@
 	c.lastConfirmed = at
 }
 
-// recordAnswer records that a member behind the head answered an update. That it
-// arrived proves nothing about now: it may have been in a buffer while this
-// process was frozen or a link was cut. But the head sends it only after the one
-// before has succeeded or failed. So the update that it names as committed
-// proves contact at the moment when this member received that one: from then
-// until its answer was on the way, all members before it were in this view, and
-// none behind it had left it.
+// recordAnswer records that this member, which is not the head, answered an update.
+// The arrival of an update does not prove contact at the present time: it may have
+// been buffered while this process was suspended or a link was down. The head sends
+// an update only after the previous one has succeeded or failed. The update that it
+// names as committed therefore proves contact at the time when this member received
+// that earlier update: from then until its answer was sent, all members before this
+// one were in this view, and no member behind it had left it.
 func (c *contact) recordAnswer(position StreamPosition, committedThrough int64, received time.Time) {
 	committed := StreamPosition{Head: position.Head, Number: committedThrough}
 	for _, answered := range c.recent {
@@ -51,8 +51,9 @@
 	c.recent[0] = answeredUpdate{position, received}
 }
 
-// resetAnswers is for a new view: answers of the one before prove nothing in it.
+// resetAnswers is called on a view change: answers given in the previous view prove
+// nothing in the new one.
 func (c *contact) resetAnswers() { c.recent = [recentAnswers]answeredUpdate{} }
 
-// current tells whether the last proof of contact still counts.
+// current reports whether the last proof of contact is still valid.
 func (c *contact) current(now time.Time) bool { return now.Sub(c.lastConfirmed) < c.maxGap }
--- a/internal/chain/errors.go
+++ b/internal/chain/errors.go
@@ -8,38 +8,38 @@
 	"saltreel/internal/rpc"
 )
 
-// Errors of this package. Those that carry details wrap one of them.
+// Errors of this package. Errors with details wrap one of them.
 var (
-	// ErrNotHead says that updates enter at another member.
+	// ErrNotHead means that updates enter at another member.
 	ErrNotHead = errors.New("this machine is not the head")
-	// ErrNotTail says that reads are answered by another member.
+	// ErrNotTail means that reads are answered by another member.
 	ErrNotTail = errors.New("this machine is not the tail")
-	// ErrNotInView says that an update came for a view in which this core is no
-	// successor of any member.
+	// ErrNotInView means that an update is for a view in which this core is not the
+	// successor of a member.
 	ErrNotInView = errors.New("this machine follows no member of the view")
-	// ErrStaleView says that an update belongs to a view before the one in force.
+	// ErrStaleView means that an update belongs to an earlier view than the current one.
 	ErrStaleView = errors.New("stale view")
-	// ErrStaleUpdate says that later updates of the same head were here before.
+	// ErrStaleUpdate means that a later update of the same head was received before.
 	ErrStaleUpdate = errors.New("stale update")
-	// ErrViewChosen says that a vote came for a view that is chosen already.
+	// ErrViewChosen means that a vote was requested for a view that is already chosen.
 	ErrViewChosen = errors.New("the view is chosen already")
-	// ErrViewNotActive says that no update went through the tail in its view yet,
-	// so that it does not know what is committed.
+	// ErrViewNotActive means that no update has passed through the tail in its view
+	// yet, so that the tail does not know what is committed.
 	ErrViewNotActive = errors.New("no update has come through in this view yet")
-	// ErrTooFewMembers says that an update would not outlast MaxFailures losses.
+	// ErrTooFewMembers means that an update would not survive MaxFailures failures.
 	ErrTooFewMembers = errors.New("too few members in the view")
-	// ErrNoQuorum says that no majority of the voters confirmed the view.
+	// ErrNoQuorum means that no majority of the voters confirmed the view.
 	ErrNoQuorum = errors.New("no majority of the voters confirms the view")
-	// ErrBusy says that the context ended while other updates were under way.
+	// ErrBusy means that the context ended while the caller waited for other updates.
 	ErrBusy = errors.New("the chain is busy")
-	// ErrWrongDisk says that a request was meant for another disk at this address.
+	// ErrWrongDisk means that a request was addressed to another disk at this address.
 	ErrWrongDisk = errors.New("the disk is another one")
-	// ErrDiskFailed says that the disk refused a write, so that memory and disk
-	// may differ until the file was loaded again.
+	// ErrDiskFailed means that a write failed, so that memory and disk may differ
+	// until the file has been loaded again.
 	ErrDiskFailed = errors.New("the disk refuses writes")
 )
 
-// HTTP statuses with which the errors travel between cores.
+// HTTP status codes of the errors in responses between cores.
 const (
 	statusConflict    = 409
 	statusMisdirected = 421
@@ -64,8 +64,8 @@
 	{ErrDiskFailed, statusUnavailable},
 }
 
-// StatusCode gives the HTTP status of an error that arose in this core's chain,
-// for rpc.Handler. It is 0 for all others, also for what a peer answered.
+// StatusCode returns the HTTP status code for an error of this package, for use by
+// rpc.Handler. It returns 0 for all other errors, including those answered by a peer.
 func StatusCode(err error) int {
 	for _, s := range statusCodes {
 		if errors.Is(err, s.err) {
@@ -75,11 +75,11 @@
 	return 0
 }
 
-// isWrongDisk tells whether a peer answered a StatusRequest with ErrWrongDisk,
-// the only conflict that such a request can meet.
+// isWrongDisk reports whether a StatusRequest failed with ErrWrongDisk. For a peer
+// that is status 409, which a StatusRequest gets for no other reason.
 func isWrongDisk(err error) bool {
 	return errors.Is(err, ErrWrongDisk) || rpc.StatusCode(err) == statusConflict
 }
 
-// errBusy is ErrBusy with why the context ended.
+// errBusy returns ErrBusy with the reason why the context ended.
 func errBusy(ctx context.Context) error { return fmt.Errorf("%w: %w", ErrBusy, ctx.Err()) }
--- a/internal/chain/forward.go
+++ b/internal/chain/forward.go
@@ -9,8 +9,8 @@
 	"saltreel/internal/httpwire"
 )
 
-// HandleUpdate takes an update of the predecessor. The answer comes once all
-// members behind this one hold it too.
+// HandleUpdate handles an update from the predecessor. It accepts the
+// update only after all members behind this one hold it as well.
 func (c *Chain) HandleUpdate(ctx context.Context, u *UpdateRequest, _ []byte) (*UpdateResponse, error) {
 	if err := c.acquireUpdateLock(ctx); err != nil {
 		return nil, err
@@ -38,8 +38,8 @@
 	return &UpdateResponse{}, nil
 }
 
-// apply puts an update on disk, then into memory. If the disk refuses it, memory
-// stays as it was until the file is loaded again. The caller holds updateLock.
+// apply writes an update to disk and then applies it in memory. If the write fails,
+// memory keeps its state until the file is loaded again. The caller holds updateLock.
 func (c *Chain) apply(u *UpdateRequest) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// forward sends an update to the successor, if there is one; when it returns nil,
-// the tail holds all that this machine holds. The caller holds updateLock.
+// forward sends an update to the successor, if there is one. When it returns nil, the
+// tail holds everything that this member holds. The caller holds updateLock.
 func (c *Chain) forward(ctx context.Context, u UpdateRequest) error {
 	received := time.Now()
 	if successor, ok := u.View.successor(c.Self); ok {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// sendUpdate sends an update, or a snapshot where the successor asks for one.
+// sendUpdate sends an update to the successor, and a snapshot if it requests one.
 func (c *Chain) sendUpdate(ctx context.Context, successor Member, u UpdateRequest) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timing.forwardTimeout())
 	defer cancel()
@@ -110,8 +110,8 @@
 	}
 }
 
-// recordSuccessorAhead records that the successor holds more than this disk, so that this
-// member is not complete. The caller holds updateLock.
+// recordSuccessorAhead marks this member incomplete because its successor is complete
+// and holds later updates, and returns an error. The caller holds updateLock.
 func (c *Chain) recordSuccessorAhead(successor Member) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/chain/nextview.go
+++ b/internal/chain/nextview.go
@@ -7,33 +7,33 @@
 	"saltreel/internal/quorum"
 )
 
-// viewInput is what the rule for the next view rests on.
+// viewInput is the input of nextView.
 type viewInput struct {
 	view        View
 	self        Member
-	active      bool                      // updates come through in this view
-	statuses    map[Member]*ReplicaStatus // of the cores that answered, by identity
-	candidates  []Member                  // cores heard of lately that are no voters
-	answeredAt  map[Member]time.Time      // when a core last answered, by identity
+	active      bool                      // updates are committed in this view
+	statuses    map[Member]*ReplicaStatus // of the cores that answered, keyed by identity
+	candidates  []Member                  // cores with recent heartbeats that are not voters
+	answeredAt  map[Member]time.Time      // time of the last answer of a core, keyed by identity
 	now         time.Time
 	maxFailures int
-	lostAfter   time.Duration // how long a voter has not answered when it may lose its vote
+	lostAfter   time.Duration // a voter that has not answered for longer may be replaced
 }
 
-// viewDecision is what follows from a viewInput.
+// viewDecision is the result of nextView.
 type viewDecision struct {
 	next View
 	safe bool // enough cores answered to propose next
-	// neverAnswered are voters that were looked at and of which no answer is
-	// known: lostAfter counts for them from now on.
+	// neverAnswered are voters that were considered for replacement and have never
+	// answered. For them lostAfter counts from now.
 	neverAnswered []Member
 }
 
-// nextView decides which view is to follow. Members that are complete come
-// first and keep their order, so that the new head holds all that any of them
-// does. While updates come through, the view changes by one core at a time: a
-// voter that is no member joins at the tail, and once all voters that answer are
-// members, the voters change. A view that is broken takes back all voters that it
+// nextView decides which view follows the current one. Complete members come first
+// and keep their order, so that the new head holds every update that any of them
+// holds. While the view is active, it changes by one core at a time: a voter that is
+// not a member joins at the tail, and the set of voters changes only when all voters
+// that answer are members. A view that is not active takes in as many voters as it
 // needs for a majority.
 func nextView(in viewInput) viewDecision {
 	d := viewDecision{next: in.view}
@@ -51,11 +51,11 @@
 	return d
 }
 
-// status is what a core answered, or nil.
+// status returns the status of a core, or nil if it did not answer.
 func (in *viewInput) status(of Member) *ReplicaStatus { return in.statuses[of.identity()] }
 
-// orderedMembers are the members that answered, first those that are complete.
-// There are none unless at least one of them is.
+// orderedMembers returns the members that answered, complete ones first. It returns
+// nil if none of them is complete.
 func (in *viewInput) orderedMembers() []Member {
 	var complete, incomplete []Member
 	for _, m := range in.view.Members {
@@ -73,7 +73,8 @@
 	return append(complete, incomplete...)
 }
 
-// joinVoters adds voters that answered and are no members at the tail.
+// joinVoters adds voters that answered and are not members at the tail: one if the
+// view is active, or else as many as a majority needs.
 func (in *viewInput) joinVoters(next *View) (joined bool) {
 	for _, v := range in.view.Voters {
 		if in.status(v) == nil || in.view.indexOf(v) >= 0 {
@@ -91,16 +92,16 @@
 	return joined
 }
 
-// join adds a core at the tail.
+// join adds m at the tail.
 func (v *View) join(m Member) {
 	m.SinceView = v.Number
 	v.Members = append(v.Members, m)
 }
 
-// changeVoters makes one more core a voter, in place of a lost one where there
-// is one; or it takes the vote of a lost one that is not needed. What the voters
-// store by majority beside the chain must have come over to the present ones
-// before: those that come in learn it from a majority of these.
+// changeVoters adds one candidate to the voters, replacing a lost voter if there is
+// one, or else removes a lost voter that is not needed. A majority of the current
+// voters must be ready first, that is, hold the state that voters store by majority
+// outside of the chain: a new voter obtains it from a majority of them.
 func (in *viewInput) changeVoters(d *viewDecision) {
 	isReady := func(v Member) bool {
 		s := in.status(v)
@@ -121,8 +122,8 @@
 	}
 }
 
-// addVoter makes a core a voter and a member. It takes the place of the voter at
-// its address, whose disk it replaced, else of a lost one that is no member.
+// addVoter adds m to the voters and members. It replaces the voter with the same
+// address, which has lost its disk, or else a lost voter that is not a member.
 func (in *viewInput) addVoter(d *viewDecision, m Member) {
 	at := slices.IndexFunc(d.next.Voters, func(v Member) bool { return v.Address == m.Address })
 	if at < 0 {
@@ -142,8 +143,8 @@
 	}
 }
 
-// lostVoter is the index of the first voter that has not answered for lostAfter,
-// or -1.
+// lostVoter returns the index of the first voter that has not answered for longer
+// than lostAfter, or -1. It adds voters that never answered to d.neverAnswered.
 func (in *viewInput) lostVoter(d *viewDecision) int {
 	return slices.IndexFunc(d.next.Voters, func(v Member) bool {
 		at, known := in.answeredAt[v.identity()]
--- a/internal/chain/propose.go
+++ b/internal/chain/propose.go
@@ -7,12 +7,12 @@
 	"saltreel/internal/quorum"
 )
 
-// Propose makes one update at the head. There decide sees the newest state and
-// gives the documents to set, or an error, which Propose returns. Without
-// documents nothing is written. Propose returns only once all that decide saw and
-// set is committed: a refusal must not rest on what may yet be lost. After any
-// other error the update may still be committed later, unless decide was not
-// called: then it does not exist.
+// Propose makes an update at the head. It calls decide with the newest state; decide
+// returns the documents to set, or an error, which Propose returns. If there are no
+// documents to set, nothing is written. Propose returns the result of decide only
+// after everything that decide saw and set is committed, because a rejection must not
+// be based on state that may still be lost. After any other error the update may
+// still be committed later, unless decide was not called.
 func (c *Chain) Propose(ctx context.Context, decide func(Documents) (Documents, error)) error {
 	if err := c.acquireUpdateLock(ctx); err != nil {
 		return err
@@ -22,8 +22,8 @@
 	if err != nil {
 		return err
 	}
-	// What is decided must outlast MaxFailures losses, and so must what it rests
-	// on: also where nothing is written.
+	// The decision and the state it is based on must survive MaxFailures failures,
+	// even if nothing is written.
 	if needed := c.config.MaxFailures + 1; len(view.Members) < needed {
 		return fmt.Errorf("%w: there are %d, %d are needed", ErrTooFewMembers, len(view.Members), needed)
 	}
@@ -42,7 +42,7 @@
 	return decideErr
 }
 
-// heartbeat sends an update that sets nothing down the chain.
+// heartbeat sends an update without documents along the chain.
 func (c *Chain) heartbeat(ctx context.Context) error {
 	if err := c.acquireUpdateLock(ctx); err != nil {
 		return err
@@ -55,9 +55,10 @@
 	return c.forward(ctx, c.nextUpdate(view))
 }
 
-// prepareHead gives the view and the state that the next update builds on.
-// Nothing is built on this disk before the other members hold what it holds: it
-// may have an old file. The caller holds updateLock.
+// prepareHead returns the view and the state on which the next update is based. In a
+// view that is not active it first forwards a heartbeat, because this disk may hold an
+// old file: no update is based on it before the other members hold the same state. The
+// caller holds updateLock.
 func (c *Chain) prepareHead(ctx context.Context) (View, Documents, error) {
 	c.mu.Lock()
 	view, docs := c.replica.view, c.replica.docs
@@ -74,17 +75,17 @@
 	return view, docs, nil
 }
 
-// nextUpdate is the next request of this head, a heartbeat as it stands. The
-// caller holds the right to update.
+// nextUpdate returns the next request of this head as a heartbeat. The caller holds
+// updateLock.
 func (c *Chain) nextUpdate(view View) UpdateRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.replica.nextUpdate(view)
 }
 
-// Read gives the committed state. It returns ErrNotTail elsewhere than at the
-// tail, ErrViewNotActive where the tail does not know yet what is committed, and
-// ErrNoQuorum unless a majority of the voters knows of no newer view.
+// Read returns the committed state. It returns ErrNotTail if this core is not the
+// tail, ErrViewNotActive if the tail does not know yet what is committed, and
+// ErrNoQuorum unless a majority of the voters confirms that it knows no newer view.
 func (c *Chain) Read(ctx context.Context) (Documents, error) {
 	c.mu.Lock()
 	view, active, docs := c.replica.view, c.replica.active, c.replica.docs
@@ -104,8 +105,8 @@
 	return docs, nil
 }
 
-// confirmView tells whether a majority of the voters knows of no newer view, and
-// has accepted none.
+// confirmView reports whether a majority of the voters knows no newer view and has
+// not accepted one.
 func (c *Chain) confirmView(ctx context.Context, view View) bool {
 	ctx, cancel := context.WithTimeout(ctx, c.timing.readTimeout())
 	defer cancel()
--- a/internal/chain/reconfigure.go
+++ b/internal/chain/reconfigure.go
@@ -13,13 +13,13 @@
 	"saltreel/internal/timeutil"
 )
 
-// reconfigurer changes the view. It belongs to one goroutine and has no lock.
+// reconfigurer changes the view. It is used by one goroutine only.
 type reconfigurer struct {
 	chain *Chain
-	// answeredAt is when a core last answered a StatusRequest, or else when its
-	// answer was first missed.
+	// answeredAt is the time at which a core last answered a StatusRequest or, if it
+	// never did, the time at which it was first considered for replacement.
 	answeredAt map[Member]time.Time
-	// replacedVoters are those that are logged as found with another disk.
+	// replacedVoters are the voters already logged as having another disk.
 	replacedVoters map[Member]bool
 }
 
@@ -27,8 +27,8 @@
 	return &reconfigurer{chain: c, answeredAt: map[Member]time.Time{}, replacedVoters: map[Member]bool{}}
 }
 
-// reconfigure asks all cores for their status, and installs a newer view that one
-// of them knows; else it proposes the view that follows from the answers.
+// reconfigure requests the status of all cores. If one of them knows a newer view,
+// it installs that view; otherwise it proposes the view that nextView decides on.
 func (r *reconfigurer) reconfigure(ctx context.Context, view View) {
 	c := r.chain
 	statuses := r.collectStatuses(ctx, view)
@@ -47,7 +47,7 @@
 	if next.sameMembership(view) && !accepted {
 		return
 	}
-	// The first member that answers goes first; the others follow after a while.
+	// The first member of the next view proposes at once, the others with a delay.
 	if i := next.indexOf(c.Self); i > 0 {
 		timeutil.Sleep(ctx, c.timing.proposalStagger()*time.Duration(i))
 		if ctx.Err() != nil {
@@ -57,8 +57,8 @@
 	c.chooseNextView(ctx, view, next)
 }
 
-// collectStatuses asks the voters and the candidates for their status, all at
-// once, and notes who answered.
+// collectStatuses requests the status of the voters and candidates in parallel and
+// records which of them answered.
 func (r *reconfigurer) collectStatuses(ctx context.Context, view View) map[Member]*ReplicaStatus {
 	c := r.chain
 	ctx, cancel := context.WithTimeout(ctx, c.timing.statusTimeout())
@@ -90,7 +90,7 @@
 	return statuses
 }
 
-// logReplacedVoter logs a voter that has another disk than the view says, once.
+// logReplacedVoter logs once for each voter that its disk is not the one in the view.
 func (r *reconfigurer) logReplacedVoter(m Member, err error) {
 	if !isWrongDisk(err) || r.replacedVoters[m] {
 		return
@@ -99,7 +99,7 @@
 	r.chain.config.Log.Printf("chain: voter %s was replaced: %v", m.Address, err)
 }
 
-// newestView is the newest of the view known here and those of the answers.
+// newestView returns the newest of view and the views in statuses.
 func newestView(view View, statuses map[Member]*ReplicaStatus) View {
 	for _, s := range statuses {
 		if s.View.Number > view.Number {
@@ -109,7 +109,7 @@
 	return view
 }
 
-// decideNextView applies nextView to what is known now.
+// decideNextView applies nextView to the current state.
 func (r *reconfigurer) decideNextView(view View, statuses map[Member]*ReplicaStatus) (next View, safe bool) {
 	c := r.chain
 	c.mu.Lock()
@@ -133,12 +133,12 @@
 	return d.next, d.safe
 }
 
-// chooseNextView has the voters choose the view after this one, installs the one that is
-// chosen and announces it.
+// chooseNextView has the voters choose the next view, installs the chosen view and
+// announces it.
 func (c *Chain) chooseNextView(ctx context.Context, view, next View) {
 	chosen, err := c.proposeView(ctx, view, next)
 	if c.View().Number >= next.Number {
-		return // a peer announced it meanwhile
+		return // a peer has announced it in the meantime
 	}
 	if err != nil {
 		c.config.Log.Printf("chain: propose view %d: %v", next.Number, err)
@@ -149,8 +149,8 @@
 	}
 }
 
-// proposeView runs Paxos among the voters of a view and gives the next one that
-// was chosen. It ends early when that is learnt otherwise.
+// proposeView runs Paxos among the voters of view and returns the chosen next view.
+// It is cancelled when this core learns the chosen view from a peer.
 func (c *Chain) proposeView(ctx context.Context, view, next View) (chosen View, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timing.proposalTimeout())
 	defer cancel()
@@ -173,8 +173,8 @@
 	return chosen, nil
 }
 
-// awaitView waits until a view is installed here, or ctx ends. Peers that have
-// installed it answer no more votes on it.
+// awaitView waits until the view with the given number or a newer one is installed
+// on this core, or ctx ends. Peers that have installed it reject votes on it.
 func (c *Chain) awaitView(ctx context.Context, number int64) {
 	for ctx.Err() == nil {
 		newest, changed := c.viewAndChange()
@@ -188,8 +188,8 @@
 	}
 }
 
-// voteCaller sends Paxos requests to the voters of a view, to this core's own
-// acceptor without a call.
+// voteCaller returns a paxos.Caller for the voters of a view. Requests to the acceptor
+// of this core are handled locally.
 func (c *Chain) voteCaller(view View) paxos.Caller {
 	disks := map[string]string{}
 	for _, v := range view.Voters {
@@ -209,7 +209,7 @@
 	}
 }
 
-// installAndLog installs a view and logs where that fails.
+// installAndLog installs a view and logs the error if that fails.
 func (c *Chain) installAndLog(ctx context.Context, v View) (installed bool) {
 	err := c.InstallView(ctx, v)
 	if err != nil {
@@ -218,8 +218,8 @@
 	return err == nil
 }
 
-// announce sends a chosen view to the other voters. Those that do not get it
-// learn it from the first update.
+// announce sends a chosen view to the other voters. Members that do not receive it
+// learn the view from its first update.
 func (c *Chain) announce(ctx context.Context, v View) {
 	ctx, cancel := context.WithTimeout(ctx, c.timing.statusTimeout())
 	defer cancel()
--- a/internal/chain/replica.go
+++ b/internal/chain/replica.go
@@ -6,41 +6,41 @@
 	"time"
 )
 
-// durableState is what a replica has on disk beside the documents.
+// durableState is the state of a replica on disk other than the documents.
 type durableState struct {
 	view            View
-	completeForView int64 // the view for which this disk holds every committed update
+	completeForView int64 // newest view for which this disk holds every committed update; 0 if none
 	sequence        int64 // of the last update
 }
 
-// replica is the protocol state of one member: the rules of the chain as
-// functions of state and input. It has no lock and does no io.
+// replica is the protocol state of one member and implements the rules of the chain.
+// It does no I/O and is not safe for concurrent use.
 type replica struct {
 	durableState
 	self        Member
-	incarnation int64 // of this process as a head, at random
+	incarnation int64 // random, identifies this process as a head
 	docs        Documents
 
 	active           bool           // an update of this view was committed through this member
-	successorDown    bool           // the successor's machine answered that no core runs there
+	successorDown    bool           // the successor's machine refused the connection: no core runs there
 	position         StreamPosition // of the last update sent or received
-	committedThrough int64          // at the head: the last of its updates that all members answered
+	committedThrough int64          // at the head: number of its last update that all members answered
 	lastUpdate       time.Time      // when an update was last committed through this member
 	contact          contact
 }
 
-// isComplete tells whether this disk holds every update that was ever committed.
+// isComplete reports whether this disk holds every committed update.
 func (r *replica) isComplete() bool { return r.completeForView == r.view.Number }
 
 func (r *replica) isHead() bool { return r.view.indexOf(r.self) == 0 }
 
-// inContact tells whether this replica is a member and was lately in contact
+// inContact reports whether this replica is a member with a valid proof of contact
 // with all members.
 func (r *replica) inContact(now time.Time) bool {
 	return r.view.indexOf(r.self) >= 0 && r.contact.current(now)
 }
 
-// load takes over what was read from disk.
+// load replaces the state by the state read from disk.
 func (r *replica) load(disk string, state durableState, docs Documents) {
 	if r.self.Disk == "" {
 		r.self.Disk = disk
@@ -50,14 +50,14 @@
 	r.active = false
 }
 
-// enterView takes over a chosen view, if it is newer; from then on no update of
-// the one before is accepted.
+// enterView enters a chosen view if it is newer than the current one. Updates of
+// earlier views are rejected from then on.
 func (r *replica) enterView(v View) (entered bool) {
 	if v.Number <= r.view.Number {
 		return false
 	}
-	// A member without a gap that was complete still is: nothing can have been
-	// committed since without it.
+	// A complete member whose membership was not interrupted is still complete,
+	// because no update can have been committed without it.
 	i := v.indexOf(r.self)
 	if i >= 0 && r.isComplete() && v.Members[i].SinceView <= r.view.Number {
 		r.completeForView = v.Number
@@ -69,7 +69,7 @@
 	return true
 }
 
-// nextUpdate makes the next request of this head: a heartbeat as it stands.
+// nextUpdate returns the next request of this head as a heartbeat.
 func (r *replica) nextUpdate(view View) UpdateRequest {
 	if r.position.Head != r.incarnation {
 		r.position = StreamPosition{Head: r.incarnation}
@@ -79,19 +79,19 @@
 	return UpdateRequest{View: view, Sequence: r.sequence, Position: r.position, CommittedThrough: r.committedThrough}
 }
 
-// admission is what a replica does with an update of its predecessor.
+// admission is the decision on an update from the predecessor.
 type admission int
 
 const (
 	admitRejected admission = iota
-	admitAhead              // answer that this member holds more
-	admitGap                // answer that a snapshot is needed
+	admitAhead              // reply that this member holds later updates
+	admitGap                // reply that a snapshot is needed
 	admitApply              // apply it, then forward it
-	admitForward            // forward it: it sets nothing that is not here already
+	admitForward            // forward it without applying: a heartbeat or a duplicate
 )
 
-// admit decides what to do with an update, and records its position. The error
-// says why it is rejected.
+// admit decides how to handle an update and records its position. It returns an error
+// if the update is rejected.
 func (r *replica) admit(u *UpdateRequest) (admission, error) {
 	if u.View.Number < r.view.Number {
 		return admitRejected, fmt.Errorf("%w: %d is sealed, %d is in force", ErrStaleView, u.View.Number, r.view.Number)
@@ -119,12 +119,13 @@
 	return admitForward, nil
 }
 
-// advancePosition rejects an update that others of the same incarnation of the
-// head have overtaken: it was in a buffer, or on a link that was cut. Over a
-// restart isAheadOf finds it by the sequence, which is on disk.
+// advancePosition rejects an update that arrives after a later one of the same
+// incarnation of the head, for example because it was buffered or its link was down.
+// After a restart of the head or of this member, isAheadOf detects it by the sequence
+// on disk.
 func (r *replica) advancePosition(u *UpdateRequest) error {
 	if u.View.Number != r.view.Number {
-		return nil // the first one of its view
+		return nil // the first update of a newer view
 	}
 	if u.Position.Head == r.position.Head && u.Position.Number < r.position.Number {
 		return fmt.Errorf("%w: number %d came after %d", ErrStaleUpdate, u.Position.Number, r.position.Number)
@@ -133,16 +134,16 @@
 	return nil
 }
 
-// isAheadOf tells whether this member is complete and holds more than an update.
-// The members before it hold all that it does, so such an update is stale, or
-// comes from a disk to which an old file was restored.
+// isAheadOf reports whether this member is complete and holds later updates than u.
+// The members before it hold everything that it holds, so u is either stale or comes
+// from a disk on which an old file was restored.
 func (r *replica) isAheadOf(u *UpdateRequest) bool {
 	i := u.View.indexOf(r.self)
 	withoutGap := u.View.Number == r.view.Number || i >= 0 && u.View.Members[i].SinceView <= r.view.Number
 	return withoutGap && r.isComplete() && u.Sequence < r.sequence
 }
 
-// documentsAfter are the documents once an update is applied.
+// documentsAfter returns the documents that result from an update.
 func (r *replica) documentsAfter(u *UpdateRequest) Documents {
 	docs := Documents{}
 	if !u.Snapshot {
@@ -152,8 +153,8 @@
 	return docs
 }
 
-// recordCommitted records that an update went through this member and all behind
-// it answered. Received is when it came here, or when this head began to send it.
+// recordCommitted records that this member and all members behind it hold an update.
+// The time received is when the update arrived, or at the head when it was sent.
 func (r *replica) recordCommitted(u *UpdateRequest, received, now time.Time) {
 	r.active = true
 	r.successorDown = false
@@ -167,8 +168,8 @@
 	r.contact.recordAnswer(u.Position, u.CommittedThrough, received)
 }
 
-// markIncomplete records that this disk does not hold every committed update,
-// whatever it says.
+// markIncomplete records that this disk does not hold every committed update, even if
+// completeForView says so.
 func (r *replica) markIncomplete() {
 	r.completeForView = 0
 	r.active = false
--- a/internal/chain/restore.go
+++ b/internal/chain/restore.go
@@ -6,17 +6,17 @@
 	"maps"
 )
 
-// A view is without a complete member where its members that were lost their disks before
-// they had filled a new one. Nothing was committed then since that one joined: an update is
-// committed once all members hold it, and a member that holds one is complete. So a core that
-// was complete for the view before it joined, or for a later one, holds everything. The new
-// member takes the state over from it, and is complete. It decides that by itself, while it
-// takes no update: no other core has to agree, and a member that was only slow finds it ahead
-// or level.
+// A view has no complete member if its complete members lost their disks before a new member
+// had received a snapshot. Nothing has been committed since the new member joined: an update is
+// committed once all members hold it, and a member that holds one is complete. A core that was
+// complete for the view before the new member joined, or for a later view, therefore holds every
+// committed update. The new member restores the state from that core and becomes complete. It
+// decides this alone, while it accepts no updates: no agreement of other cores is needed, and a
+// complete member that was only slow finds the new one ahead or level.
 
-// wasNeverComplete reports whether this replica is a member that was not complete in any view
-// since it joined, and since which view it is a member. A disk that was found to be put back
-// is marked incomplete, and says nothing of what it held before.
+// wasNeverComplete reports whether this replica is a member that has not been complete in any
+// view since it joined, and returns the view in which it joined. It returns false for a disk
+// marked incomplete because an old file was restored: what that disk held before is unknown.
 func (r *replica) wasNeverComplete() (sinceView int64, neverComplete bool) {
 	i := r.view.indexOf(r.self)
 	if i < 0 || r.isComplete() {
@@ -27,9 +27,8 @@
 	return sinceView, isNew || r.completeForView > 0 && r.completeForView < sinceView
 }
 
-// restoreSource chooses a core from which this member may take the state over: one that was
-// complete for the view before this one joined, or for a later one, where no member is
-// complete.
+// restoreSource returns a voter from which this member may restore the state: if no member is
+// complete, a voter that was complete for the view before sinceView or for a later one.
 func restoreSource(view View, sinceView int64, statuses map[Member]*ReplicaStatus) (source Member, found bool) {
 	for _, m := range view.Members {
 		if s := statuses[m.identity()]; s != nil && s.Complete {
@@ -44,8 +43,8 @@
 	return Member{}, false
 }
 
-// restore takes the state over from a core that holds everything, if this member is to do
-// that. It reports whether it has.
+// restore restores the state from another core if this member was never complete and
+// restoreSource finds a source. It reports whether the state was restored.
 func (c *Chain) restore(ctx context.Context, view View, statuses map[Member]*ReplicaStatus) bool {
 	c.mu.Lock()
 	sinceView, neverComplete := c.replica.wasNeverComplete()
@@ -97,12 +96,12 @@
 	return nil
 }
 
-// HandleSnapshot tells what this disk holds.
+// HandleSnapshot returns the state on the disk of this core.
 func (c *Chain) HandleSnapshot(ctx context.Context, request *SnapshotRequest, _ []byte) (*Snapshot, error) {
 	if err := c.checkDisk(request.Disk); err != nil {
 		return nil, err
 	}
-	if err := c.acquireUpdateLock(ctx); err != nil { // the disk and memory say the same
+	if err := c.acquireUpdateLock(ctx); err != nil { // memory and disk are equal while it is held
 		return nil, err
 	}
 	defer c.releaseUpdateLock()
--- a/internal/chain/run.go
+++ b/internal/chain/run.go
@@ -10,9 +10,9 @@
 	"saltreel/internal/httpwire"
 )
 
-// Run keeps the chain in force until ctx ends: the head sends heartbeats down it,
-// and a member whose neighbor does not answer calls for another view. A heartbeat
-// may wait for a member that is lost, so each has a goroutine of its own.
+// Run maintains the chain until ctx ends: the head sends heartbeats along it, and a
+// member whose neighbor fails starts a reconfiguration. The two tasks have separate
+// goroutines, because a heartbeat may block on a failed member.
 func (c *Chain) Run(ctx context.Context) {
 	var tasks sync.WaitGroup
 	started := time.Now()
@@ -21,7 +21,7 @@
 	tasks.Wait()
 }
 
-// runPeriodically runs a task at each heartbeat interval until ctx ends.
+// runPeriodically runs a task at the interval given by taskInterval until ctx ends.
 func (c *Chain) runPeriodically(ctx context.Context, task func()) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -48,7 +48,7 @@
 // sendHeartbeats sends heartbeats while this core is the head.
 func (c *Chain) sendHeartbeats(ctx context.Context, started time.Time) {
 	c.runPeriodically(ctx, func() {
-		if c.View().indexOf(c.Self) != 0 || c.storage.err() != nil { // the file's owner logs that once
+		if c.View().indexOf(c.Self) != 0 || c.storage.err() != nil { // the owner of the file logs a disk failure
 			return
 		}
 		err := c.heartbeat(ctx)
@@ -61,7 +61,7 @@
 	})
 }
 
-// monitorView calls for another view where one is needed.
+// monitorView starts a reconfiguration when the view may have to change.
 func (c *Chain) monitorView(ctx context.Context, started time.Time) {
 	r := newReconfigurer(c)
 	var last time.Time
@@ -77,10 +77,10 @@
 	})
 }
 
-// needsReconfiguration tells whether the view may have to change: a neighbor is
-// lost, or this is the head and there are voters or candidates to take in. A
-// proposal that somebody began must come to an end as well: until then no
-// majority can say that this view is the newest.
+// needsReconfiguration reports whether the view may have to change: a neighbor is
+// lost, or this core is the head and there are voters or candidates to add. A proposal
+// accepted by the acceptor of this core must be completed as well: until then no
+// majority may be able to confirm that this view is the newest.
 func (c *Chain) needsReconfiguration(ctx context.Context, view View) bool {
 	if c.neighborLost(ctx, view) || c.acceptor.HasAccepted(view.Number+1) {
 		return true
@@ -91,8 +91,8 @@
 	return len(view.Members) < len(view.Voters) || len(c.candidates(view)) > 0
 }
 
-// neighborLost tells whether no update has come through for long, or a neighbor's
-// machine says that no core runs there.
+// neighborLost reports whether no update has been committed through this member for
+// neighborTimeout, or the machine of a neighbor refuses connections.
 func (c *Chain) neighborLost(ctx context.Context, view View) bool {
 	c.mu.Lock()
 	sinceUpdate := time.Since(c.replica.lastUpdate)
@@ -111,7 +111,7 @@
 	return httpwire.ConnectionRefused(err)
 }
 
-// candidates are the cores heard of lately that are no voters.
+// candidates returns the cores with recent heartbeats that are not voters.
 func (c *Chain) candidates(view View) []Member {
 	return slices.DeleteFunc(c.config.KnownCores(), view.isVoter)
 }
--- a/internal/chain/status.go
+++ b/internal/chain/status.go
@@ -7,7 +7,7 @@
 	"saltreel/internal/paxos"
 )
 
-// HandleStatus installs the view of the request and tells what is known here.
+// HandleStatus installs the view of the request and returns the status of this core.
 func (c *Chain) HandleStatus(ctx context.Context, request *StatusRequest, _ []byte) (*ReplicaStatus, error) {
 	if err := c.checkDisk(request.Disk); err != nil {
 		return nil, err
@@ -33,7 +33,7 @@
 	}, nil
 }
 
-// checkDisk refuses what is meant for another disk at this address.
+// checkDisk returns ErrWrongDisk for a request addressed to another disk.
 func (c *Chain) checkDisk(disk string) error {
 	if disk != c.Self.Disk {
 		return fmt.Errorf("%w: it is %s, not %s", ErrWrongDisk, c.Self.Disk, disk)
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// requestStatus asks one core for its status.
+// requestStatus requests the status of a core, for this core without a network call.
 func (c *Chain) requestStatus(ctx context.Context, m Member, view View) (*ReplicaStatus, error) {
 	request := StatusRequest{Disk: m.Disk, View: view}
 	if m.sameIdentity(c.Self) {
@@ -54,7 +54,7 @@
 	return status, nil
 }
 
-// HandleVote answers a step of Paxos for the view after the one in force.
+// HandleVote handles a Paxos request for a view after the current one.
 func (c *Chain) HandleVote(_ context.Context, vote *VoteRequest, _ []byte) (*paxos.Response, error) {
 	if err := c.checkDisk(vote.Disk); err != nil {
 		return nil, err
@@ -66,13 +66,13 @@
 	return &response, err
 }
 
-// HandleInstallView takes a chosen view of a peer.
+// HandleInstallView installs a chosen view received from a peer.
 func (c *Chain) HandleInstallView(ctx context.Context, v *View, _ []byte) (*struct{}, error) {
 	return &struct{}{}, c.InstallView(ctx, *v)
 }
 
-// InstallView puts a chosen view on disk and into force, if it is newer than the
-// one here. The error says that the disk refused, or that ctx ended before.
+// InstallView writes a chosen view to disk and enters it, if it is newer than the
+// current one. It returns an error if the write fails or if ctx ends first.
 func (c *Chain) InstallView(ctx context.Context, v View) error {
 	if v.Number <= c.View().Number {
 		return nil
@@ -89,15 +89,15 @@
 	before := c.replica.durableState
 	c.enterViewLocked(v)
 	if err := c.storage.writeState(c.replica.durableState); err != nil {
-		c.replica.durableState = before // the view before is sealed only once this one is on disk
+		c.replica.durableState = before // the previous view stays current until the new one is on disk
 		return fmt.Errorf("write the view: %w", err)
 	}
 	return nil
 }
 
-// acquireUpdateLockForView acquires updateLock for a change of view. An update of the view before
-// may be under way, and wait for a member that is lost: after a while it is
-// cancelled.
+// acquireUpdateLockForView acquires updateLock for a view change. An update of the
+// previous view may hold it while it waits for a failed member; its forwarding is
+// cancelled after installGrace.
 func (c *Chain) acquireUpdateLockForView(ctx context.Context) error {
 	graceCtx, cancel := context.WithTimeout(ctx, c.timing.installGrace())
 	err := c.acquireUpdateLock(graceCtx)
--- a/internal/chain/storage.go
+++ b/internal/chain/storage.go
@@ -15,7 +15,7 @@
 	"saltreel/internal/paxos"
 )
 
-// Buckets of the state file, and the keys of the first one.
+// Buckets of the state file, and the keys of bucketState.
 var (
 	bucketState = []byte("state")
 	bucketDocs  = []byte("documents")
@@ -30,7 +30,8 @@
 // storage reads and writes the durable state of a replica.
 type storage struct{ file *boltstore.File }
 
-// err is ErrDiskFailed unless the disk takes writes and memory says what it does.
+// err returns ErrDiskFailed while the file is not usable: before it is opened, and after a
+// failed write until it has been loaded again, because memory and disk may differ.
 func (s storage) err() error {
 	if err := s.file.Err(); err != nil {
 		return fmt.Errorf("%w: %w", ErrDiskFailed, err)
@@ -38,8 +39,8 @@
 	return nil
 }
 
-// writeUpdate writes the state and the documents that an update sets, after it
-// has deleted those that a snapshot replaces.
+// writeUpdate writes the state and the documents of an update in one transaction.
+// It first deletes the removed documents, which a snapshot replaces.
 func (s storage) writeUpdate(state durableState, removed, set Documents) error {
 	return s.file.Update(func(tx *bbolt.Tx) error {
 		docs := tx.Bucket(bucketDocs)
@@ -61,8 +62,8 @@
 	return s.file.Update(func(tx *bbolt.Tx) error { return putState(tx, state) })
 }
 
-// putState writes the state. Acceptor states of views that are chosen are
-// deleted: HandleVote refuses votes on them.
+// putState writes the state. It deletes the acceptor states of chosen views, on which
+// HandleVote rejects votes.
 func putState(tx *bbolt.Tx, state durableState) error {
 	view, err := json.Marshal(state.view)
 	if err != nil {
@@ -76,7 +77,8 @@
 		bucket.Put(keyCompleteForView, formatNumber(state.completeForView)))
 }
 
-// deleteAcceptorStates deletes the acceptor states of all instances up to one.
+// deleteAcceptorStates deletes the acceptor states of all instances up to and including
+// through.
 func deleteAcceptorStates(tx *bbolt.Tx, through int64) error {
 	votes := tx.Bucket(bucketVotes)
 	var old [][]byte
@@ -96,9 +98,9 @@
 
 func parseNumber(raw []byte) (int64, error) { return strconv.ParseInt(string(raw), 10, 64) }
 
-// InitState makes the state on an empty disk, in a write of the file's Prepare.
-// If this core is one of the founders, they are the members of view 1; without
-// founders it knows no view until a peer sends one.
+// InitState creates the state in an empty file, in a write transaction of the file's
+// Prepare. If this core is one of the founders, they are the members of view 1;
+// otherwise it knows no view until a peer sends one.
 func (c *Chain) InitState(tx *bbolt.Tx, founders []string) error {
 	for _, name := range [][]byte{bucketState, bucketDocs, bucketVotes} {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -116,8 +118,8 @@
 	return errors.Join(bucket.Put(keyDisk, []byte(disk)), putState(tx, state))
 }
 
-// foundingState is that of each founder: an empty state which is complete for
-// view 1.
+// foundingState returns the initial state of each founder, which is empty and complete
+// for view 1.
 func foundingState(founders []string) durableState {
 	var members []Member
 	for _, address := range slices.Sorted(slices.Values(founders)) {
@@ -126,9 +128,9 @@
 	return durableState{view: View{Number: 1, Members: members, Voters: members}, completeForView: 1}
 }
 
-// Load reads the state. Install puts it into memory, once no update is under way:
-// an update that was refused here may be on the disk, and then it is one like any
-// other that was not committed yet.
+// Load reads the state from disk. The returned install function puts it into memory
+// when no update is in progress. An update whose write failed may still be on disk; it
+// is then treated like any other update that is not committed yet.
 func (c *Chain) Load(tx *bbolt.Tx) (install func(), err error) {
 	state, err := getState(tx)
 	if err != nil {
@@ -146,13 +148,13 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.replica.load(disk, state, docs)
-		if c.Self.Disk == "" { // it does not change when the file is loaded again
+		if c.Self.Disk == "" { // set only by the first load
 			c.Self.Disk = disk
 		}
 	}, err
 }
 
-// getState reads what putState wrote.
+// getState reads the state written by putState.
 func getState(tx *bbolt.Tx) (state durableState, err error) {
 	bucket := tx.Bucket(bucketState)
 	if err = json.Unmarshal(bucket.Get(keyView), &state.view); err != nil {
@@ -167,7 +169,7 @@
 	return state, nil
 }
 
-// acceptorStorage keeps the states of the acceptor in the same file.
+// acceptorStorage stores the acceptor states in the state file.
 type acceptorStorage struct{ file *boltstore.File }
 
 func (a acceptorStorage) LoadState(instance int64) (state paxos.AcceptorState, err error) {
@@ -186,8 +188,8 @@
 		return err
 	}
 	return a.file.Update(func(tx *bbolt.Tx) error {
-		// A view that was installed meanwhile has deleted the states up to its own:
-		// one that came after them would start anew, without the promise made before.
+		// A view installed after the state was loaded has deleted the acceptor states up
+		// to its number. Saving a state for such an instance would lose an earlier promise.
 		var view View
 		if err := json.Unmarshal(tx.Bucket(bucketState).Get(keyView), &view); err != nil {
 			return err
--- a/internal/chain/view.go
+++ b/internal/chain/view.go
@@ -7,42 +7,46 @@
 	"saltreel/internal/quorum"
 )
 
-// Member is one disk in one machine. A machine that lost its disk, or that came
-// with an empty one to another address, is another member.
+// Member is one disk at one address. A machine that has lost its disk, or that returns
+// at another address with an empty disk, is a different member.
 type Member struct {
 	Address string `json:"address"` // internal
 	Disk    string `json:"disk"`
-	// SinceView is the view from which on it has been a member without a gap.
+	// SinceView is the number of the view since which it has been a member without
+	// interruption.
 	SinceView int64 `json:"since,omitempty"`
 }
 
-// sameIdentity tells whether both are the same disk in the same machine, since whichever
-// view.
+// sameIdentity reports whether both are the same disk at the same address, regardless
+// of SinceView.
 func (m Member) sameIdentity(other Member) bool {
 	return m.Address == other.Address && m.Disk == other.Disk
 }
 
-// identity is the member without the view that it came in with, for map keys.
+// identity returns the member without SinceView, for use as a map key.
 func (m Member) identity() Member { return Member{Address: m.Address, Disk: m.Disk} }
 
-// founderDisk names the disk of each founder: so all of them know the first view
-// without any communication.
+// founderDisk is the disk name of every founder, so that all founders can construct the
+// first view without communication.
 const founderDisk = "founder"
 
-// View is a numbered order of the members, and who votes on the view after it.
+// View is a numbered configuration of the chain: the order of the members, and the
+// voters that choose the next view.
 type View struct {
 	Number  int64    `json:"number"`
-	Members []Member `json:"members"` // the head first; all of them are voters
+	Members []Member `json:"members"` // head first; all of them are voters
 	Voters  []Member `json:"voters"`
-	// QuorumEpoch is the number of the view with which these voters came in.
+	// QuorumEpoch is the number of the view that introduced these voters.
 	QuorumEpoch int64 `json:"electorate,omitempty"`
-	// PreviousVoters are the voters before them, and PreviousQuorumEpoch is theirs.
+	// PreviousVoters are the voters of the previous quorum epoch, and
+	// PreviousQuorumEpoch is its number.
 	PreviousVoters      []Member `json:"former,omitempty"`
 	PreviousQuorumEpoch int64    `json:"former-electorate,omitempty"`
 }
 
-// CountMembers counts the members of a set for which a condition holds, and tells
-// whether they are a majority of it. The condition gets members without SinceView.
+// CountMembers counts the members of a set that satisfy a condition and reports
+// whether they are a majority of the set. The condition receives members without
+// SinceView.
 func CountMembers(set []Member, condition func(Member) bool) (n int, majority bool) {
 	for _, m := range set {
 		if condition(m.identity()) {
@@ -52,13 +56,14 @@
 	return n, quorum.Majority(n, len(set))
 }
 
-// indexOf is the position of a member in the chain, 0 for the head, -1 if it is
-// none.
+// indexOf returns the position of a member in the chain, 0 for the head, or -1 if it
+// is not a member.
 func (v View) indexOf(m Member) int { return slices.IndexFunc(v.Members, m.sameIdentity) }
 
 func (v View) isVoter(m Member) bool { return slices.ContainsFunc(v.Voters, m.sameIdentity) }
 
-// successor is the member behind another one; none for the tail.
+// successor returns the member behind another one, and false for the tail and for cores
+// that are not members.
 func (v View) successor(of Member) (Member, bool) {
 	if i := v.indexOf(of); i >= 0 && i+1 < len(v.Members) {
 		return v.Members[i+1], true
@@ -66,7 +71,8 @@
 	return Member{}, false
 }
 
-// sameMembership tells whether both views have the same chain and voters.
+// sameMembership reports whether both views have the same members in the same order
+// and the same voters.
 func (v View) sameMembership(other View) bool {
 	return slices.Equal(v.Members, other.Members) && slices.Equal(v.Voters, other.Voters)
 }
