--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -51,15 +51,15 @@
 func (c *Config) validate() error {
 	switch {
 	case c.Address == "":
-		return errors.New("chain: no address")
+		return errors.New("chain: address is required")
 	case c.ContactTimeout <= 0:
-		return errors.New("chain: the contact timeout must be positive")
+		return errors.New("chain: contact timeout must be positive")
 	case c.MaxFailures < 0:
-		return errors.New("chain: the number of failures must not be negative")
+		return errors.New("chain: max failures must not be negative")
 	case c.Client == nil || c.Log == nil || c.File == nil:
-		return errors.New("chain: client, log and file are needed")
+		return errors.New("chain: client, log and file are required")
 	case c.OnUpdate == nil || c.OnCommit == nil || c.KnownCores == nil || c.VoterReady == nil:
-		return errors.New("chain: all callbacks are needed")
+		return errors.New("chain: all callbacks are required")
 	}
 	return nil
 }
--- a/internal/chain/reconfigure.go
+++ b/internal/chain/reconfigure.go
@@ -160,7 +160,7 @@
 	}()
 	value, err := json.Marshal(next)
 	if err != nil {
-		return View{}, fmt.Errorf("encode the view: %w", err)
+		return View{}, fmt.Errorf("encode view: %w", err)
 	}
 	proposer := c.Self.Address + "/" + crand.Text()
 	raw, err := paxos.Propose(ctx, next.Number, proposer, 1, value, addresses(view.Voters), c.voteCaller(view))
@@ -168,7 +168,7 @@
 		return View{}, err
 	}
 	if err := json.Unmarshal(raw, &chosen); err != nil {
-		return View{}, fmt.Errorf("decode the view: %w", err)
+		return View{}, fmt.Errorf("decode view: %w", err)
 	}
 	return chosen, nil
 }
--- a/internal/chain/restore.go
+++ b/internal/chain/restore.go
@@ -72,7 +72,7 @@
 		return err
 	}
 	if snapshot.CompleteForView == 0 || snapshot.CompleteForView < sinceView-1 {
-		return fmt.Errorf("it is complete for view %d, not for %d", snapshot.CompleteForView, sinceView-1)
+		return fmt.Errorf("snapshot is complete for view %d, need view %d or later", snapshot.CompleteForView, sinceView-1)
 	}
 	if err := c.acquireUpdateLock(ctx); err != nil {
 		return err
--- a/internal/chain/storage.go
+++ b/internal/chain/storage.go
@@ -67,7 +67,7 @@
 func putState(tx *bbolt.Tx, state durableState) error {
 	view, err := json.Marshal(state.view)
 	if err != nil {
-		return fmt.Errorf("encode the view: %w", err)
+		return fmt.Errorf("encode view: %w", err)
 	}
 	bucket := tx.Bucket(bucketState)
 	return errors.Join(
@@ -158,13 +158,13 @@
 func getState(tx *bbolt.Tx) (state durableState, err error) {
 	bucket := tx.Bucket(bucketState)
 	if err = json.Unmarshal(bucket.Get(keyView), &state.view); err != nil {
-		return state, fmt.Errorf("the view: %w", err)
+		return state, fmt.Errorf("decode view: %w", err)
 	}
 	if state.sequence, err = parseNumber(bucket.Get(keySequence)); err != nil {
-		return state, fmt.Errorf("the sequence of the last update: %w", err)
+		return state, fmt.Errorf("parse sequence of the last update: %w", err)
 	}
 	if state.completeForView, err = parseNumber(bucket.Get(keyCompleteForView)); err != nil {
-		return state, fmt.Errorf("the view for which the state is complete: %w", err)
+		return state, fmt.Errorf("parse number of the view for which the state is complete: %w", err)
 	}
 	return state, nil
 }
