--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -20,7 +20,7 @@
 
 const testContactTimeout = 4 * time.Second
 
-// testConfig is the configuration of a core that has no peers to call.
+// testConfig returns the configuration of a core without reachable peers.
 func testConfig(tb testing.TB, path, address string) Config {
 	tb.Helper()
 	return Config{
@@ -37,7 +37,7 @@
 	}
 }
 
-// openChain opens the chain of one core on a file. Its owner closes the file.
+// openChain opens the chain of one core on a file. The caller closes the file.
 func openChain(tb testing.TB, config Config, founders ...string) *Chain {
 	tb.Helper()
 	c, err := New(config)
@@ -78,16 +78,16 @@
 		t.Fatal(err)
 	}
 	for name, invalidate := range map[string]func(*Config){
-		"no address":            func(c *Config) { c.Address = "" },
-		"no contact timeout":    func(c *Config) { c.ContactTimeout = 0 },
-		"negative failures":     func(c *Config) { c.MaxFailures = -1 },
-		"no client":             func(c *Config) { c.Client = nil },
-		"no log":                func(c *Config) { c.Log = nil },
-		"no file":               func(c *Config) { c.File = nil },
-		"no OnUpdate callback":  func(c *Config) { c.OnUpdate = nil },
-		"no OnCommit callback":  func(c *Config) { c.OnCommit = nil },
-		"no KnownCores":         func(c *Config) { c.KnownCores = nil },
-		"no VoterReady to call": func(c *Config) { c.VoterReady = nil },
+		"no address":             func(c *Config) { c.Address = "" },
+		"no contact timeout":     func(c *Config) { c.ContactTimeout = 0 },
+		"negative failures":      func(c *Config) { c.MaxFailures = -1 },
+		"no client":              func(c *Config) { c.Client = nil },
+		"no log":                 func(c *Config) { c.Log = nil },
+		"no file":                func(c *Config) { c.File = nil },
+		"no OnUpdate callback":   func(c *Config) { c.OnUpdate = nil },
+		"no OnCommit callback":   func(c *Config) { c.OnCommit = nil },
+		"no KnownCores callback": func(c *Config) { c.KnownCores = nil },
+		"no VoterReady callback": func(c *Config) { c.VoterReady = nil },
 	} {
 		config := valid
 		invalidate(&config)
@@ -97,11 +97,13 @@
 	}
 }
 
+// A snapshot delayed in a buffer can arrive after a later update of the same view. It must
+// not overwrite that update, even if the head or the member has restarted in between.
 func TestStaleSnapshotIsRejected(t *testing.T) {
 	for _, test := range []struct {
 		name            string
-		restarted       bool  // the member, after the update
-		headIncarnation int64 // of the update; the snapshot is of 7
+		restarted       bool  // the member restarts after the update
+		headIncarnation int64 // incarnation that sends the update; the snapshot is from incarnation 7
 	}{
 		{"same head", false, 7},
 		{"restarted head", false, 8},
@@ -129,17 +131,19 @@
 		c = openMember(t, path, "c")
 	}
 	if out, err := handleUpdate(t, c, snapshot); StatusCode(err) != 409 && (err != nil || !out.Ahead) {
-		t.Errorf("the stale snapshot: %+v, %v", out, err)
+		t.Errorf("stale snapshot: %+v, %v", out, err)
 	}
 	if got := string(c.replica.docs["k"]); got != "new" || c.replica.sequence != 2 {
-		t.Errorf("%q of update %d is held", got, c.replica.sequence)
+		t.Errorf("the member holds %q of update %d", got, c.replica.sequence)
 	}
-	// The same update once more, by a link that duplicates, changes nothing.
+	// A duplicate of the last update, as a link may deliver it, changes nothing.
 	if out, err := handleUpdate(t, c, update); err != nil || !restarted && out.Gap {
-		t.Errorf("the last update again: %v %v", out, err)
+		t.Errorf("duplicate of the last update: %v %v", out, err)
 	}
 }
 
+// An update that was buffered while this process was suspended does not prove contact when it
+// is finally read. Otherwise a member would serve state that a newer view may have superseded.
 func TestBufferedUpdateProvesNoContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := openMember(t, filepath.Join(t.TempDir(), "core.db"), "c")
@@ -151,11 +155,11 @@
 				t.Fatal(err)
 			}
 			if want := n > 0; c.InContact() != want {
-				t.Fatalf("after %d updates: in contact %v", n+1, !want)
+				t.Fatalf("after %d updates: in contact: %v", n+1, !want)
 			}
 			time.Sleep(testContactTimeout / 16)
 		}
-		time.Sleep(20 * time.Second) // the process is frozen; the next update is in its buffer
+		time.Sleep(20 * time.Second) // the process is suspended; the next update is in its buffer
 		if c.InContact() {
 			t.Fatal("in contact after 20 s without an update")
 		}
@@ -163,15 +167,17 @@
 			t.Fatal(err)
 		}
 		if c.InContact() {
-			t.Error("in contact by an update that was sent 20 s ago")
+			t.Error("in contact by an update that was sent 20 s earlier")
 		}
-		// Once the head has the answer it sends the next one.
+		// The head sends the next update only after it has received the answer.
 		if _, err := handleUpdate(t, c, heartbeat(7, 6)); err != nil || !c.InContact() {
 			t.Errorf("not in contact again: %v", err)
 		}
 	})
 }
 
+// Installing a view deletes the acceptor states up to its number. A vote that passed the check
+// of the view number just before must not be accepted as if no promise had been made.
 func TestPromiseOutlastsViewInstalledMeanwhile(t *testing.T) {
 	c := openMember(t, filepath.Join(t.TempDir(), "core.db"), "b")
 	next := c.View()
@@ -180,7 +186,7 @@
 	if r, err := c.acceptor.Handle(prepare); err != nil || !r.Granted {
 		t.Fatalf("prepare: %v %v", r, err)
 	}
-	// The request has passed the check of the view's number when that changes.
+	// The view changes after a request has passed the check of the view number.
 	if err := c.InstallView(context.Background(), next); err != nil {
 		t.Fatal(err)
 	}
@@ -190,6 +196,6 @@
 	}
 	stale := paxos.Request{Instance: 2, Number: paxos.ProposalNumber{Round: 1, Proposer: "y"}, Value: value}
 	if r, err := c.acceptor.Handle(stale); StatusCode(err) != 409 {
-		t.Errorf("a vote below the promise, on an instance that is chosen: %+v, %v", r, err)
+		t.Errorf("vote below the promise on an instance already chosen: %+v, %v", r, err)
 	}
 }
--- a/internal/chain/contact_test.go
+++ b/internal/chain/contact_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// answeredUpdateAt is an update that a member answers, received so many milliseconds
-// after the start.
+// answeredUpdateAt is an update that a member answers, received receivedMs after the
+// start.
 type answeredUpdateAt struct {
 	head, number, committedThrough int64
 	receivedMs                     int
@@ -23,16 +23,16 @@
 		sinceMs int // -1: never
 	}{
 		{name: "no update", nowMs: 0, sinceMs: -1},
-		{name: "one update proves nothing", updates: []answeredUpdateAt{{7, 1, 0, 0}}, nowMs: 1, sinceMs: -1},
-		{name: "the next one proves the one before", updates: []answeredUpdateAt{{7, 1, 0, 0}, {7, 2, 1, 100}}, nowMs: 101, current: true, sinceMs: 0},
-		{name: "contact ends", updates: []answeredUpdateAt{{7, 1, 0, 0}, {7, 2, 1, 100}}, nowMs: 1000, sinceMs: 0},
-		{name: "it counts from the update that is proved", updates: []answeredUpdateAt{{7, 1, 0, 0}, {7, 2, 1, 999}}, nowMs: 1001, sinceMs: 0},
+		{name: "one update proves no contact", updates: []answeredUpdateAt{{7, 1, 0, 0}}, nowMs: 1, sinceMs: -1},
+		{name: "an update proves contact at the one before", updates: []answeredUpdateAt{{7, 1, 0, 0}, {7, 2, 1, 100}}, nowMs: 101, current: true, sinceMs: 0},
+		{name: "a proof expires", updates: []answeredUpdateAt{{7, 1, 0, 0}, {7, 2, 1, 100}}, nowMs: 1000, sinceMs: 0},
+		{name: "a proof counts from the arrival of the committed update", updates: []answeredUpdateAt{{7, 1, 0, 0}, {7, 2, 1, 999}}, nowMs: 1001, sinceMs: 0},
 		{name: "proofs without a gap", updates: []answeredUpdateAt{{7, 1, 0, 0}, {7, 2, 1, 900}, {7, 3, 2, 1800}}, nowMs: 1801, current: true, sinceMs: 0},
 		{name: "proofs with a gap", updates: []answeredUpdateAt{{7, 1, 0, 0}, {7, 2, 1, 1100}, {7, 3, 2, 1200}}, nowMs: 1201, current: true, sinceMs: 1100},
 		{name: "a failed update between", updates: []answeredUpdateAt{{7, 1, 0, 0}, {7, 2, 0, 100}, {7, 3, 1, 200}}, nowMs: 201, current: true, sinceMs: 0},
-		{name: "the number of another head", updates: []answeredUpdateAt{{7, 1, 0, 0}, {8, 2, 1, 100}}, nowMs: 101, sinceMs: -1},
+		{name: "a number of another incarnation", updates: []answeredUpdateAt{{7, 1, 0, 0}, {8, 2, 1, 100}}, nowMs: 101, sinceMs: -1},
 		{name: "a duplicate", updates: []answeredUpdateAt{{7, 1, 0, 0}, {7, 1, 0, 50}, {7, 2, 1, 100}}, nowMs: 101, current: true, sinceMs: 50},
-		{name: "an update forgotten long ago", updates: []answeredUpdateAt{{7, 1, 0, 0}, {7, 2, 0, 1}, {7, 3, 0, 2}, {7, 4, 0, 3}, {7, 5, 0, 4}, {7, 6, 1, 5}}, nowMs: 6, sinceMs: -1},
+		{name: "an update no longer remembered", updates: []answeredUpdateAt{{7, 1, 0, 0}, {7, 2, 0, 1}, {7, 3, 0, 2}, {7, 4, 0, 3}, {7, 5, 0, 4}, {7, 6, 1, 5}}, nowMs: 6, sinceMs: -1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := contact{maxGap: time.Second}
@@ -47,7 +47,7 @@
 				want = at(test.sinceMs)
 			}
 			if !c.continuousSince.Equal(want) {
-				t.Errorf("in contact since %v, not %v", c.continuousSince, want)
+				t.Errorf("in contact since %v, want %v", c.continuousSince, want)
 			}
 		})
 	}
@@ -60,7 +60,7 @@
 	c.resetAnswers()
 	c.recordAnswer(StreamPosition{7, 2}, 1, start)
 	if c.current(start) {
-		t.Error("in contact by an answer of the view before")
+		t.Error("in contact by an answer of the previous view")
 	}
 	c.confirm(start)
 	c.confirm(start.Add(-time.Hour)) // an older proof changes nothing
--- a/internal/chain/errors_test.go
+++ b/internal/chain/errors_test.go
@@ -33,7 +33,7 @@
 		{errBusy(ended), 503},
 		{fmt.Errorf("%w: full", ErrDiskFailed), 503},
 		{errors.New("write control state: full"), 0}, // answered with 500
-		{fromPeer(409), 0},                           // the handler passes the status of the peer on
+		{fromPeer(409), 0},                           // the handler forwards the status of the peer
 		{nil, 0},
 	} {
 		if code := StatusCode(test.err); code != test.code {
@@ -44,13 +44,13 @@
 		fromPeer(409): true, fromPeer(503): false, fromPeer(500): false, ErrWrongDisk: true, context.DeadlineExceeded: false,
 	} {
 		if got := isWrongDisk(err); got != want {
-			t.Errorf("wrong disk by %v: %v", err, got)
+			t.Errorf("isWrongDisk(%v): %v", err, got)
 		}
 	}
 }
 
-// A status that a peer answers travels up the chain unchanged, with its text.
-func TestPeerStatusTravelsUpTheChain(t *testing.T) {
+// The status and error text of a peer are forwarded unchanged to the predecessor.
+func TestPeerStatusIsForwardedToPredecessor(t *testing.T) {
 	answer := func(err error) *httpwire.Response {
 		handle := rpc.Handler(func(context.Context, *struct{}, []byte) (*struct{}, error) { return nil, err }, StatusCode)
 		return handle(t.Context(), &httpwire.Request{})
@@ -64,6 +64,6 @@
 		t.Errorf("the successor's error: %d %s", forwarded.Status, forwarded.Body)
 	}
 	if other := answer(errors.New("write control state: full")); other.Status != 500 {
-		t.Errorf("another error: %d %s", other.Status, other.Body)
+		t.Errorf("other error: %d %s", other.Status, other.Body)
 	}
 }
--- a/internal/chain/nextview_test.go
+++ b/internal/chain/nextview_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// member is the founder at an address, since view 1.
+// member returns the founder at an address, a member since view 1.
 func member(address string) Member { return Member{Address: address, Disk: founderDisk, SinceView: 1} }
 
 func members(list ...string) []Member {
@@ -17,7 +17,7 @@
 	return out
 }
 
-// statusesOf gives a status for each identity.
+// statusesOf maps the identity of each member to the same status.
 func statusesOf(status ReplicaStatus, list ...Member) map[Member]*ReplicaStatus {
 	out := map[Member]*ReplicaStatus{}
 	for _, m := range list {
@@ -64,7 +64,7 @@
 		neverAnswered []Member
 	}{
 		{
-			name:    "all answer and nothing changes",
+			name:    "no change if all members answer",
 			in:      viewInput{view: abc, active: true, statuses: statusesOf(complete, a, b, c)},
 			safe:    true,
 			members: abc.Members, voters: abc.Voters,
@@ -76,13 +76,13 @@
 			members: members("a", "b"), voters: abc.Voters,
 		},
 		{
-			name:    "a minority may not go on alone",
+			name:    "a minority must not form a view",
 			in:      viewInput{view: abc, statuses: statusesOf(complete, a)},
 			safe:    false,
 			members: members("a"), voters: abc.Voters,
 		},
 		{
-			name:    "an incomplete head goes behind the complete members",
+			name:    "an incomplete head moves behind the complete members",
 			in:      viewInput{view: abc, statuses: mergeStatuses(statusesOf(incomplete, a), statusesOf(complete, b, c))},
 			safe:    true,
 			members: members("b", "c", "a"), voters: abc.Voters,
@@ -94,13 +94,13 @@
 			members: nil, voters: abc.Voters,
 		},
 		{
-			name:    "no view of a core that did not answer itself",
+			name:    "no view without the status of this core",
 			in:      viewInput{view: abc, statuses: statusesOf(complete, b, c)},
 			safe:    false,
 			members: members("b", "c"), voters: abc.Voters,
 		},
 		{
-			name:    "a voter that came back joins an active view at the tail",
+			name:    "a voter that returns joins an active view at the tail",
 			in:      viewInput{view: ab, active: true, statuses: statusesOf(complete, a, b, c)},
 			safe:    true,
 			members: []Member{a, b, joined(c)}, voters: ab.Voters,
@@ -113,62 +113,62 @@
 			members: []Member{a, joined(b)}, voters: members("a", "b", "c"),
 		},
 		{
-			name: "a broken view takes in as many voters as a majority needs",
+			name: "an inactive view adds as many voters as a majority needs",
 			in: viewInput{view: View{Number: 4, Members: members("a"), Voters: members("a", "b", "c", "d", "e")},
 				statuses: statusesOf(complete, members("a", "b", "c", "d", "e")...)},
 			safe:    true,
 			members: []Member{a, joined(b), joined(c)}, voters: members("a", "b", "c", "d", "e"),
 		},
 		{
-			name:    "a broken view that has a majority takes in nobody",
+			name:    "an inactive view with a majority adds no voter",
 			in:      viewInput{view: ab, statuses: statusesOf(complete, a, b, c)},
 			safe:    true,
 			members: ab.Members, voters: ab.Voters,
 		},
 		{
-			name: "a candidate that is ready becomes voter and member",
+			name: "a ready candidate becomes a voter and member",
 			in: viewInput{view: abc, active: true, candidates: []Member{newcomer},
 				statuses: statusesOf(complete, a, b, c, newcomer)},
 			safe:    true,
 			members: []Member{a, b, c, joined(newcomer)}, voters: append(members("a", "b", "c"), newcomer), newEpoch: true,
 		},
 		{
-			name: "a candidate that is not ready waits",
+			name: "a candidate that is not ready is not added",
 			in: viewInput{view: abc, active: true, candidates: []Member{newcomer},
 				statuses: mergeStatuses(statusesOf(complete, a, b, c), statusesOf(notReady, newcomer))},
 			safe:    true,
 			members: abc.Members, voters: abc.Voters,
 		},
 		{
-			name: "a candidate waits for an active view",
+			name: "an inactive view adds no candidate",
 			in: viewInput{view: abc, candidates: []Member{newcomer},
 				statuses: statusesOf(complete, a, b, c, newcomer)},
 			safe:    true,
 			members: abc.Members, voters: abc.Voters,
 		},
 		{
-			name: "the voters change only when a majority of them is ready",
+			name: "the voters change only if a majority of them is ready",
 			in: viewInput{view: abc, active: true, candidates: []Member{newcomer},
 				statuses: mergeStatuses(statusesOf(complete, a, newcomer), statusesOf(notReady, b, c))},
 			safe:    true,
 			members: abc.Members, voters: abc.Voters,
 		},
 		{
-			name: "a new disk takes the vote of the one at its address",
+			name: "a new disk replaces the voter at its address",
 			in: viewInput{view: ab, active: true, candidates: []Member{replacement},
 				statuses: statusesOf(complete, a, b, replacement), answeredAt: justNow},
 			safe:    true,
 			members: []Member{a, b, joined(replacement)}, voters: append(members("a", "b"), replacement), newEpoch: true,
 		},
 		{
-			name: "a candidate takes the vote of a voter lost for long",
+			name: "a candidate replaces a lost voter",
 			in: viewInput{view: ab, active: true, candidates: []Member{newcomer},
 				statuses: statusesOf(complete, a, b, newcomer), answeredAt: longAgo},
 			safe:    true,
 			members: []Member{a, b, joined(newcomer)}, voters: append(members("a", "b"), newcomer), newEpoch: true,
 		},
 		{
-			name: "a voter that answered lately keeps its vote",
+			name: "a voter that answered recently remains a voter",
 			in: viewInput{view: ab, active: true, candidates: []Member{newcomer},
 				statuses: statusesOf(complete, a, b, newcomer), answeredAt: justNow},
 			safe:    true,
@@ -176,7 +176,7 @@
 			neverAnswered: []Member{a.identity(), b.identity()},
 		},
 		{
-			name: "the time of a voter that never answered begins now",
+			name: "lostAfter counts from now for a voter that never answered",
 			in: viewInput{view: ab, active: true, candidates: []Member{newcomer},
 				statuses: statusesOf(complete, a, b, newcomer)},
 			safe:    true,
@@ -184,14 +184,14 @@
 			neverAnswered: []Member{a.identity(), b.identity(), c.identity()},
 		},
 		{
-			name: "a lost voter that is not needed loses its vote",
+			name: "a lost voter that is not needed is removed",
 			in: viewInput{view: fourVoters, active: true,
 				statuses: statusesOf(complete, a, b, c), answeredAt: longAgo},
 			safe:    true,
 			members: fourVoters.Members, voters: members("a", "b", "c"), newEpoch: true,
 		},
 		{
-			name: "a lost voter that is needed keeps its vote",
+			name: "a lost voter that is needed remains a voter",
 			in: viewInput{view: ab, active: true,
 				statuses: statusesOf(complete, a, b), answeredAt: longAgo},
 			safe:    true,
@@ -214,14 +214,14 @@
 				t.Errorf("never answered: %v", d.neverAnswered)
 			}
 			if in.view.String() != before {
-				t.Errorf("the present view was changed to %v", in.view)
+				t.Errorf("the current view was modified: %v", in.view)
 			}
 		})
 	}
 }
 
-// checkQuorumEpoch checks that the voters before are known if, and only if, the
-// voters have changed.
+// checkQuorumEpoch checks that next starts a new quorum epoch and names the previous
+// voters if and only if the voters have changed.
 func checkQuorumEpoch(t *testing.T, view, next View, changed bool) {
 	t.Helper()
 	if !changed {
--- a/internal/chain/replica_test.go
+++ b/internal/chain/replica_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// tailOfThree is a replica at the tail of a, b and c in view 4, with everything up
-// to update 10.
+// tailOfThree returns a complete replica at the tail of a, b and c in view 4, which
+// holds update 10 and all before it.
 func tailOfThree() *replica {
 	return &replica{
 		durableState: durableState{
@@ -24,9 +24,9 @@
 }
 
 func TestAdmitUpdate(t *testing.T) {
-	inForce := tailOfThree().view
+	currentView := tailOfThree().view
 	withNumber := func(n int64) View {
-		v := inForce
+		v := currentView
 		v.Number = n
 		return v
 	}
@@ -43,29 +43,29 @@
 		want    admission
 		wantErr error
 	}{
-		{name: "next update", update: UpdateRequest{View: inForce, Sequence: 11, Set: set, Position: next}, want: admitApply},
-		{name: "heartbeat", update: UpdateRequest{View: inForce, Sequence: 10, Position: next}, want: admitForward},
-		{name: "duplicate of the last update", update: UpdateRequest{View: inForce, Sequence: 10, Set: set, Position: StreamPosition{7, 20}}, want: admitForward},
-		{name: "update after a gap", update: UpdateRequest{View: inForce, Sequence: 12, Set: set, Position: next}, want: admitGap},
-		{name: "heartbeat after a gap", update: UpdateRequest{View: inForce, Sequence: 11, Position: next}, want: admitGap},
-		{name: "snapshot after a gap", update: UpdateRequest{View: inForce, Sequence: 15, Snapshot: true, Set: set, Position: next}, want: admitApply},
+		{name: "next update", update: UpdateRequest{View: currentView, Sequence: 11, Set: set, Position: next}, want: admitApply},
+		{name: "heartbeat", update: UpdateRequest{View: currentView, Sequence: 10, Position: next}, want: admitForward},
+		{name: "duplicate of the last update", update: UpdateRequest{View: currentView, Sequence: 10, Set: set, Position: StreamPosition{7, 20}}, want: admitForward},
+		{name: "update after a gap", update: UpdateRequest{View: currentView, Sequence: 12, Set: set, Position: next}, want: admitGap},
+		{name: "heartbeat after a gap", update: UpdateRequest{View: currentView, Sequence: 11, Position: next}, want: admitGap},
+		{name: "snapshot after a gap", update: UpdateRequest{View: currentView, Sequence: 15, Snapshot: true, Set: set, Position: next}, want: admitApply},
 		{name: "update after a restart of this member", change: restarted,
-			update: UpdateRequest{View: inForce, Sequence: 11, Set: set, Position: next}, want: admitGap},
+			update: UpdateRequest{View: currentView, Sequence: 11, Set: set, Position: next}, want: admitGap},
 		{name: "first update of a view", update: UpdateRequest{View: withNumber(5), Sequence: 10, Position: next}, want: admitGap},
 		{name: "stale view", update: UpdateRequest{View: withNumber(3), Sequence: 11, Set: set, Position: next}, want: admitRejected, wantErr: ErrStaleView},
 		{name: "stale view with a snapshot", update: UpdateRequest{View: withNumber(3), Sequence: 11, Snapshot: true, Position: next}, want: admitRejected, wantErr: ErrStaleView},
-		{name: "stale position", update: UpdateRequest{View: inForce, Sequence: 10, Position: StreamPosition{7, 19}}, want: admitRejected, wantErr: ErrStaleUpdate},
-		{name: "position of another incarnation", update: UpdateRequest{View: inForce, Sequence: 10, Position: StreamPosition{8, 1}}, want: admitForward},
-		{name: "sequence of an old file", update: UpdateRequest{View: inForce, Sequence: 9, Position: StreamPosition{8, 1}}, want: admitAhead},
-		{name: "snapshot of an old file", update: UpdateRequest{View: inForce, Sequence: 9, Snapshot: true, Position: StreamPosition{8, 1}}, want: admitAhead},
-		{name: "snapshot of an old file in the next view", update: UpdateRequest{View: withNumber(5), Sequence: 9, Snapshot: true, Position: next}, want: admitAhead},
-		{name: "snapshot for a member with a gap", update: UpdateRequest{View: rejoined, Sequence: 9, Snapshot: true, Position: next}, want: admitApply},
+		{name: "stale position", update: UpdateRequest{View: currentView, Sequence: 10, Position: StreamPosition{7, 19}}, want: admitRejected, wantErr: ErrStaleUpdate},
+		{name: "position of another incarnation", update: UpdateRequest{View: currentView, Sequence: 10, Position: StreamPosition{8, 1}}, want: admitForward},
+		{name: "sequence of a restored old file", update: UpdateRequest{View: currentView, Sequence: 9, Position: StreamPosition{8, 1}}, want: admitAhead},
+		{name: "snapshot of a restored old file", update: UpdateRequest{View: currentView, Sequence: 9, Snapshot: true, Position: StreamPosition{8, 1}}, want: admitAhead},
+		{name: "snapshot of a restored old file in the next view", update: UpdateRequest{View: withNumber(5), Sequence: 9, Snapshot: true, Position: next}, want: admitAhead},
+		{name: "snapshot for a member that rejoined", update: UpdateRequest{View: rejoined, Sequence: 9, Snapshot: true, Position: next}, want: admitApply},
 		{name: "snapshot for an incomplete member", change: func(r *replica) { r.completeForView = 3 },
-			update: UpdateRequest{View: inForce, Sequence: 9, Snapshot: true, Position: next}, want: admitApply},
-		{name: "update for a core outside of the view", change: func(r *replica) { r.self = Member{Address: "c", Disk: "c2"} },
-			update: UpdateRequest{View: inForce, Sequence: 11, Set: set, Position: next}, want: admitRejected, wantErr: ErrNotInView},
+			update: UpdateRequest{View: currentView, Sequence: 9, Snapshot: true, Position: next}, want: admitApply},
+		{name: "update for a core that is not in the view", change: func(r *replica) { r.self = Member{Address: "c", Disk: "c2"} },
+			update: UpdateRequest{View: currentView, Sequence: 11, Set: set, Position: next}, want: admitRejected, wantErr: ErrNotInView},
 		{name: "update for the head", change: func(r *replica) { r.self = member("a") },
-			update: UpdateRequest{View: inForce, Sequence: 11, Set: set, Position: next}, want: admitRejected, wantErr: ErrNotInView},
+			update: UpdateRequest{View: currentView, Sequence: 11, Set: set, Position: next}, want: admitRejected, wantErr: ErrNotInView},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := tailOfThree()
@@ -78,7 +78,7 @@
 				t.Errorf("%v, %v", got, err)
 			}
 			if r.sequence != before.sequence || r.view.Number != before.view.Number || r.completeForView != before.completeForView {
-				t.Error("the state was changed before the disk had it")
+				t.Error("the state was changed before it was written to disk")
 			}
 		})
 	}
@@ -97,9 +97,9 @@
 		entered  bool
 		complete bool
 	}{
-		{name: "a complete member without a gap stays complete", view: next(5, 1), entered: true, complete: true},
-		{name: "also over views that it did not see", view: next(9, 4), entered: true, complete: true},
-		{name: "a member that was out is not complete", view: next(9, 8), entered: true},
+		{name: "a complete member without interruption stays complete", view: next(5, 1), entered: true, complete: true},
+		{name: "a complete member stays complete across views that it missed", view: next(9, 4), entered: true, complete: true},
+		{name: "a member that rejoined is not complete", view: next(9, 8), entered: true},
 		{name: "an incomplete member stays incomplete", change: func(r *replica) { r.markIncomplete() }, view: next(5, 1), entered: true},
 		{name: "a core that leaves is not complete", view: View{Number: 5, Members: members("a", "b")}, entered: true},
 		{name: "the same view again changes nothing", view: next(4, 1), complete: true},
@@ -123,19 +123,19 @@
 
 func TestHeadNumbersItsUpdates(t *testing.T) {
 	r := tailOfThree()
-	r.self, r.incarnation, r.committedThrough = member("a"), 9, 20 // it was no head, or in another process
+	r.self, r.incarnation, r.committedThrough = member("a"), 9, 20 // as if it had not been the head, or in another process
 	first := r.nextUpdate(r.view)
 	if first.Position != (StreamPosition{9, 1}) || first.CommittedThrough != 0 || first.Sequence != 10 {
-		t.Errorf("first: %+v", first)
+		t.Errorf("first update: %+v", first)
 	}
 	r.recordCommitted(&first, time.Unix(100, 0), time.Unix(101, 0))
 	second := r.nextUpdate(r.view)
 	if second.Position != (StreamPosition{9, 2}) || second.CommittedThrough != 1 {
-		t.Errorf("second: %+v", second)
+		t.Errorf("second update: %+v", second)
 	}
-	// One that failed is not committed.
+	// The second update failed, so it does not count as committed.
 	if third := r.nextUpdate(r.view); third.Position != (StreamPosition{9, 3}) || third.CommittedThrough != 1 {
-		t.Errorf("third: %+v", third)
+		t.Errorf("third update: %+v", third)
 	}
 	if r.contact.lastConfirmed != time.Unix(100, 0) || r.lastUpdate != time.Unix(101, 0) {
 		t.Errorf("in contact at %v, last update at %v", r.contact.lastConfirmed, r.lastUpdate)
@@ -152,6 +152,6 @@
 		t.Errorf("after a snapshot: %s", docs)
 	}
 	if len(r.docs) != 1 || len(set) != 1 {
-		t.Errorf("changed in place: %s, %s", r.docs, set)
+		t.Errorf("modified in place: %s, %s", r.docs, set)
 	}
 }
--- a/internal/chain/restore_test.go
+++ b/internal/chain/restore_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Guards against a control plane that stands still for ever, since no member of its view is
-// complete, although a core that was complete before is there (docs/incidents/overlapping-losses.md).
-// TestOverlappingLossesOfCores in package cluster plays it.
+// Guards against a control plane that stays blocked because no member of its view is complete,
+// although a core with every committed update is running (docs/incidents/overlapping-losses.md).
+// TestOverlappingLossesOfCores in package cluster reproduces the failure.
 func TestRestoreSource(t *testing.T) {
 	a, b, c := member("a"), member("b"), member("c")
 	joined := c
@@ -14,13 +14,13 @@
 		statuses map[Member]*ReplicaStatus
 		want     string
 	}{
-		"complete for the view before":      {statusesOf(ReplicaStatus{CompleteForView: 3}, b), "b"},
-		"complete for a later one":          {statusesOf(ReplicaStatus{CompleteForView: 5}, b), "b"},
-		"for an earlier one only":           {statusesOf(ReplicaStatus{CompleteForView: 2}, b), ""},
-		"for none":                          {statusesOf(ReplicaStatus{}, a, b, c), ""},
-		"a member is complete":              {mergeStatuses(statusesOf(ReplicaStatus{Complete: true, CompleteForView: 6}, a), statusesOf(ReplicaStatus{CompleteForView: 3}, b)), ""},
-		"nobody answers":                    {nil, ""},
-		"one that lost its disk is another": {statusesOf(ReplicaStatus{CompleteForView: 3}, Member{Address: "b", Disk: "b2"}), ""},
+		"complete for the view before joining":     {statusesOf(ReplicaStatus{CompleteForView: 3}, b), "b"},
+		"complete for a later view":                {statusesOf(ReplicaStatus{CompleteForView: 5}, b), "b"},
+		"complete for an earlier view only":        {statusesOf(ReplicaStatus{CompleteForView: 2}, b), ""},
+		"complete for no view":                     {statusesOf(ReplicaStatus{}, a, b, c), ""},
+		"a member is complete":                     {mergeStatuses(statusesOf(ReplicaStatus{Complete: true, CompleteForView: 6}, a), statusesOf(ReplicaStatus{CompleteForView: 3}, b)), ""},
+		"no core answers":                          {nil, ""},
+		"a core with another disk is not a source": {statusesOf(ReplicaStatus{CompleteForView: 3}, Member{Address: "b", Disk: "b2"}), ""},
 	} {
 		if source, found := restoreSource(view, joined.SinceView, test.statuses); source.Address != test.want || found != (test.want != "") {
 			t.Errorf("%s: %q, %v", name, source.Address, found)
@@ -37,14 +37,14 @@
 	}
 	for name, test := range map[string]struct {
 		state durableState
-		since int64 // 0: it is not expected to take the state over
+		since int64 // 0: it must not restore the state
 	}{
-		"it was away and has joined again":           {durableState{view: view(4), completeForView: 2, sequence: 9}, 4},
-		"it is new":                                  {durableState{view: view(4)}, 4},
-		"it is complete":                             {durableState{view: view(4), completeForView: 6, sequence: 9}, 0},
-		"its disk was put back":                      {durableState{view: view(4), sequence: 9}, 0},
-		"complete for a view in which it had joined": {durableState{view: view(4), completeForView: 4, sequence: 9}, 0},
-		"it is no member":                            {durableState{view: View{Number: 6, Members: members("a")}, completeForView: 2}, 0},
+		"it left and has rejoined":                 {durableState{view: view(4), completeForView: 2, sequence: 9}, 4},
+		"it is new":                                {durableState{view: view(4)}, 4},
+		"it is complete":                           {durableState{view: view(4), completeForView: 6, sequence: 9}, 0},
+		"an old file was restored on its disk":     {durableState{view: view(4), sequence: 9}, 0},
+		"complete for the view in which it joined": {durableState{view: view(4), completeForView: 4, sequence: 9}, 0},
+		"it is not a member":                       {durableState{view: View{Number: 6, Members: members("a")}, completeForView: 2}, 0},
 	} {
 		r := replica{durableState: test.state, self: self}
 		if since, neverComplete := r.wasNeverComplete(); neverComplete != (test.since > 0) || neverComplete && since != test.since {
--- a/internal/chain/storage_test.go
+++ b/internal/chain/storage_test.go
@@ -21,7 +21,7 @@
 	"saltreel/internal/rpc"
 )
 
-// openSingleMember opens a chain of one member.
+// openSingleMember opens a chain with a single member.
 func openSingleMember(tb testing.TB, path string) *Chain {
 	tb.Helper()
 	config := testConfig(tb, path, "a")
@@ -34,21 +34,21 @@
 	return c.Propose(context.Background(), func(Documents) (Documents, error) { return Documents{key: []byte(value)}, nil })
 }
 
-// expectRefusal checks that a core whose disk fails takes no part.
+// expectRefusal checks that a core whose disk fails serves no requests.
 func expectRefusal(t *testing.T, c *Chain) {
 	t.Helper()
 	if err := propose(c, "x", "2"); err == nil {
-		t.Fatal("a refused update is confirmed")
+		t.Fatal("an update whose write failed was acknowledged")
 	}
 	if _, err := c.HandleStatus(t.Context(), &StatusRequest{Disk: c.Self.Disk}, nil); err == nil {
-		t.Error("answers a status request while the disk refuses")
+		t.Error("status request answered while disk writes fail")
 	}
 	vote := VoteRequest{Disk: c.Self.Disk, Call: paxos.Request{Instance: 2, Number: paxos.ProposalNumber{Round: 1}}}
 	if _, err := c.HandleVote(t.Context(), &vote, nil); err == nil {
-		t.Error("votes while the disk refuses")
+		t.Error("vote granted while disk writes fail")
 	}
 	if _, err := c.Read(t.Context()); err == nil {
-		t.Error("is read while the disk refuses")
+		t.Error("read answered while disk writes fail")
 	}
 }
 
@@ -56,8 +56,8 @@
 	return maps.EqualFunc(a, b, bytes.Equal)
 }
 
-// A head whose disk refused an update may have it on the disk all the same: what
-// it writes next builds on that, and not beside it under the same sequence.
+// An update whose write failed may still be on the disk of the head. The next update must be
+// based on the state on disk: otherwise two different updates have the same sequence.
 func TestRefusedUpdateLeavesMemoryAndDiskEqual(t *testing.T) {
 	for step, want := range map[string]string{boltstore.StepSync: "2", boltstore.StepCommit: "1"} {
 		t.Run(step, func(t *testing.T) {
@@ -104,11 +104,11 @@
 	memory, disk := &c.replica, &reopened.replica
 	if memory.sequence != disk.sequence || memory.view.Number != disk.view.Number || memory.completeForView != disk.completeForView ||
 		c.Self != reopened.Self || !sameDocuments(docs, disk.docs) {
-		t.Errorf("memory held %d %s, the disk %d %s", memory.sequence, fmt.Sprint(docs), disk.sequence, fmt.Sprint(disk.docs))
+		t.Errorf("memory holds update %d, %s; the disk update %d, %s", memory.sequence, fmt.Sprint(docs), disk.sequence, fmt.Sprint(disk.docs))
 	}
 }
 
-// What is replaced leaves nothing behind on the disk.
+// Replaced values must be freed on disk. Otherwise the file grows with every update.
 func TestFileDoesNotGrowWithUpdates(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "core.db")
 	c := openSingleMember(t, path)
@@ -134,8 +134,8 @@
 	}
 }
 
-// A head that has forwarded nothing since it started may have an old file: what
-// it writes would count as newer than what the others hold.
+// A head that has not forwarded an update since its start may hold an old file. An update
+// based on it would supersede newer state of the other members.
 func TestHeadWritesNothingBeforeItsFirstForward(t *testing.T) {
 	refuse := func(context.Context, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }
 	config := testConfig(t, filepath.Join(t.TempDir(), "core.db"), "a")
@@ -144,19 +144,19 @@
 	defer closeFile(t, config.File)
 	for range 3 {
 		if err := propose(c, "x", "1"); err == nil {
-			t.Error("confirmed by nobody")
+			t.Error("acknowledged without an answer of the successor")
 		}
 	}
 	if !c.replica.successorDown {
-		t.Error("the successor's machine refused, and counts as up")
+		t.Error("the successor's machine refused the connection and is not recorded as down")
 	}
 	if c.replica.sequence != 0 || len(c.replica.docs) != 0 {
-		t.Errorf("wrote %d, %s", c.replica.sequence, c.replica.docs)
+		t.Errorf("the head wrote update %d: %s", c.replica.sequence, c.replica.docs)
 	}
 }
 
-// One update on a member: a configuration of 20 kB and a placement of 13 kB put
-// on disk.
+// BenchmarkApplyUpdate writes one update with a configuration of 20 kB and a placement
+// of 13 kB to disk.
 func BenchmarkApplyUpdate(b *testing.B) {
 	c := openSingleMember(b, filepath.Join(b.TempDir(), "core.db"))
 	defer closeFile(b, c.config.File)
