--- a/internal/chain/reconfigure.go
+++ b/internal/chain/reconfigure.go
@@ -174,7 +174,8 @@
 }
 
 // awaitView waits until the view with the given number or a newer one is installed
-// on this core, or ctx ends. Peers that have installed it reject votes on it.
+// on this core, or ctx ends. A proposal can end then, because peers that have installed
+// the view reject votes on it.
 func (c *Chain) awaitView(ctx context.Context, number int64) {
 	for ctx.Err() == nil {
 		newest, changed := c.viewAndChange()
