--- a/internal/chain/nextview_test.go
+++ b/internal/chain/nextview_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// member is the founder at an address, since view 1.
-func member(address string) Member { return Member{Address: address, Disk: founderDisk, Since: 1} }
+// member returns the founder at an address, a member since view 1.
+func member(address string) Member { return Member{Address: address, Disk: founderDisk, SinceView: 1} }
 
 func members(list ...string) []Member {
 	var out []Member
@@ -17,8 +17,8 @@
 	return out
 }
 
-// answered gives a status for each identity.
-func answered(status ReplicaStatus, list ...Member) map[Member]*ReplicaStatus {
+// statusesOf maps the identity of each member to the same status.
+func statusesOf(status ReplicaStatus, list ...Member) map[Member]*ReplicaStatus {
 	out := map[Member]*ReplicaStatus{}
 	for _, m := range list {
 		out[m.identity()] = &status
@@ -26,7 +26,7 @@
 	return out
 }
 
-func merge(parts ...map[Member]*ReplicaStatus) map[Member]*ReplicaStatus {
+func mergeStatuses(parts ...map[Member]*ReplicaStatus) map[Member]*ReplicaStatus {
 	out := map[Member]*ReplicaStatus{}
 	for _, part := range parts {
 		for m, s := range part {
@@ -37,8 +37,8 @@
 }
 
 func TestNextView(t *testing.T) {
-	complete := ReplicaStatus{Complete: true, Ready: true}
-	incomplete := ReplicaStatus{Ready: true}
+	complete := ReplicaStatus{Complete: true, VoterReady: true}
+	incomplete := ReplicaStatus{VoterReady: true}
 	notReady := ReplicaStatus{Complete: true}
 	now := time.Unix(1000, 0)
 	a, b, c := member("a"), member("b"), member("c")
@@ -46,9 +46,9 @@
 	replacement := Member{Address: "c", Disk: "c2"}
 	abc := View{Number: 4, Members: members("a", "b", "c"), Voters: members("a", "b", "c"), QuorumEpoch: 1}
 	ab := View{Number: 4, Members: members("a", "b"), Voters: members("a", "b", "c"), QuorumEpoch: 1}
-	four := View{Number: 4, Members: members("a", "b", "c"), Voters: members("a", "b", "c", "e"), QuorumEpoch: 3}
+	fourVoters := View{Number: 4, Members: members("a", "b", "c"), Voters: members("a", "b", "c", "e"), QuorumEpoch: 3}
 	joined := func(m Member) Member {
-		m.Since = 5
+		m.SinceView = 5
 		return m
 	}
 	longAgo := map[Member]time.Time{c.identity(): now.Add(-time.Minute), member("e").identity(): now.Add(-time.Minute)}
@@ -64,136 +64,136 @@
 		neverAnswered []Member
 	}{
 		{
-			name:    "all answer and nothing changes",
-			in:      viewInput{view: abc, active: true, statuses: answered(complete, a, b, c)},
+			name:    "no change if all members answer",
+			in:      viewInput{view: abc, active: true, statuses: statusesOf(complete, a, b, c)},
 			safe:    true,
 			members: abc.Members, voters: abc.Voters,
 		},
 		{
 			name:    "a lost member leaves the chain and keeps its vote",
-			in:      viewInput{view: abc, statuses: answered(complete, a, b)},
+			in:      viewInput{view: abc, statuses: statusesOf(complete, a, b)},
 			safe:    true,
 			members: members("a", "b"), voters: abc.Voters,
 		},
 		{
-			name:    "a minority may not go on alone",
-			in:      viewInput{view: abc, statuses: answered(complete, a)},
+			name:    "a minority must not form a view",
+			in:      viewInput{view: abc, statuses: statusesOf(complete, a)},
 			safe:    false,
 			members: members("a"), voters: abc.Voters,
 		},
 		{
-			name:    "an incomplete head goes behind the complete members",
-			in:      viewInput{view: abc, statuses: merge(answered(incomplete, a), answered(complete, b, c))},
+			name:    "an incomplete head moves behind the complete members",
+			in:      viewInput{view: abc, statuses: mergeStatuses(statusesOf(incomplete, a), statusesOf(complete, b, c))},
 			safe:    true,
 			members: members("b", "c", "a"), voters: abc.Voters,
 		},
 		{
 			name:    "no view without a complete member",
-			in:      viewInput{view: abc, statuses: answered(incomplete, a, b, c)},
+			in:      viewInput{view: abc, statuses: statusesOf(incomplete, a, b, c)},
 			safe:    false,
 			members: nil, voters: abc.Voters,
 		},
 		{
-			name:    "no view of a core that did not answer itself",
-			in:      viewInput{view: abc, statuses: answered(complete, b, c)},
+			name:    "no view without the status of this core",
+			in:      viewInput{view: abc, statuses: statusesOf(complete, b, c)},
 			safe:    false,
 			members: members("b", "c"), voters: abc.Voters,
 		},
 		{
-			name:    "a voter that came back joins an active view at the tail",
-			in:      viewInput{view: ab, active: true, statuses: answered(complete, a, b, c)},
+			name:    "a voter that returns joins an active view at the tail",
+			in:      viewInput{view: ab, active: true, statuses: statusesOf(complete, a, b, c)},
 			safe:    true,
 			members: []Member{a, b, joined(c)}, voters: ab.Voters,
 		},
 		{
 			name: "only one voter joins an active view at a time",
 			in: viewInput{view: View{Number: 4, Members: members("a"), Voters: members("a", "b", "c")}, active: true,
-				statuses: answered(complete, a, b, c)},
+				statuses: statusesOf(complete, a, b, c)},
 			safe:    true,
 			members: []Member{a, joined(b)}, voters: members("a", "b", "c"),
 		},
 		{
-			name: "a broken view takes in as many voters as a majority needs",
+			name: "an inactive view adds as many voters as a majority needs",
 			in: viewInput{view: View{Number: 4, Members: members("a"), Voters: members("a", "b", "c", "d", "e")},
-				statuses: answered(complete, members("a", "b", "c", "d", "e")...)},
+				statuses: statusesOf(complete, members("a", "b", "c", "d", "e")...)},
 			safe:    true,
 			members: []Member{a, joined(b), joined(c)}, voters: members("a", "b", "c", "d", "e"),
 		},
 		{
-			name:    "a broken view that has a majority takes in nobody",
-			in:      viewInput{view: ab, statuses: answered(complete, a, b, c)},
+			name:    "an inactive view with a majority adds no voter",
+			in:      viewInput{view: ab, statuses: statusesOf(complete, a, b, c)},
 			safe:    true,
 			members: ab.Members, voters: ab.Voters,
 		},
 		{
-			name: "a candidate that is ready becomes voter and member",
+			name: "a ready candidate becomes a voter and member",
 			in: viewInput{view: abc, active: true, candidates: []Member{newcomer},
-				statuses: answered(complete, a, b, c, newcomer)},
+				statuses: statusesOf(complete, a, b, c, newcomer)},
 			safe:    true,
 			members: []Member{a, b, c, joined(newcomer)}, voters: append(members("a", "b", "c"), newcomer), newEpoch: true,
 		},
 		{
-			name: "a candidate that is not ready waits",
+			name: "a candidate that is not ready is not added",
 			in: viewInput{view: abc, active: true, candidates: []Member{newcomer},
-				statuses: merge(answered(complete, a, b, c), answered(notReady, newcomer))},
+				statuses: mergeStatuses(statusesOf(complete, a, b, c), statusesOf(notReady, newcomer))},
 			safe:    true,
 			members: abc.Members, voters: abc.Voters,
 		},
 		{
-			name: "a candidate waits for an active view",
+			name: "an inactive view adds no candidate",
 			in: viewInput{view: abc, candidates: []Member{newcomer},
-				statuses: answered(complete, a, b, c, newcomer)},
+				statuses: statusesOf(complete, a, b, c, newcomer)},
 			safe:    true,
 			members: abc.Members, voters: abc.Voters,
 		},
 		{
-			name: "the voters change only when a majority of them is ready",
+			name: "the voters change only if a majority of them is ready",
 			in: viewInput{view: abc, active: true, candidates: []Member{newcomer},
-				statuses: merge(answered(complete, a, newcomer), answered(notReady, b, c))},
+				statuses: mergeStatuses(statusesOf(complete, a, newcomer), statusesOf(notReady, b, c))},
 			safe:    true,
 			members: abc.Members, voters: abc.Voters,
 		},
 		{
-			name: "a new disk takes the vote of the one at its address",
+			name: "a new disk replaces the voter at its address",
 			in: viewInput{view: ab, active: true, candidates: []Member{replacement},
-				statuses: answered(complete, a, b, replacement), answeredAt: justNow},
+				statuses: statusesOf(complete, a, b, replacement), answeredAt: justNow},
 			safe:    true,
 			members: []Member{a, b, joined(replacement)}, voters: append(members("a", "b"), replacement), newEpoch: true,
 		},
 		{
-			name: "a candidate takes the vote of a voter lost for long",
+			name: "a candidate replaces a lost voter",
 			in: viewInput{view: ab, active: true, candidates: []Member{newcomer},
-				statuses: answered(complete, a, b, newcomer), answeredAt: longAgo},
+				statuses: statusesOf(complete, a, b, newcomer), answeredAt: longAgo},
 			safe:    true,
 			members: []Member{a, b, joined(newcomer)}, voters: append(members("a", "b"), newcomer), newEpoch: true,
 		},
 		{
-			name: "a voter that answered lately keeps its vote",
+			name: "a voter that answered recently remains a voter",
 			in: viewInput{view: ab, active: true, candidates: []Member{newcomer},
-				statuses: answered(complete, a, b, newcomer), answeredAt: justNow},
+				statuses: statusesOf(complete, a, b, newcomer), answeredAt: justNow},
 			safe:    true,
 			members: []Member{a, b, joined(newcomer)}, voters: append(members("a", "b", "c"), newcomer), newEpoch: true,
 			neverAnswered: []Member{a.identity(), b.identity()},
 		},
 		{
-			name: "the time of a voter that never answered begins now",
+			name: "lostAfter counts from now for a voter that never answered",
 			in: viewInput{view: ab, active: true, candidates: []Member{newcomer},
-				statuses: answered(complete, a, b, newcomer)},
+				statuses: statusesOf(complete, a, b, newcomer)},
 			safe:    true,
 			members: []Member{a, b, joined(newcomer)}, voters: append(members("a", "b", "c"), newcomer), newEpoch: true,
 			neverAnswered: []Member{a.identity(), b.identity(), c.identity()},
 		},
 		{
-			name: "a lost voter that is not needed loses its vote",
-			in: viewInput{view: four, active: true,
-				statuses: answered(complete, a, b, c), answeredAt: longAgo},
+			name: "a lost voter that is not needed is removed",
+			in: viewInput{view: fourVoters, active: true,
+				statuses: statusesOf(complete, a, b, c), answeredAt: longAgo},
 			safe:    true,
-			members: four.Members, voters: members("a", "b", "c"), newEpoch: true,
+			members: fourVoters.Members, voters: members("a", "b", "c"), newEpoch: true,
 		},
 		{
-			name: "a lost voter that is needed keeps its vote",
+			name: "a lost voter that is needed remains a voter",
 			in: viewInput{view: ab, active: true,
-				statuses: answered(complete, a, b), answeredAt: longAgo},
+				statuses: statusesOf(complete, a, b), answeredAt: longAgo},
 			safe:    true,
 			members: ab.Members, voters: ab.Voters,
 		},
@@ -214,14 +214,14 @@
 				t.Errorf("never answered: %v", d.neverAnswered)
 			}
 			if in.view.String() != before {
-				t.Errorf("the present view was changed to %v", in.view)
+				t.Errorf("the current view was modified: %v", in.view)
 			}
 		})
 	}
 }
 
-// checkQuorumEpoch checks that the voters before are known if, and only if, the
-// voters have changed.
+// checkQuorumEpoch checks that next starts a new quorum epoch and names the previous
+// voters if and only if the voters have changed.
 func checkQuorumEpoch(t *testing.T, view, next View, changed bool) {
 	t.Helper()
 	if !changed {
--- a/internal/chain/reconfigure.go
+++ b/internal/chain/reconfigure.go
@@ -13,13 +13,13 @@
 	"saltreel/internal/timeutil"
 )
 
-// reconfigurer changes the view. It belongs to one goroutine and has no lock.
+// reconfigurer changes the view. It is used by one goroutine only.
 type reconfigurer struct {
 	chain *Chain
-	// answeredAt is when a core last answered a StatusRequest, or else when its
-	// answer was first missed.
+	// answeredAt is the time at which a core last answered a StatusRequest or, if it
+	// never did, the time at which it was first considered for replacement.
 	answeredAt map[Member]time.Time
-	// replacedVoters are those that are logged as found with another disk.
+	// replacedVoters are the voters already logged as having another disk.
 	replacedVoters map[Member]bool
 }
 
@@ -27,8 +27,8 @@
 	return &reconfigurer{chain: c, answeredAt: map[Member]time.Time{}, replacedVoters: map[Member]bool{}}
 }
 
-// reconfigure asks all cores for their status, and installs a newer view that one
-// of them knows; else it proposes the view that follows from the answers.
+// reconfigure requests the status of all cores. If one of them knows a newer view,
+// it installs that view; otherwise it proposes the view that nextView decides on.
 func (r *reconfigurer) reconfigure(ctx context.Context, view View) {
 	c := r.chain
 	statuses := r.collectStatuses(ctx, view)
@@ -39,41 +39,41 @@
 	if view.indexOf(c.Self) < 0 || c.restore(ctx, view, statuses) {
 		return
 	}
-	next, safe := r.decide(view, statuses)
+	next, safe := r.decideNextView(view, statuses)
 	if !safe {
 		return
 	}
-	begun := c.acceptor.HasAccepted(next.Number)
-	if next.sameMembership(view) && !begun {
+	accepted := c.acceptor.HasAccepted(next.Number)
+	if next.sameMembership(view) && !accepted {
 		return
 	}
-	// The first member that answers goes first; the others follow after a while.
+	// The first member of the next view proposes at once, the others with a delay.
 	if i := next.indexOf(c.Self); i > 0 {
 		timeutil.Sleep(ctx, c.timing.proposalStagger()*time.Duration(i))
 		if ctx.Err() != nil {
 			return
 		}
 	}
-	c.choose(ctx, view, next)
+	c.chooseNextView(ctx, view, next)
 }
 
-// collectStatuses asks the voters and the candidates for their status, all at
-// once, and notes who answered.
+// collectStatuses requests the status of the voters and candidates in parallel and
+// records which of them answered.
 func (r *reconfigurer) collectStatuses(ctx context.Context, view View) map[Member]*ReplicaStatus {
 	c := r.chain
 	ctx, cancel := context.WithTimeout(ctx, c.timing.statusTimeout())
 	defer cancel()
 	type answer struct {
-		who    Member
+		member Member
 		status *ReplicaStatus
 		err    error
 	}
 	asked := append(slices.Clone(view.Voters), c.candidates(view)...)
 	answers := make(chan answer, len(asked))
-	for _, who := range asked {
+	for _, member := range asked {
 		go func() {
-			status, err := c.requestStatus(ctx, who, view)
-			answers <- answer{who.identity(), status, err}
+			status, err := c.requestStatus(ctx, member, view)
+			answers <- answer{member.identity(), status, err}
 		}()
 	}
 	statuses := map[Member]*ReplicaStatus{}
@@ -81,25 +81,25 @@
 	for range asked {
 		a := <-answers
 		if a.err != nil {
-			r.noteRefusal(a.who, a.err)
+			r.logReplacedVoter(a.member, a.err)
 			continue
 		}
-		statuses[a.who] = a.status
-		r.answeredAt[a.who] = now
+		statuses[a.member] = a.status
+		r.answeredAt[a.member] = now
 	}
 	return statuses
 }
 
-// noteRefusal logs a voter that has another disk than the view says, once.
-func (r *reconfigurer) noteRefusal(who Member, err error) {
-	if !isWrongDisk(err) || r.replacedVoters[who] {
+// logReplacedVoter logs once for each voter that its disk is not the one in the view.
+func (r *reconfigurer) logReplacedVoter(m Member, err error) {
+	if !isWrongDisk(err) || r.replacedVoters[m] {
 		return
 	}
-	r.replacedVoters[who] = true
-	r.chain.config.Log.Printf("chain: voter %s was replaced: %v", who.Address, err)
+	r.replacedVoters[m] = true
+	r.chain.config.Log.Printf("chain: voter %s was replaced: %v", m.Address, err)
 }
 
-// newestView is the newest of the view known here and those of the answers.
+// newestView returns the newest of view and the views in statuses.
 func newestView(view View, statuses map[Member]*ReplicaStatus) View {
 	for _, s := range statuses {
 		if s.View.Number > view.Number {
@@ -109,8 +109,8 @@
 	return view
 }
 
-// decide applies nextView to what is known now.
-func (r *reconfigurer) decide(view View, statuses map[Member]*ReplicaStatus) (next View, safe bool) {
+// decideNextView applies nextView to the current state.
+func (r *reconfigurer) decideNextView(view View, statuses map[Member]*ReplicaStatus) (next View, safe bool) {
 	c := r.chain
 	c.mu.Lock()
 	active := c.replica.active && time.Since(c.replica.lastUpdate) <= c.timing.neighborTimeout()
@@ -127,18 +127,18 @@
 		maxFailures: c.config.MaxFailures,
 		lostAfter:   c.timing.voterLostAfter(),
 	})
-	for _, who := range d.neverAnswered {
-		r.answeredAt[who] = now
+	for _, m := range d.neverAnswered {
+		r.answeredAt[m] = now
 	}
 	return d.next, d.safe
 }
 
-// choose has the voters choose the view after this one, installs the one that is
-// chosen and announces it.
-func (c *Chain) choose(ctx context.Context, view, next View) {
+// chooseNextView has the voters choose the next view, installs the chosen view and
+// announces it.
+func (c *Chain) chooseNextView(ctx context.Context, view, next View) {
 	chosen, err := c.proposeView(ctx, view, next)
 	if c.View().Number >= next.Number {
-		return // a peer announced it meanwhile
+		return // a peer has announced it in the meantime
 	}
 	if err != nil {
 		c.config.Log.Printf("chain: propose view %d: %v", next.Number, err)
@@ -149,8 +149,8 @@
 	}
 }
 
-// proposeView runs Paxos among the voters of a view and gives the next one that
-// was chosen. It ends early when that is learnt otherwise.
+// proposeView runs Paxos among the voters of view and returns the chosen next view.
+// It is cancelled when this core learns the chosen view from a peer.
 func (c *Chain) proposeView(ctx context.Context, view, next View) (chosen View, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timing.proposalTimeout())
 	defer cancel()
@@ -160,7 +160,7 @@
 	}()
 	value, err := json.Marshal(next)
 	if err != nil {
-		return View{}, fmt.Errorf("encode the view: %w", err)
+		return View{}, fmt.Errorf("encode view: %w", err)
 	}
 	proposer := c.Self.Address + "/" + crand.Text()
 	raw, err := paxos.Propose(ctx, next.Number, proposer, 1, value, addresses(view.Voters), c.voteCaller(view))
@@ -168,13 +168,14 @@
 		return View{}, err
 	}
 	if err := json.Unmarshal(raw, &chosen); err != nil {
-		return View{}, fmt.Errorf("decode the view: %w", err)
+		return View{}, fmt.Errorf("decode view: %w", err)
 	}
 	return chosen, nil
 }
 
-// awaitView waits until a view is installed here, or ctx ends. Peers that have
-// installed it answer no more votes on it.
+// awaitView waits until the view with the given number or a newer one is installed
+// on this core, or ctx ends. A proposal can end then, because peers that have installed
+// the view reject votes on it.
 func (c *Chain) awaitView(ctx context.Context, number int64) {
 	for ctx.Err() == nil {
 		newest, changed := c.viewAndChange()
@@ -188,8 +189,8 @@
 	}
 }
 
-// voteCaller sends Paxos requests to the voters of a view, to this core's own
-// acceptor without a call.
+// voteCaller returns a paxos.Caller for the voters of a view. Requests to the acceptor
+// of this core are handled locally.
 func (c *Chain) voteCaller(view View) paxos.Caller {
 	disks := map[string]string{}
 	for _, v := range view.Voters {
@@ -209,7 +210,7 @@
 	}
 }
 
-// installAndLog installs a view and logs where that fails.
+// installAndLog installs a view and logs the error if that fails.
 func (c *Chain) installAndLog(ctx context.Context, v View) (installed bool) {
 	err := c.InstallView(ctx, v)
 	if err != nil {
@@ -218,14 +219,14 @@
 	return err == nil
 }
 
-// announce sends a chosen view to the other voters. Those that do not get it
-// learn it from the first update.
+// announce sends a chosen view to the other voters. Members that do not receive it
+// learn the view from its first update.
 func (c *Chain) announce(ctx context.Context, v View) {
 	ctx, cancel := context.WithTimeout(ctx, c.timing.statusTimeout())
 	defer cancel()
 	var calls sync.WaitGroup
 	for _, m := range v.Voters {
-		if !m.is(c.Self) {
+		if !m.sameIdentity(c.Self) {
 			calls.Go(func() { _ = c.config.Client.Call(ctx, m.Address, "/chain/adopt", v, nil, nil) })
 		}
 	}
--- a/internal/chain/status.go
+++ b/internal/chain/status.go
@@ -7,7 +7,7 @@
 	"saltreel/internal/paxos"
 )
 
-// HandleStatus installs the view of the request and tells what is known here.
+// HandleStatus installs the view of the request and returns the status of this core.
 func (c *Chain) HandleStatus(ctx context.Context, request *StatusRequest, _ []byte) (*ReplicaStatus, error) {
 	if err := c.checkDisk(request.Disk); err != nil {
 		return nil, err
@@ -27,13 +27,13 @@
 		View:         view,
 		NextAccepted: c.acceptor.HasAccepted(view.Number + 1),
 		Complete:     complete,
-		Ready:        c.config.VoterReady(),
+		VoterReady:   c.config.VoterReady(),
 
 		CompleteForView: completeForView,
 	}, nil
 }
 
-// checkDisk refuses what is meant for another disk at this address.
+// checkDisk returns ErrWrongDisk for a request addressed to another disk.
 func (c *Chain) checkDisk(disk string) error {
 	if disk != c.Self.Disk {
 		return fmt.Errorf("%w: it is %s, not %s", ErrWrongDisk, c.Self.Disk, disk)
@@ -41,20 +41,20 @@
 	return nil
 }
 
-// requestStatus asks one core for its status.
-func (c *Chain) requestStatus(ctx context.Context, who Member, view View) (*ReplicaStatus, error) {
-	request := StatusRequest{Disk: who.Disk, View: view}
-	if who.is(c.Self) {
+// requestStatus requests the status of a core, for this core without a network call.
+func (c *Chain) requestStatus(ctx context.Context, m Member, view View) (*ReplicaStatus, error) {
+	request := StatusRequest{Disk: m.Disk, View: view}
+	if m.sameIdentity(c.Self) {
 		return c.HandleStatus(ctx, &request, nil)
 	}
 	status := &ReplicaStatus{}
-	if err := c.config.Client.Call(ctx, who.Address, "/chain/standing", request, nil, status); err != nil {
+	if err := c.config.Client.Call(ctx, m.Address, "/chain/standing", request, nil, status); err != nil {
 		return nil, err
 	}
 	return status, nil
 }
 
-// HandleVote answers a step of Paxos for the view after the one in force.
+// HandleVote handles a Paxos request for a view after the current one.
 func (c *Chain) HandleVote(_ context.Context, vote *VoteRequest, _ []byte) (*paxos.Response, error) {
 	if err := c.checkDisk(vote.Disk); err != nil {
 		return nil, err
@@ -66,21 +66,21 @@
 	return &response, err
 }
 
-// HandleInstallView takes a chosen view of a peer.
+// HandleInstallView installs a chosen view received from a peer.
 func (c *Chain) HandleInstallView(ctx context.Context, v *View, _ []byte) (*struct{}, error) {
 	return &struct{}{}, c.InstallView(ctx, *v)
 }
 
-// InstallView puts a chosen view on disk and into force, if it is newer than the
-// one here. The error says that the disk refused, or that ctx ended before.
+// InstallView writes a chosen view to disk and enters it, if it is newer than the
+// current one. It returns an error if the write fails or if ctx ends first.
 func (c *Chain) InstallView(ctx context.Context, v View) error {
 	if v.Number <= c.View().Number {
 		return nil
 	}
-	if err := c.acquireForView(ctx); err != nil {
+	if err := c.acquireUpdateLockForView(ctx); err != nil {
 		return err
 	}
-	defer c.release()
+	defer c.releaseUpdateLock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if v.Number <= c.replica.view.Number {
@@ -89,18 +89,18 @@
 	before := c.replica.durableState
 	c.enterViewLocked(v)
 	if err := c.storage.writeState(c.replica.durableState); err != nil {
-		c.replica.durableState = before // the view before is sealed only once this one is on disk
+		c.replica.durableState = before // the previous view stays current until the new one is on disk
 		return fmt.Errorf("write the view: %w", err)
 	}
 	return nil
 }
 
-// acquireForView takes the right to change the view. An update of the view before
-// may be under way, and wait for a member that is lost: after a while it is
-// cancelled.
-func (c *Chain) acquireForView(ctx context.Context) error {
-	patient, cancel := context.WithTimeout(ctx, c.timing.installPatience())
-	err := c.acquire(patient)
+// acquireUpdateLockForView acquires updateLock for a view change. An update of the
+// previous view may hold it while it waits for a failed member; its forwarding is
+// cancelled after installGrace.
+func (c *Chain) acquireUpdateLockForView(ctx context.Context) error {
+	graceCtx, cancel := context.WithTimeout(ctx, c.timing.installGrace())
+	err := c.acquireUpdateLock(graceCtx)
 	cancel()
 	if err == nil {
 		return nil
@@ -111,5 +111,5 @@
 	if cancelForward != nil {
 		cancelForward()
 	}
-	return c.acquire(ctx)
+	return c.acquireUpdateLock(ctx)
 }
