--- a/internal/configstore/decide.go
+++ b/internal/configstore/decide.go
@@ -96,12 +96,12 @@
 	if !ok {
 		return nil, &RejectedError{404, "no store is called " + name}
 	}
-	if store.Retire != "" {
+	if store.RetireState != "" {
 		return nil, nil // ordered before, or done: a store stays listed, and retired
 	}
 	remaining := 0
 	for other, s := range current.Stores {
-		if other != name && s.Retire == "" {
+		if other != name && s.RetireState == "" {
 			remaining++
 		}
 	}
@@ -109,7 +109,7 @@
 		return nil, &RejectedError{409, fmt.Sprintf("%d stores would remain, %d are needed", remaining, hostFailures+1)}
 	}
 	next := current.Clone()
-	store.Retire = placement.RetireActive
+	store.RetireState = placement.RetireActive
 	next.Stores[name] = store
 	next.Version++
 	raw, err := json.Marshal(next)
@@ -122,8 +122,8 @@
 	if !ok {
 		return "", &RejectedError{404, "no store is called " + name}
 	}
-	if store.Retire == "" {
+	if store.RetireState == "" {
 		return "", &RejectedError{404, name + " is not being emptied"}
 	}
-	return store.Retire, nil
+	return store.RetireState, nil
 }
--- a/internal/configstore/decide_test.go
+++ b/internal/configstore/decide_test.go
@@ -122,7 +122,7 @@
 	for _, state := range []string{placement.RetireActive, placement.RetireComplete} {
 		p, _ := s.PlacementOf(docs)
 		p = p.Clone()
-		p.Stores["a"] = placement.Store{Retire: state}
+		p.Stores["a"] = placement.Store{RetireState: state}
 		docs[KeyPlacement], _ = json.Marshal(p)
 		if set, err := retire(docs, "a"); err != nil || set != nil {
 			t.Errorf("%s, ordered again: %v %v", state, set, err)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -182,7 +182,7 @@
 // heartbeat.
 func allHoldersKnown(p placement.Placement, stores map[string]placement.StoreStatus) bool {
 	for name := range p.Stores {
-		if _, ok := stores[name]; !ok && placement.Holds(p, name) {
+		if _, ok := stores[name]; !ok && placement.IsReplicaOrSource(p, name) {
 			return false
 		}
 	}
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -106,7 +106,7 @@
 	if partition.Epoch != replica.Epoch {
 		return false, partition.Epoch > replica.Epoch
 	}
-	if !partition.Has(replica.Store) {
+	if !partition.HasReplica(replica.Store) {
 		return false, false
 	}
 	marked = partition.MarkInSync(replica.Store)
--- a/internal/partition/assignment.go
+++ b/internal/partition/assignment.go
@@ -22,7 +22,7 @@
 			m.addPartitionLocked(n)
 		}
 		p := m.partitions[n]
-		if ownDisk && assignment.IsCurrent(m.config.Self) {
+		if ownDisk && assignment.IsUpToDate(m.config.Self) {
 			p.contact.outdated = false
 		}
 		if p.hasApplied(assignment) {
--- a/internal/partition/manager.go
+++ b/internal/partition/manager.go
@@ -185,7 +185,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, assignment := range m.placement.Partitions {
-		if assignment.Has(m.config.Self) {
+		if assignment.HasReplica(m.config.Self) {
 			return true
 		}
 	}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -50,11 +50,11 @@
 
 // Store is a store that holds replicas, or may hold them.
 type Store struct {
-	Address string `json:"address"`
-	Zone    string `json:"zone"`
-	Region  string `json:"region"`
-	Disk    string `json:"disk"`             // identity of the disk; a store with another disk is empty
-	Retire  string `json:"retire,omitempty"` // "", RetireActive or RetireComplete
+	Address     string `json:"address"`
+	Zone        string `json:"zone"`
+	Region      string `json:"region"`
+	Disk        string `json:"disk"`             // identity of the disk; a store with another disk is empty
+	RetireState string `json:"retire,omitempty"` // "", RetireActive or RetireComplete
 }
 
 // States of a store that the operator retires.
@@ -81,8 +81,10 @@
 	return slices.IndexFunc(p.Backups, func(b Backup) bool { return b.Store == store })
 }
 
-// Has reports whether a store holds a replica.
-func (p Partition) Has(store string) bool { return p.Primary == store || p.BackupIndex(store) >= 0 }
+// HasReplica reports whether a store holds a replica.
+func (p Partition) HasReplica(store string) bool {
+	return p.Primary == store || p.BackupIndex(store) >= 0
+}
 
 // InSync reports whether the primary holds all records and there are at least that
 // many backups, all of them in sync.
@@ -90,9 +92,9 @@
 	return len(p.Sources) == 0 && len(p.Backups) >= backups && !slices.ContainsFunc(p.Backups, func(b Backup) bool { return !b.InSync })
 }
 
-// IsCurrent reports whether a store holds all records: as the primary without
+// IsUpToDate reports whether a store holds all records: as the primary without
 // sources, or as a backup that is in sync.
-func (p Partition) IsCurrent(store string) bool {
+func (p Partition) IsUpToDate(store string) bool {
 	i := p.BackupIndex(store)
 	return p.Primary == store && len(p.Sources) == 0 || i >= 0 && p.Backups[i].InSync
 }
@@ -129,11 +131,11 @@
 	return p
 }
 
-// Holds reports whether a store holds a replica of any partition, or what a primary has to
+// IsReplicaOrSource reports whether a store holds a replica of any partition, or what a primary has to
 // take over.
-func Holds(p Placement, store string) bool {
+func IsReplicaOrSource(p Placement, store string) bool {
 	return slices.ContainsFunc(p.Partitions, func(partition Partition) bool {
-		return partition.Has(store) || slices.Contains(partition.Sources, store)
+		return partition.HasReplica(store) || slices.Contains(partition.Sources, store)
 	})
 }
 
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -71,7 +71,7 @@
 // eligible reports whether a store is available and may take replicas, that is
 // neither shuts down nor is retired.
 func (p *planner) eligible(name string) bool {
-	return p.available(name) && !p.stores[name].Draining && p.next.Stores[name].Retire == ""
+	return p.available(name) && !p.stores[name].Draining && p.next.Stores[name].RetireState == ""
 }
 
 // diskLost reports whether a store has come back without the disk that the placement
@@ -108,7 +108,7 @@
 		case !known && status.Alive && !status.Draining:
 			p.next.Stores[name] = newStore(status)
 			p.changed = true
-		case known && status.Disk != "" && store.Disk != status.Disk && !Holds(p.next, name):
+		case known && status.Disk != "" && store.Disk != status.Disk && !IsReplicaOrSource(p.next, name):
 			store.Disk = status.Disk
 			store.Address = status.Address
 			p.next.Stores[name] = store
@@ -131,7 +131,7 @@
 func (p *planner) findLastResort() []string {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(p.next.Stores)) {
-		if p.available(name) && !p.stores[name].Draining && p.next.Stores[name].Retire == RetireActive {
+		if p.available(name) && !p.stores[name].Draining && p.next.Stores[name].RetireState == RetireActive {
 			names = append(names, name)
 		}
 	}
@@ -326,7 +326,7 @@
 func (p *planner) addMissingReplicas(partition *Partition, desired []string) bool {
 	var missing []Backup
 	for _, name := range desired {
-		if !partition.Has(name) {
+		if !partition.HasReplica(name) {
 			missing = append(missing, Backup{Store: name})
 		}
 	}
@@ -355,8 +355,8 @@
 // without what the replicas of a partition may lack.
 func (p *planner) completeRetirements() {
 	for name, store := range p.next.Stores {
-		if store.Retire == RetireActive && !Holds(p.next, name) && !p.next.isRemembered(name) {
-			store.Retire = RetireComplete
+		if store.RetireState == RetireActive && !IsReplicaOrSource(p.next, name) && !p.next.isRemembered(name) {
+			store.RetireState = RetireComplete
 			p.next.Stores[name] = store
 			p.changed = true
 		}
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -24,7 +24,7 @@
 		setStatus(without, lost, func(s *StoreStatus) { s.Alive = false })
 		p := converge(t, first, without, oneBackup, nil)
 		for i, partition := range p.Partitions {
-			if partition.Has(lost) || !partition.InSync(1) {
+			if partition.HasReplica(lost) || !partition.InSync(1) {
 				t.Errorf("without %s: partition %d at %+v", lost, i, partition)
 			}
 		}
@@ -90,7 +90,7 @@
 			}
 		}
 	})
-	if next.Stores["a"].Disk != "disk-new" || !Holds(next, "a") {
+	if next.Stores["a"].Disk != "disk-new" || !IsReplicaOrSource(next, "a") {
 		t.Errorf("the new disk is not used: %+v", next.Stores["a"])
 	}
 }
@@ -98,10 +98,10 @@
 func TestRetiredStoreIsEmptied(t *testing.T) {
 	p := Initial(storesInOwnZones("a", "b", "c"), oneBackup)
 	retired := p.Stores["b"]
-	retired.Retire = RetireActive
+	retired.RetireState = RetireActive
 	p.Stores["b"] = retired
 	q := converge(t, p, storesInOwnZones("a", "b", "c"), oneBackup, nil)
-	if Holds(q, "b") || q.Stores["b"].Retire != RetireComplete {
+	if IsReplicaOrSource(q, "b") || q.Stores["b"].RetireState != RetireComplete {
 		t.Errorf("retired: %+v", q)
 	}
 	stores := storesInOwnZones("a", "b", "c")
@@ -116,7 +116,7 @@
 func TestDrainingStoreIsEmptied(t *testing.T) {
 	stores := storesInOwnZones("a", "b", "c")
 	setStatus(stores, "c", func(s *StoreStatus) { s.Draining = true })
-	if q := converge(t, Initial(storesInOwnZones("a", "b", "c"), oneBackup), stores, oneBackup, nil); Holds(q, "c") {
+	if q := converge(t, Initial(storesInOwnZones("a", "b", "c"), oneBackup), stores, oneBackup, nil); IsReplicaOrSource(q, "c") {
 		t.Errorf("draining: %+v", q)
 	}
 }
@@ -150,7 +150,7 @@
 			for i, partition := range q.Partitions {
 				for _, name := range replicaStores(partition) {
 					held[name]++
-					if !p.Partitions[i].Has(name) {
+					if !p.Partitions[i].HasReplica(name) {
 						moved++
 					}
 				}
--- a/internal/placement/preferred_test.go
+++ b/internal/placement/preferred_test.go
@@ -100,7 +100,7 @@
 			moved++
 		}
 	}
-	if !Holds(q, "s99") || moved != partitionsPerStore-1 {
+	if !IsReplicaOrSource(q, "s99") || moved != partitionsPerStore-1 {
 		t.Errorf("of %d primaries due to an added store, %d moved", partitionsPerStore-1, moved)
 	}
 }
--- a/internal/placement/properties_test.go
+++ b/internal/placement/properties_test.go
@@ -53,8 +53,8 @@
 		setStatus(c.stores, name, func(s *StoreStatus) { s.Disk += "'" })
 		c.lost++
 	case "retire":
-		if store, known := c.placement.Stores[name]; known && store.Retire == "" {
-			store.Retire = RetireActive
+		if store, known := c.placement.Stores[name]; known && store.RetireState == "" {
+			store.RetireState = RetireActive
 			c.placement.Stores[name] = store
 		}
 	case "add":
@@ -229,7 +229,7 @@
 func (c *cluster) checkRedundancy(t *rapid.T, all bool) {
 	active := 0
 	for name, store := range c.placement.Stores {
-		if isAvailable(c.placement, c.stores, name) && store.Retire == "" {
+		if isAvailable(c.placement, c.stores, name) && store.RetireState == "" {
 			active++
 		}
 	}
--- a/internal/placement/spans.go
+++ b/internal/placement/spans.go
@@ -27,7 +27,7 @@
 
 // heldFrom is the first epoch from which on a replica holds everything that was accepted.
 func (p *Partition) heldFrom(store string) int64 {
-	if p.IsCurrent(store) {
+	if p.IsUpToDate(store) {
 		return 0
 	}
 	for _, s := range p.Spans {
@@ -63,13 +63,13 @@
 	}
 	for _, store := range p.stores() {
 		span := Span{Store: store, From: p.heldFrom(store)}
-		if !next.Has(store) {
+		if !next.HasReplica(store) {
 			span.Through = p.Epoch
 		}
 		spans = append(spans, span)
 	}
 	for _, store := range next.stores() {
-		if !p.Has(store) {
+		if !p.HasReplica(store) {
 			spans = append(spans, Span{Store: store, From: next.Epoch})
 		}
 	}
@@ -94,7 +94,7 @@
 		return before > 0
 	}
 	p.Spans = slices.DeleteFunc(mergeSpans(p.Spans), func(s Span) bool {
-		return s.isOpen() && p.IsCurrent(s.Store)
+		return s.isOpen() && p.IsUpToDate(s.Store)
 	})
 	if len(p.Spans) == 0 {
 		p.Spans = nil
--- a/internal/placement/spans_test.go
+++ b/internal/placement/spans_test.go
@@ -90,12 +90,12 @@
 	setStatus(stores, "a", func(s *StoreStatus) { s.Alive = false })
 	p, _, _ = Plan(p, stores, nil, oneBackup)
 	retired := p.Stores["a"]
-	retired.Retire = RetireActive
+	retired.RetireState = RetireActive
 	p.Stores["a"] = retired
-	if p, _, _ = Plan(p, stores, nil, oneBackup); p.Stores["a"].Retire != RetireActive {
+	if p, _, _ = Plan(p, stores, nil, oneBackup); p.Stores["a"].RetireState != RetireActive {
 		t.Error("it is retired while it alone has copies")
 	}
-	if p = converge(t, replicate(p, stores), stores, oneBackup, nil); p.Stores["a"].Retire != RetireComplete {
+	if p = converge(t, replicate(p, stores), stores, oneBackup, nil); p.Stores["a"].RetireState != RetireComplete {
 		t.Errorf("it is not retired with all partitions in sync: %+v", p)
 	}
 }
--- a/internal/placement/topology.go
+++ b/internal/placement/topology.go
@@ -38,7 +38,7 @@
 func activeStores(stores map[string]Store) []string {
 	var names []string
 	for name, store := range stores {
-		if store.Retire == "" {
+		if store.RetireState == "" {
 			names = append(names, name)
 		}
 	}
@@ -52,7 +52,7 @@
 // isActive reports whether a store is known and not retired.
 func (t *topology) isActive(name string) bool {
 	store, known := t.stores[name]
-	return known && store.Retire == ""
+	return known && store.RetireState == ""
 }
 
 // distance is sameZone, sameRegion or otherRegion.
--- a/internal/placement/topology_test.go
+++ b/internal/placement/topology_test.go
@@ -12,7 +12,7 @@
 		"x2": {Zone: "x", Region: "north"},
 		"x3": {Zone: "x", Region: "north"},
 		"y1": {Zone: "y", Region: "north"},
-		"y2": {Zone: "y", Region: "north", Retire: RetireActive},
+		"y2": {Zone: "y", Region: "north", RetireState: RetireActive},
 		"z1": {Zone: "z", Region: "south"},
 		"z2": {Zone: "z", Region: "south"},
 	})
