--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -49,7 +49,7 @@
 	Address  string // internal, of this core
 	Chain    Chain
 	Registry Registry
-	Store    Proposer
+	Proposer Proposer
 	// Placement gives the newest placement that the tail of the chain is known
 	// to hold. It is not changed.
 	Placement      func() placement.Placement
@@ -86,7 +86,7 @@
 		return nil, errors.New("controller: no address")
 	case config.ContactTimeout <= 0:
 		return nil, errors.New("controller: the contact timeout is not positive")
-	case config.Chain == nil || config.Registry == nil || config.Store == nil || config.Placement == nil || config.Client == nil ||
+	case config.Chain == nil || config.Registry == nil || config.Proposer == nil || config.Placement == nil || config.Client == nil ||
 		config.Grantor == nil || config.Log == nil || config.Go == nil:
 		return nil, errors.New("controller: a part is missing")
 	}
@@ -150,7 +150,7 @@
 		return
 	}
 	next.Term = term
-	if err := c.config.Store.Propose(ctx, configstore.Proposal{Placement: &next}); err != nil {
+	if err := c.config.Proposer.Propose(ctx, configstore.Proposal{Placement: &next}); err != nil {
 		c.config.Log.Printf("controller: placement %d: %v", next.Version, err)
 		return
 	}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -102,7 +102,7 @@
 	cluster := &fakeCluster{head: "self", contact: time.Hour, nodes: map[string]registry.NodeStatus{}, calls: map[string]int{}}
 	cluster.answer = func(context.Context, string, string, any, any) error { return nil }
 	c, err := New(Config{
-		Address: "self", Chain: cluster, Registry: cluster, Store: cluster, Placement: cluster.current, Client: cluster, Grantor: &lease.Grantor{},
+		Address: "self", Chain: cluster, Registry: cluster, Proposer: cluster, Placement: cluster.current, Client: cluster, Grantor: &lease.Grantor{},
 		HostFailures: 1, Redundancy: placement.Redundancy{Backups: 1}, ContactTimeout: testContact,
 		Log: log.New(io.Discard, "", 0), Go: func(task func(context.Context)) { go task(t.Context()) },
 	})
@@ -155,7 +155,7 @@
 		if err != nil || out.Controller || cluster.callsTo("a", "/ping") != 0 {
 			t.Errorf("without the lease: %+v, %v, %d probes", out, err, cluster.callsTo("a", "/ping"))
 		}
-		if _, err := c.HandleInSync(t.Context(), &placement.InSyncReport{}, nil); !errors.Is(err, ErrNotController) || StatusCode(err) != 421 {
+		if _, err := c.HandleInSyncReport(t.Context(), &placement.InSyncReport{}, nil); !errors.Is(err, ErrNotController) || StatusCode(err) != 421 {
 			t.Errorf("a report of backups in sync without the lease: %v", err)
 		}
 		c.maintainLease(t.Context(), false)
@@ -165,7 +165,7 @@
 		if cluster.callsTo("a", "/ping") != 1 || cluster.callsTo("peer", "/suspect") != 1 {
 			t.Errorf("calls: %v", cluster.calls)
 		}
-		if _, err := c.HandleInSync(t.Context(), &placement.InSyncReport{}, nil); err != nil {
+		if _, err := c.HandleInSyncReport(t.Context(), &placement.InSyncReport{}, nil); err != nil {
 			t.Errorf("a report of backups in sync: %v", err)
 		}
 		if code := StatusCode(errors.New("other")); code != 0 {
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// HandleInSync notes reports of backups that hold everything, for the next
+// HandleInSyncReport notes reports of backups that hold everything, for the next
 // placement. The error is ErrNotController.
-func (c *Controller) HandleInSync(_ context.Context, in *placement.InSyncReport, _ []byte) (*struct{}, error) {
+func (c *Controller) HandleInSyncReport(_ context.Context, in *placement.InSyncReport, _ []byte) (*struct{}, error) {
 	if _, held := c.lease.Held(); !held {
 		return nil, ErrNotController
 	}
