--- a/internal/placement/encoding.go
+++ b/internal/placement/encoding.go
@@ -24,13 +24,13 @@
 //
 //	12 0:0-6,2:7-0 0
 type document struct {
-	Version       int64            `json:"version"`
-	Term          int64            `json:"term"`
-	InitialStores int              `json:"founders"`
-	Stores        map[string]Store `json:"stores"`
-	OtherStores   []string         `json:"others,omitempty"` // in a partition, but not in Stores any more
-	Compact       string           `json:"places"`
-	Spans         string           `json:"spans,omitempty"`
+	Version           int64            `json:"version"`
+	Term              int64            `json:"term"`
+	InitialStores     int              `json:"founders"`
+	Stores            map[string]Store `json:"stores"`
+	UnlistedStores    []string         `json:"others,omitempty"` // in a partition, but not in Stores any more
+	CompactPartitions string           `json:"places"`
+	Spans             string           `json:"spans,omitempty"`
 	// The partitions as earlier versions wrote them, instead of Compact.
 	Partitions []Partition `json:"partitions,omitempty"`
 }
@@ -65,13 +65,13 @@
 		spans = appendSpans(spans, i, &p.Partitions[i], numberOf)
 	}
 	return json.Marshal(document{
-		Version:       p.Version,
-		Term:          p.Term,
-		InitialStores: p.InitialStores,
-		Stores:        p.Stores,
-		OtherStores:   others,
-		Compact:       string(compact),
-		Spans:         string(spans),
+		Version:           p.Version,
+		Term:              p.Term,
+		InitialStores:     p.InitialStores,
+		Stores:            p.Stores,
+		UnlistedStores:    others,
+		CompactPartitions: string(compact),
+		Spans:             string(spans),
 	})
 }
 
@@ -131,9 +131,9 @@
 		return err
 	}
 	out := Placement{Version: in.Version, Term: in.Term, InitialStores: in.InitialStores, Stores: in.Stores, Partitions: in.Partitions}
-	if in.Compact != "" {
-		d := decoder{names: append(slices.Sorted(maps.Keys(in.Stores)), in.OtherStores...)}
-		partitions, err := d.partitions(in.Compact)
+	if in.CompactPartitions != "" {
+		d := decoder{names: append(slices.Sorted(maps.Keys(in.Stores)), in.UnlistedStores...)}
+		partitions, err := d.partitions(in.CompactPartitions)
 		if err != nil {
 			return err
 		}
@@ -165,21 +165,21 @@
 
 func (d *decoder) partition(text string) (p Partition, err error) {
 	epoch, stores, _ := strings.Cut(text, " ")
-	preferred, present, ok := strings.Cut(stores, " ")
+	preferred, current, ok := strings.Cut(stores, " ")
 	if !ok {
 		return p, fmt.Errorf("%q has not three fields", text)
 	}
 	if p.Epoch, err = strconv.ParseInt(epoch, 10, 64); err != nil {
 		return p, fmt.Errorf("epoch: %w", err)
 	}
-	if err := d.preferred(&p, preferred); err != nil {
+	if err := d.preferredReplicas(&p, preferred); err != nil {
 		return p, err
 	}
-	return p, d.present(&p, present)
+	return p, d.currentReplicas(&p, current)
 }
 
-// preferred reads the preferred primary and backups.
-func (d *decoder) preferred(p *Partition, text string) (err error) {
+// preferredReplicas reads the preferredReplicas primary and backups.
+func (d *decoder) preferredReplicas(p *Partition, text string) (err error) {
 	number, rest, more := strings.Cut(text, ",")
 	p.PreferredPrimary, err = d.store(number)
 	for more && err == nil {
@@ -191,8 +191,8 @@
 	return err
 }
 
-// present reads the primary and the backups.
-func (d *decoder) present(p *Partition, text string) (err error) {
+// currentReplicas reads the primary and the backups.
+func (d *decoder) currentReplicas(p *Partition, text string) (err error) {
 	number, rest, more := strings.Cut(text, ",")
 	p.Primary, err = d.store(number)
 	for more && err == nil {
--- a/internal/placement/encoding_test.go
+++ b/internal/placement/encoding_test.go
@@ -56,8 +56,8 @@
 	if err := json.Unmarshal(raw, &got); err != nil {
 		t.Fatal(err)
 	}
-	if want := "1 0,1 1,0+,2;12 1 2"; got.Compact != want || !reflect.DeepEqual(got.OtherStores, []string{"other"}) {
-		t.Errorf("%q with %v, not %q", got.Compact, got.OtherStores, want)
+	if want := "1 0,1 1,0+,2;12 1 2"; got.CompactPartitions != want || !reflect.DeepEqual(got.UnlistedStores, []string{"other"}) {
+		t.Errorf("%q with %v, not %q", got.CompactPartitions, got.UnlistedStores, want)
 	}
 }
 
--- a/internal/placement/helpers_test.go
+++ b/internal/placement/helpers_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// storesInOwnZones is available stores, each in a zone of its own name.
-func storesInOwnZones(names ...string) map[string]StoreStatus {
+// storesInSeparateZones is available stores, each in a zone of its own name.
+func storesInSeparateZones(names ...string) map[string]StoreStatus {
 	stores := map[string]StoreStatus{}
 	for _, name := range names {
 		stores[name] = storeIn(name, name, "")
@@ -53,34 +53,34 @@
 	stores[name] = status
 }
 
-// reporter is a test, or one check of a property.
-type reporter interface {
+// testingT is a test, or one check of a property.
+type testingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
 var (
-	_ reporter = (*testing.T)(nil)
-	_ reporter = (*testing.B)(nil)
+	_ testingT = (*testing.T)(nil)
+	_ testingT = (*testing.B)(nil)
 )
 
 // converge plans until nothing changes. Primaries that are asked to stop do so,
 // and between two plans backups become in sync. Each step is checked.
-func converge(t reporter, p Placement, stores map[string]StoreStatus, redundancy Redundancy, observe func(before, after Placement)) Placement {
+func converge(t testingT, p Placement, stores map[string]StoreStatus, redundancy Redundancy, observe func(before, after Placement)) Placement {
 	t.Helper()
 	for range 200 {
-		released := map[int]int64{}
+		stoppedEpochs := map[int]int64{}
 		next, handovers, changed := Plan(p, stores, nil, redundancy)
 		for _, i := range handovers {
-			released[i] = p.Partitions[i].Epoch
+			stoppedEpochs[i] = p.Partitions[i].Epoch
 		}
 		if !changed && len(handovers) > 0 {
-			next, _, changed = Plan(p, stores, released, redundancy)
+			next, _, changed = Plan(p, stores, stoppedEpochs, redundancy)
 		}
 		if !changed {
 			return p
 		}
-		checkStep(t, p, next, stores, released, redundancy)
+		checkStep(t, p, next, stores, stoppedEpochs, redundancy)
 		if observe != nil {
 			observe(p, next)
 		}
@@ -122,7 +122,7 @@
 }
 
 // checkStep checks the safety rules of one step.
-func checkStep(t reporter, before, after Placement, stores map[string]StoreStatus, released map[int]int64, redundancy Redundancy) {
+func checkStep(t testingT, before, after Placement, stores map[string]StoreStatus, stoppedEpochs map[int]int64, redundancy Redundancy) {
 	t.Helper()
 	available := func(name string) bool {
 		return isAvailable(before, stores, name)
@@ -139,7 +139,7 @@
 		if len(now.Sources) > 0 && now.Primary != was.Primary {
 			checkTakeover(t, i, was, now, before, stores)
 		}
-		if now.Primary != was.Primary && available(was.Primary) && released[i] != was.Epoch {
+		if now.Primary != was.Primary && available(was.Primary) && stoppedEpochs[i] != was.Epoch {
 			t.Fatalf("partition %d: the primary has not stopped: %+v to %+v", i, was, now)
 		}
 		if had, has := inSyncReplicas(was, available), inSyncReplicas(now, available); has < had && has < redundancy.Backups+1 {
@@ -154,7 +154,7 @@
 // checkTakeover checks the step to a primary that lacks records: no replica in sync is
 // left, its sources are available, and nobody delivers beside it. (That it has everything
 // with its sources is checked on modelled disks, in disks.check.)
-func checkTakeover(t reporter, i int, was, now Partition, before Placement, stores map[string]StoreStatus) {
+func checkTakeover(t testingT, i int, was, now Partition, before Placement, stores map[string]StoreStatus) {
 	t.Helper()
 	if inSyncReplicas(was, func(name string) bool { return isAvailable(before, stores, name) }) > 0 {
 		t.Fatalf("partition %d: a replica not in sync becomes primary beside one that is: %+v to %+v", i, was, now)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -113,7 +113,7 @@
 	p.Primary = primary
 	p.Sources = sources
 	p.Backups = backups
-	p.Spans = former.spansAfter(p, neededBackups)
+	p.Spans = former.nextSpans(p, neededBackups)
 	p.pruneSpans(neededBackups)
 }
 
@@ -139,8 +139,8 @@
 	})
 }
 
-// isRemembered reports whether a store may hold what the replicas of a partition lack.
-func (p *Placement) isRemembered(store string) bool {
+// hasSpan reports whether a store may hold what the replicas of a partition lack.
+func (p *Placement) hasSpan(store string) bool {
 	return slices.ContainsFunc(p.Partitions, func(partition Partition) bool {
 		return slices.ContainsFunc(partition.Spans, func(s Span) bool { return s.Store == store })
 	})
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -21,12 +21,12 @@
 //   - a primary that is available stops before its successor leads.
 //
 // The current placement is not modified. If changed is false, next equals it.
-func Plan(current Placement, stores map[string]StoreStatus, released map[int]int64, redundancy Redundancy) (next Placement, handovers []int, changed bool) {
-	p := &planner{next: current.Clone(), stores: stores, released: released, redundancy: redundancy}
+func Plan(current Placement, stores map[string]StoreStatus, stoppedEpochs map[int]int64, redundancy Redundancy) (next Placement, handovers []int, changed bool) {
+	p := &planner{next: current.Clone(), stores: stores, stoppedEpochs: stoppedEpochs, redundancy: redundancy}
 	p.updateSpans()
 	p.updateStores()
 	p.updatePreferredReplicas()
-	p.lastResort = p.findLastResort()
+	p.fallbackStores = p.findFallbackStores()
 
 	p.restored = true
 	for i := range p.next.Partitions {
@@ -46,13 +46,13 @@
 // planner is the state of one call of Plan.
 type planner struct {
 	// The input.
-	stores     map[string]StoreStatus
-	released   map[int]int64
-	redundancy Redundancy
+	stores        map[string]StoreStatus
+	stoppedEpochs map[int]int64
+	redundancy    Redundancy
 
 	// Derived from the input.
-	topology   *topology
-	lastResort []string
+	topology       *topology
+	fallbackStores []string
 
 	// The result.
 	next      Placement
@@ -91,9 +91,9 @@
 func (p *planner) updateSpans() {
 	for i := range p.next.Partitions {
 		partition := &p.next.Partitions[i]
-		forgotten := partition.forgetSpans(p.diskLost)
+		removed := partition.removeLostSpans(p.diskLost)
 		pruned := partition.pruneSpans(p.redundancy.Backups)
-		p.changed = p.changed || forgotten || pruned
+		p.changed = p.changed || removed || pruned
 	}
 }
 
@@ -126,9 +126,9 @@
 	p.changed = p.changed || primariesChanged || backupsChanged
 }
 
-// findLastResort lists the stores that are being retired but still take a
+// findFallbackStores lists the stores that are being retired but still take a
 // backup where no other store can: emptying a store must not cost redundancy.
-func (p *planner) findLastResort() []string {
+func (p *planner) findFallbackStores() []string {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(p.next.Stores)) {
 		if p.available(name) && !p.stores[name].Draining && p.next.Stores[name].RetireState == RetireActive {
@@ -151,7 +151,7 @@
 			replicas = append(replicas, name)
 		}
 	}
-	for name := range p.topology.nearest(partition.PreferredPrimary, p.next.round(i)) {
+	for name := range p.topology.storesByDistance(partition.PreferredPrimary, p.next.round(i)) {
 		if len(replicas) > p.redundancy.Backups {
 			break
 		}
@@ -174,9 +174,9 @@
 	backups := p.availableBackups(partition)
 	if !p.available(primary) || !p.allAvailable(sources) {
 		p.restored = false
-		switch successor, itsSources := p.successorAfterLoss(partition, backups); {
+		switch successor, successorSources := p.failoverSuccessor(partition, backups); {
 		case successor != "":
-			primary, sources = successor, itsSources
+			primary, sources = successor, successorSources
 			backups = slices.DeleteFunc(backups, func(b Backup) bool { return b.Store == successor })
 		case !p.available(primary):
 			return
@@ -195,7 +195,7 @@
 	return !slices.ContainsFunc(stores, func(name string) bool { return !p.available(name) })
 }
 
-// successorAfterLoss chooses a primary for a partition whose primary is not available,
+// failoverSuccessor chooses a primary for a partition whose primary is not available,
 // or lacks sources that are: a backup in sync, else one that can take what it lacks
 // from the sources. One that lacks nothing, but was not in sync, is its own source.
 // backups are those that are available. The successor is "" if there is none.
@@ -204,13 +204,13 @@
 // of all its backups, so one of them succeeds it, which waits until the lease that it
 // granted has ended. Only where the disk of the former primary is lost, and so its
 // process has ended, any store may succeed.
-func (p *planner) successorAfterLoss(partition *Partition, backups []Backup) (successor string, sources []string) {
+func (p *planner) failoverSuccessor(partition *Partition, backups []Backup) (successor string, sources []string) {
 	for _, backup := range backups {
 		if backup.InSync {
 			return backup.Store, nil
 		}
 	}
-	cover := partition.cover(p.available, p.redundancy.Backups)
+	cover := partition.coveringStores(p.available, p.redundancy.Backups)
 	if len(cover) == 0 {
 		return "", nil
 	}
@@ -239,7 +239,7 @@
 // addBackups fills the backups of partition i up to the redundancy. The new
 // ones are not in sync until their primary reports it.
 func (p *planner) addBackups(i int, primary string, backups []Backup) []Backup {
-	candidates := append(p.desiredReplicas(i), p.lastResort...)
+	candidates := append(p.desiredReplicas(i), p.fallbackStores...)
 	for _, name := range candidates {
 		if len(backups) >= p.redundancy.Backups {
 			break
@@ -265,7 +265,7 @@
 	if len(desired) == 0 {
 		return
 	}
-	if successor := p.successor(partition, desired); successor != "" {
+	if successor := p.handoverSuccessor(partition, desired); successor != "" {
 		p.handOver(i, successor)
 		return
 	}
@@ -278,11 +278,11 @@
 	p.removeSurplusBackups(partition, desired)
 }
 
-// successor is the backup that is to become primary while the primary is
+// handoverSuccessor is the backup that is to become primary while the primary is
 // available, or "". The backups are in sync. A primary that is not eligible any
 // more goes to any eligible backup at once; a move to the desired primary waits
 // until all partitions are restored.
-func (p *planner) successor(partition *Partition, desired []string) string {
+func (p *planner) handoverSuccessor(partition *Partition, desired []string) string {
 	if !p.eligible(partition.Primary) {
 		for _, backup := range partition.Backups {
 			if p.eligible(backup.Store) {
@@ -304,7 +304,7 @@
 // old one has all that the new one has.
 func (p *planner) handOver(i int, successor string) {
 	partition := &p.next.Partitions[i]
-	if p.released[i] != partition.Epoch {
+	if p.stoppedEpochs[i] != partition.Epoch {
 		p.handovers = append(p.handovers, i)
 		return
 	}
@@ -355,7 +355,7 @@
 // without what the replicas of a partition may lack.
 func (p *planner) completeRetirements() {
 	for name, store := range p.next.Stores {
-		if store.RetireState == RetireActive && !IsReplicaOrSource(p.next, name) && !p.next.isRemembered(name) {
+		if store.RetireState == RetireActive && !IsReplicaOrSource(p.next, name) && !p.next.hasSpan(name) {
 			store.RetireState = RetireComplete
 			p.next.Stores[name] = store
 			p.changed = true
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestLostStoreIsReplacedAndPreferredPlacementRestored(t *testing.T) {
-	stores := storesInOwnZones("a", "b", "c")
+	stores := storesInSeparateZones("a", "b", "c")
 	first := Initial(stores, oneBackup)
 	primaries := map[string]int{}
 	for _, partition := range first.Partitions {
@@ -20,7 +20,7 @@
 		t.Errorf("primaries by store: %v", primaries)
 	}
 	for lost := range stores {
-		without := storesInOwnZones("a", "b", "c")
+		without := storesInSeparateZones("a", "b", "c")
 		setStatus(without, lost, func(s *StoreStatus) { s.Alive = false })
 		p := converge(t, first, without, oneBackup, nil)
 		for i, partition := range p.Partitions {
@@ -39,7 +39,7 @@
 }
 
 func TestBackupNotInSyncNeverBecomesPrimary(t *testing.T) {
-	stores := storesInOwnZones("a", "b", "c")
+	stores := storesInSeparateZones("a", "b", "c")
 	p := Initial(stores, oneBackup)
 	for i := range p.Partitions {
 		p.Partitions[i].Backups[0].InSync = p.Partitions[i].Primary != "a"
@@ -54,22 +54,22 @@
 }
 
 func TestPrimaryStopsBeforeSuccessorLeads(t *testing.T) {
-	stores := storesInOwnZones("a", "b", "c")
+	stores := storesInSeparateZones("a", "b", "c")
 	p := Initial(stores, oneBackup)
 	setStatus(stores, "a", func(s *StoreStatus) { s.Draining = true })
 	led := slices.IndexFunc(p.Partitions, func(x Partition) bool { return x.Primary == "a" })
 	const epoch = 5
 	p.Partitions[led].Epoch = epoch
 	for _, c := range []struct {
-		name     string
-		released map[int]int64
-		stays    bool
+		name          string
+		stoppedEpochs map[int]int64
+		stays         bool
 	}{
 		{"not asked yet", nil, true},
 		{"stopped in an earlier epoch", map[int]int64{led: epoch - 1}, true},
 		{"stopped in this epoch", map[int]int64{led: epoch}, false},
 	} {
-		next, handovers, _ := Plan(p, stores, c.released, oneBackup)
+		next, handovers, _ := Plan(p, stores, c.stoppedEpochs, oneBackup)
 		if stays := next.Partitions[led].Primary == "a"; stays != c.stays {
 			t.Errorf("%s: the primary stays is %v", c.name, stays)
 		}
@@ -80,7 +80,7 @@
 }
 
 func TestStoreWithNewDiskCountsAsEmpty(t *testing.T) {
-	stores := storesInOwnZones("a", "b", "c")
+	stores := storesInSeparateZones("a", "b", "c")
 	p := Initial(stores, oneBackup)
 	setStatus(stores, "a", func(s *StoreStatus) { s.Disk = "disk-new" })
 	next := converge(t, p, stores, oneBackup, func(before, after Placement) {
@@ -96,15 +96,15 @@
 }
 
 func TestRetiredStoreIsEmptied(t *testing.T) {
-	p := Initial(storesInOwnZones("a", "b", "c"), oneBackup)
+	p := Initial(storesInSeparateZones("a", "b", "c"), oneBackup)
 	retired := p.Stores["b"]
 	retired.RetireState = RetireActive
 	p.Stores["b"] = retired
-	q := converge(t, p, storesInOwnZones("a", "b", "c"), oneBackup, nil)
+	q := converge(t, p, storesInSeparateZones("a", "b", "c"), oneBackup, nil)
 	if IsReplicaOrSource(q, "b") || q.Stores["b"].RetireState != RetireComplete {
 		t.Errorf("retired: %+v", q)
 	}
-	stores := storesInOwnZones("a", "b", "c")
+	stores := storesInSeparateZones("a", "b", "c")
 	setStatus(stores, "c", func(s *StoreStatus) { s.Alive = false }) // no other store can take the replicas of the retired one
 	for i, partition := range converge(t, p, stores, oneBackup, nil).Partitions {
 		if len(partition.Backups) < 1 {
@@ -114,9 +114,9 @@
 }
 
 func TestDrainingStoreIsEmptied(t *testing.T) {
-	stores := storesInOwnZones("a", "b", "c")
+	stores := storesInSeparateZones("a", "b", "c")
 	setStatus(stores, "c", func(s *StoreStatus) { s.Draining = true })
-	if q := converge(t, Initial(storesInOwnZones("a", "b", "c"), oneBackup), stores, oneBackup, nil); IsReplicaOrSource(q, "c") {
+	if q := converge(t, Initial(storesInSeparateZones("a", "b", "c"), oneBackup), stores, oneBackup, nil); IsReplicaOrSource(q, "c") {
 		t.Errorf("draining: %+v", q)
 	}
 }
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestAddedStoresMoveOnlyTheirEvenPart(t *testing.T) {
+func TestAddedStoresTakeOnlyTheirTargetLoad(t *testing.T) {
 	for _, perZone := range []int{3, 10} {
 		t.Run(fmt.Sprintf("%d stores", 6*perZone), func(t *testing.T) {
 			stores := storesInSixZones(perZone)
@@ -155,9 +155,9 @@
 					}
 				}
 			}
-			even := 3 * len(q.Partitions) / len(stores)
-			if moved > 3*even || held["s1-99"] < even/2 || held["s4-10"] < even/2 {
-				t.Errorf("%d replicas of %d moved; the new stores hold %d and %d, the even part is %d", moved, 3*len(q.Partitions), held["s1-99"], held["s4-10"], even)
+			targetLoad := 3 * len(q.Partitions) / len(stores)
+			if moved > 3*targetLoad || held["s1-99"] < targetLoad/2 || held["s4-10"] < targetLoad/2 {
+				t.Errorf("%d replicas of %d moved; the new stores hold %d and %d, the even part is %d", moved, 3*len(q.Partitions), held["s1-99"], held["s4-10"], targetLoad)
 			}
 		})
 	}
--- a/internal/placement/preferred.go
+++ b/internal/placement/preferred.go
@@ -54,7 +54,7 @@
 	for len(replicas) <= redundancy.Backups {
 		remaining := redundancy.Backups + 1 - len(replicas)
 		chosen := ""
-		for name := range t.nearest(p.Partitions[i].PreferredPrimary, p.round(i)) {
+		for name := range t.storesByDistance(p.Partitions[i].PreferredPrimary, p.round(i)) {
 			if slices.Contains(replicas, name) {
 				continue
 			}
@@ -97,10 +97,10 @@
 			move(i, t.leastLoadedNear(partition.PreferredPrimary, load))
 		}
 	}
-	even := len(p.Partitions) / len(t.active)
+	targetLoad := len(p.Partitions) / len(t.active)
 	for _, name := range t.active {
-		for load[name] < even {
-			i := p.primaryToMove(t, name, load, even)
+		for load[name] < targetLoad {
+			i := p.partitionToMove(t, name, load, targetLoad)
 			if i < 0 {
 				break
 			}
@@ -118,14 +118,14 @@
 	})
 }
 
-// primaryToMove is the partition that a store with less than the even load
+// partitionToMove is the partition that a store with less than the even load
 // takes over: one of the most loaded store above it, among equals the nearest.
 // It is -1 if no store is above the even load.
-func (p *Placement) primaryToMove(t *topology, to string, load map[string]int, even int) int {
+func (p *Placement) partitionToMove(t *topology, to string, load map[string]int, targetLoad int) int {
 	best := -1
 	for i, partition := range p.Partitions {
 		from := partition.PreferredPrimary
-		if load[from] <= even {
+		if load[from] <= targetLoad {
 			continue
 		}
 		if best < 0 {
@@ -164,10 +164,10 @@
 		partition.PreferredBackups = t.chooseBackups(partition, ideal[1:], load)
 		changed = true
 	}
-	even := total / max(1, len(t.active))
+	targetLoad := total / max(1, len(t.active))
 	for _, name := range t.active {
-		for load[name] < even {
-			if !p.moveBackupTo(t, name, load, even) {
+		for load[name] < targetLoad {
+			if !p.moveBackupTo(t, name, load, targetLoad) {
 				break
 			}
 			changed = true
@@ -214,7 +214,7 @@
 // moveBackupTo makes a store with less than the even load a preferred backup
 // in place of the most loaded store of its zone above it. It reports whether
 // there was one.
-func (p *Placement) moveBackupTo(t *topology, to string, load map[string]int, even int) bool {
+func (p *Placement) moveBackupTo(t *topology, to string, load map[string]int, targetLoad int) bool {
 	from := ""
 	bestPartition, bestIndex := -1, 0
 	for i, partition := range p.Partitions {
@@ -222,7 +222,7 @@
 			continue
 		}
 		for j, name := range partition.PreferredBackups {
-			if t.stores[name].Zone != t.stores[to].Zone || load[name] <= even {
+			if t.stores[name].Zone != t.stores[to].Zone || load[name] <= targetLoad {
 				continue
 			}
 			if bestPartition < 0 || load[name] > load[from] {
--- a/internal/placement/preferred_test.go
+++ b/internal/placement/preferred_test.go
@@ -11,7 +11,7 @@
 		for i := range n {
 			names = append(names, fmt.Sprint("s", i))
 		}
-		for i, partition := range Initial(storesInOwnZones(names...), oneBackup).Partitions {
+		for i, partition := range Initial(storesInSeparateZones(names...), oneBackup).Partitions {
 			if partition.BackupIndex(partition.Primary) >= 0 || len(partition.Backups) != min(1, n-1) {
 				t.Errorf("%d stores, partition %d: %+v", n, i, partition)
 			}
--- a/internal/placement/properties_test.go
+++ b/internal/placement/properties_test.go
@@ -11,16 +11,16 @@
 
 // cluster is a placement and the stores it is planned for, under random events.
 type cluster struct {
-	redundancy Redundancy
-	placement  Placement
-	stores     map[string]StoreStatus
-	released   map[int]int64
-	disks      disks
-	lost       int // disks, since all partitions were in sync
+	redundancy    Redundancy
+	placement     Placement
+	stores        map[string]StoreStatus
+	stoppedEpochs map[int]int64
+	disks         diskModel
+	lostDisks     int // disks, since all partitions were in sync
 }
 
 func newCluster(t *rapid.T) *cluster {
-	c := &cluster{stores: map[string]StoreStatus{}, released: map[int]int64{}, disks: disks{}}
+	c := &cluster{stores: map[string]StoreStatus{}, stoppedEpochs: map[int]int64{}, disks: diskModel{}}
 	for range rapid.IntRange(1, 9).Draw(t, "stores") {
 		c.addStore(t)
 	}
@@ -51,7 +51,7 @@
 		setStatus(c.stores, name, func(s *StoreStatus) { s.Draining = true })
 	case "replace disk":
 		setStatus(c.stores, name, func(s *StoreStatus) { s.Disk += "'" })
-		c.lost++
+		c.lostDisks++
 	case "retire":
 		if store, known := c.placement.Stores[name]; known && store.RetireState == "" {
 			store.RetireState = RetireActive
@@ -65,7 +65,7 @@
 		c.plan(t)
 		c.disks.accept(c.placement, c.stores, c.redundancy)
 		setStatus(c.stores, other, func(s *StoreStatus) { s.Disk += "'" })
-		c.lost++
+		c.lostDisks++
 	}
 }
 
@@ -84,8 +84,8 @@
 // plan plans once, checks the step, and lets some primaries stop.
 func (c *cluster) plan(t *rapid.T) {
 	before := c.placement.Clone()
-	next, handovers, changed := Plan(c.placement, c.stores, c.released, c.redundancy)
-	if again, _, _ := Plan(c.placement, c.stores, c.released, c.redundancy); !equalPlacements(again, next) {
+	next, handovers, changed := Plan(c.placement, c.stores, c.stoppedEpochs, c.redundancy)
+	if again, _, _ := Plan(c.placement, c.stores, c.stoppedEpochs, c.redundancy); !equalPlacements(again, next) {
 		t.Fatalf("two plans of the same input differ: %+v and %+v", next, again)
 	}
 	if !equalPlacements(before, c.placement) {
@@ -94,10 +94,10 @@
 	if changed == equalPlacements(before, next) {
 		t.Fatalf("changed is %v from %+v to %+v", changed, before, next)
 	}
-	checkStep(t, before, next, c.stores, c.released, c.redundancy)
+	checkStep(t, before, next, c.stores, c.stoppedEpochs, c.redundancy)
 	for _, i := range handovers {
 		if rapid.Bool().Draw(t, "stops") {
-			c.released[i] = before.Partitions[i].Epoch
+			c.stoppedEpochs[i] = before.Partitions[i].Epoch
 		}
 	}
 	c.placement = next.Clone()
@@ -109,12 +109,12 @@
 	c.disks.replicate(c.placement, c.stores)
 	c.placement = replicate(c.placement, c.stores)
 	for _, p := range c.placement.Partitions {
-		lacking := slices.ContainsFunc(replicaStores(p), func(name string) bool { return !isAvailable(c.placement, c.stores, name) })
-		if lacking || !p.InSync(c.redundancy.Backups) {
+		unavailable := slices.ContainsFunc(replicaStores(p), func(name string) bool { return !isAvailable(c.placement, c.stores, name) })
+		if unavailable || !p.InSync(c.redundancy.Backups) {
 			return
 		}
 	}
-	c.lost = 0
+	c.lostDisks = 0
 }
 
 func equalPlacements(a, b Placement) bool {
@@ -137,7 +137,7 @@
 			c.step(t)
 		}
 		// The controller makes the first placement only with enough stores.
-		allOwed := c.lost <= c.redundancy.Backups && c.placement.InitialStores > c.redundancy.Backups
+		recoverable := c.lostDisks <= c.redundancy.Backups && c.placement.InitialStores > c.redundancy.Backups
 		for name := range c.stores {
 			setStatus(c.stores, name, func(s *StoreStatus) { s.Alive, s.Draining = true, false })
 		}
@@ -146,18 +146,18 @@
 			c.disks.check(t, after, c.stores)
 			c.disks.replicate(after, c.stores)
 		})
-		c.checkRedundancy(t, allOwed)
+		c.checkRedundancy(t, recoverable)
 	})
 }
 
-// disks is a model of what the disks hold: for each disk and partition the epochs of which
+// diskModel is a model of what the diskModel hold: for each disk and partition the epochs of which
 // it has the accepted messages.
-type disks map[string]map[int]map[int64]bool
+type diskModel map[string]map[int]map[int64]bool
 
 // accepted stands for the disk of the clients: all that was accepted.
 const accepted = ""
 
-func (d disks) put(disk string, partition int, epoch int64) {
+func (d diskModel) put(disk string, partition int, epoch int64) {
 	if d[disk] == nil {
 		d[disk] = map[int]map[int64]bool{}
 	}
@@ -168,14 +168,14 @@
 }
 
 // copyTo gives a disk what another one holds of a partition.
-func (d disks) copyTo(to, from string, partition int) {
+func (d diskModel) copyTo(to, from string, partition int) {
 	for epoch := range d[from][partition] {
 		d.put(to, partition, epoch)
 	}
 }
 
 // accept has each partition accept a message that can: all its replicas have it then.
-func (d disks) accept(p Placement, stores map[string]StoreStatus, redundancy Redundancy) {
+func (d diskModel) accept(p Placement, stores map[string]StoreStatus, redundancy Redundancy) {
 	for i, partition := range p.Partitions {
 		replicas := replicaStores(partition)
 		down := slices.ContainsFunc(replicas, func(name string) bool { return !isAvailable(p, stores, name) })
@@ -190,7 +190,7 @@
 
 // replicate has the primaries that can take what their sources hold, and gives the backups
 // that can what the primary holds.
-func (d disks) replicate(p Placement, stores map[string]StoreStatus) {
+func (d diskModel) replicate(p Placement, stores map[string]StoreStatus) {
 	for i, partition := range p.Partitions {
 		if !canReplicate(p, stores, partition) {
 			continue
@@ -209,7 +209,7 @@
 
 // check checks that each primary that is available, with its sources, holds all that was
 // accepted.
-func (d disks) check(t reporter, p Placement, stores map[string]StoreStatus) {
+func (d diskModel) check(t testingT, p Placement, stores map[string]StoreStatus) {
 	t.Helper()
 	for i, partition := range p.Partitions {
 		if !canReplicate(p, stores, partition) {
@@ -226,7 +226,7 @@
 
 // checkRedundancy checks that the partitions are restored: all of them, if none may be lost
 // with its disks.
-func (c *cluster) checkRedundancy(t *rapid.T, all bool) {
+func (c *cluster) checkRedundancy(t *rapid.T, recoverable bool) {
 	active := 0
 	for name, store := range c.placement.Stores {
 		if isAvailable(c.placement, c.stores, name) && store.RetireState == "" {
@@ -235,7 +235,7 @@
 	}
 	for i, partition := range c.placement.Partitions {
 		if !canReplicate(c.placement, c.stores, partition) {
-			if all && len(c.disks[accepted][i]) > 0 {
+			if recoverable && len(c.disks[accepted][i]) > 0 {
 				t.Fatalf("partition %d waits, though no more disks were lost than may be: %+v, %+v", i, partition, c.placement.Stores)
 			}
 			continue // what was accepted was on lost disks only
--- a/internal/placement/spans.go
+++ b/internal/placement/spans.go
@@ -25,8 +25,8 @@
 // covers reports whether the span holds what was accepted in an epoch.
 func (s Span) covers(epoch int64) bool { return s.From <= epoch && (s.isOpen() || s.Through >= epoch) }
 
-// heldFrom is the first epoch from which on a replica holds everything that was accepted.
-func (p *Partition) heldFrom(store string) int64 {
+// completeFrom is the first epoch from which on a replica holds everything that was accepted.
+func (p *Partition) completeFrom(store string) int64 {
 	if p.IsUpToDate(store) {
 		return 0
 	}
@@ -47,9 +47,9 @@
 	return p.Epoch
 }
 
-// spansAfter is what is to be remembered once the partition has other replicas, in the
+// nextSpans is what is to be remembered once the partition has other replicas, in the
 // epoch after this one.
-func (p *Partition) spansAfter(next *Partition, neededBackups int) []Span {
+func (p *Partition) nextSpans(next *Partition, neededBackups int) []Span {
 	last := p.lastAcceptedEpoch(neededBackups)
 	var spans []Span
 	for _, s := range p.Spans {
@@ -62,7 +62,7 @@
 		spans = append(spans, s)
 	}
 	for _, store := range p.stores() {
-		span := Span{Store: store, From: p.heldFrom(store)}
+		span := Span{Store: store, From: p.completeFrom(store)}
 		if !next.HasReplica(store) {
 			span.Through = p.Epoch
 		}
@@ -113,7 +113,7 @@
 		if len(merged) > 0 {
 			previous := &merged[len(merged)-1]
 			if previous.Store == s.Store && (previous.isOpen() || s.From <= previous.Through+1) {
-				previous.Through = laterEnd(previous.Through, s.Through)
+				previous.Through = laterThrough(previous.Through, s.Through)
 				continue
 			}
 		}
@@ -122,34 +122,34 @@
 	return merged
 }
 
-// laterEnd is the later of two ends of spans.
-func laterEnd(a, b int64) int64 {
+// laterThrough is the later of two ends of spans.
+func laterThrough(a, b int64) int64 {
 	if a == 0 || b == 0 {
 		return 0
 	}
 	return max(a, b)
 }
 
-// forgetSpans removes the spans of a store whose disk is lost.
-func (p *Partition) forgetSpans(lost func(store string) bool) (changed bool) {
+// removeLostSpans removes the spans of a store whose disk is lost.
+func (p *Partition) removeLostSpans(lost func(store string) bool) (changed bool) {
 	before := len(p.Spans)
 	p.Spans = slices.DeleteFunc(p.Spans, func(s Span) bool { return !s.isOpen() && lost(s.Store) })
 	return len(p.Spans) != before
 }
 
-// cover chooses, among the usable stores, replicas and former ones that together hold
+// coveringStores chooses, among the usable stores, replicas and former ones that together hold
 // everything that was accepted, in the order of the epochs. It is nil if there are none.
-func (p *Partition) cover(usable func(store string) bool, neededBackups int) []string {
+func (p *Partition) coveringStores(usable func(store string) bool, neededBackups int) []string {
 	var candidates []Span
 	for _, store := range p.stores() {
-		candidates = append(candidates, Span{Store: store, From: p.heldFrom(store)})
+		candidates = append(candidates, Span{Store: store, From: p.completeFrom(store)})
 	}
 	candidates = append(candidates, p.Spans...)
 	candidates = slices.DeleteFunc(candidates, func(s Span) bool { return !usable(s.Store) })
 	var chosen []string
 	last := p.lastAcceptedEpoch(neededBackups)
 	for epoch := int64(0); epoch <= last; {
-		best := longestFrom(candidates, epoch)
+		best := longestSpanCovering(candidates, epoch)
 		if best < 0 {
 			return nil
 		}
@@ -164,9 +164,9 @@
 	return chosen
 }
 
-// longestFrom is the index of the span that covers an epoch and most of those after it,
+// longestSpanCovering is the index of the span that covers an epoch and most of those after it,
 // or -1.
-func longestFrom(spans []Span, epoch int64) int {
+func longestSpanCovering(spans []Span, epoch int64) int {
 	best := -1
 	for i, s := range spans {
 		switch {
--- a/internal/placement/spans_test.go
+++ b/internal/placement/spans_test.go
@@ -7,17 +7,17 @@
 	"testing"
 )
 
-// lossStep is one event of a schedule of losses, after which the next placement is made.
-type lossStep struct {
+// failureStep is one event of a schedule of losses, after which the next placement is made.
+type failureStep struct {
 	crash, start, wipe string // names of stores
 	replicates         bool   // what can become in sync does
 }
 
-// playLosses plans after each step, on stores a to e in zones of their own, for one
+// planThroughFailures plans after each step, on stores a to e in zones of their own, for one
 // partition whose replicas are at first those that lead in the order of the names.
-func playLosses(t *testing.T, redundancy Redundancy, steps []lossStep) Placement {
+func planThroughFailures(t *testing.T, redundancy Redundancy, steps []failureStep) Placement {
 	t.Helper()
-	stores := storesInOwnZones("a", "b", "c", "d", "e")
+	stores := storesInSeparateZones("a", "b", "c", "d", "e")
 	p := Initial(stores, redundancy)
 	p.Partitions = p.Partitions[:1]
 	partition := Partition{Epoch: 1, PreferredPrimary: "a", Primary: "a"}
@@ -44,39 +44,39 @@
 func TestFormerReplicasAreSources(t *testing.T) {
 	for name, c := range map[string]struct {
 		redundancy Redundancy
-		steps      []lossStep
+		steps      []failureStep
 		primary    string
 		sources    []string
 	}{
 		"back before the other disk is lost": {
-			oneBackup, []lossStep{{crash: "a"}, {start: "a"}, {wipe: "b"}}, "c", []string{"a"},
+			oneBackup, []failureStep{{crash: "a"}, {start: "a"}, {wipe: "b"}}, "c", []string{"a"},
 		},
 		"back after the other disk is lost": {
-			oneBackup, []lossStep{{crash: "a"}, {wipe: "b"}, {start: "a"}}, "c", []string{"a"},
+			oneBackup, []failureStep{{crash: "a"}, {wipe: "b"}, {start: "a"}}, "c", []string{"a"},
 		},
 		"a source is lost before it is read: its new disk is none": {
-			oneBackup, []lossStep{{crash: "a"}, {start: "a"}, {wipe: "b"}, {wipe: "a"}, {}, {}}, "c", []string{"a"},
+			oneBackup, []failureStep{{crash: "a"}, {start: "a"}, {wipe: "b"}, {wipe: "a"}, {}, {}}, "c", []string{"a"},
 		},
 		"not back: it waits": {
-			oneBackup, []lossStep{{crash: "a"}, {wipe: "b"}}, "b", nil,
+			oneBackup, []failureStep{{crash: "a"}, {wipe: "b"}}, "b", nil,
 		},
 		"three stores hold a part each": {
-			oneBackup, []lossStep{{crash: "a"}, {crash: "c"}, {wipe: "b"}, {start: "a"}, {start: "c"}}, "d", []string{"a", "c"},
+			oneBackup, []failureStep{{crash: "a"}, {crash: "c"}, {wipe: "b"}, {start: "a"}, {start: "c"}}, "d", []string{"a", "c"},
 		},
 		"its disk is lost as well: it waits": {
-			oneBackup, []lossStep{{crash: "a"}, {wipe: "a"}, {wipe: "b"}}, "b", nil,
+			oneBackup, []failureStep{{crash: "a"}, {wipe: "a"}, {wipe: "b"}}, "b", nil,
 		},
 		"all are in sync again: it is forgotten": {
-			oneBackup, []lossStep{{crash: "a"}, {replicates: true}, {start: "a"}, {wipe: "b"}}, "c", nil,
+			oneBackup, []failureStep{{crash: "a"}, {replicates: true}, {start: "a"}, {wipe: "b"}}, "c", nil,
 		},
 		"two disks of three replicas": {
-			twoBackups, []lossStep{{crash: "a"}, {crash: "b"}, {wipe: "b"}, {wipe: "c"}, {start: "a"}}, "d", []string{"a"},
+			twoBackups, []failureStep{{crash: "a"}, {crash: "b"}, {wipe: "b"}, {wipe: "c"}, {start: "a"}}, "d", []string{"a"},
 		},
 		"the former primary may run: a backup succeeds, which granted it its lease": {
-			oneBackup, []lossStep{{crash: "a"}, {start: "a"}, {crash: "b"}}, "c", []string{"a"},
+			oneBackup, []failureStep{{crash: "a"}, {start: "a"}, {crash: "b"}}, "c", []string{"a"},
 		},
 	} {
-		p := playLosses(t, c.redundancy, c.steps).Partitions[0]
+		p := planThroughFailures(t, c.redundancy, c.steps).Partitions[0]
 		if p.Primary != c.primary || !slices.Equal(p.Sources, c.sources) {
 			t.Errorf("%s: %s leads with the sources %v, not %s with %v: %+v", name, p.Primary, p.Sources, c.primary, c.sources, p)
 		}
@@ -84,8 +84,8 @@
 }
 
 // A store that is retired is not given up while it holds what the replicas may lack.
-func TestRememberedStoreIsNotRetired(t *testing.T) {
-	stores := storesInOwnZones("a", "b", "c")
+func TestStoreWithSpansIsNotRetired(t *testing.T) {
+	stores := storesInSeparateZones("a", "b", "c")
 	p := Initial(stores, oneBackup)
 	setStatus(stores, "a", func(s *StoreStatus) { s.Alive = false })
 	p, _, _ = Plan(p, stores, nil, oneBackup)
@@ -109,7 +109,7 @@
 }
 
 func TestSpansAreEncoded(t *testing.T) {
-	p := playLosses(t, oneBackup, []lossStep{{crash: "a"}, {start: "a"}, {wipe: "b"}})
+	p := planThroughFailures(t, oneBackup, []failureStep{{crash: "a"}, {start: "a"}, {wipe: "b"}})
 	p.Partitions = append(p.Partitions, Partition{Epoch: 2, PreferredPrimary: "a", Primary: "removed", Spans: []Span{{"also removed", 1, 2}}})
 	raw, err := json.Marshal(p)
 	if err != nil {
@@ -120,7 +120,7 @@
 		t.Errorf("%s: %v\n%+v\n%+v", raw, err, got.Partitions, p.Partitions)
 	}
 	for _, spans := range []string{"x 0:1-2 ", "9 0:1-2 ", "0 0:1-2", "0 9:1-2 ", "0 0:1 ", "0 0:-2 ", "0  9"} {
-		raw, err := json.Marshal(document{Stores: p.Stores, Compact: "1 0 0", Spans: spans})
+		raw, err := json.Marshal(document{Stores: p.Stores, CompactPartitions: "1 0 0", Spans: spans})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/placement/topology.go
+++ b/internal/placement/topology.go
@@ -114,11 +114,11 @@
 	n.byRegion[region] = append(n.byRegion[region], name)
 }
 
-// nearest yields the active stores in the order in which a partition prefers
+// storesByDistance yields the active stores in the order in which a partition prefers
 // them: its preferred primary, then the others by distance. Those equally far
 // are rotated, so that partitions of one primary get different backups: round
 // says how often the partitions have gone round all stores before this one.
-func (t *topology) nearest(preferredPrimary string, round int) iter.Seq[string] {
+func (t *topology) storesByDistance(preferredPrimary string, round int) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		if len(t.active) == 0 {
 			return
--- a/internal/placement/topology_test.go
+++ b/internal/placement/topology_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestNearestOrdersByDistanceAndRotatesEquals(t *testing.T) {
+func TestStoresByDistanceRotateAmongEquals(t *testing.T) {
 	for _, c := range []struct {
 		primary string
 		round   int
@@ -67,11 +67,11 @@
 		{"z1", 1, []string{"z1", "z2", "x2", "x3", "y1", "x1"}},
 		{"unknown", 0, []string{"x1", "x2", "x3", "y1", "z1", "z2"}},
 	} {
-		if got := slices.Collect(testTopology().nearest(c.primary, c.round)); !slices.Equal(got, c.order) {
+		if got := slices.Collect(testTopology().storesByDistance(c.primary, c.round)); !slices.Equal(got, c.order) {
 			t.Errorf("%s in round %d: %v, not %v", c.primary, c.round, got, c.order)
 		}
 	}
-	if got := slices.Collect(newTopology(nil).nearest("x1", 0)); len(got) != 0 {
+	if got := slices.Collect(newTopology(nil).storesByDistance("x1", 0)); len(got) != 0 {
 		t.Errorf("without stores: %v", got)
 	}
 }
