--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -74,7 +74,7 @@
 	handovers handovers
 	wake      chan struct{}
 
-	wasHeld       bool
+	heldLease     bool
 	checkedAt     time.Time // when the placement was last checked
 	initialStores storeCount
 }
@@ -106,7 +106,7 @@
 
 // Run works until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
-	tick := time.NewTicker(c.timing.checkInterval())
+	tick := time.NewTicker(c.timing.tickInterval())
 	defer tick.Stop()
 	c.initialStores.since = time.Now()
 	for {
@@ -141,7 +141,7 @@
 func (c *Controller) reassign(ctx context.Context, term int64) {
 	stores := c.failures.storeStatuses(ctx)
 	current := c.config.Placement()
-	if c.config.Chain.InContactFor() < c.timing.warmup() && !allHoldersKnown(current, stores) {
+	if c.config.Chain.InContactFor() < c.timing.warmup() && !allReplicaStoresReported(current, stores) {
 		return
 	}
 	next, pending, changed := c.nextPlacement(current, stores)
@@ -178,9 +178,9 @@
 	return next, pending, changed
 }
 
-// allHoldersKnown says whether every store that holds a partition sent a
+// allReplicaStoresReported says whether every store that holds a partition sent a
 // heartbeat.
-func allHoldersKnown(p placement.Placement, stores map[string]placement.StoreStatus) bool {
+func allReplicaStoresReported(p placement.Placement, stores map[string]placement.StoreStatus) bool {
 	for name := range p.Stores {
 		if _, ok := stores[name]; !ok && placement.IsReplicaOrSource(p, name) {
 			return false
@@ -201,18 +201,18 @@
 
 // storeCount is the number of stores before the first placement, and since when.
 type storeCount struct {
-	n     int
+	count int
 	since time.Time
 }
 
 func (s *storeCount) observe(n int, now time.Time) {
-	if n != s.n {
-		s.n = n
+	if n != s.count {
+		s.count = n
 		s.since = now
 	}
 }
 
 // isStable says whether there are enough stores, and have been for a while.
 func (s *storeCount) isStable(needed int, stability time.Duration, now time.Time) bool {
-	return s.n >= needed && now.Sub(s.since) >= stability
+	return s.count >= needed && now.Sub(s.since) >= stability
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -21,23 +21,23 @@
 
 // fakeCluster is everything around one controller, the only core.
 type fakeCluster struct {
-	mu        sync.Mutex
-	head      string
-	contact   time.Duration // InContactFor
-	nodes     map[string]registry.NodeStatus
-	overdue   []string
-	peers     []string
-	placement placement.Placement
-	proposed  []placement.Placement
-	answer    func(ctx context.Context, address, path string, in, out any) error
-	connect   func(ctx context.Context) error // nil: at once
-	calls     map[string]int
+	mu         sync.Mutex
+	head       string
+	contactFor time.Duration // InContactFor
+	nodes      map[string]registry.NodeStatus
+	overdue    []string
+	peers      []string
+	placement  placement.Placement
+	proposed   []placement.Placement
+	handleCall func(ctx context.Context, address, path string, in, out any) error
+	connect    func(ctx context.Context) error // nil: at once
+	calls      map[string]int
 }
 
 func (f *fakeCluster) Head() string                { return f.head }
 func (f *fakeCluster) Voters() []string            { return []string{"self"} }
-func (f *fakeCluster) InContact() bool             { return f.contact > 0 }
-func (f *fakeCluster) InContactFor() time.Duration { return f.contact }
+func (f *fakeCluster) InContact() bool             { return f.contactFor > 0 }
+func (f *fakeCluster) InContactFor() time.Duration { return f.contactFor }
 func (f *fakeCluster) Peers() []string             { return f.peers }
 
 func (f *fakeCluster) Nodes() map[string]registry.NodeStatus {
@@ -69,7 +69,7 @@
 func (f *fakeCluster) Call(ctx context.Context, address, path string, in any, _ []byte, out any) error {
 	f.mu.Lock()
 	f.calls[address+path]++
-	answer := f.answer
+	answer := f.handleCall
 	f.mu.Unlock()
 	return answer(ctx, address, path, in, out)
 }
@@ -94,16 +94,16 @@
 	f.nodes[name] = registry.NodeStatus{Node: membership.Node{Name: name, Role: "store", Address: name, Disk: "disk-" + name}, Age: age}
 }
 
-const testContact = 4800 * time.Millisecond
+const testContactTimeout = 4800 * time.Millisecond
 
 // newTestController makes a controller with a cluster in which all calls succeed.
 func newTestController(t *testing.T) (*Controller, *fakeCluster) {
 	t.Helper()
-	cluster := &fakeCluster{head: "self", contact: time.Hour, nodes: map[string]registry.NodeStatus{}, calls: map[string]int{}}
-	cluster.answer = func(context.Context, string, string, any, any) error { return nil }
+	cluster := &fakeCluster{head: "self", contactFor: time.Hour, nodes: map[string]registry.NodeStatus{}, calls: map[string]int{}}
+	cluster.handleCall = func(context.Context, string, string, any, any) error { return nil }
 	c, err := New(Config{
 		Address: "self", Chain: cluster, Registry: cluster, Proposer: cluster, Placement: cluster.current, Client: cluster, Grantor: &lease.Grantor{},
-		HostFailures: 1, Redundancy: placement.Redundancy{Backups: 1}, ContactTimeout: testContact,
+		HostFailures: 1, Redundancy: placement.Redundancy{Backups: 1}, ContactTimeout: testContactTimeout,
 		Log: log.New(io.Discard, "", 0), Go: func(task func(context.Context)) { go task(t.Context()) },
 	})
 	if err != nil {
@@ -127,16 +127,16 @@
 		c, cluster := newTestController(t)
 		go c.Run(ctx)
 		cluster.setStore("a", 0)
-		time.Sleep(testContact)
+		time.Sleep(testContactTimeout)
 		if p := cluster.current(); p.Version != 0 {
 			t.Errorf("with one store there is placement %d", p.Version)
 		}
 		cluster.setStore("b", 0)
-		time.Sleep(testContact / 8)
+		time.Sleep(testContactTimeout / 8)
 		if p := cluster.current(); p.Version != 0 {
 			t.Errorf("right after the second store there is placement %d", p.Version)
 		}
-		time.Sleep(testContact / 4)
+		time.Sleep(testContactTimeout / 4)
 		p := cluster.current()
 		if p.Version == 0 || p.Term == 0 || len(p.Stores) != 2 {
 			t.Errorf("with two stores there is placement %d of term %d with %d stores", p.Version, p.Term, len(p.Stores))
@@ -194,7 +194,7 @@
 	})
 }
 
-func TestAllHoldersKnown(t *testing.T) {
+func TestAllReplicaStoresReported(t *testing.T) {
 	p := placement.Placement{
 		Stores:     map[string]placement.Store{"a": {}, "b": {}, "empty": {}},
 		Partitions: []placement.Partition{{Primary: "a", Backups: []placement.Backup{{Store: "b"}}}},
@@ -217,7 +217,7 @@
 		"a primary missing":  {p, status("b", "empty"), false},
 		"no store is listed": {placement.Placement{}, status("a"), false},
 	} {
-		if got := allHoldersKnown(c.p, c.stores); got != c.want {
+		if got := allReplicaStoresReported(c.p, c.stores); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
@@ -303,7 +303,7 @@
 func TestHandoverStopsPartitionsAtTheirPrimary(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, cluster := newTestController(t)
-		cluster.answer = func(_ context.Context, _, _ string, in, out any) error {
+		cluster.handleCall = func(_ context.Context, _, _ string, in, out any) error {
 			*out.(*placement.HandoverRequest) = in.(placement.HandoverRequest)
 			return nil
 		}
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -97,18 +97,18 @@
 	d.onFailure()
 }
 
-// maxPings is how often one probe pings a node where this core notices each time
+// maxPingAttempts is how often one probe pings a node where this core notices each time
 // too late that the answer is overdue.
-const maxPings = 3
+const maxPingAttempts = 3
 
 // ping pings a node until it answers or is seen in time not to. A core that was
 // without the processor when the time-out came says nothing about the node.
 func (d *failureDetector) ping(ctx context.Context, address string, timeout time.Duration) error {
 	var err error
-	for range maxPings {
-		var noticedLate bool
-		noticedLate, err = d.pingOnce(ctx, address, timeout)
-		if !isUnanswered(err) || !noticedLate {
+	for range maxPingAttempts {
+		var expiredLate bool
+		expiredLate, err = d.pingOnce(ctx, address, timeout)
+		if !isUnanswered(err) || !expiredLate {
 			return err
 		}
 	}
@@ -118,7 +118,7 @@
 // pingOnce opens a connection, unless there is one, and pings over it. Each of the two
 // has the whole time: over a slow network, opening a connection takes as long as the
 // call.
-func (d *failureDetector) pingOnce(ctx context.Context, address string, timeout time.Duration) (noticedLate bool, err error) {
+func (d *failureDetector) pingOnce(ctx context.Context, address string, timeout time.Duration) (expiredLate bool, err error) {
 	steps := []func(ctx context.Context) error{
 		func(ctx context.Context) error { return d.client.Connect(ctx, address) },
 		func(ctx context.Context) error { return d.client.Call(ctx, address, "/ping", struct{}{}, nil, nil) },
@@ -129,7 +129,7 @@
 		err = step(stepCtx)
 		cancel()
 		if err != nil {
-			return time.Since(began) >= timeout+d.timing.lateTimeout(timeout), err
+			return time.Since(began) >= timeout+d.timing.timeoutTolerance(timeout), err
 		}
 	}
 	return false, nil
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -11,8 +11,8 @@
 	"saltreel/internal/rpc"
 )
 
-// answersAfter has all probes answered after a while, or ended by their timeout.
-func answersAfter(delay time.Duration) func(context.Context, string, string, any, any) error {
+// answerAfter has all probes answered after a while, or ended by their timeout.
+func answerAfter(delay time.Duration) func(context.Context, string, string, any, any) error {
 	return func(ctx context.Context, _, _ string, _, _ any) error {
 		select {
 		case <-time.After(delay):
@@ -24,26 +24,26 @@
 }
 
 func TestProbeDecidesWhetherASuspectedStoreFailed(t *testing.T) {
-	timing := timing{testContact}
+	timing := timing{testContactTimeout}
 	for name, c := range map[string]struct {
 		stores int // whose heartbeats are overdue
 		answer func(context.Context, string, string, any, any) error
 		failed int
 	}{
-		"answers in time":                     {1, answersAfter(timing.probeTimeout() / 2), 0},
-		"answers late":                        {1, answersAfter(timing.probeTimeout() * 2), 1},
+		"answers in time":                     {1, answerAfter(timing.probeTimeout() / 2), 0},
+		"answers late":                        {1, answerAfter(timing.probeTimeout() * 2), 1},
 		"connection refused":                  {1, func(context.Context, string, string, any, any) error { return syscall.ECONNREFUSED }, 1},
 		"answers with an error":               {1, func(context.Context, string, string, any, any) error { return &rpc.StatusError{Code: 503} }, 1},
-		"many late at once have more time":    {4, answersAfter(timing.probeTimeout() * 2), 0},
-		"many that do not answer at all":      {4, answersAfter(time.Hour), 4},
+		"many late at once have more time":    {4, answerAfter(timing.probeTimeout() * 2), 0},
+		"many that do not answer at all":      {4, answerAfter(time.Hour), 4},
 		"many refuse, which is no slowness":   {4, func(context.Context, string, string, any, any) error { return syscall.ECONNREFUSED }, 4},
-		"as many late as may be lost at once": {1, answersAfter(time.Hour), 1},
+		"as many late as may be lost at once": {1, answerAfter(time.Hour), 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			controller, cluster := newTestController(t)
-			cluster.answer = c.answer
+			cluster.handleCall = c.answer
 			for i := range c.stores {
-				cluster.setStore(fmt.Sprintf("store-%d", i), testContact)
+				cluster.setStore(fmt.Sprintf("store-%d", i), testContactTimeout)
 			}
 			failed := 0
 			statuses := controller.failures.storeStatuses(t.Context())
@@ -61,7 +61,7 @@
 
 // Over a slow network opening a connection takes as long as the call after it.
 func TestProbeHasTimeForItsConnection(t *testing.T) {
-	timeout := timing{testContact}.probeTimeout()
+	timeout := timing{testContactTimeout}.probeTimeout()
 	for name, c := range map[string]struct {
 		connect, answer time.Duration
 		failed          bool
@@ -72,9 +72,9 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			controller, cluster := newTestController(t)
-			cluster.setStore("a", testContact)
-			cluster.answer = answersAfter(c.answer)
-			cluster.connect = func(ctx context.Context) error { return answersAfter(c.connect)(ctx, "", "", nil, nil) }
+			cluster.setStore("a", testContactTimeout)
+			cluster.handleCall = answerAfter(c.answer)
+			cluster.connect = func(ctx context.Context) error { return answerAfter(c.connect)(ctx, "", "", nil, nil) }
 			if failed := !controller.failures.storeStatuses(t.Context())["a"].Alive; failed != c.failed {
 				t.Errorf("%s: failed %v", name, failed)
 			}
@@ -83,29 +83,29 @@
 }
 
 // A core that was without the processor when a probe timed out pings again.
-func TestTimeoutNoticedLateIsNoFailure(t *testing.T) {
-	timeout := timing{testContact}.probeTimeout()
-	late, inTime := timeout+timing{testContact}.lateTimeout(timeout), timeout
+func TestPingIsRepeatedWhenItsTimeoutExpiresLate(t *testing.T) {
+	timeout := timing{testContactTimeout}.probeTimeout()
+	late, inTime := timeout+timing{testContactTimeout}.timeoutTolerance(timeout), timeout
 	for name, c := range map[string]struct {
-		noticed []time.Duration // after which each ping is seen to be unanswered
-		pings   int
-		failed  bool
+		expirations []time.Duration // after which each ping is seen to be unanswered
+		pings       int
+		failed      bool
 	}{
 		"in time":                       {[]time.Duration{inTime}, 1, true},
 		"late, then answered":           {[]time.Duration{late}, 2, false},
 		"late, then in time":            {[]time.Duration{late, inTime}, 2, true},
 		"late twice, then answered":     {[]time.Duration{late, late}, 3, false},
-		"always late, as with no share": {[]time.Duration{late, late, late, late}, maxPings, true},
+		"always late, as with no share": {[]time.Duration{late, late, late, late}, maxPingAttempts, true},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			controller, cluster := newTestController(t)
-			cluster.setStore("a", testContact)
+			cluster.setStore("a", testContactTimeout)
 			pings := 0
-			cluster.answer = func(context.Context, string, string, any, any) error {
-				if pings++; pings > len(c.noticed) {
+			cluster.handleCall = func(context.Context, string, string, any, any) error {
+				if pings++; pings > len(c.expirations) {
 					return nil
 				}
-				time.Sleep(c.noticed[pings-1])
+				time.Sleep(c.expirations[pings-1])
 				return context.DeadlineExceeded
 			}
 			failed := !controller.failures.storeStatuses(t.Context())["a"].Alive
@@ -119,15 +119,15 @@
 func TestFailedStoreRecoversWithItsNextHeartbeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, cluster := newTestController(t)
-		cluster.answer = answersAfter(time.Hour)
+		cluster.handleCall = answerAfter(time.Hour)
 		alive := func() bool { return c.failures.storeStatuses(t.Context())["a"].Alive }
-		cluster.setStore("a", testContact)
+		cluster.setStore("a", testContactTimeout)
 		if alive() {
 			t.Error("a store that does not answer is alive")
 		}
 		probes := cluster.callsTo("a", "/ping")
 		time.Sleep(time.Second)
-		cluster.setStore("a", testContact+time.Second)
+		cluster.setStore("a", testContactTimeout+time.Second)
 		if alive() || cluster.callsTo("a", "/ping") != probes {
 			t.Error("a failed store is probed again, or alive without a heartbeat")
 		}
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -21,8 +21,8 @@
 
 // stoppedPartition is a partition whose primary has stopped.
 type stoppedPartition struct {
-	epoch int64
-	at    time.Time
+	epoch     int64
+	stoppedAt time.Time
 }
 
 // stoppedEpochs are the partitions whose primaries have stopped and still wait
@@ -32,7 +32,7 @@
 	defer h.mu.Unlock()
 	epochs := map[int]int64{}
 	for partition, stopped := range h.stopped {
-		if now.Sub(stopped.at) < validity {
+		if now.Sub(stopped.stoppedAt) < validity {
 			epochs[partition] = stopped.epoch
 		}
 	}
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -7,15 +7,15 @@
 	"saltreel/internal/lease"
 )
 
-// role is the name of the controller's role in a lease request.
-const role = "steward"
+// leaseRole is the name of the controller's leaseRole in a lease request.
+const leaseRole = "steward"
 
 // pathLease is the path of the call that the other cores' grantors answer.
 const pathLease = "/duty"
 
 func (c *Controller) newLease() *lease.Lease {
 	return &lease.Lease{
-		Role:     role,
+		Role:     leaseRole,
 		Self:     c.config.Address,
 		Duration: c.timing.leaseDuration(),
 		Call:     c.callGrantor,
@@ -48,15 +48,15 @@
 	if held {
 		return remaining < c.timing.renewBelow()
 	}
-	if woken || !c.config.Grantor.Expired(role) {
+	if woken || !c.config.Grantor.Expired(leaseRole) {
 		return false
 	}
 	return c.config.Chain.Head() == c.config.Address || rand.IntN(2*len(c.lease.Voters)+1) == 0
 }
 
 func (c *Controller) logLease(term int64, held bool) {
-	if held && !c.wasHeld {
+	if held && !c.heldLease {
 		c.config.Log.Printf("controller: this core holds the lease, term %d", term)
 	}
-	c.wasHeld = held
+	c.heldLease = held
 }
