--- a/internal/placement/encoding.go
+++ b/internal/placement/encoding.go
@@ -10,17 +10,17 @@
 	"strings"
 )
 
-// document is a placement as it is sent and stored. Every node reads every
-// placement, so the partitions are in a compact form: each store has a number,
-// first those of Stores in the order of their names, then OtherStores. For each
-// partition, separated by ";", there are the epoch, the preferred stores and
-// the present ones, separated by spaces; the stores are numbers separated by
-// commas, the primary first, and a backup in sync is followed by "+":
+// document is the encoding of a placement on the wire and on disk. Every node decodes
+// every placement, so the partitions have a compact form, in which stores are numbered:
+// first those of Stores in the order of their names, then UnlistedStores. The entries of
+// the partitions are separated by ";". Each has three fields separated by spaces: the
+// epoch, the preferred replicas and the current replicas. Replicas are lists of store
+// numbers separated by commas, primary first; "+" marks an in-sync backup:
 //
 //	7 0,1,2 1,0+,2
 //
-// Spans holds the spans and sources of the partitions that have any, also separated by
-// ";": the number of the partition, the spans as store:from-through, and the sources.
+// Spans has an entry for each partition with spans or sources, also separated by ";":
+// the index of the partition, the spans as store:from-through, and the sources.
 //
 //	12 0:0-6,2:7-0 0
 type document struct {
@@ -28,14 +28,15 @@
 	Term              int64            `json:"term"`
 	InitialStores     int              `json:"founders"`
 	Stores            map[string]Store `json:"stores"`
-	UnlistedStores    []string         `json:"others,omitempty"` // in a partition, but not in Stores any more
+	UnlistedStores    []string         `json:"others,omitempty"` // referenced by a partition, but no longer in Stores
 	CompactPartitions string           `json:"places"`
 	Spans             string           `json:"spans,omitempty"`
-	// The partitions as earlier versions wrote them, instead of Compact.
+	// Partitions is the form that earlier versions wrote instead of CompactPartitions.
 	Partitions []Partition `json:"partitions,omitempty"`
 }
 
-// Readable is a placement that is encoded field by field, for the operator.
+// Readable is a placement that is encoded field by field rather than in the compact
+// form, for display to the operator.
 type Readable Placement
 
 // MarshalJSON encodes the placement in the compact form.
@@ -75,8 +76,8 @@
 	})
 }
 
-// appendPartition appends the compact form of a partition. The numbers of the
-// stores are asked for in the order in which they are written.
+// appendPartition appends the compact form of a partition. It calls numberOf in the
+// order of the output, which determines the numbers of unlisted stores.
 func appendPartition(out []byte, p *Partition, numberOf func(store string) int) []byte {
 	out = strconv.AppendInt(out, p.Epoch, 10)
 	out = appendStore(out, ' ', numberOf(p.PreferredPrimary))
@@ -93,7 +94,7 @@
 	return out
 }
 
-// appendSpans appends the spans and sources of partition i, if it has any.
+// appendSpans appends the entry with the spans and sources of partition i, if it has any.
 func appendSpans(out []byte, i int, p *Partition, numberOf func(store string) int) []byte {
 	if len(p.Spans) == 0 && len(p.Sources) == 0 {
 		return out
@@ -123,8 +124,8 @@
 	return strconv.AppendInt(append(out, separator), int64(number), 10)
 }
 
-// UnmarshalJSON decodes the compact form, and the form of earlier versions. The
-// error of a damaged document leaves the placement unchanged.
+// UnmarshalJSON decodes the compact form as well as the form of earlier versions. On an
+// error the placement is unchanged.
 func (p *Placement) UnmarshalJSON(raw []byte) error {
 	var in document
 	if err := json.Unmarshal(raw, &in); err != nil {
@@ -146,9 +147,9 @@
 	return nil
 }
 
-// decoder reads partitions in the compact form.
+// decoder decodes partitions from the compact form.
 type decoder struct {
-	names []string // by number
+	names []string // names of the stores by number
 }
 
 func (d *decoder) partitions(compact string) ([]Partition, error) {
@@ -178,7 +179,7 @@
 	return p, d.currentReplicas(&p, current)
 }
 
-// preferredReplicas reads the preferredReplicas primary and backups.
+// preferredReplicas decodes the preferred primary and backups.
 func (d *decoder) preferredReplicas(p *Partition, text string) (err error) {
 	number, rest, more := strings.Cut(text, ",")
 	p.PreferredPrimary, err = d.store(number)
@@ -191,7 +192,7 @@
 	return err
 }
 
-// currentReplicas reads the primary and the backups.
+// currentReplicas decodes the primary and the backups.
 func (d *decoder) currentReplicas(p *Partition, text string) (err error) {
 	number, rest, more := strings.Cut(text, ",")
 	p.Primary, err = d.store(number)
@@ -205,7 +206,7 @@
 	return err
 }
 
-// allSpans reads the spans and sources of all partitions that have any.
+// allSpans decodes the spans and sources of all partitions that have any.
 func (d *decoder) allSpans(partitions []Partition, text string) error {
 	if text == "" {
 		return nil
@@ -223,7 +224,7 @@
 	return nil
 }
 
-// spans reads the spans and the sources of one partition.
+// spans decodes the spans and the sources of one partition.
 func (d *decoder) spans(p *Partition, spans, sources string) error {
 	for text := range splitList(spans) {
 		number, epochs, _ := strings.Cut(text, ":")
@@ -251,7 +252,7 @@
 	return nil
 }
 
-// splitList gives the items of a list that may be empty.
+// splitList yields the items of a comma-separated list that may be empty.
 func splitList(text string) iter.Seq[string] {
 	if text == "" {
 		return func(func(string) bool) {}
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -5,20 +5,21 @@
 	"slices"
 )
 
-// Plan computes the next step from a placement towards the one that the stores
-// and the redundancy ask for. It first restores lost replicas; only when every
-// partition has all its replicas in sync does it move partitions to their
-// preferred stores. Replicas on stores that shut down or are retired move
-// before that.
+// Plan computes the next step from the current placement towards the desired
+// one for the given stores and redundancy. It restores lost replicas first, and
+// moves partitions to their preferred stores only when every partition has all
+// its replicas in sync. Replicas on draining or retired stores are moved without
+// waiting for that.
 //
-// A primary has to stop before its successor leads. Handovers lists the
-// partitions whose primary is to be asked to stop; released holds those that
-// have stopped, with the epoch in which they did. Each step keeps these rules:
+// A primary has to stop before its successor takes over. Handovers lists the
+// partitions whose primaries must be asked to stop; stoppedEpochs maps those
+// whose primary has stopped to the epoch in which it did. Each step maintains
+// these invariants:
 //
-//   - only a backup that is in sync becomes primary, or, where none is left, a
-//     store that can take what it lacks from replicas and former ones;
-//   - a replica that is to be removed stays until its replacement is in sync;
-//   - a primary that is available stops before its successor leads.
+//   - Only an in-sync backup becomes primary or, if there is none, a store that
+//     can copy the records that it lacks from current and former replicas.
+//   - A replica is removed only after its replacement is in sync.
+//   - An available primary stops before its successor takes over.
 //
 // The current placement is not modified. If changed is false, next equals it.
 func Plan(current Placement, stores map[string]StoreStatus, stoppedEpochs map[int]int64, redundancy Redundancy) (next Placement, handovers []int, changed bool) {
@@ -43,9 +44,9 @@
 	return p.next, p.handovers, p.changed
 }
 
-// planner is the state of one call of Plan.
+// planner holds the state of one call of Plan.
 type planner struct {
-	// The input.
+	// Input.
 	stores        map[string]StoreStatus
 	stoppedEpochs map[int]int64
 	redundancy    Redundancy
@@ -54,40 +55,39 @@
 	topology       *topology
 	fallbackStores []string
 
-	// The result.
+	// Result.
 	next      Placement
 	handovers []int
 	changed   bool
-	restored  bool // every partition has an available primary and all its backups in sync
+	restored  bool // every partition has an available primary and enough backups, all in sync
 }
 
-// available reports whether a store is alive and has the disk with the replicas
-// that the placement assumes there.
+// available reports whether a store is alive and has the disk that the placement
+// records for it.
 func (p *planner) available(name string) bool {
 	status, known := p.stores[name]
 	return known && status.Alive && status.Disk == p.next.Stores[name].Disk
 }
 
-// eligible reports whether a store is available and may take replicas, that is
-// neither shuts down nor is retired.
+// eligible reports whether a store is available and may be assigned replicas, that is,
+// it is neither draining nor retired.
 func (p *planner) eligible(name string) bool {
 	return p.available(name) && !p.stores[name].Draining && p.next.Stores[name].RetireState == ""
 }
 
-// diskLost reports whether a store has come back without the disk that the placement
-// assumes there.
+// diskLost reports whether a store has come back with another disk than the one that
+// the placement records for it.
 func (p *planner) diskLost(name string) bool {
 	status, known := p.stores[name]
 	return known && status.Disk != "" && status.Disk != p.next.Stores[name].Disk
 }
 
-// reassign changes the replicas of a partition.
 func (p *planner) reassign(partition *Partition, primary string, sources []string, backups []Backup) {
 	partition.reassign(primary, sources, backups, p.redundancy.Backups)
 	p.changed = true
 }
 
-// updateSpans forgets what lost disks held, and what need not be remembered.
+// updateSpans removes the spans of lost disks and those that are no longer needed.
 func (p *planner) updateSpans() {
 	for i := range p.next.Partitions {
 		partition := &p.next.Partitions[i]
@@ -97,10 +97,10 @@
 	}
 }
 
-// updateStores adds the stores that are new, and the new disk of a store. As
-// long as the placement has replicas on the store's old disk, or a source, the store
-// stays unavailable under its old identity, so that an empty disk never counts as a
-// replica that is in sync, or as a source that was read.
+// updateStores adds new stores and records replaced disks. While the placement still
+// has a replica or source on the old disk of a store, it keeps the old disk identity and
+// the store counts as unavailable, so that an empty disk is never taken for an in-sync
+// replica or a source that has been read.
 func (p *planner) updateStores() {
 	for name, status := range p.stores {
 		store, known := p.next.Stores[name]
@@ -117,8 +117,8 @@
 	}
 }
 
-// updatePreferredReplicas assigns the preferred replicas to the stores that are
-// active now. It moves no replica by itself.
+// updatePreferredReplicas reassigns the preferred replicas among the active stores.
+// It does not move any replica.
 func (p *planner) updatePreferredReplicas() {
 	p.topology = newTopology(p.next.Stores)
 	primariesChanged := p.next.assignPreferredPrimaries(p.topology)
@@ -126,8 +126,8 @@
 	p.changed = p.changed || primariesChanged || backupsChanged
 }
 
-// findFallbackStores lists the stores that are being retired but still take a
-// backup where no other store can: emptying a store must not cost redundancy.
+// findFallbackStores returns the stores that are being retired but may still be
+// assigned a backup if no other store can: retiring a store must not reduce redundancy.
 func (p *planner) findFallbackStores() []string {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(p.next.Stores)) {
@@ -138,8 +138,8 @@
 	return names
 }
 
-// desiredReplicas is where partition i belongs with the stores that are
-// eligible now, the primary first: its preferred stores, then the nearest.
+// desiredReplicas returns the stores that should hold partition i given the eligible
+// stores, primary first: its preferred stores, then others by distance.
 func (p *planner) desiredReplicas(i int) []string {
 	var replicas []string
 	partition := &p.next.Partitions[i]
@@ -164,10 +164,10 @@
 
 // restore replaces a lost primary and lost backups of a partition.
 //
-// Safety: only a backup that is in sync becomes primary, since any other may lack
-// acknowledged messages, or a store that takes what it lacks from the others before it
-// acts as the primary. If there is none either, the partition waits, and its replicas
-// stay as they are.
+// Safety: only an in-sync backup becomes primary, since any other may lack acknowledged
+// messages, or a store that copies the messages that it lacks from other stores before
+// it acts as the primary. If there is no such store, the partition stays unavailable and
+// its replicas are left unchanged.
 func (p *planner) restore(i int) {
 	partition := &p.next.Partitions[i]
 	primary, sources := partition.Primary, partition.Sources
@@ -195,15 +195,16 @@
 	return !slices.ContainsFunc(stores, func(name string) bool { return !p.available(name) })
 }
 
-// failoverSuccessor chooses a primary for a partition whose primary is not available,
-// or lacks sources that are: a backup in sync, else one that can take what it lacks
-// from the sources. One that lacks nothing, but was not in sync, is its own source.
-// backups are those that are available. The successor is "" if there is none.
+// failoverSuccessor chooses a new primary for a partition whose primary or sources are
+// not available: an in-sync backup or, if there is none, a store that can copy the
+// records that it lacks from the returned sources. A successor that lacks nothing, but
+// was not in sync, is its own source. The argument lists the available backups. The
+// successor is "" if there is none.
 //
-// Safety: the former primary may run still, out of reach. It delivers only by the leases
-// of all its backups, so one of them succeeds it, which waits until the lease that it
-// granted has ended. Only where the disk of the former primary is lost, and so its
-// process has ended, any store may succeed.
+// Safety: the former primary may still be running but unreachable. It delivers only
+// while it holds leases from all its backups, so the successor must be one of them: a
+// backup waits until the lease that it granted has expired. Any store may succeed if the
+// disk of the former primary is lost, since its process has ended then.
 func (p *planner) failoverSuccessor(partition *Partition, backups []Backup) (successor string, sources []string) {
 	for _, backup := range backups {
 		if backup.InSync {
@@ -214,7 +215,7 @@
 	if len(cover) == 0 {
 		return "", nil
 	}
-	last := cover[len(cover)-1] // holds what was accepted last
+	last := cover[len(cover)-1] // holds the messages that were accepted last
 	switch {
 	case p.available(partition.Primary):
 		successor = partition.Primary
@@ -231,13 +232,13 @@
 	return successor, cover
 }
 
-// availableBackups returns a new list of the backups on stores that are available.
+// availableBackups returns a copy of the backups, restricted to available stores.
 func (p *planner) availableBackups(partition *Partition) []Backup {
 	return slices.DeleteFunc(slices.Clone(partition.Backups), func(b Backup) bool { return !p.available(b.Store) })
 }
 
-// addBackups fills the backups of partition i up to the redundancy. The new
-// ones are not in sync until their primary reports it.
+// addBackups extends the backups of partition i to the number that the redundancy
+// requires. The new ones are not in sync until their primary reports it.
 func (p *planner) addBackups(i int, primary string, backups []Backup) []Backup {
 	candidates := append(p.desiredReplicas(i), p.fallbackStores...)
 	for _, name := range candidates {
@@ -251,11 +252,11 @@
 	return backups
 }
 
-// rebalance takes one step of a partition towards its desired replicas: it
-// hands the primary over, or adds missing replicas, or removes surplus ones.
+// rebalance moves partition i one step towards its desired replicas: it hands over
+// the primary, adds missing replicas or removes surplus ones.
 //
-// Safety: only a partition whose backups are all in sync moves, so that a
-// replica on its way in does not overlap with the next one on its way out.
+// Safety: only a partition whose backups are all in sync is moved, so that no replica
+// is removed while another one is still being copied.
 func (p *planner) rebalance(i int) {
 	partition := &p.next.Partitions[i]
 	if !partition.InSync(0) || !p.available(partition.Primary) {
@@ -278,10 +279,10 @@
 	p.removeSurplusBackups(partition, desired)
 }
 
-// handoverSuccessor is the backup that is to become primary while the primary is
-// available, or "". The backups are in sync. A primary that is not eligible any
-// more goes to any eligible backup at once; a move to the desired primary waits
-// until all partitions are restored.
+// handoverSuccessor returns the backup that an available primary should hand over to,
+// or "". All backups must be in sync. A primary that is no longer eligible hands over to
+// any eligible backup immediately; a handover to the desired primary waits until all
+// partitions are restored.
 func (p *planner) handoverSuccessor(partition *Partition, desired []string) string {
 	if !p.eligible(partition.Primary) {
 		for _, backup := range partition.Backups {
@@ -297,11 +298,11 @@
 	return ""
 }
 
-// handOver makes a backup primary, and the primary a backup.
+// handOver swaps the primary with a backup.
 //
-// Safety: the primary must have stopped in this very epoch; until then the
-// partition is listed as a handover. So there are never two primaries, and the
-// old one has all that the new one has.
+// Safety: the primary must have stopped in the current epoch; until then the partition
+// is only listed in handovers. There are thus never two primaries, and the former one
+// is in sync with its successor.
 func (p *planner) handOver(i int, successor string) {
 	partition := &p.next.Partitions[i]
 	if p.stoppedEpochs[i] != partition.Epoch {
@@ -312,8 +313,8 @@
 	p.reassign(partition, successor, nil, append(partition.withoutBackup(successor), former))
 }
 
-// mustMove reports whether a replica is on a store that shuts down or is
-// retired: it moves even while other partitions are not restored.
+// mustMove reports whether any replica is on a store that is not eligible, such as a
+// draining or retired one. Such a partition is moved even while others are not restored.
 func (p *planner) mustMove(partition *Partition) bool {
 	if !p.eligible(partition.Primary) {
 		return true
@@ -321,8 +322,8 @@
 	return slices.ContainsFunc(partition.Backups, func(b Backup) bool { return !p.eligible(b.Store) })
 }
 
-// addMissingReplicas adds the desired replicas that a partition lacks, as
-// backups that are not in sync. It reports whether there were any.
+// addMissingReplicas adds the missing desired replicas as backups that are not in sync.
+// It reports whether any were missing.
 func (p *planner) addMissingReplicas(partition *Partition, desired []string) bool {
 	var missing []Backup
 	for _, name := range desired {
@@ -339,9 +340,9 @@
 
 // removeSurplusBackups removes the backups that are not desired.
 //
-// Safety: all desired replicas exist and all backups are in sync when this is
-// called, so what remains is complete. Nothing is removed if too few backups
-// remained, or while the primary itself is still to move.
+// Safety: all desired replicas exist and all backups are in sync when this is called,
+// so the remaining replicas hold every message. Nothing is removed if too few backups
+// would remain, or while the primary itself still has to move.
 func (p *planner) removeSurplusBackups(partition *Partition, desired []string) {
 	remaining := slices.DeleteFunc(slices.Clone(partition.Backups), func(b Backup) bool { return !slices.Contains(desired, b.Store) })
 	surplus := len(partition.Backups) - len(remaining)
@@ -351,8 +352,8 @@
 	p.reassign(partition, partition.Primary, nil, remaining)
 }
 
-// completeRetirements completes the retirement of stores without replicas: also
-// without what the replicas of a partition may lack.
+// completeRetirements completes the retirement of stores that hold no replica and no
+// messages that the replicas of a partition may lack.
 func (p *planner) completeRetirements() {
 	for name, store := range p.next.Stores {
 		if store.RetireState == RetireActive && !IsReplicaOrSource(p.next, name) && !p.next.hasSpan(name) {
--- a/internal/placement/preferred.go
+++ b/internal/placement/preferred.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// partitionsPerStore is how many partitions each store leads in the first
-// placement. The number of partitions never changes.
+// partitionsPerStore is the number of partitions of which each store is the primary in
+// the initial placement. The total number of partitions never changes.
 const partitionsPerStore = 4
 
-// Initial makes the first placement. All backups are in sync, since all
+// Initial returns the initial placement. All backups are in sync, since all
 // partitions are empty.
 func Initial(stores map[string]StoreStatus, redundancy Redundancy) Placement {
 	p := Placement{Version: 1, Stores: map[string]Store{}}
@@ -40,14 +40,14 @@
 	return Store{Address: status.Address, Zone: status.Zone, Region: status.Region, Disk: status.Disk}
 }
 
-// round says how often the partitions before partition i have gone round the
-// stores of the first placement.
+// round returns the round of the initial round-robin assignment of primaries to
+// stores that partition i belongs to.
 func (p *Placement) round(i int) int { return i / max(1, p.InitialStores) }
 
-// idealReplicas is where partition i belongs if all active stores are
-// available, the primary first. The backups are as near as the redundancy
-// permits, since traffic between zones and regions is expensive. Where no store
-// permits it, the nearest one is chosen.
+// idealReplicas returns the stores that should hold partition i if all active
+// stores are available, primary first. The backups are as near as the redundancy
+// permits, since traffic between zones and regions is expensive. If no store
+// satisfies the redundancy, the nearest one is chosen.
 func (p *Placement) idealReplicas(t *topology, i int, redundancy Redundancy) []string {
 	replicas := make([]string, 0, redundancy.Backups+1)
 	domains := newFailureDomains()
@@ -75,9 +75,9 @@
 	return replicas
 }
 
-// assignPreferredPrimaries gives the partitions of retired stores to others,
-// and a store that was added its even part. All other partitions stay, so that
-// no more data moves than has to.
+// assignPreferredPrimaries moves the preferred primaries of retired stores to
+// active ones, and moves primaries to stores below the target load, such as added
+// ones. All others stay, to move as little data as possible.
 func (p *Placement) assignPreferredPrimaries(t *topology) (changed bool) {
 	if len(t.active) == 0 {
 		return false
@@ -110,17 +110,17 @@
 	return changed
 }
 
-// leastLoadedNear is the active store with the least load; among equals the
-// nearest to a store, then the first by name.
+// leastLoadedNear returns the active store with the least load. Ties are broken by
+// distance from the given store, then by name.
 func (t *topology) leastLoadedNear(from string, load map[string]int) string {
 	return slices.MinFunc(t.active, func(a, b string) int {
 		return cmp.Or(load[a]-load[b], t.distance(from, a)-t.distance(from, b), strings.Compare(a, b))
 	})
 }
 
-// partitionToMove is the partition that a store with less than the even load
-// takes over: one of the most loaded store above it, among equals the nearest.
-// It is -1 if no store is above the even load.
+// partitionToMove returns the partition whose preferred primary should move to a store
+// below the target load: one of the most loaded store, the nearest one on a tie. It
+// returns -1 if no store is above the target load.
 func (p *Placement) partitionToMove(t *topology, to string, load map[string]int, targetLoad int) int {
 	best := -1
 	for i, partition := range p.Partitions {
@@ -140,9 +140,9 @@
 	return best
 }
 
-// assignPreferredBackups chooses the preferred backups again where they are not
-// as near as the redundancy permits, and gives a store that was added its even
-// part of them. All others stay, so that no more data moves than has to.
+// assignPreferredBackups replaces the preferred backups of partitions where they are
+// not as near as the redundancy permits, and moves backups to stores below the target
+// load, such as added ones. All others stay, to move as little data as possible.
 func (p *Placement) assignPreferredBackups(t *topology, redundancy Redundancy) (changed bool) {
 	load := map[string]int{}
 	total := 0
@@ -176,8 +176,8 @@
 	return changed
 }
 
-// hasIdealBackups reports whether the preferred backups are active stores other
-// than the preferred primary, and as good as the ideal ones.
+// hasIdealBackups reports whether the preferred backups are active stores other than
+// the preferred primary, with the same distance profile as the ideal replicas.
 func (p *Partition) hasIdealBackups(t *topology, ideal []string) bool {
 	for _, name := range p.PreferredBackups {
 		if !t.isActive(name) || name == p.PreferredPrimary {
@@ -187,9 +187,9 @@
 	return slices.Equal(t.distanceProfile(p.PreferredPrimary, p.PreferredBackups), t.distanceProfile(ideal[0], ideal[1:]))
 }
 
-// chooseBackups chooses preferred backups in place of those of a partition, and
-// updates the load: for each ideal backup the least loaded store of its zone,
-// which is as good.
+// chooseBackups returns new preferred backups for a partition and updates the load. For
+// each ideal backup it selects the least loaded store of the same zone, which is
+// equivalent in distance and failure domains.
 func (t *topology) chooseBackups(partition *Partition, ideal []string, load map[string]int) []string {
 	for _, name := range partition.PreferredBackups {
 		load[name]--
@@ -211,9 +211,9 @@
 	return backups
 }
 
-// moveBackupTo makes a store with less than the even load a preferred backup
-// in place of the most loaded store of its zone above it. It reports whether
-// there was one.
+// moveBackupTo makes a store below the target load a preferred backup in place of the
+// most loaded store of its zone that is above the target load. It reports whether there
+// was such a store.
 func (p *Placement) moveBackupTo(t *topology, to string, load map[string]int, targetLoad int) bool {
 	from := ""
 	bestPartition, bestIndex := -1, 0
@@ -237,7 +237,7 @@
 	load[from]--
 	load[to]++
 	partition := &p.Partitions[bestPartition]
-	partition.PreferredBackups = slices.Clone(partition.PreferredBackups) // the previous placement has the same list
+	partition.PreferredBackups = slices.Clone(partition.PreferredBackups) // shared with the previous placement
 	partition.PreferredBackups[bestIndex] = to
 	return true
 }
--- a/internal/placement/spans.go
+++ b/internal/placement/spans.go
@@ -5,27 +5,28 @@
 	"slices"
 )
 
-// A message is accepted once it is on the disks of all replicas that its partition has
-// in that epoch. So each replica holds what was accepted while it was one, also if it
-// was never in sync, and after it has left: what a failure takes away from all replicas
-// in sync may still lie on the others together. Until all replicas are in sync again the
-// placement remembers the others, as spans of epochs. (Apache Kafka remembers them as
-// eligible leader replicas, KIP-966; there one replica alone must hold everything.)
-
-// Span says that a store holds all messages that were accepted in some epochs.
+// A message is accepted once all replicas of its partition in that epoch have it on disk.
+// Each replica therefore holds every message that was accepted while it was a replica,
+// even if it was never in sync, and keeps it after it is removed from the replica set.
+// After the loss of all in-sync replicas, the remaining stores may still hold all
+// messages between them. Until all replicas are in sync again, the placement records
+// what each such store holds as spans of epochs. (Compare the eligible leader replicas
+// of Apache Kafka, KIP-966, where a single replica must hold everything.)
+
+// Span states that a store holds all messages that were accepted in a range of epochs.
 type Span struct {
 	Store   string `json:"store"`
-	From    int64  `json:"from"`              // the first epoch; 0: from the first message on
-	Through int64  `json:"through,omitempty"` // the last epoch; 0: the store is a replica still
+	From    int64  `json:"from"`              // first epoch; 0: from the first message on
+	Through int64  `json:"through,omitempty"` // last epoch, inclusive; 0: the store is still a replica
 }
 
-// isOpen reports whether the store is a replica still.
+// isOpen reports whether the store is still a replica.
 func (s Span) isOpen() bool { return s.Through == 0 }
 
-// covers reports whether the span holds what was accepted in an epoch.
+// covers reports whether the span includes an epoch.
 func (s Span) covers(epoch int64) bool { return s.From <= epoch && (s.isOpen() || s.Through >= epoch) }
 
-// completeFrom is the first epoch from which on a replica holds everything that was accepted.
+// completeFrom returns the first epoch from which a replica holds every accepted message.
 func (p *Partition) completeFrom(store string) int64 {
 	if p.IsUpToDate(store) {
 		return 0
@@ -38,8 +39,8 @@
 	return p.Epoch
 }
 
-// lastAcceptedEpoch is the last epoch in which a message may have been accepted, given
-// how many backups that needs.
+// lastAcceptedEpoch returns the last epoch in which a message may have been accepted,
+// given the number of backups that this requires.
 func (p *Partition) lastAcceptedEpoch(neededBackups int) int64 {
 	if len(p.Backups) < neededBackups {
 		return p.Epoch - 1
@@ -47,8 +48,8 @@
 	return p.Epoch
 }
 
-// nextSpans is what is to be remembered once the partition has other replicas, in the
-// epoch after this one.
+// nextSpans returns the spans of the partition once its replicas are those of next, in
+// the epoch after this one.
 func (p *Partition) nextSpans(next *Partition, neededBackups int) []Span {
 	last := p.lastAcceptedEpoch(neededBackups)
 	var spans []Span
@@ -56,7 +57,7 @@
 		if s.isOpen() {
 			continue
 		}
-		if s.Through >= last { // nothing was accepted since
+		if s.Through >= last { // no message has been accepted since the store was removed
 			s.Through = p.Epoch
 		}
 		spans = append(spans, s)
@@ -76,7 +77,7 @@
 	return spans
 }
 
-// stores lists the primary and the backups.
+// stores returns the primary followed by the backups.
 func (p *Partition) stores() []string {
 	stores := []string{p.Primary}
 	for _, backup := range p.Backups {
@@ -85,8 +86,9 @@
 	return stores
 }
 
-// pruneSpans forgets what need not be remembered: all spans once the primary and enough
-// backups hold everything, else those of replicas that do.
+// pruneSpans merges the spans and removes those that are no longer needed: all of them
+// once the primary and enough backups hold every message, otherwise those of replicas
+// that do. It reports whether the number of spans changed.
 func (p *Partition) pruneSpans(neededBackups int) (changed bool) {
 	before := len(p.Spans)
 	if p.InSync(neededBackups) {
@@ -102,8 +104,8 @@
 	return len(p.Spans) != before
 }
 
-// mergeSpans returns the spans in order, those of one store that overlap or follow one
-// another as one.
+// mergeSpans returns the spans sorted by store and first epoch, with overlapping and
+// adjacent spans of the same store merged.
 func mergeSpans(spans []Span) []Span {
 	sorted := slices.SortedFunc(slices.Values(spans), func(a, b Span) int {
 		return cmp.Or(cmp.Compare(a.Store, b.Store), cmp.Compare(a.From, b.From))
@@ -122,7 +124,7 @@
 	return merged
 }
 
-// laterThrough is the later of two ends of spans.
+// laterThrough returns the later of two values of Span.Through, where 0 is open-ended.
 func laterThrough(a, b int64) int64 {
 	if a == 0 || b == 0 {
 		return 0
@@ -130,15 +132,16 @@
 	return max(a, b)
 }
 
-// removeLostSpans removes the spans of a store whose disk is lost.
+// removeLostSpans removes the spans of former replicas whose disk is lost.
 func (p *Partition) removeLostSpans(lost func(store string) bool) (changed bool) {
 	before := len(p.Spans)
 	p.Spans = slices.DeleteFunc(p.Spans, func(s Span) bool { return !s.isOpen() && lost(s.Store) })
 	return len(p.Spans) != before
 }
 
-// coveringStores chooses, among the usable stores, replicas and former ones that together hold
-// everything that was accepted, in the order of the epochs. It is nil if there are none.
+// coveringStores selects usable current and former replicas that together hold every
+// accepted message, ordered by the epochs that they contribute. It returns nil if no
+// such set exists.
 func (p *Partition) coveringStores(usable func(store string) bool, neededBackups int) []string {
 	var candidates []Span
 	for _, store := range p.stores() {
@@ -164,8 +167,8 @@
 	return chosen
 }
 
-// longestSpanCovering is the index of the span that covers an epoch and most of those after it,
-// or -1.
+// longestSpanCovering returns the index of the span that covers an epoch and extends
+// furthest beyond it, or -1 if none covers it.
 func longestSpanCovering(spans []Span, epoch int64) int {
 	best := -1
 	for i, s := range spans {
@@ -178,9 +181,9 @@
 	return best
 }
 
-// MarkInSync notes that a replica holds everything that was accepted: a backup that is
-// in sync, or the primary that has taken it from its sources. It reports whether that
-// was not known.
+// MarkInSync records that a replica holds every accepted message: a backup that has
+// become in sync, or a primary that has copied the records of its sources. It reports
+// whether this changed the partition.
 func (p *Partition) MarkInSync(store string) bool {
 	at := p.BackupIndex(store)
 	switch {
@@ -190,6 +193,6 @@
 	default:
 		return false
 	}
-	p.Sources = nil // a backup is in sync with a complete primary only
+	p.Sources = nil // a backup can be in sync only with a primary that holds everything
 	return true
 }
--- a/internal/placement/topology.go
+++ b/internal/placement/topology.go
@@ -6,35 +6,34 @@
 	"sort"
 )
 
-// Distances between two stores. Traffic costs more with each step.
+// Distance classes of two stores, in order of increasing traffic cost.
 const (
 	sameZone = iota
 	sameRegion
 	otherRegion
 )
 
-// topology is the failure domains of a placement: its stores by zone and
-// region, and for a store the others by their distance. It is valid for as long
-// as no store is added or retired.
+// topology indexes the stores of a placement by zone, region and distance from one
+// another. It is valid as long as no store is added or retired.
 type topology struct {
-	active    []string         // the stores that are not retired, available or not, by zone and name
+	active    []string         // stores that are not retired, available or not, sorted by zone and name
 	stores    map[string]Store // all stores of the placement
 	neighbors map[string]*neighbors
 }
 
-// neighbors is the active stores other than one, grouped by their distance from it.
+// neighbors holds the other active stores, grouped by their distance from one store.
 type neighbors struct {
-	index        int // of the store itself among the active ones
-	zone, region []string
-	otherRegions []string            // in the order in which they are met
-	byRegion     map[string][]string // the stores of the other regions
+	index        int                 // of the store itself in topology.active
+	zone, region []string            // stores of the same zone, and of other zones of the same region
+	otherRegions []string            // names of the other regions, in the order of topology.active
+	byRegion     map[string][]string // stores of the other regions
 }
 
 func newTopology(stores map[string]Store) *topology {
 	return &topology{active: activeStores(stores), stores: stores, neighbors: map[string]*neighbors{}}
 }
 
-// activeStores lists the stores that are not retired by zone and name.
+// activeStores returns the stores that are not retired, sorted by zone and name.
 func activeStores(stores map[string]Store) []string {
 	var names []string
 	for name, store := range stores {
@@ -55,7 +54,7 @@
 	return known && store.RetireState == ""
 }
 
-// distance is sameZone, sameRegion or otherRegion.
+// distance returns sameZone, sameRegion or otherRegion.
 func (t *topology) distance(a, b string) int {
 	x, y := t.stores[a], t.stores[b]
 	switch {
@@ -67,10 +66,10 @@
 	return otherRegion
 }
 
-// distanceProfile describes a replica set independent of the names of its
-// stores: the distances of the backups from the primary in rising order, then
-// the number of zones and of regions. Replica sets of the same profile survive
-// the same failures at the same cost.
+// distanceProfile describes a replica set independently of the names of its stores:
+// the distances of the backups from the primary in ascending order, then the number of
+// zones and of regions. Replica sets with equal profiles tolerate the same failures at
+// the same traffic cost.
 func (t *topology) distanceProfile(primary string, backups []string) []int {
 	profile := make([]int, 0, len(backups)+2)
 	domains := newFailureDomains().with(t.stores[primary])
@@ -82,9 +81,9 @@
 	return append(profile, len(domains.zones), len(domains.regions))
 }
 
-// neighborsOf groups the other stores around one. The groups are computed once
-// for each store that is a preferred primary. There must be an active store; one
-// that is not active has the neighbors of the first.
+// neighborsOf returns the neighbors of a store, which it computes on first use. There
+// must be an active store; a store that is not active has the neighbors of the first
+// active one.
 func (t *topology) neighborsOf(name string) *neighbors {
 	if known := t.neighbors[name]; known != nil {
 		return known
@@ -114,10 +113,10 @@
 	n.byRegion[region] = append(n.byRegion[region], name)
 }
 
-// storesByDistance yields the active stores in the order in which a partition prefers
-// them: its preferred primary, then the others by distance. Those equally far
-// are rotated, so that partitions of one primary get different backups: round
-// says how often the partitions have gone round all stores before this one.
+// storesByDistance yields the active stores in a partition's order of preference: its
+// preferred primary, then the others by distance. Stores at the same distance are
+// rotated by the round of the partition (see Placement.round), so that the partitions
+// of one primary get different backups.
 func (t *topology) storesByDistance(preferredPrimary string, round int) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		if len(t.active) == 0 {
@@ -134,8 +133,8 @@
 	}
 }
 
-// rotate yields each element of a list once, beginning at index start modulo
-// its length. It reports whether to go on.
+// rotate yields each element of a list once, beginning at index start modulo its
+// length. It reports whether the iteration should continue.
 func rotate(list []string, start int, yield func(string) bool) bool {
 	for i := range list {
 		if !yield(list[(start+i)%len(list)]) {
@@ -145,19 +144,19 @@
 	return true
 }
 
-// failureDomains is the zones and regions that hold a replica.
+// failureDomains is the set of zones and regions that hold a replica.
 type failureDomains struct {
 	zones, regions []string
 }
 
-// newFailureDomains has room for the usual number of replicas, so that it need
-// not allocate.
+// newFailureDomains preallocates for the usual number of replicas, so that adding
+// them does not allocate.
 func newFailureDomains() failureDomains {
 	return failureDomains{zones: make([]string, 0, 8), regions: make([]string, 0, 8)}
 }
 
-// with returns the domains once a store holds a replica too. It may reuse the
-// lists, as append does.
+// with returns the failure domains including those of a store. Like append, it may
+// reuse the underlying arrays.
 func (d failureDomains) with(store Store) failureDomains {
 	if !slices.Contains(d.zones, store.Zone) {
 		d.zones = append(d.zones, store.Zone)
@@ -168,10 +167,10 @@
 	return d
 }
 
-// permits reports whether the redundancy can still be reached if the next of
-// the remaining replicas is on that store. To survive the loss of n zones, the
-// replicas need n+1 of them; once the zones that are still needed are as many
-// as the remaining replicas, each has to be in a new zone. So for regions.
+// permits reports whether the redundancy can still be met if the next of the remaining
+// replicas is placed on the given store. To survive the loss of n zones, the replicas
+// must span n+1 zones: once as many zones are missing as replicas remain, each of these
+// has to be in a new zone. The same holds for regions.
 func (d failureDomains) permits(store Store, remaining int, redundancy Redundancy) bool {
 	needsNewRegion := redundancy.Regions+1-len(d.regions) >= remaining
 	if needsNewRegion && slices.Contains(d.regions, store.Region) {
