--- a/internal/placement/encoding.go
+++ b/internal/placement/encoding.go
@@ -168,7 +168,7 @@
 	epoch, stores, _ := strings.Cut(text, " ")
 	preferred, current, ok := strings.Cut(stores, " ")
 	if !ok {
-		return p, fmt.Errorf("%q has not three fields", text)
+		return p, fmt.Errorf("%q does not have three fields", text)
 	}
 	if p.Epoch, err = strconv.ParseInt(epoch, 10, 64); err != nil {
 		return p, fmt.Errorf("epoch: %w", err)
@@ -215,7 +215,7 @@
 		fields := strings.Split(entry, " ")
 		i, err := strconv.Atoi(fields[0])
 		if err != nil || i < 0 || i >= len(partitions) || len(fields) != 3 {
-			return fmt.Errorf("decode spans: %q is not of a partition", entry)
+			return fmt.Errorf("decode spans: malformed entry or unknown partition in %q", entry)
 		}
 		if err := d.spans(&partitions[i], fields[1], fields[2]); err != nil {
 			return fmt.Errorf("decode spans of partition %d: %w", i, err)
@@ -263,7 +263,7 @@
 func (d *decoder) store(number string) (string, error) {
 	n, err := strconv.Atoi(number)
 	if err != nil || n < 0 || n >= len(d.names) {
-		return "", fmt.Errorf("no store has the number %q, there are %d", number, len(d.names))
+		return "", fmt.Errorf("store number %q out of range: %d stores", number, len(d.names))
 	}
 	return d.names[n], nil
 }
