--- a/internal/placement/encoding_test.go
+++ b/internal/placement/encoding_test.go
@@ -9,8 +9,8 @@
 	"saltreel/internal/membership"
 )
 
-// Every node reads every placement, so the compact form must hold the same in a
-// fraction of the bytes; what earlier versions wrote is still read.
+// Every node decodes every placement, so the compact form must hold the same data in
+// less than a third of the size. The form of earlier versions must still be decoded.
 func TestCompactEncodingRoundTrip(t *testing.T) {
 	stores := map[string]StoreStatus{}
 	for i := range 60 {
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	if len(compact)*3 > len(readable) {
-		t.Errorf("the compact form has %d bytes, the readable one %d", len(compact), len(readable))
+		t.Errorf("compact form has %d bytes, readable form %d", len(compact), len(readable))
 	}
 	for form, raw := range map[string][]byte{"compact": compact, "earlier": readable} {
 		var got Placement
@@ -72,10 +72,10 @@
 	} {
 		got := Placement{Version: 7}
 		if err := json.Unmarshal([]byte(raw), &got); err == nil {
-			t.Errorf("%s is read as %+v", raw, got)
+			t.Errorf("%s decoded without error as %+v", raw, got)
 		}
 		if got.Version != 7 || got.Partitions != nil {
-			t.Errorf("%s: the error changes the placement to %+v", raw, got)
+			t.Errorf("%s: failed decoding changed the placement to %+v", raw, got)
 		}
 	}
 }
--- a/internal/placement/helpers_test.go
+++ b/internal/placement/helpers_test.go
@@ -13,7 +13,7 @@
 	twoBackups = Redundancy{Backups: 2}
 )
 
-// storeIn is an available store with a disk of its own.
+// storeIn returns an available store with a disk of its own.
 func storeIn(name, zone, region string) StoreStatus {
 	return StoreStatus{
 		Node:  membership.Node{Name: name, Role: "store", Address: name + ":1", Zone: zone, Region: region, Disk: "disk-" + name},
@@ -21,7 +21,7 @@
 	}
 }
 
-// storesInSeparateZones is available stores, each in a zone of its own name.
+// storesInSeparateZones returns available stores, each in a zone named after it.
 func storesInSeparateZones(names ...string) map[string]StoreStatus {
 	stores := map[string]StoreStatus{}
 	for _, name := range names {
@@ -30,7 +30,7 @@
 	return stores
 }
 
-// storesInSixZones is available stores in six zones of three regions.
+// storesInSixZones returns available stores in six zones of three regions.
 func storesInSixZones(perZone int) map[string]StoreStatus {
 	stores := map[string]StoreStatus{}
 	for zone := range 6 {
@@ -46,14 +46,13 @@
 	stores[name] = storeIn(name, fmt.Sprint("z", zone), fmt.Sprint("r", zone/2))
 }
 
-// setStatus changes the status of one store.
 func setStatus(stores map[string]StoreStatus, name string, change func(*StoreStatus)) {
 	status := stores[name]
 	change(&status)
 	stores[name] = status
 }
 
-// testingT is a test, or one check of a property.
+// testingT is implemented by *testing.T, *testing.B and *rapid.T.
 type testingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
@@ -64,8 +63,8 @@
 	_ testingT = (*testing.B)(nil)
 )
 
-// converge plans until nothing changes. Primaries that are asked to stop do so,
-// and between two plans backups become in sync. Each step is checked.
+// converge calls Plan until the placement no longer changes, and checks each step.
+// Primaries that are asked to stop do so, and replicas become in sync between plans.
 func converge(t testingT, p Placement, stores map[string]StoreStatus, redundancy Redundancy, observe func(before, after Placement)) Placement {
 	t.Helper()
 	for range 200 {
@@ -86,12 +85,12 @@
 		}
 		p = replicate(next, stores)
 	}
-	t.Fatalf("the placement does not converge")
+	t.Fatalf("placement did not converge")
 	return p
 }
 
-// replicate returns the placement once each primary that can has taken what it lacks from
-// its sources, and each backup that can has become in sync.
+// replicate returns the placement after every primary that can has copied the records of
+// its sources, and every backup that can has become in sync.
 func replicate(p Placement, stores map[string]StoreStatus) Placement {
 	p = p.Clone()
 	for i := range p.Partitions {
@@ -109,19 +108,19 @@
 	return p
 }
 
-// canReplicate reports whether the primary of a partition runs, and all its sources do.
+// canReplicate reports whether the primary of a partition and all its sources are available.
 func canReplicate(p Placement, stores map[string]StoreStatus, partition Partition) bool {
 	needed := append([]string{partition.Primary}, partition.Sources...)
 	return !slices.ContainsFunc(needed, func(name string) bool { return !isAvailable(p, stores, name) })
 }
 
-// isAvailable reports whether a store is alive with the disk that the placement knows.
+// isAvailable reports whether a store is alive and has the disk that the placement records.
 func isAvailable(p Placement, stores map[string]StoreStatus, name string) bool {
 	status, known := stores[name]
 	return known && status.Alive && status.Disk == p.Stores[name].Disk
 }
 
-// checkStep checks the safety rules of one step.
+// checkStep checks the safety invariants of one step.
 func checkStep(t testingT, before, after Placement, stores map[string]StoreStatus, stoppedEpochs map[int]int64, redundancy Redundancy) {
 	t.Helper()
 	available := func(name string) bool {
@@ -131,19 +130,19 @@
 		was := before.Partitions[i]
 		changed := now.Primary != was.Primary || !slices.Equal(now.Sources, was.Sources) || !slices.Equal(backupNames(now), backupNames(was))
 		if changed != (now.Epoch > was.Epoch) {
-			t.Fatalf("partition %d: the epoch does not follow the change from %+v to %+v", i, was, now)
+			t.Fatalf("partition %d: epoch must increase exactly when the replicas change: %+v to %+v", i, was, now)
 		}
 		if at := was.BackupIndex(now.Primary); now.Primary != was.Primary && (at < 0 || !was.Backups[at].InSync) && len(now.Sources) == 0 {
-			t.Fatalf("partition %d: a replica not in sync becomes primary: %+v to %+v", i, was, now)
+			t.Fatalf("partition %d: a replica that is not in sync becomes primary: %+v to %+v", i, was, now)
 		}
 		if len(now.Sources) > 0 && now.Primary != was.Primary {
 			checkTakeover(t, i, was, now, before, stores)
 		}
 		if now.Primary != was.Primary && available(was.Primary) && stoppedEpochs[i] != was.Epoch {
-			t.Fatalf("partition %d: the primary has not stopped: %+v to %+v", i, was, now)
+			t.Fatalf("partition %d: an available primary is replaced before it has stopped: %+v to %+v", i, was, now)
 		}
 		if had, has := inSyncReplicas(was, available), inSyncReplicas(now, available); has < had && has < redundancy.Backups+1 {
-			t.Fatalf("partition %d: %d replicas in sync, then %d: %+v to %+v", i, had, has, was, now)
+			t.Fatalf("partition %d: the number of in-sync replicas falls from %d to %d: %+v to %+v", i, had, has, was, now)
 		}
 		if names := append(backupNames(now), now.Primary); hasDuplicate(names) {
 			t.Fatalf("partition %d: a store holds two replicas: %+v", i, now)
@@ -151,13 +150,13 @@
 	}
 }
 
-// checkTakeover checks the step to a primary that lacks records: no replica in sync is
-// left, its sources are available, and nobody delivers beside it. (That it has everything
-// with its sources is checked on modelled disks, in disks.check.)
+// checkTakeover checks a step to a primary that may lack records: no in-sync replica is
+// left, its sources are available, and no other primary can deliver at the same time.
+// (diskModel.check checks that it holds everything together with its sources.)
 func checkTakeover(t testingT, i int, was, now Partition, before Placement, stores map[string]StoreStatus) {
 	t.Helper()
 	if inSyncReplicas(was, func(name string) bool { return isAvailable(before, stores, name) }) > 0 {
-		t.Fatalf("partition %d: a replica not in sync becomes primary beside one that is: %+v to %+v", i, was, now)
+		t.Fatalf("partition %d: a replica that is not in sync becomes primary although another one is in sync: %+v to %+v", i, was, now)
 	}
 	for _, source := range now.Sources {
 		if !isAvailable(before, stores, source) {
@@ -166,11 +165,11 @@
 	}
 	status := stores[was.Primary]
 	if diskLost := status.Disk != "" && status.Disk != before.Stores[was.Primary].Disk; !diskLost && was.BackupIndex(now.Primary) < 0 {
-		t.Fatalf("partition %d: the former primary may run, and the successor granted it no lease: %+v to %+v", i, was, now)
+		t.Fatalf("partition %d: the former primary may still be running, and the successor did not grant it a lease: %+v to %+v", i, was, now)
 	}
 }
 
-// inSyncReplicas counts the replicas on available stores that are in sync.
+// inSyncReplicas returns the number of in-sync replicas on available stores.
 func inSyncReplicas(p Partition, available func(string) bool) int {
 	count := 0
 	for _, replica := range append([]Backup{{p.Primary, len(p.Sources) == 0}}, p.Backups...) {
@@ -189,7 +188,7 @@
 	return names
 }
 
-// replicaStores is the primary and the backups.
+// replicaStores returns the primary followed by the backups.
 func replicaStores(p Partition) []string { return append([]string{p.Primary}, backupNames(p)...) }
 
 func hasDuplicate(names []string) bool {
--- a/internal/placement/placement_bench_test.go
+++ b/internal/placement/placement_bench_test.go
@@ -9,7 +9,7 @@
 	"saltreel/internal/membership"
 )
 
-// benchmarkStores is n stores in nine zones of three regions, all available.
+// benchmarkStores returns n available stores in nine zones of three regions.
 func benchmarkStores(n int) map[string]StoreStatus {
 	stores := map[string]StoreStatus{}
 	for i := range n {
@@ -51,7 +51,7 @@
 	}
 }
 
-// BenchmarkPlan is one plan when nothing changed, and one when a store is lost.
+// BenchmarkPlan measures a plan without any change and a plan after the loss of a store.
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range storeSizes {
 		stores := benchmarkStores(n)
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -48,7 +48,7 @@
 	next, _, _ := Plan(p, stores, nil, oneBackup)
 	for i, partition := range next.Partitions {
 		if p.Partitions[i].Primary == "a" && partition.Primary != "a" {
-			t.Errorf("partition %d is led by a backup that was not in sync: %+v", i, partition)
+			t.Errorf("partition %d: a backup that was not in sync became primary: %+v", i, partition)
 		}
 	}
 }
@@ -57,24 +57,24 @@
 	stores := storesInSeparateZones("a", "b", "c")
 	p := Initial(stores, oneBackup)
 	setStatus(stores, "a", func(s *StoreStatus) { s.Draining = true })
-	led := slices.IndexFunc(p.Partitions, func(x Partition) bool { return x.Primary == "a" })
+	partition := slices.IndexFunc(p.Partitions, func(x Partition) bool { return x.Primary == "a" })
 	const epoch = 5
-	p.Partitions[led].Epoch = epoch
+	p.Partitions[partition].Epoch = epoch
 	for _, c := range []struct {
 		name          string
 		stoppedEpochs map[int]int64
 		stays         bool
 	}{
 		{"not asked yet", nil, true},
-		{"stopped in an earlier epoch", map[int]int64{led: epoch - 1}, true},
-		{"stopped in this epoch", map[int]int64{led: epoch}, false},
+		{"stopped in an earlier epoch", map[int]int64{partition: epoch - 1}, true},
+		{"stopped in this epoch", map[int]int64{partition: epoch}, false},
 	} {
 		next, handovers, _ := Plan(p, stores, c.stoppedEpochs, oneBackup)
-		if stays := next.Partitions[led].Primary == "a"; stays != c.stays {
-			t.Errorf("%s: the primary stays is %v", c.name, stays)
+		if stays := next.Partitions[partition].Primary == "a"; stays != c.stays {
+			t.Errorf("%s: primary kept: %v", c.name, stays)
 		}
-		if asked := slices.Contains(handovers, led); asked != c.stays {
-			t.Errorf("%s: a handover is asked for is %v", c.name, asked)
+		if asked := slices.Contains(handovers, partition); asked != c.stays {
+			t.Errorf("%s: handover requested: %v", c.name, asked)
 		}
 	}
 }
@@ -86,12 +86,12 @@
 	next := converge(t, p, stores, oneBackup, func(before, after Placement) {
 		for i, partition := range after.Partitions {
 			if partition.Primary == "a" && before.Partitions[i].Primary != "a" && after.Stores["a"].Disk != "disk-new" {
-				t.Errorf("partition %d is led by the lost disk", i)
+				t.Errorf("partition %d: the store became primary while the placement records its lost disk", i)
 			}
 		}
 	})
 	if next.Stores["a"].Disk != "disk-new" || !IsReplicaOrSource(next, "a") {
-		t.Errorf("the new disk is not used: %+v", next.Stores["a"])
+		t.Errorf("new disk is not used: %+v", next.Stores["a"])
 	}
 }
 
@@ -121,15 +121,15 @@
 	}
 }
 
-// The cost of a plan follows the number of partitions: ten times the stores must
-// not cost a hundred times as much.
+// The cost of a plan must be linear in the number of partitions: ten times as many
+// stores may cost at most twenty times as many allocations.
 func TestPlanCostIsLinearInPartitions(t *testing.T) {
 	cost := func(perZone int) float64 {
 		stores := storesInSixZones(perZone)
 		p := Initial(stores, twoBackups)
 		return testing.AllocsPerRun(3, func() {
 			if _, _, changed := Plan(p, stores, nil, twoBackups); changed {
-				t.Error("a placement that is as desired is changed")
+				t.Error("a placement in its desired state is changed")
 			}
 		})
 	}
@@ -157,7 +157,7 @@
 			}
 			targetLoad := 3 * len(q.Partitions) / len(stores)
 			if moved > 3*targetLoad || held["s1-99"] < targetLoad/2 || held["s4-10"] < targetLoad/2 {
-				t.Errorf("%d replicas of %d moved; the new stores hold %d and %d, the even part is %d", moved, 3*len(q.Partitions), held["s1-99"], held["s4-10"], targetLoad)
+				t.Errorf("%d replicas of %d moved; the new stores hold %d and %d, the target load is %d", moved, 3*len(q.Partitions), held["s1-99"], held["s4-10"], targetLoad)
 			}
 		})
 	}
--- a/internal/placement/preferred_test.go
+++ b/internal/placement/preferred_test.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// checkDomains checks that each partition has two backups, in so many zones and regions.
+// checkDomains checks that each partition has two backups and spans the given number of
+// zones and regions.
 func checkDomains(t *testing.T, p Placement, stores map[string]StoreStatus, zones, regions int) {
 	t.Helper()
 	for i, partition := range p.Partitions {
@@ -56,7 +57,7 @@
 	}
 }
 
-// checkReplicaLoad checks that every store holds a fair number of replicas.
+// checkReplicaLoad checks that no store holds far more or fewer replicas than the others.
 func checkReplicaLoad(t *testing.T, p Placement, stores map[string]StoreStatus) {
 	t.Helper()
 	held := map[string]int{}
@@ -72,8 +73,8 @@
 	}
 }
 
-// checkReplacedDisks checks that the replicas are restored where they were
-// after two stores get new disks at once.
+// checkReplacedDisks checks that primaries and backups are restored after the disks of
+// two stores are replaced at once, with each primary on its former store.
 func checkReplacedDisks(t *testing.T, p Placement, stores map[string]StoreStatus, redundancy Redundancy) Placement {
 	t.Helper()
 	for _, name := range []string{"s0-0", "s1-2"} {
@@ -88,8 +89,8 @@
 	return q
 }
 
-// checkAddedStore checks that a new store takes its even part of the primaries
-// and no other primary moves.
+// checkAddedStore checks that an added store becomes primary of as many partitions as
+// the target load, and that no other primary moves.
 func checkAddedStore(t *testing.T, p Placement, stores map[string]StoreStatus, redundancy Redundancy) {
 	t.Helper()
 	stores["s99"] = storeIn("s99", "z0", "r0")
@@ -101,6 +102,6 @@
 		}
 	}
 	if !IsReplicaOrSource(q, "s99") || moved != partitionsPerStore-1 {
-		t.Errorf("of %d primaries due to an added store, %d moved", partitionsPerStore-1, moved)
+		t.Errorf("%d primaries moved to the added store, want %d", moved, partitionsPerStore-1)
 	}
 }
--- a/internal/placement/properties_test.go
+++ b/internal/placement/properties_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// cluster is a placement and the stores it is planned for, under random events.
+// cluster is a placement and its stores, subject to random events.
 type cluster struct {
 	redundancy    Redundancy
 	placement     Placement
 	stores        map[string]StoreStatus
 	stoppedEpochs map[int]int64
 	disks         diskModel
-	lostDisks     int // disks, since all partitions were in sync
+	lostDisks     int // disks lost since all partitions were last in sync
 }
 
 func newCluster(t *rapid.T) *cluster {
@@ -39,7 +39,7 @@
 	c.stores[name] = storeIn(name, fmt.Sprint("z", zone), fmt.Sprint("r", zone/2))
 }
 
-// event changes the state of one store, or adds one.
+// event applies a random event to one store, or adds a store.
 func (c *cluster) event(t *rapid.T) {
 	name := rapid.SampledFrom(slices.Sorted(maps.Keys(c.stores))).Draw(t, "store")
 	switch rapid.SampledFrom([]string{"crash", "start", "drain", "replace disk", "retire", "add", "overlap", "none"}).Draw(t, "event") {
@@ -59,7 +59,7 @@
 		}
 	case "add":
 		c.addStore(t)
-	case "overlap": // another disk is lost before what this store held is replicated
+	case "overlap": // another disk is lost before the replicas of this store are restored
 		other := rapid.SampledFrom(slices.Sorted(maps.Keys(c.stores))).Draw(t, "other")
 		setStatus(c.stores, name, func(s *StoreStatus) { s.Alive = false })
 		c.plan(t)
@@ -69,8 +69,7 @@
 	}
 }
 
-// step plans once, and lets some partitions accept a message and some replicas become in
-// sync.
+// step plans once; then, at random, partitions accept messages and replicas become in sync.
 func (c *cluster) step(t *rapid.T) {
 	c.plan(t)
 	if rapid.Bool().Draw(t, "accepts") {
@@ -81,7 +80,7 @@
 	}
 }
 
-// plan plans once, checks the step, and lets some primaries stop.
+// plan plans once, checks the step, and lets a random subset of the primaries stop.
 func (c *cluster) plan(t *rapid.T) {
 	before := c.placement.Clone()
 	next, handovers, changed := Plan(c.placement, c.stores, c.stoppedEpochs, c.redundancy)
@@ -89,7 +88,7 @@
 		t.Fatalf("two plans of the same input differ: %+v and %+v", next, again)
 	}
 	if !equalPlacements(before, c.placement) {
-		t.Fatalf("the input is modified: %+v to %+v", before, c.placement)
+		t.Fatalf("Plan modified its input: %+v to %+v", before, c.placement)
 	}
 	if changed == equalPlacements(before, next) {
 		t.Fatalf("changed is %v from %+v to %+v", changed, before, next)
@@ -104,7 +103,8 @@
 	c.disks.check(t, c.placement, c.stores)
 }
 
-// replicate lets the replicas that can take what they lack, on the modelled disks too.
+// replicate completes all replication that is possible, in the placement and in the disk
+// model.
 func (c *cluster) replicate() {
 	c.disks.replicate(c.placement, c.stores)
 	c.placement = replicate(c.placement, c.stores)
@@ -124,11 +124,12 @@
 	})
 }
 
-// Under any failures no step breaks the safety rules of checkStep, and no primary acts
-// that lacks an accepted message. Once the stores stay available, each partition whose
-// messages are not lost with more disks than may be lost regains its primary and backups,
-// with all messages. Before the placement remembered replicas that had left, partitions
-// whose last replica in sync lost its disk waited for ever, though other disks held all.
+// Under random failures every step satisfies the invariants of checkStep, and no primary
+// acts without all accepted messages. Once all stores stay available, every partition
+// regains its primary and backups with all messages, unless more disks were lost than the
+// redundancy permits. Guards against partitions that stay unavailable for good after the
+// last in-sync replica loses its disk although the other disks together hold every
+// message, as they did while the placement had no spans of former replicas.
 func TestPlanIsSafeUnderRandomFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t)
@@ -136,7 +137,7 @@
 			c.event(t)
 			c.step(t)
 		}
-		// The controller makes the first placement only with enough stores.
+		// The controller proposes the initial placement only once there are enough stores.
 		recoverable := c.lostDisks <= c.redundancy.Backups && c.placement.InitialStores > c.redundancy.Backups
 		for name := range c.stores {
 			setStatus(c.stores, name, func(s *StoreStatus) { s.Alive, s.Draining = true, false })
@@ -150,11 +151,11 @@
 	})
 }
 
-// diskModel is a model of what the diskModel hold: for each disk and partition the epochs of which
-// it has the accepted messages.
+// diskModel models the contents of the disks: for each disk and partition, the epochs
+// whose accepted messages it holds.
 type diskModel map[string]map[int]map[int64]bool
 
-// accepted stands for the disk of the clients: all that was accepted.
+// accepted is the name of a virtual disk that holds every accepted message.
 const accepted = ""
 
 func (d diskModel) put(disk string, partition int, epoch int64) {
@@ -167,14 +168,14 @@
 	d[disk][partition][epoch] = true
 }
 
-// copyTo gives a disk what another one holds of a partition.
+// copyTo copies the messages of a partition from one disk to another.
 func (d diskModel) copyTo(to, from string, partition int) {
 	for epoch := range d[from][partition] {
 		d.put(to, partition, epoch)
 	}
 }
 
-// accept has each partition accept a message that can: all its replicas have it then.
+// accept lets every partition that can accept a message, which all its replicas then hold.
 func (d diskModel) accept(p Placement, stores map[string]StoreStatus, redundancy Redundancy) {
 	for i, partition := range p.Partitions {
 		replicas := replicaStores(partition)
@@ -188,8 +189,8 @@
 	}
 }
 
-// replicate has the primaries that can take what their sources hold, and gives the backups
-// that can what the primary holds.
+// replicate copies the messages of the sources to each primary that can replicate, and
+// those of the primary to its available backups.
 func (d diskModel) replicate(p Placement, stores map[string]StoreStatus) {
 	for i, partition := range p.Partitions {
 		if !canReplicate(p, stores, partition) {
@@ -207,8 +208,8 @@
 	}
 }
 
-// check checks that each primary that is available, with its sources, holds all that was
-// accepted.
+// check checks that each available primary, together with its sources, holds every
+// accepted message.
 func (d diskModel) check(t testingT, p Placement, stores map[string]StoreStatus) {
 	t.Helper()
 	for i, partition := range p.Partitions {
@@ -218,14 +219,14 @@
 		for epoch := range d[accepted][i] {
 			holds := func(name string) bool { return d[p.Stores[name].Disk][i][epoch] }
 			if !slices.ContainsFunc(append([]string{partition.Primary}, partition.Sources...), holds) {
-				t.Fatalf("partition %d: a message that was accepted in epoch %d is missing: %+v", i, epoch, partition)
+				t.Fatalf("partition %d: a message accepted in epoch %d is missing: %+v", i, epoch, partition)
 			}
 		}
 	}
 }
 
-// checkRedundancy checks that the partitions are restored: all of them, if none may be lost
-// with its disks.
+// checkRedundancy checks that all partitions are restored. One with accepted messages may
+// stay unavailable only if recoverable is false.
 func (c *cluster) checkRedundancy(t *rapid.T, recoverable bool) {
 	active := 0
 	for name, store := range c.placement.Stores {
@@ -236,9 +237,9 @@
 	for i, partition := range c.placement.Partitions {
 		if !canReplicate(c.placement, c.stores, partition) {
 			if recoverable && len(c.disks[accepted][i]) > 0 {
-				t.Fatalf("partition %d waits, though no more disks were lost than may be: %+v, %+v", i, partition, c.placement.Stores)
+				t.Fatalf("partition %d is unavailable although no more disks were lost than the redundancy permits: %+v, %+v", i, partition, c.placement.Stores)
 			}
-			continue // what was accepted was on lost disks only
+			continue // some accepted messages were on lost disks only, or there were none
 		}
 		if !partition.InSync(min(c.redundancy.Backups, max(0, active-1))) {
 			t.Fatalf("partition %d is not restored: %+v", i, partition)
--- a/internal/placement/spans_test.go
+++ b/internal/placement/spans_test.go
@@ -7,14 +7,15 @@
 	"testing"
 )
 
-// failureStep is one event of a schedule of losses, after which the next placement is made.
+// failureStep is one event of a failure schedule, followed by one plan.
 type failureStep struct {
 	crash, start, wipe string // names of stores
-	replicates         bool   // what can become in sync does
+	replicates         bool   // whether replicas that can become in sync do so after the plan
 }
 
-// planThroughFailures plans after each step, on stores a to e in zones of their own, for one
-// partition whose replicas are at first those that lead in the order of the names.
+// planThroughFailures plans after each step of a failure schedule for the stores a to e,
+// each in a zone of its own, and one partition that is initially on the first stores by
+// name, with a as its primary.
 func planThroughFailures(t *testing.T, redundancy Redundancy, steps []failureStep) Placement {
 	t.Helper()
 	stores := storesInSeparateZones("a", "b", "c", "d", "e")
@@ -39,8 +40,9 @@
 	return p
 }
 
-// Guards against forgetting what a store holds that has left the replicas: when the disks of
-// all replicas in sync are lost, the others take over together (docs/incidents/overlapping-losses.md).
+// Guards against the loss of messages that only former replicas still hold: when the disks
+// of all in-sync replicas are lost, the new primary has to copy from the remaining stores
+// that together hold everything (docs/incidents/overlapping-losses.md).
 func TestFormerReplicasAreSources(t *testing.T) {
 	for name, c := range map[string]struct {
 		redundancy Redundancy
@@ -48,42 +50,43 @@
 		primary    string
 		sources    []string
 	}{
-		"back before the other disk is lost": {
+		"former replica restarts before the other disk is lost": {
 			oneBackup, []failureStep{{crash: "a"}, {start: "a"}, {wipe: "b"}}, "c", []string{"a"},
 		},
-		"back after the other disk is lost": {
+		"former replica restarts after the other disk is lost": {
 			oneBackup, []failureStep{{crash: "a"}, {wipe: "b"}, {start: "a"}}, "c", []string{"a"},
 		},
-		"a source is lost before it is read: its new disk is none": {
+		"disk of a source is lost before it is read: the new disk is not a source": {
 			oneBackup, []failureStep{{crash: "a"}, {start: "a"}, {wipe: "b"}, {wipe: "a"}, {}, {}}, "c", []string{"a"},
 		},
-		"not back: it waits": {
+		"former replica stays down: partition unavailable": {
 			oneBackup, []failureStep{{crash: "a"}, {wipe: "b"}}, "b", nil,
 		},
-		"three stores hold a part each": {
+		"three stores hold different messages": {
 			oneBackup, []failureStep{{crash: "a"}, {crash: "c"}, {wipe: "b"}, {start: "a"}, {start: "c"}}, "d", []string{"a", "c"},
 		},
-		"its disk is lost as well: it waits": {
+		"disk of the former replica is lost as well: partition unavailable": {
 			oneBackup, []failureStep{{crash: "a"}, {wipe: "a"}, {wipe: "b"}}, "b", nil,
 		},
-		"all are in sync again: it is forgotten": {
+		"all replicas are in sync again: spans are removed": {
 			oneBackup, []failureStep{{crash: "a"}, {replicates: true}, {start: "a"}, {wipe: "b"}}, "c", nil,
 		},
-		"two disks of three replicas": {
+		"disks of two of three replicas are lost": {
 			twoBackups, []failureStep{{crash: "a"}, {crash: "b"}, {wipe: "b"}, {wipe: "c"}, {start: "a"}}, "d", []string{"a"},
 		},
-		"the former primary may run: a backup succeeds, which granted it its lease": {
+		"former primary may still run: a backup that granted it its lease succeeds": {
 			oneBackup, []failureStep{{crash: "a"}, {start: "a"}, {crash: "b"}}, "c", []string{"a"},
 		},
 	} {
 		p := planThroughFailures(t, c.redundancy, c.steps).Partitions[0]
 		if p.Primary != c.primary || !slices.Equal(p.Sources, c.sources) {
-			t.Errorf("%s: %s leads with the sources %v, not %s with %v: %+v", name, p.Primary, p.Sources, c.primary, c.sources, p)
+			t.Errorf("%s: primary %s with sources %v, want %s with %v: %+v", name, p.Primary, p.Sources, c.primary, c.sources, p)
 		}
 	}
 }
 
-// A store that is retired is not given up while it holds what the replicas may lack.
+// The retirement of a store must not complete while it may hold messages that the
+// replicas lack.
 func TestStoreWithSpansIsNotRetired(t *testing.T) {
 	stores := storesInSeparateZones("a", "b", "c")
 	p := Initial(stores, oneBackup)
@@ -93,10 +96,10 @@
 	retired.RetireState = RetireActive
 	p.Stores["a"] = retired
 	if p, _, _ = Plan(p, stores, nil, oneBackup); p.Stores["a"].RetireState != RetireActive {
-		t.Error("it is retired while it alone has copies")
+		t.Error("retirement completed while the store may be the only one with some messages")
 	}
 	if p = converge(t, replicate(p, stores), stores, oneBackup, nil); p.Stores["a"].RetireState != RetireComplete {
-		t.Errorf("it is not retired with all partitions in sync: %+v", p)
+		t.Errorf("retirement not completed with all partitions in sync: %+v", p)
 	}
 }
 
@@ -125,7 +128,7 @@
 			t.Fatal(err)
 		}
 		if json.Unmarshal(raw, &got) == nil {
-			t.Errorf("%q is taken", spans)
+			t.Errorf("malformed spans %q decoded without error", spans)
 		}
 	}
 }
--- a/internal/placement/topology_test.go
+++ b/internal/placement/topology_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// testTopology is two zones in one region and one in another; y2 is retired.
+// testTopology has two zones in one region and one zone in another; y2 is being retired.
 func testTopology() *topology {
 	return newTopology(map[string]Store{
 		"x1": {Zone: "x", Region: "north"},
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestStoresByDistanceRotateAmongEquals(t *testing.T) {
+func TestStoresByDistanceRotateEqualDistances(t *testing.T) {
 	for _, c := range []struct {
 		primary string
 		round   int
@@ -77,7 +77,7 @@
 }
 
 func TestFailureDomainsPermit(t *testing.T) {
-	present := failureDomains{zones: []string{"x"}, regions: []string{"north"}}
+	domains := failureDomains{zones: []string{"x"}, regions: []string{"north"}}
 	for _, c := range []struct {
 		name       string
 		store      Store
@@ -85,7 +85,7 @@
 		redundancy Redundancy
 		permitted  bool
 	}{
-		{"nothing asked", Store{Zone: "x", Region: "north"}, 1, Redundancy{}, true},
+		{"no redundancy required", Store{Zone: "x", Region: "north"}, 1, Redundancy{}, true},
 		{"zone needed, same zone", Store{Zone: "x", Region: "north"}, 1, Redundancy{Zones: 1}, false},
 		{"zone needed, new zone", Store{Zone: "y", Region: "north"}, 1, Redundancy{Zones: 1}, true},
 		{"zone needed later", Store{Zone: "x", Region: "north"}, 2, Redundancy{Zones: 1}, true},
@@ -94,7 +94,7 @@
 		{"region needed, new region", Store{Zone: "z", Region: "south"}, 1, Redundancy{Regions: 1}, true},
 		{"both needed", Store{Zone: "z", Region: "south"}, 1, Redundancy{Zones: 1, Regions: 1}, true},
 	} {
-		if got := present.permits(c.store, c.remaining, c.redundancy); got != c.permitted {
+		if got := domains.permits(c.store, c.remaining, c.redundancy); got != c.permitted {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
