--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,7 +1,7 @@
-// Package controller reassigns partitions: among the cores, the holder of the
-// lease for that role detects failed stores, and proposes the next placement
-// until the partitions lie as they should. A lost lease is harmless: placements
-// are fenced by the term of the lease and by their version.
+// Package controller assigns partitions to stores. The core that holds the
+// controller lease detects failed stores, and proposes placements until the
+// partitions are where they should be. Losing the lease is safe: placements are
+// fenced by the term of the lease and by their version.
 package controller
 
 import (
@@ -16,7 +16,8 @@
 	"saltreel/internal/registry"
 )
 
-// Chain is what the controller needs of the chain of control state.
+// Chain is the part of the replication chain of the control state that the
+// controller uses.
 type Chain interface {
 	Head() string
 	Voters() []string
@@ -24,47 +25,47 @@
 	InContactFor() time.Duration
 }
 
-// Registry is what the controller needs of the registry.
+// Registry is the part of the node registry that the controller uses.
 type Registry interface {
 	Nodes() map[string]registry.NodeStatus
 	OverdueStores(after, before time.Duration) []string
 	Peers() []string
 }
 
-// Proposer brings a placement to the head of the chain.
+// Proposer submits a placement to the head of the chain.
 type Proposer interface {
 	Propose(ctx context.Context, p configstore.Proposal) error
 }
 
-// Caller calls other processes; *rpc.Client is one.
+// Caller makes RPCs to other processes. *rpc.Client implements it.
 type Caller interface {
 	Call(ctx context.Context, address, path string, in any, raw []byte, out any) error
-	// Connect opens a connection for the next call, unless there is one.
+	// Connect opens a connection for the next call unless there is one already.
 	Connect(ctx context.Context, address string) error
 }
 
-// Config is what a Controller is made of. All fields but HostFailures and
-// Redundancy are required.
+// Config holds the dependencies and settings of a Controller. All fields except
+// HostFailures and Redundancy are required.
 type Config struct {
-	Address  string // internal, of this core
+	Address  string // internal address of this core
 	Chain    Chain
 	Registry Registry
 	Proposer Proposer
-	// Placement gives the newest placement that the tail of the chain is known
-	// to hold. It is not changed.
+	// Placement returns the newest placement that the tail of the chain is known to
+	// hold. The controller does not modify it.
 	Placement      func() placement.Placement
 	Client         Caller
 	Grantor        *lease.Grantor // this core's vote on the lease
-	HostFailures   int            // how many machines may be lost at once
+	HostFailures   int            // number of machines that may fail at once
 	Redundancy     placement.Redundancy
 	ContactTimeout time.Duration
 	Log            *log.Logger
-	// Go runs a task in the background, until the process ends at the latest.
+	// Go runs a task in the background. The context ends no later than the process.
 	Go func(task func(ctx context.Context))
 }
 
-// Controller is one core's candidate for the role. Run owns the fields below
-// wake; the others have locks of their own.
+// Controller is the candidate of one core for the controller lease. The fields
+// below wake are confined to Run; the others do their own locking.
 type Controller struct {
 	config    Config
 	timing    timing
@@ -75,11 +76,12 @@
 	wake      chan struct{}
 
 	heldLease     bool
-	checkedAt     time.Time // when the placement was last checked
+	checkedAt     time.Time // time of the last check of the placement
 	initialStores storeCount
 }
 
-// New makes a controller.
+// New creates a controller. It returns an error if a required field of the
+// configuration is missing.
 func New(config Config) (*Controller, error) {
 	switch {
 	case config.Address == "":
@@ -96,7 +98,7 @@
 	return c, nil
 }
 
-// Wake has the placement checked at once, if this core holds the lease.
+// Wake triggers an immediate check of the placement if this core holds the lease.
 func (c *Controller) Wake() {
 	select {
 	case c.wake <- struct{}{}:
@@ -104,7 +106,7 @@
 	}
 }
 
-// Run works until ctx ends.
+// Run runs the controller until ctx is done.
 func (c *Controller) Run(ctx context.Context) {
 	tick := time.NewTicker(c.timing.tickInterval())
 	defer tick.Stop()
@@ -124,7 +126,7 @@
 	}
 }
 
-// step does what is due at a tick, or when the controller was woken.
+// step does the work that is due at a tick or after a call of Wake.
 func (c *Controller) step(ctx context.Context, woken bool) {
 	c.reportOverdueStores(ctx)
 	c.maintainLease(ctx, woken)
@@ -137,7 +139,8 @@
 	c.reassign(ctx, term)
 }
 
-// reassign brings the placement one step further, as the lease holder.
+// reassign proposes the next placement, or else requests the pending handovers. The
+// caller holds the lease for the given term.
 func (c *Controller) reassign(ctx context.Context, term int64) {
 	stores := c.failures.storeStatuses(ctx)
 	current := c.config.Placement()
@@ -157,8 +160,8 @@
 	c.config.Log.Printf("controller: placement %d is in force", next.Version)
 }
 
-// nextPlacement gives the placement to propose, and the partitions whose primary
-// must stop first.
+// nextPlacement returns the placement to propose, and the partitions whose primary
+// must stop before they can be moved.
 func (c *Controller) nextPlacement(current placement.Placement, stores map[string]placement.StoreStatus) (next placement.Placement, pending []int, changed bool) {
 	if current.Version == 0 {
 		c.initialStores.observe(countAlive(stores), time.Now())
@@ -178,8 +181,8 @@
 	return next, pending, changed
 }
 
-// allReplicaStoresReported says whether every store that holds a partition sent a
-// heartbeat.
+// allReplicaStoresReported reports whether every store that holds a replica, or is a
+// source, has sent a heartbeat.
 func allReplicaStoresReported(p placement.Placement, stores map[string]placement.StoreStatus) bool {
 	for name := range p.Stores {
 		if _, ok := stores[name]; !ok && placement.IsReplicaOrSource(p, name) {
@@ -199,10 +202,10 @@
 	return n
 }
 
-// storeCount is the number of stores before the first placement, and since when.
+// storeCount tracks the number of available stores before the initial placement.
 type storeCount struct {
 	count int
-	since time.Time
+	since time.Time // time of the last change
 }
 
 func (s *storeCount) observe(n int, now time.Time) {
@@ -212,7 +215,8 @@
 	}
 }
 
-// isStable says whether there are enough stores, and have been for a while.
+// isStable reports whether there are enough stores and their number has not changed for
+// the given time.
 func (s *storeCount) isStable(needed int, stability time.Duration, now time.Time) bool {
 	return s.count >= needed && now.Sub(s.since) >= stability
 }
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -11,9 +11,9 @@
 	"saltreel/internal/rpc"
 )
 
-// failureDetector knows which stores failed. A store is suspected when its
-// heartbeats are overdue or another process reports it, and failed when it does
-// not answer a probe either; it recovers with its next heartbeat.
+// failureDetector tracks which stores have failed. A store is suspected when its
+// heartbeats are overdue or another process reports it, and is marked as failed when
+// a probe of it fails too. It recovers with its next heartbeat.
 type failureDetector struct {
 	registry     Registry
 	client       Caller
@@ -23,8 +23,8 @@
 	onFailure    func()
 
 	mu          sync.Mutex
-	failedSince map[string]time.Time // when the probe began that was not answered
-	probedSince map[string]time.Time // nodes that are being probed
+	failedSince map[string]time.Time // start time of the failed probe, by node
+	probedSince map[string]time.Time // start time of the probe in progress, by node
 }
 
 func newFailureDetector(config Config, timing timing, onFailure func()) *failureDetector {
@@ -40,8 +40,8 @@
 	}
 }
 
-// storeStatuses lists all stores by name. Those without a heartbeat for long are
-// probed before it returns.
+// storeStatuses returns the status of all stores by name, after probing those whose
+// last heartbeat is older than probeAfter.
 func (d *failureDetector) storeStatuses(ctx context.Context) map[string]placement.StoreStatus {
 	var probes sync.WaitGroup
 	for name, n := range d.registry.Nodes() {
@@ -59,7 +59,7 @@
 	return out
 }
 
-// hasFailed says whether a node has failed and sent no heartbeat since.
+// hasFailed reports whether a node has failed and has not sent a heartbeat since.
 func (d *failureDetector) hasFailed(name string, heartbeatAge time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -72,9 +72,9 @@
 	return failed
 }
 
-// probe asks a suspected node itself whether it runs, and marks it as failed if
-// not. Where more nodes do not answer than may be lost at once, it has time for
-// a second answer: then it is rather this core, or the network, that is slow.
+// probe pings a suspected node and marks it as failed if the ping fails. If more
+// probes are unanswered than machines may fail at once, it pings again with a longer
+// timeout, since this core or the network is then more likely to be slow.
 func (d *failureDetector) probe(ctx context.Context, name string) {
 	n, ok := d.registry.Nodes()[name]
 	if !ok || !d.beginProbe(name) {
@@ -97,12 +97,12 @@
 	d.onFailure()
 }
 
-// maxPingAttempts is how often one probe pings a node where this core notices each time
-// too late that the answer is overdue.
+// maxPingAttempts is the maximum number of pings of a probe whose timeouts all expire
+// late on this core.
 const maxPingAttempts = 3
 
-// ping pings a node until it answers or is seen in time not to. A core that was
-// without the processor when the time-out came says nothing about the node.
+// ping pings a node until it answers or a timeout expires on time. A timeout that
+// expires late shows that this core did not get the CPU, and says nothing about the node.
 func (d *failureDetector) ping(ctx context.Context, address string, timeout time.Duration) error {
 	var err error
 	for range maxPingAttempts {
@@ -115,9 +115,9 @@
 	return err
 }
 
-// pingOnce opens a connection, unless there is one, and pings over it. Each of the two
-// has the whole time: over a slow network, opening a connection takes as long as the
-// call.
+// pingOnce opens a connection, unless there is one, and pings over it. The timeout
+// applies to each of the two steps: over a slow network, opening a connection takes as
+// long as the call. expiredLate reports that the timeout expired late on this core.
 func (d *failureDetector) pingOnce(ctx context.Context, address string, timeout time.Duration) (expiredLate bool, err error) {
 	steps := []func(ctx context.Context) error{
 		func(ctx context.Context) error { return d.client.Connect(ctx, address) },
@@ -135,13 +135,14 @@
 	return false, nil
 }
 
-// isUnanswered says whether a probe ended without anything from the machine:
-// neither an answer nor a refused connection.
+// isUnanswered reports whether a probe ended without any response from the machine,
+// not even a refused connection.
 func isUnanswered(err error) bool {
 	return err != nil && rpc.StatusCode(err) == 0 && !httpwire.ConnectionRefused(err)
 }
 
-// beginProbe is false for a node that is being probed or has failed.
+// beginProbe registers a probe of a node. It returns false if the node is already being
+// probed or has failed.
 func (d *failureDetector) beginProbe(name string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -160,15 +161,16 @@
 	delete(d.probedSince, name)
 }
 
-// isCorrelated says whether more probes are unanswered at once than machines may
-// be lost at once.
+// isCorrelated reports whether more probes are unanswered than machines may fail at
+// once.
 func (d *failureDetector) isCorrelated() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return countUnanswered(d.probedSince, time.Now(), d.timing.unansweredAfter()) > d.hostFailures
 }
 
-// countUnanswered leaves out the probes that only just began.
+// countUnanswered returns the number of probes that have been in progress for longer
+// than the given time.
 func countUnanswered(probedSince map[string]time.Time, now time.Time, after time.Duration) int {
 	n := 0
 	for _, since := range probedSince {
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -8,15 +8,15 @@
 	"saltreel/internal/placement"
 )
 
-// pathHandover is the path of the call by which a primary stops partitions.
+// pathHandover is the path of the RPC that asks a primary to stop partitions.
 const pathHandover = "/handover"
 
-// handovers are the primaries that stop for their successors. The zero value is
-// ready for use.
+// handovers tracks the primaries that stop, or have stopped, to hand over to their
+// successors. The zero value is ready for use.
 type handovers struct {
 	mu         sync.Mutex
 	stopped    map[int]stoppedPartition // by partition
-	inProgress map[string]bool          // stores that are asked to stop partitions
+	inProgress map[string]bool          // stores with a handover request in progress
 }
 
 // stoppedPartition is a partition whose primary has stopped.
@@ -25,8 +25,8 @@
 	stoppedAt time.Time
 }
 
-// stoppedEpochs are the partitions whose primaries have stopped and still wait
-// for their successors, with their epochs.
+// stoppedEpochs returns the partitions whose primaries have stopped within the validity
+// period, and so still wait for their successors, with the epochs in which they stopped.
 func (h *handovers) stoppedEpochs(now time.Time, validity time.Duration) map[int]int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -39,7 +39,8 @@
 	return epochs
 }
 
-// begin is false while a store is being asked already.
+// begin registers a handover request to a store. It returns false if one is already in
+// progress.
 func (h *handovers) begin(store string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -53,7 +54,8 @@
 	return true
 }
 
-// finish notes the partitions that a store has stopped, by epoch.
+// finish ends the handover request to a store and records the partitions that it has
+// stopped, with their epochs.
 func (h *handovers) finish(store string, epochs map[int]int64, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -66,8 +68,8 @@
 	}
 }
 
-// handOver asks the primaries of partitions, in the background, to stop for
-// their successors.
+// handOver asks the primaries of partitions to stop for their successors. The requests
+// run in the background.
 func (c *Controller) handOver(ctx context.Context, current placement.Placement, partitions []int) {
 	for store, epochs := range epochsByPrimary(current, partitions) {
 		if !c.handovers.begin(store) {
@@ -78,7 +80,7 @@
 	}
 }
 
-// epochsByPrimary groups partitions by the store of their primary.
+// epochsByPrimary groups partitions, with their epochs, by the store of their primary.
 func epochsByPrimary(current placement.Placement, partitions []int) map[string]map[int]int64 {
 	out := map[string]map[int]int64{}
 	for _, i := range partitions {
--- a/internal/controller/lease.go
+++ b/internal/controller/lease.go
@@ -7,10 +7,10 @@
 	"saltreel/internal/lease"
 )
 
-// leaseRole is the name of the controller's leaseRole in a lease request.
+// leaseRole is the name of the controller role in a lease request.
 const leaseRole = "steward"
 
-// pathLease is the path of the call that the other cores' grantors answer.
+// pathLease is the path of the lease RPC, which the grantors of the other cores answer.
 const pathLease = "/duty"
 
 func (c *Controller) newLease() *lease.Lease {
@@ -31,7 +31,7 @@
 	return response, err
 }
 
-// maintainLease renews the lease, or tries to acquire a vacant one.
+// maintainLease renews the lease if it is held, or tries to acquire it if it has expired.
 func (c *Controller) maintainLease(ctx context.Context, woken bool) {
 	c.lease.Voters = c.config.Chain.Voters()
 	if c.leaseIsDue(woken) {
@@ -39,10 +39,10 @@
 	}
 }
 
-// leaseIsDue says whether to ask for the lease. The holder renews it in any case:
-// being woken without a break must not cost the lease. A vacant one the head of
-// the chain asks for at once, and the other candidates by chance, so that not
-// all ask at the same moment.
+// leaseIsDue reports whether to request the lease now. The holder renews it whether
+// woken or not, so that frequent calls of Wake do not cost it the lease. If the lease has
+// expired, the head of the chain requests it at the next tick and the other candidates
+// at random ticks, so that they do not all request it at the same time.
 func (c *Controller) leaseIsDue(woken bool) bool {
 	remaining, held := c.lease.Remaining()
 	if held {
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -9,11 +9,11 @@
 	"saltreel/internal/placement"
 )
 
-// ErrNotController says that this core does not hold the lease.
+// ErrNotController is returned by a core that does not hold the controller lease.
 var ErrNotController = errors.New("this core is not the controller")
 
-// StatusCode maps the errors of this package to the status of a call, 0 for
-// other errors.
+// StatusCode returns the HTTP status code for an error of this package, or 0 for other
+// errors.
 func StatusCode(err error) int {
 	if errors.Is(err, ErrNotController) {
 		return http.StatusMisdirectedRequest
@@ -21,11 +21,11 @@
 	return 0
 }
 
-// pathFailureReport is the path of the call that HandleFailureReport answers.
+// pathFailureReport is the path of the RPC that HandleFailureReport handles.
 const pathFailureReport = "/suspect"
 
-// HandleFailureReport probes the node that a report names if this core holds the
-// lease, and answers whether it does.
+// HandleFailureReport probes the reported node if this core holds the lease. The
+// response tells whether it does.
 func (c *Controller) HandleFailureReport(_ context.Context, in *placement.FailureReport, _ []byte) (*placement.FailureReportResponse, error) {
 	_, held := c.lease.Held()
 	if held {
@@ -34,8 +34,8 @@
 	return &placement.FailureReportResponse{Controller: held}, nil
 }
 
-// reportOverdueStores reports the stores whose heartbeats to this core are
-// overdue to all cores, since any may hold the lease.
+// reportOverdueStores reports the stores whose heartbeats to this core are overdue. It
+// reports them to all cores, since any of them may hold the lease.
 func (c *Controller) reportOverdueStores(ctx context.Context) {
 	for _, name := range c.config.Registry.OverdueStores(c.timing.heartbeatOverdueAfter(), c.timing.heartbeatOverdueBefore()) {
 		report := placement.FailureReport{Node: name}
@@ -50,8 +50,8 @@
 	}
 }
 
-// HandleInSyncReport notes reports of backups that hold everything, for the next
-// placement. The error is ErrNotController.
+// HandleInSyncReport records replicas that have become in sync, for the next placement.
+// It returns ErrNotController if this core does not hold the lease.
 func (c *Controller) HandleInSyncReport(_ context.Context, in *placement.InSyncReport, _ []byte) (*struct{}, error) {
 	if _, held := c.lease.Held(); !held {
 		return nil, ErrNotController
@@ -61,9 +61,9 @@
 	return &struct{}{}, nil
 }
 
-// inSyncReports are the replicas that were reported as in sync. They go into the
-// next placement all at once: a change of the placement for each would keep the
-// cores busy. The zero value is ready for use.
+// inSyncReports collects the replicas that were reported as in sync. They are applied to
+// the next placement as one batch, since a new placement for each report would overload
+// the cores. The zero value is ready for use.
 type inSyncReports struct {
 	mu       sync.Mutex
 	reported map[placement.Replica]bool
@@ -80,8 +80,8 @@
 	}
 }
 
-// apply marks the reported replicas in a placement; it says whether that changed
-// the placement.
+// apply marks the reported replicas as in sync in a placement and drops obsolete reports.
+// It reports whether the placement changed.
 func (r *inSyncReports) apply(p *placement.Placement) (changed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,9 +95,9 @@
 	return changed
 }
 
-// markInSync marks one replica in a placement. A report is obsolete once it is in
-// force, or the partition is in a later epoch. One of an epoch that is not yet
-// known here stays for a later placement.
+// markInSync marks one replica as in sync in a placement. A report is obsolete once the
+// placement includes it or the partition has moved on to a later epoch. A report for an
+// epoch that this core has not seen yet is retained for a later placement.
 func markInSync(p *placement.Placement, replica placement.Replica) (marked, obsolete bool) {
 	if replica.Partition >= len(p.Partitions) {
 		return false, true
--- a/internal/controller/timing.go
+++ b/internal/controller/timing.go
@@ -2,64 +2,67 @@
 
 import "time"
 
-// timing derives the durations of the controller from contact-ms, the time
-// within which the system notices that a machine is lost.
+// timing derives the durations of the controller from the contact timeout (the
+// setting contact-ms), the time within which the system detects the loss of a machine.
 type timing struct{ contactTimeout time.Duration }
 
-// tickInterval is how often a core looks after its lease and its heartbeats.
+// tickInterval is the interval at which a core checks its lease and the heartbeats
+// that it receives.
 func (t timing) tickInterval() time.Duration { return t.contactTimeout / 32 }
 
-// placementInterval is how often the lease holder checks the placement when
-// nothing wakes it.
+// placementInterval is the interval at which the lease holder checks the placement
+// without a call of Wake.
 func (t timing) placementInterval() time.Duration { return t.contactTimeout / 20 }
 
-// leaseDuration bounds how long nobody reassigns after the holder is lost.
+// leaseDuration bounds how long no core reassigns partitions after the loss of the
+// lease holder.
 func (t timing) leaseDuration() time.Duration { return t.contactTimeout / 4 }
 
-// renewBelow is the rest of a lease at which the holder renews it: early enough
-// for several attempts.
+// renewBelow is the remaining time of a lease below which the holder renews it. It
+// leaves time for several attempts.
 func (t timing) renewBelow() time.Duration { return t.leaseDuration() * 5 / 8 }
 
-// heartbeatOverdueAfter is how long a store may send no heartbeat to the core
-// that it sends them to before it is reported.
+// heartbeatOverdueAfter is the time without a heartbeat after which a core reports a
+// store that sends its heartbeats to it.
 func (t timing) heartbeatOverdueAfter() time.Duration { return t.contactTimeout / 8 }
 
-// heartbeatOverdueBefore is how long it is reported again: later, it sends its
-// heartbeats to another core, or its loss is known.
+// heartbeatOverdueBefore is the time without a heartbeat up to which the store is
+// reported. After that it sends its heartbeats to another core, or its failure is known.
 func (t timing) heartbeatOverdueBefore() time.Duration { return t.contactTimeout }
 
 // reportTimeout bounds a failure report to another core.
 func (t timing) reportTimeout() time.Duration { return t.contactTimeout / 8 }
 
-// probeAfter is the age of a store's newest heartbeat at which the lease holder
-// probes it without any report.
+// probeAfter is the age of the last heartbeat of a store after which the lease holder
+// probes the store without a failure report.
 func (t timing) probeAfter() time.Duration { return t.contactTimeout / 2 }
 
-// probeTimeout is how long a store that runs may need to answer a probe.
+// probeTimeout is the time within which a running store answers a probe.
 func (t timing) probeTimeout() time.Duration { return t.contactTimeout / 24 }
 
-// timeoutTolerance is by how much a core that runs may notice a time-out late.
+// timeoutTolerance is the delay up to which the expiry of a timeout counts as on time.
+// A longer delay shows that this core did not get the CPU.
 func (t timing) timeoutTolerance(timeout time.Duration) time.Duration { return timeout / 8 }
 
-// unansweredAfter is the part of probeTimeout after which a probe counts as
-// unanswered for the rule of correlated failures: half of it.
+// unansweredAfter is the age from which a probe in progress counts as unanswered in the
+// check for correlated failures: half of probeTimeout.
 func (t timing) unansweredAfter() time.Duration { return t.contactTimeout / 48 }
 
-// correlatedProbeTimeout is how long a store has for a second probe when more
-// are unanswered at once than may be lost.
+// correlatedProbeTimeout is the timeout of the second ping when more probes are
+// unanswered than machines may fail at once.
 func (t timing) correlatedProbeTimeout() time.Duration { return t.contactTimeout / 4 }
 
-// warmup is how long after it came into contact a core waits for heartbeats of
-// all stores that hold partitions.
+// warmup is how long a core that has regained contact waits for the heartbeats of all
+// stores that hold replicas.
 func (t timing) warmup() time.Duration { return t.contactTimeout / 8 }
 
-// initialStability is how long the number of stores must not change before the
-// first placement.
+// initialStability is how long the number of stores must remain unchanged before the
+// initial placement.
 func (t timing) initialStability() time.Duration { return t.contactTimeout / 4 }
 
-// handoverTimeout bounds a handover: the primary finishes what is under way.
+// handoverTimeout bounds a handover, in which the primary completes the work in progress.
 func (t timing) handoverTimeout() time.Duration { return t.contactTimeout }
 
-// stoppedValidity is how long a primary that stopped for a handover waits for
-// its successor before it goes on.
+// stoppedValidity is how long a primary that stopped for a handover waits for its
+// successor before it resumes.
 func (t timing) stoppedValidity() time.Duration { return t.contactTimeout / 8 }
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,8 +1,8 @@
-// Package ring assigns to each node the nodes that watch it: all nodes have a
-// position on a ring by the hash of their name (consistent hashing, Karger et
-// al., STOC 1997), and the next few after a node are its watchers. So every node
-// knows the watchers of every other, and a node that joins or fails changes those
-// of its neighbors only.
+// Package ring selects the watchers of each node by consistent hashing (Karger et
+// al., STOC 1997): all nodes have a position on a ring, given by the hash of their
+// name, and the next few nodes on the ring are the watchers of a node. Every node can
+// therefore compute the watchers of every other one, and a node that joins or fails
+// affects only the watchers of its neighbors.
 package ring
 
 import (
@@ -10,16 +10,16 @@
 	"sort"
 )
 
-// Hash returns the position of a name, which may consist of several parts, on
-// the ring. Programs of different versions must agree on it.
+// Hash returns the position on the ring of a name, which may consist of several parts.
+// It must not change between versions: nodes of different versions must agree on it.
 func Hash(parts ...string) uint64 {
 	h := fnv.New64a()
 	for _, part := range parts {
 		h.Write([]byte(part))
 		h.Write([]byte{0})
 	}
-	// The high bits of FNV hardly differ for short names. This is a step of
-	// the finalizer of MurmurHash3, which mixes the low bits into them.
+	// FNV-1a barely changes the high bits for short inputs. Part of the MurmurHash3
+	// finalizer mixes the low bits into them.
 	x := h.Sum64()
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -27,8 +27,8 @@
 	return x
 }
 
-// Watchers returns the n nodes that follow a node on the ring of all names, or
-// as many as there are. The node itself need not be among them.
+// Watchers returns the n nodes that follow a node on the ring of all names, or all
+// other nodes if there are fewer. The node itself need not be on the ring.
 func Watchers(name string, all []string, n int) []string {
 	order := append([]string(nil), all...)
 	sort.Slice(order, func(i, j int) bool { return Hash(order[i]) < Hash(order[j]) })
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Programs of different versions must agree on the positions.
+// Nodes of different versions must agree on the positions, so they must not change.
 func TestHashIsStable(t *testing.T) {
 	for _, c := range []struct {
 		parts []string
@@ -42,15 +42,15 @@
 		}
 	}
 	if !slices.Equal(all, given) {
-		t.Errorf("the list of names is reordered: %v", all)
+		t.Errorf("Watchers reordered its input: %v", all)
 	}
 	if got := Watchers("node-0", all[:2], 3); !slices.Equal(got, []string{"node-1"}) {
-		t.Errorf("of two nodes, node-0 is watched by %v", got)
+		t.Errorf("two nodes: watchers of node-0 are %v", got)
 	}
 	if got := Watchers("other", all[:1], 3); !slices.Equal(got, []string{"node-0"}) {
-		t.Errorf("a node that is not on the list is watched by %v", got)
+		t.Errorf("watchers of a node that is not on the ring: %v", got)
 	}
 	if got := Watchers("node-0", nil, 3); len(got) != 0 {
-		t.Errorf("without others: %v", got)
+		t.Errorf("empty ring: %v", got)
 	}
 }
