--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -85,12 +85,12 @@
 func New(config Config) (*Controller, error) {
 	switch {
 	case config.Address == "":
-		return nil, errors.New("controller: no address")
+		return nil, errors.New("controller: address not set")
 	case config.ContactTimeout <= 0:
-		return nil, errors.New("controller: the contact timeout is not positive")
+		return nil, errors.New("controller: contact timeout must be positive")
 	case config.Chain == nil || config.Registry == nil || config.Proposer == nil || config.Placement == nil || config.Client == nil ||
 		config.Grantor == nil || config.Log == nil || config.Go == nil:
-		return nil, errors.New("controller: a part is missing")
+		return nil, errors.New("controller: a required field of the configuration is not set")
 	}
 	c := &Controller{config: config, timing: timing{config.ContactTimeout}, wake: make(chan struct{}, 1)}
 	c.lease = c.newLease()
@@ -154,7 +154,7 @@
 	}
 	next.Term = term
 	if err := c.config.Proposer.Propose(ctx, configstore.Proposal{Placement: &next}); err != nil {
-		c.config.Log.Printf("controller: placement %d: %v", next.Version, err)
+		c.config.Log.Printf("controller: proposing placement %d failed: %v", next.Version, err)
 		return
 	}
 	c.config.Log.Printf("controller: placement %d is in force", next.Version)
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -100,7 +100,7 @@
 	err := c.config.Client.Call(ctx, address, pathHandover, placement.HandoverRequest{Partitions: epochs}, nil, &out)
 	c.handovers.finish(store, out.Partitions, time.Now())
 	if err != nil {
-		c.config.Log.Printf("controller: handover of %s: %v", store, err)
+		c.config.Log.Printf("controller: handover request to %s failed: %v", store, err)
 		return
 	}
 	c.Wake()
