--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -19,7 +19,7 @@
 	"saltreel/internal/registry"
 )
 
-// fakeCluster is everything around one controller, the only core.
+// fakeCluster fakes the environment of a controller that runs on the only core.
 type fakeCluster struct {
 	mu         sync.Mutex
 	head       string
@@ -30,7 +30,7 @@
 	placement  placement.Placement
 	proposed   []placement.Placement
 	handleCall func(ctx context.Context, address, path string, in, out any) error
-	connect    func(ctx context.Context) error // nil: at once
+	connect    func(ctx context.Context) error // nil: succeeds immediately
 	calls      map[string]int
 }
 
@@ -87,7 +87,7 @@
 	return f.calls[address+path]
 }
 
-// setStore has a store send its newest heartbeat some time ago.
+// setStore adds or updates a store whose last heartbeat has the given age.
 func (f *fakeCluster) setStore(name string, age time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -96,7 +96,7 @@
 
 const testContactTimeout = 4800 * time.Millisecond
 
-// newTestController makes a controller with a cluster in which all calls succeed.
+// newTestController returns a controller and its cluster, in which all calls succeed.
 func newTestController(t *testing.T) (*Controller, *fakeCluster) {
 	t.Helper()
 	cluster := &fakeCluster{head: "self", contactFor: time.Hour, nodes: map[string]registry.NodeStatus{}, calls: map[string]int{}}
@@ -115,7 +115,7 @@
 func TestNewRefusesAnIncompleteConfig(t *testing.T) {
 	for name, config := range map[string]Config{"no address": {}, "no timeout": {Address: "a"}, "no chain": {Address: "a", ContactTimeout: 1}} {
 		if _, err := New(config); err == nil {
-			t.Errorf("%s: a controller is made", name)
+			t.Errorf("%s: New returned no error", name)
 		}
 	}
 }
@@ -129,17 +129,17 @@
 		cluster.setStore("a", 0)
 		time.Sleep(testContactTimeout)
 		if p := cluster.current(); p.Version != 0 {
-			t.Errorf("with one store there is placement %d", p.Version)
+			t.Errorf("one store: placement %d was proposed", p.Version)
 		}
 		cluster.setStore("b", 0)
 		time.Sleep(testContactTimeout / 8)
 		if p := cluster.current(); p.Version != 0 {
-			t.Errorf("right after the second store there is placement %d", p.Version)
+			t.Errorf("second store just added: placement %d was proposed", p.Version)
 		}
 		time.Sleep(testContactTimeout / 4)
 		p := cluster.current()
 		if p.Version == 0 || p.Term == 0 || len(p.Stores) != 2 {
-			t.Errorf("with two stores there is placement %d of term %d with %d stores", p.Version, p.Term, len(p.Stores))
+			t.Errorf("two stores: placement %d of term %d has %d stores", p.Version, p.Term, len(p.Stores))
 		}
 	})
 }
@@ -156,7 +156,7 @@
 			t.Errorf("without the lease: %+v, %v, %d probes", out, err, cluster.callsTo("a", "/ping"))
 		}
 		if _, err := c.HandleInSyncReport(t.Context(), &placement.InSyncReport{}, nil); !errors.Is(err, ErrNotController) || StatusCode(err) != 421 {
-			t.Errorf("a report of backups in sync without the lease: %v", err)
+			t.Errorf("in-sync report without the lease: %v", err)
 		}
 		c.maintainLease(t.Context(), false)
 		cluster.overdue = []string{"a"}
@@ -166,10 +166,10 @@
 			t.Errorf("calls: %v", cluster.calls)
 		}
 		if _, err := c.HandleInSyncReport(t.Context(), &placement.InSyncReport{}, nil); err != nil {
-			t.Errorf("a report of backups in sync: %v", err)
+			t.Errorf("in-sync report with the lease: %v", err)
 		}
 		if code := StatusCode(errors.New("other")); code != 0 {
-			t.Errorf("another error: %d", code)
+			t.Errorf("status of an unrelated error: %d", code)
 		}
 	})
 }
@@ -178,18 +178,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		c, _ := newTestController(t)
 		if c.leaseIsDue(true) {
-			t.Error("a vacant lease is asked for when woken")
+			t.Error("an expired lease is requested when woken")
 		}
 		if !c.leaseIsDue(false) {
-			t.Error("the head does not ask for a vacant lease")
+			t.Error("the head of the chain does not request an expired lease")
 		}
 		c.maintainLease(t.Context(), false)
 		if _, held := c.lease.Held(); !held || c.leaseIsDue(false) {
-			t.Errorf("held %v, and asked for again at once", held)
+			t.Errorf("after acquisition: held %v, or requested again immediately", held)
 		}
 		time.Sleep(c.timing.leaseDuration() / 2)
 		if _, held := c.lease.Held(); !held || !c.leaseIsDue(true) {
-			t.Errorf("held %v, and not renewed when woken", held)
+			t.Errorf("after half its duration: held %v, or not renewed when woken", held)
 		}
 	})
 }
@@ -234,10 +234,10 @@
 		at           time.Duration
 		want         bool
 	}{
-		"enough for long":       {[]observation{{0, 2}, {time.Second, 2}}, 2 * time.Second, true},
-		"too few":               {[]observation{{0, 1}}, 2 * time.Second, false},
-		"one came just now":     {[]observation{{0, 2}, {time.Second, 3}}, 2 * time.Second, false},
-		"one was lost and back": {[]observation{{0, 2}, {time.Second, 1}, {1500 * time.Millisecond, 2}}, 3 * time.Second, false},
+		"enough and unchanged":     {[]observation{{0, 2}, {time.Second, 2}}, 2 * time.Second, true},
+		"too few":                  {[]observation{{0, 1}}, 2 * time.Second, false},
+		"one was just added":       {[]observation{{0, 2}, {time.Second, 3}}, 2 * time.Second, false},
+		"one failed and recovered": {[]observation{{0, 2}, {time.Second, 1}, {1500 * time.Millisecond, 2}}, 3 * time.Second, false},
 	} {
 		count := storeCount{since: start}
 		for _, o := range c.observations {
@@ -259,9 +259,9 @@
 	}{
 		"in its epoch":      {placement.Replica{Partition: 0, Epoch: 5, Store: "b"}, true, false},
 		"marked before":     {placement.Replica{Partition: 0, Epoch: 5, Store: "c"}, false, true},
-		"no backup":         {placement.Replica{Partition: 0, Epoch: 5, Store: "d"}, false, false},
+		"not a replica":     {placement.Replica{Partition: 0, Epoch: 5, Store: "d"}, false, false},
 		"earlier epoch":     {placement.Replica{Partition: 0, Epoch: 4, Store: "b"}, false, true},
-		"epoch not known":   {placement.Replica{Partition: 0, Epoch: 6, Store: "b"}, false, false},
+		"later epoch":       {placement.Replica{Partition: 0, Epoch: 6, Store: "b"}, false, false},
 		"unknown partition": {placement.Replica{Partition: 1, Epoch: 5, Store: "b"}, false, true},
 	} {
 		next := p.Clone()
@@ -274,7 +274,7 @@
 	reports.add([]placement.Replica{{Partition: 0, Epoch: 5, Store: "b"}, {Partition: 0, Epoch: 4, Store: "b"}})
 	first, second := reports.apply(&p), reports.apply(&p)
 	if !first || second || len(reports.reported) != 0 {
-		t.Errorf("applied: %v, again: %v, left: %v", first, second, reports.reported)
+		t.Errorf("changed by first apply: %v, by second: %v, remaining reports: %v", first, second, reports.reported)
 	}
 }
 
@@ -287,7 +287,7 @@
 	h.finish("a", map[int]int64{7: 3}, start)
 	h.finish("b", nil, start)
 	if !h.begin("a") {
-		t.Error("a store is not asked again after it answered")
+		t.Error("no second handover request to a store after the first has finished")
 	}
 	for age, want := range map[time.Duration]string{0: "map[7:3]", time.Second - 1: "map[7:3]", time.Second: "map[]"} {
 		if got := fmt.Sprint(h.stoppedEpochs(start.Add(age), time.Second)); got != want {
@@ -316,7 +316,7 @@
 		select {
 		case <-c.wake:
 		default:
-			t.Error("the controller is not woken")
+			t.Error("controller was not woken")
 		}
 	})
 }
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -11,7 +11,7 @@
 	"saltreel/internal/rpc"
 )
 
-// answerAfter has all probes answered after a while, or ended by their timeout.
+// answerAfter answers all calls after a delay, unless their context ends before.
 func answerAfter(delay time.Duration) func(context.Context, string, string, any, any) error {
 	return func(ctx context.Context, _, _ string, _, _ any) error {
 		select {
@@ -26,18 +26,18 @@
 func TestProbeDecidesWhetherASuspectedStoreFailed(t *testing.T) {
 	timing := timing{testContactTimeout}
 	for name, c := range map[string]struct {
-		stores int // whose heartbeats are overdue
+		stores int // number of stores with overdue heartbeats
 		answer func(context.Context, string, string, any, any) error
 		failed int
 	}{
-		"answers in time":                     {1, answerAfter(timing.probeTimeout() / 2), 0},
-		"answers late":                        {1, answerAfter(timing.probeTimeout() * 2), 1},
-		"connection refused":                  {1, func(context.Context, string, string, any, any) error { return syscall.ECONNREFUSED }, 1},
-		"answers with an error":               {1, func(context.Context, string, string, any, any) error { return &rpc.StatusError{Code: 503} }, 1},
-		"many late at once have more time":    {4, answerAfter(timing.probeTimeout() * 2), 0},
-		"many that do not answer at all":      {4, answerAfter(time.Hour), 4},
-		"many refuse, which is no slowness":   {4, func(context.Context, string, string, any, any) error { return syscall.ECONNREFUSED }, 4},
-		"as many late as may be lost at once": {1, answerAfter(time.Hour), 1},
+		"answers in time":                   {1, answerAfter(timing.probeTimeout() / 2), 0},
+		"answers late":                      {1, answerAfter(timing.probeTimeout() * 2), 1},
+		"connection refused":                {1, func(context.Context, string, string, any, any) error { return syscall.ECONNREFUSED }, 1},
+		"answers with an error":             {1, func(context.Context, string, string, any, any) error { return &rpc.StatusError{Code: 503} }, 1},
+		"many late at once: longer timeout": {4, answerAfter(timing.probeTimeout() * 2), 0},
+		"many never answer":                 {4, answerAfter(time.Hour), 4},
+		"many refuse: no longer timeout":    {4, func(context.Context, string, string, any, any) error { return syscall.ECONNREFUSED }, 4},
+		"as many late as may fail at once":  {1, answerAfter(time.Hour), 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			controller, cluster := newTestController(t)
@@ -53,13 +53,14 @@
 				}
 			}
 			if failed != c.failed || len(statuses) != c.stores {
-				t.Errorf("%s: %d of %d have failed, not %d", name, failed, len(statuses), c.failed)
+				t.Errorf("%s: %d of %d stores failed, want %d", name, failed, len(statuses), c.failed)
 			}
 		})
 	}
 }
 
-// Over a slow network opening a connection takes as long as the call after it.
+// Over a slow network, opening a connection takes as long as the call that follows, so
+// each must have the whole timeout.
 func TestProbeHasTimeForItsConnection(t *testing.T) {
 	timeout := timing{testContactTimeout}.probeTimeout()
 	for name, c := range map[string]struct {
@@ -82,20 +83,21 @@
 	}
 }
 
-// A core that was without the processor when a probe timed out pings again.
+// A core that did not get the CPU when the timeout of a ping expired must ping again
+// rather than mark the node as failed.
 func TestPingIsRepeatedWhenItsTimeoutExpiresLate(t *testing.T) {
 	timeout := timing{testContactTimeout}.probeTimeout()
 	late, inTime := timeout+timing{testContactTimeout}.timeoutTolerance(timeout), timeout
 	for name, c := range map[string]struct {
-		expirations []time.Duration // after which each ping is seen to be unanswered
+		expirations []time.Duration // time after which the timeout of each unanswered ping expires
 		pings       int
 		failed      bool
 	}{
-		"in time":                       {[]time.Duration{inTime}, 1, true},
-		"late, then answered":           {[]time.Duration{late}, 2, false},
-		"late, then in time":            {[]time.Duration{late, inTime}, 2, true},
-		"late twice, then answered":     {[]time.Duration{late, late}, 3, false},
-		"always late, as with no share": {[]time.Duration{late, late, late, late}, maxPingAttempts, true},
+		"in time":                   {[]time.Duration{inTime}, 1, true},
+		"late, then answered":       {[]time.Duration{late}, 2, false},
+		"late, then in time":        {[]time.Duration{late, inTime}, 2, true},
+		"late twice, then answered": {[]time.Duration{late, late}, 3, false},
+		"always late":               {[]time.Duration{late, late, late, late}, maxPingAttempts, true},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			controller, cluster := newTestController(t)
@@ -123,17 +125,17 @@
 		alive := func() bool { return c.failures.storeStatuses(t.Context())["a"].Alive }
 		cluster.setStore("a", testContactTimeout)
 		if alive() {
-			t.Error("a store that does not answer is alive")
+			t.Error("a store that does not answer counts as alive")
 		}
 		probes := cluster.callsTo("a", "/ping")
 		time.Sleep(time.Second)
 		cluster.setStore("a", testContactTimeout+time.Second)
 		if alive() || cluster.callsTo("a", "/ping") != probes {
-			t.Error("a failed store is probed again, or alive without a heartbeat")
+			t.Error("a failed store is probed again or counts as alive without a new heartbeat")
 		}
 		cluster.setStore("a", 0)
 		if !alive() {
-			t.Error("a store that sent a heartbeat since is not alive")
+			t.Error("a failed store that sent a new heartbeat does not count as alive")
 		}
 	})
 }
