--- a/internal/placement/encoding.go
+++ b/internal/placement/encoding.go
@@ -10,32 +10,33 @@
 	"strings"
 )
 
-// document is a placement as it is sent and stored. Every node reads every
-// placement, so the partitions are in a compact form: each store has a number,
-// first those of Stores in the order of their names, then OtherStores. For each
-// partition, separated by ";", there are the epoch, the preferred stores and
-// the present ones, separated by spaces; the stores are numbers separated by
-// commas, the primary first, and a backup in sync is followed by "+":
+// document is the encoding of a placement on the wire and on disk. Every node decodes
+// every placement, so the partitions have a compact form, in which stores are numbered:
+// first those of Stores in the order of their names, then UnlistedStores. The entries of
+// the partitions are separated by ";". Each has three fields separated by spaces: the
+// epoch, the preferred replicas and the current replicas. Replicas are lists of store
+// numbers separated by commas, primary first; "+" marks an in-sync backup:
 //
 //	7 0,1,2 1,0+,2
 //
-// Spans holds the spans and sources of the partitions that have any, also separated by
-// ";": the number of the partition, the spans as store:from-through, and the sources.
+// Spans has an entry for each partition with spans or sources, also separated by ";":
+// the index of the partition, the spans as store:from-through, and the sources.
 //
 //	12 0:0-6,2:7-0 0
 type document struct {
-	Version       int64            `json:"version"`
-	Term          int64            `json:"term"`
-	InitialStores int              `json:"founders"`
-	Stores        map[string]Store `json:"stores"`
-	OtherStores   []string         `json:"others,omitempty"` // in a partition, but not in Stores any more
-	Compact       string           `json:"places"`
-	Spans         string           `json:"spans,omitempty"`
-	// The partitions as earlier versions wrote them, instead of Compact.
+	Version           int64            `json:"version"`
+	Term              int64            `json:"term"`
+	InitialStores     int              `json:"founders"`
+	Stores            map[string]Store `json:"stores"`
+	UnlistedStores    []string         `json:"others,omitempty"` // referenced by a partition, but no longer in Stores
+	CompactPartitions string           `json:"places"`
+	Spans             string           `json:"spans,omitempty"`
+	// Partitions is the form that earlier versions wrote instead of CompactPartitions.
 	Partitions []Partition `json:"partitions,omitempty"`
 }
 
-// Readable is a placement that is encoded field by field, for the operator.
+// Readable is a placement that is encoded field by field rather than in the compact
+// form, for display to the operator.
 type Readable Placement
 
 // MarshalJSON encodes the placement in the compact form.
@@ -65,18 +66,18 @@
 		spans = appendSpans(spans, i, &p.Partitions[i], numberOf)
 	}
 	return json.Marshal(document{
-		Version:       p.Version,
-		Term:          p.Term,
-		InitialStores: p.InitialStores,
-		Stores:        p.Stores,
-		OtherStores:   others,
-		Compact:       string(compact),
-		Spans:         string(spans),
+		Version:           p.Version,
+		Term:              p.Term,
+		InitialStores:     p.InitialStores,
+		Stores:            p.Stores,
+		UnlistedStores:    others,
+		CompactPartitions: string(compact),
+		Spans:             string(spans),
 	})
 }
 
-// appendPartition appends the compact form of a partition. The numbers of the
-// stores are asked for in the order in which they are written.
+// appendPartition appends the compact form of a partition. It calls numberOf in the
+// order of the output, which determines the numbers of unlisted stores.
 func appendPartition(out []byte, p *Partition, numberOf func(store string) int) []byte {
 	out = strconv.AppendInt(out, p.Epoch, 10)
 	out = appendStore(out, ' ', numberOf(p.PreferredPrimary))
@@ -93,7 +94,7 @@
 	return out
 }
 
-// appendSpans appends the spans and sources of partition i, if it has any.
+// appendSpans appends the entry with the spans and sources of partition i, if it has any.
 func appendSpans(out []byte, i int, p *Partition, numberOf func(store string) int) []byte {
 	if len(p.Spans) == 0 && len(p.Sources) == 0 {
 		return out
@@ -123,17 +124,17 @@
 	return strconv.AppendInt(append(out, separator), int64(number), 10)
 }
 
-// UnmarshalJSON decodes the compact form, and the form of earlier versions. The
-// error of a damaged document leaves the placement unchanged.
+// UnmarshalJSON decodes the compact form as well as the form of earlier versions. On an
+// error the placement is unchanged.
 func (p *Placement) UnmarshalJSON(raw []byte) error {
 	var in document
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return err
 	}
 	out := Placement{Version: in.Version, Term: in.Term, InitialStores: in.InitialStores, Stores: in.Stores, Partitions: in.Partitions}
-	if in.Compact != "" {
-		d := decoder{names: append(slices.Sorted(maps.Keys(in.Stores)), in.OtherStores...)}
-		partitions, err := d.partitions(in.Compact)
+	if in.CompactPartitions != "" {
+		d := decoder{names: append(slices.Sorted(maps.Keys(in.Stores)), in.UnlistedStores...)}
+		partitions, err := d.partitions(in.CompactPartitions)
 		if err != nil {
 			return err
 		}
@@ -146,9 +147,9 @@
 	return nil
 }
 
-// decoder reads partitions in the compact form.
+// decoder decodes partitions from the compact form.
 type decoder struct {
-	names []string // by number
+	names []string // names of the stores by number
 }
 
 func (d *decoder) partitions(compact string) ([]Partition, error) {
@@ -165,21 +166,21 @@
 
 func (d *decoder) partition(text string) (p Partition, err error) {
 	epoch, stores, _ := strings.Cut(text, " ")
-	preferred, present, ok := strings.Cut(stores, " ")
+	preferred, current, ok := strings.Cut(stores, " ")
 	if !ok {
-		return p, fmt.Errorf("%q has not three fields", text)
+		return p, fmt.Errorf("%q does not have three fields", text)
 	}
 	if p.Epoch, err = strconv.ParseInt(epoch, 10, 64); err != nil {
 		return p, fmt.Errorf("epoch: %w", err)
 	}
-	if err := d.preferred(&p, preferred); err != nil {
+	if err := d.preferredReplicas(&p, preferred); err != nil {
 		return p, err
 	}
-	return p, d.present(&p, present)
+	return p, d.currentReplicas(&p, current)
 }
 
-// preferred reads the preferred primary and backups.
-func (d *decoder) preferred(p *Partition, text string) (err error) {
+// preferredReplicas decodes the preferred primary and backups.
+func (d *decoder) preferredReplicas(p *Partition, text string) (err error) {
 	number, rest, more := strings.Cut(text, ",")
 	p.PreferredPrimary, err = d.store(number)
 	for more && err == nil {
@@ -191,8 +192,8 @@
 	return err
 }
 
-// present reads the primary and the backups.
-func (d *decoder) present(p *Partition, text string) (err error) {
+// currentReplicas decodes the primary and the backups.
+func (d *decoder) currentReplicas(p *Partition, text string) (err error) {
 	number, rest, more := strings.Cut(text, ",")
 	p.Primary, err = d.store(number)
 	for more && err == nil {
@@ -205,7 +206,7 @@
 	return err
 }
 
-// allSpans reads the spans and sources of all partitions that have any.
+// allSpans decodes the spans and sources of all partitions that have any.
 func (d *decoder) allSpans(partitions []Partition, text string) error {
 	if text == "" {
 		return nil
@@ -214,7 +215,7 @@
 		fields := strings.Split(entry, " ")
 		i, err := strconv.Atoi(fields[0])
 		if err != nil || i < 0 || i >= len(partitions) || len(fields) != 3 {
-			return fmt.Errorf("decode spans: %q is not of a partition", entry)
+			return fmt.Errorf("decode spans: malformed entry or unknown partition in %q", entry)
 		}
 		if err := d.spans(&partitions[i], fields[1], fields[2]); err != nil {
 			return fmt.Errorf("decode spans of partition %d: %w", i, err)
@@ -223,7 +224,7 @@
 	return nil
 }
 
-// spans reads the spans and the sources of one partition.
+// spans decodes the spans and the sources of one partition.
 func (d *decoder) spans(p *Partition, spans, sources string) error {
 	for text := range splitList(spans) {
 		number, epochs, _ := strings.Cut(text, ":")
@@ -251,7 +252,7 @@
 	return nil
 }
 
-// splitList gives the items of a list that may be empty.
+// splitList yields the items of a comma-separated list that may be empty.
 func splitList(text string) iter.Seq[string] {
 	if text == "" {
 		return func(func(string) bool) {}
@@ -262,7 +263,7 @@
 func (d *decoder) store(number string) (string, error) {
 	n, err := strconv.Atoi(number)
 	if err != nil || n < 0 || n >= len(d.names) {
-		return "", fmt.Errorf("no store has the number %q, there are %d", number, len(d.names))
+		return "", fmt.Errorf("store number %q out of range: %d stores", number, len(d.names))
 	}
 	return d.names[n], nil
 }
--- a/internal/placement/topology_test.go
+++ b/internal/placement/topology_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// testTopology is two zones in one region and one in another; y2 is retired.
+// testTopology has two zones in one region and one zone in another; y2 is being retired.
 func testTopology() *topology {
 	return newTopology(map[string]Store{
 		"x1": {Zone: "x", Region: "north"},
 		"x2": {Zone: "x", Region: "north"},
 		"x3": {Zone: "x", Region: "north"},
 		"y1": {Zone: "y", Region: "north"},
-		"y2": {Zone: "y", Region: "north", Retire: RetireActive},
+		"y2": {Zone: "y", Region: "north", RetireState: RetireActive},
 		"z1": {Zone: "z", Region: "south"},
 		"z2": {Zone: "z", Region: "south"},
 	})
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestNearestOrdersByDistanceAndRotatesEquals(t *testing.T) {
+func TestStoresByDistanceRotateEqualDistances(t *testing.T) {
 	for _, c := range []struct {
 		primary string
 		round   int
@@ -67,17 +67,17 @@
 		{"z1", 1, []string{"z1", "z2", "x2", "x3", "y1", "x1"}},
 		{"unknown", 0, []string{"x1", "x2", "x3", "y1", "z1", "z2"}},
 	} {
-		if got := slices.Collect(testTopology().nearest(c.primary, c.round)); !slices.Equal(got, c.order) {
+		if got := slices.Collect(testTopology().storesByDistance(c.primary, c.round)); !slices.Equal(got, c.order) {
 			t.Errorf("%s in round %d: %v, not %v", c.primary, c.round, got, c.order)
 		}
 	}
-	if got := slices.Collect(newTopology(nil).nearest("x1", 0)); len(got) != 0 {
+	if got := slices.Collect(newTopology(nil).storesByDistance("x1", 0)); len(got) != 0 {
 		t.Errorf("without stores: %v", got)
 	}
 }
 
 func TestFailureDomainsPermit(t *testing.T) {
-	present := failureDomains{zones: []string{"x"}, regions: []string{"north"}}
+	domains := failureDomains{zones: []string{"x"}, regions: []string{"north"}}
 	for _, c := range []struct {
 		name       string
 		store      Store
@@ -85,7 +85,7 @@
 		redundancy Redundancy
 		permitted  bool
 	}{
-		{"nothing asked", Store{Zone: "x", Region: "north"}, 1, Redundancy{}, true},
+		{"no redundancy required", Store{Zone: "x", Region: "north"}, 1, Redundancy{}, true},
 		{"zone needed, same zone", Store{Zone: "x", Region: "north"}, 1, Redundancy{Zones: 1}, false},
 		{"zone needed, new zone", Store{Zone: "y", Region: "north"}, 1, Redundancy{Zones: 1}, true},
 		{"zone needed later", Store{Zone: "x", Region: "north"}, 2, Redundancy{Zones: 1}, true},
@@ -94,7 +94,7 @@
 		{"region needed, new region", Store{Zone: "z", Region: "south"}, 1, Redundancy{Regions: 1}, true},
 		{"both needed", Store{Zone: "z", Region: "south"}, 1, Redundancy{Zones: 1, Regions: 1}, true},
 	} {
-		if got := present.permits(c.store, c.remaining, c.redundancy); got != c.permitted {
+		if got := domains.permits(c.store, c.remaining, c.redundancy); got != c.permitted {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
