--- a/internal/controlplane/heartbeats.go
+++ b/internal/controlplane/heartbeats.go
@@ -71,11 +71,11 @@
 // other core does not answer.
 func (s *Server) heartbeatTarget(in handler.Instance) string {
 	view := s.chain.View()
-	arrived := s.registry.ArrivedAt(in.ID)
+	sessionStart := s.registry.SessionStart(in.ID)
 	candidates := []candidate{{s.address, s.settings.Zone, s.settings.Region}}
 	for _, n := range s.registry.RecentCores() {
 		inView := slices.ContainsFunc(view.Members, func(m chain.Member) bool { return m.Address == n.Address })
-		if inView && n.Age < s.timing.heartbeatTargetRecency() && n.SeenAt.After(arrived) {
+		if inView && n.Age < s.timing.heartbeatTargetRecency() && n.SeenAt.After(sessionStart) {
 			candidates = append(candidates, candidate{n.Address, n.Zone, n.Region})
 		}
 	}
--- a/internal/registry/peers.go
+++ b/internal/registry/peers.go
@@ -46,9 +46,9 @@
 	return out
 }
 
-// ArrivedAt is when an instance began to send its heartbeats to this core.
-func (r *Registry) ArrivedAt(instance string) time.Time {
-	return r.table.arrived(distribution.PrefixInstance + instance)
+// SessionStart is when an instance began to send its heartbeats to this core.
+func (r *Registry) SessionStart(instance string) time.Time {
+	return r.table.sessionStart(distribution.PrefixInstance + instance)
 }
 
 // coreCache is the list of the other cores as it was a moment ago.
--- a/internal/registry/record.go
+++ b/internal/registry/record.go
@@ -19,7 +19,7 @@
 	lastSeen       time.Time       // newest heartbeat that any core received
 	updated        time.Time       // when this core last received a heartbeat or a change, for anti-entropy
 	lastHeartbeat  time.Time       // newest heartbeat that this core received itself
-	arrived        time.Time       // the first of those without a gap before lastHeartbeat
+	sessionStart   time.Time       // the first of those without a gap before lastHeartbeat
 	reportedAt     time.Time       // when this core last reported the heartbeat as overdue
 	confirmedStage stage           // the stage known to be on the disks of a quorum
 
@@ -32,11 +32,11 @@
 // link that was cut may deliver a heartbeat of any of them, however late.
 const maxReplacedIncarnations = 8
 
-// noteHeartbeat notes a heartbeat that this core received itself. After a gap longer
+// recordHeartbeat notes a heartbeat that this core received itself. After a gap longer
 // than expiry the sender counts as arriving here anew.
-func (r *record) noteHeartbeat(now time.Time, expiry time.Duration) {
-	if now.Sub(r.lastHeartbeat) > expiry {
-		r.arrived = now
+func (r *record) recordHeartbeat(now time.Time, sessionTimeout time.Duration) {
+	if now.Sub(r.lastHeartbeat) > sessionTimeout {
+		r.sessionStart = now
 	}
 	r.lastHeartbeat = now
 	r.updated = now
--- a/internal/registry/record_test.go
+++ b/internal/registry/record_test.go
@@ -99,8 +99,8 @@
 	for _, c := range []struct{ at, arrived time.Duration }{
 		{0, 0}, {time.Second, 0}, {2 * time.Second, 0}, {3*time.Second + 1, 3*time.Second + 1}, {4 * time.Second, 3*time.Second + 1},
 	} {
-		r.noteHeartbeat(testStart.Add(c.at), time.Second)
-		if got := r.arrived.Sub(testStart); got != c.arrived {
+		r.recordHeartbeat(testStart.Add(c.at), time.Second)
+		if got := r.sessionStart.Sub(testStart); got != c.arrived {
 			t.Errorf("a heartbeat after %v: arrived after %v, not %v", c.at, got, c.arrived)
 		}
 	}
--- a/internal/registry/table.go
+++ b/internal/registry/table.go
@@ -14,25 +14,25 @@
 // each change to the journal. Each core receives some heartbeats itself and gets
 // the rest from the other cores by anti-entropy.
 type table struct {
-	journal     *journal.Journal
-	staleWindow time.Duration // how long heartbeats of earlier incarnations are ignored
-	arrivalGap  time.Duration // without heartbeats, after which a sender arrives anew
+	journal        *journal.Journal
+	staleWindow    time.Duration // how long heartbeats of earlier incarnations are ignored
+	sessionTimeout time.Duration // without heartbeats, after which a sender arrives anew
 
 	mu      sync.Mutex
 	records map[string]*record
 }
 
-func newTable(events *journal.Journal, staleWindow, arrivalGap time.Duration) *table {
-	return &table{journal: events, staleWindow: staleWindow, arrivalGap: arrivalGap, records: map[string]*record{}}
+func newTable(events *journal.Journal, staleWindow, sessionTimeout time.Duration) *table {
+	return &table{journal: events, staleWindow: staleWindow, sessionTimeout: sessionTimeout, records: map[string]*record{}}
 }
 
-// arrived is when the first of the heartbeats came that an instance sends to this core
+// sessionStart is when the first of the heartbeats came that an instance sends to this core
 // without a gap; the zero time if there is none.
-func (t *table) arrived(key string) time.Time {
+func (t *table) sessionStart(key string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.records[key]; r != nil {
-		return r.arrived
+		return r.sessionStart
 	}
 	return time.Time{}
 }
@@ -70,7 +70,7 @@
 func (t *table) heartbeatLocked(in Entry, now time.Time) bool {
 	changed := t.mergeLocked(in, now)
 	if r := t.records[in.Key]; r != nil {
-		r.noteHeartbeat(now, t.arrivalGap)
+		r.recordHeartbeat(now, t.sessionTimeout)
 	}
 	return changed
 }
