--- a/internal/registry/deregister.go
+++ b/internal/registry/deregister.go
@@ -34,7 +34,7 @@
 // *NoQuorumError; then the instance may be deregistered all the same.
 func (r *Registry) Deregister(ctx context.Context, id string) error {
 	version := journal.Version{Major: majorDeregistered}
-	return r.recordTombstone(ctx, Entry{Key: distribution.PrefixInstance + id, Version: version, Value: deregistered})
+	return r.recordTombstone(ctx, Entry{Key: distribution.PrefixInstance + id, Version: version, Value: nullValue})
 }
 
 // recordTombstone returns nil once a tombstone is on the disks of a quorum.
--- a/internal/registry/entry.go
+++ b/internal/registry/entry.go
@@ -43,8 +43,8 @@
 
 func isNode(key string) bool { return strings.HasPrefix(key, distribution.PrefixNode) }
 
-// deregistered is the value of an entry that is no longer there.
-var deregistered = json.RawMessage("null")
+// nullValue is the value of an entry that is no longer there.
+var nullValue = json.RawMessage("null")
 
 func isNull(value json.RawMessage) bool { return string(value) == "null" }
 
--- a/internal/registry/record.go
+++ b/internal/registry/record.go
@@ -142,7 +142,7 @@
 const (
 	expiryNone   expiryAction = iota
 	expiryExpire              // it counts as not there until the next heartbeat
-	expiryForget              // the record itself is dropped
+	expiryPurge               // the record itself is dropped
 )
 
 func (r *record) expiryAction(now time.Time, expiry time.Duration) expiryAction {
@@ -152,15 +152,15 @@
 		return expiryNone
 	case !isNull(r.value):
 		return expiryExpire
-	case age > tombstoneLifetimes*expiry:
-		return expiryForget
+	case age > tombstoneRetentionPeriods*expiry:
+		return expiryPurge
 	}
 	return expiryNone
 }
 
 func (r *record) expire() {
 	r.version.Minor++
-	r.value = deregistered
+	r.value = nullValue
 	r.changed = r.version
 }
 
--- a/internal/registry/record_test.go
+++ b/internal/registry/record_test.go
@@ -33,7 +33,7 @@
 		"changed at the sender": {Entry{Version: version(7, 0), Value: ready, Changed: version(6, 0)}, false, version(7, 0), ready, version(6, 0), 0},
 		"same version":          {Entry{Version: version(5, 0), Value: draining}, false, version(5, 0), ready, version(5, 0), 0},
 		"older version":         {Entry{Version: version(4, 9), Value: draining}, false, version(5, 0), ready, version(5, 0), time.Minute},
-		"deregistered":          {Entry{Version: version(majorDeregistered, 0), Value: deregistered}, true, version(majorDeregistered, 0), deregistered, version(majorDeregistered, 0), 0},
+		"deregistered":          {Entry{Version: version(majorDeregistered, 0), Value: nullValue}, true, version(majorDeregistered, 0), nullValue, version(majorDeregistered, 0), 0},
 	} {
 		r := held
 		c.in.Key = key
@@ -117,9 +117,9 @@
 		"recent":                   {value, expiry, expiryNone},
 		"no heartbeat":             {value, expiry + 1, expiryExpire},
 		"no heartbeat for long":    {value, 20 * expiry, expiryExpire},
-		"deregistered":             {deregistered, expiry + 1, expiryNone},
-		"deregistered not so long": {deregistered, tombstoneLifetimes * expiry, expiryNone},
-		"deregistered for long":    {deregistered, tombstoneLifetimes*expiry + 1, expiryForget},
+		"deregistered":             {nullValue, expiry + 1, expiryNone},
+		"deregistered not so long": {nullValue, tombstoneRetentionPeriods * expiry, expiryNone},
+		"deregistered for long":    {nullValue, tombstoneRetentionPeriods*expiry + 1, expiryPurge},
 	} {
 		r := record{value: c.value, lastSeen: testStart}
 		if got := r.expiryAction(testStart.Add(c.age), expiry); got != c.want {
@@ -134,14 +134,14 @@
 
 func TestEntryWithoutUnknownValueIsAskedFor(t *testing.T) {
 	held := &record{version: version(5, 0), changed: version(3, 0), value: json.RawMessage(`{}`)}
-	expired := &record{version: version(5, 1), changed: version(5, 1), value: deregistered}
+	expired := &record{version: version(5, 1), changed: version(5, 1), value: nullValue}
 	for name, c := range map[string]struct {
 		held *record
 		in   Entry
 		want bool
 	}{
 		"unknown key":                {nil, Entry{Version: version(1, 0)}, true},
-		"unknown key, with value":    {nil, Entry{Version: version(1, 0), Value: deregistered}, false},
+		"unknown key, with value":    {nil, Entry{Version: version(1, 0), Value: nullValue}, false},
 		"unchanged value":            {held, Entry{Version: version(6, 0), Changed: version(3, 0)}, false},
 		"changed value":              {held, Entry{Version: version(6, 0), Changed: version(6, 0)}, true},
 		"expired here, newer there":  {expired, Entry{Version: version(6, 0), Changed: version(3, 0)}, true},
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -143,11 +143,11 @@
 	if r.config.Chain.InContactFor() <= r.timing.contactBeforeExpiry() {
 		return
 	}
-	expired, forgotten := r.table.expire(r.timing.instanceExpiry(), r.timing.nodeExpiry())
+	expired, purged := r.table.expire(r.timing.instanceExpiry(), r.timing.nodeExpiry())
 	for _, key := range expired {
 		r.config.Log.Printf("core: no heartbeat, expired: %s", key)
 	}
-	if n, err := r.tombstones.forget(forgotten); err != nil {
+	if n, err := r.tombstones.purge(purged); err != nil {
 		r.config.Log.Printf("core: forget %d tombstones: %v", n, err)
 	}
 }
--- a/internal/registry/sync_test.go
+++ b/internal/registry/sync_test.go
@@ -162,14 +162,14 @@
 	if err != nil || epoch != 1 || len(onDisk) != 1 || onDisk[0].Key != "instance/i" || onDisk[0].stage() != 2 || !isNull(onDisk[0].Value) {
 		t.Errorf("on disk, for epoch %d: %+v, %v", epoch, onDisk, err)
 	}
-	if n, err := r.tombstones.forget([]string{"instance/i", "instance/other", "node/n"}); n != 1 || err != nil {
+	if n, err := r.tombstones.purge([]string{"instance/i", "instance/other", "node/n"}); n != 1 || err != nil {
 		t.Errorf("%d tombstones are forgotten: %v", n, err)
 	}
 }
 
 func TestTombstoneIsPersistedForItsEpochOnly(t *testing.T) {
 	r := newTestRegistry(t, chain.View{Voters: members("a", "b", "c"), QuorumEpoch: 3})
-	entry := Entry{Key: "instance/i", Version: version(majorDeregistered, 0), Value: deregistered}
+	entry := Entry{Key: "instance/i", Version: version(majorDeregistered, 0), Value: nullValue}
 	var wrongEpoch *WrongEpochError
 	if err := r.persistForEpoch(3, []Entry{entry}); !errors.As(err, &wrongEpoch) || wrongEpoch.Complete != 0 {
 		t.Errorf("a core that is not complete: %v", err)
--- a/internal/registry/table.go
+++ b/internal/registry/table.go
@@ -166,7 +166,7 @@
 // expire marks what had no heartbeat for longer than its expiry as no longer
 // there, and forgets what has not been there for much longer. It gives the keys
 // of both.
-func (t *table) expire(instanceExpiry, nodeExpiry time.Duration) (expired, forgotten []string) {
+func (t *table) expire(instanceExpiry, nodeExpiry time.Duration) (expired, purged []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
@@ -176,9 +176,9 @@
 			expiry = instanceExpiry
 		}
 		switch r.expiryAction(now, expiry) {
-		case expiryForget:
+		case expiryPurge:
 			delete(t.records, key)
-			forgotten = append(forgotten, key)
+			purged = append(purged, key)
 		case expiryExpire:
 			r.expire()
 			t.journal.Append(journal.Event{Key: key, Version: r.version, Value: r.value})
@@ -186,7 +186,7 @@
 		case expiryNone:
 		}
 	}
-	return expired, forgotten
+	return expired, purged
 }
 
 // lacksValueOf says whether an entry came without a value that this core does
--- a/internal/registry/table_test.go
+++ b/internal/registry/table_test.go
@@ -127,7 +127,7 @@
 		if valueOf(far, instance) == nil {
 			t.Error("the handler is still unknown to the core where it expired")
 		}
-		near.heartbeat(Entry{Key: instance, Version: journal.Version{Major: majorDeregistered}, Value: deregistered})
+		near.heartbeat(Entry{Key: instance, Version: journal.Version{Major: majorDeregistered}, Value: nullValue})
 		exchange()
 		exchange()
 		if valueOf(far, instance) != nil {
--- a/internal/registry/timing.go
+++ b/internal/registry/timing.go
@@ -59,9 +59,9 @@
 // expires anything: a core that was out of contact cannot say who was reachable.
 func (t timing) contactBeforeExpiry() time.Duration { return max(t.contact, t.instanceExpiry()) }
 
-// tombstoneLifetimes is how many expiries after its last heartbeat an entry that
+// tombstoneRetentionPeriods is how many expiries after its last heartbeat an entry that
 // is no longer there is dropped: no heartbeat is under way for that long.
-const tombstoneLifetimes = 16
+const tombstoneRetentionPeriods = 16
 
 // TombstoneBatchDelay is how long a tombstone waits for others to be synced
 // with: about the duration of a sync.
--- a/internal/registry/tombstones.go
+++ b/internal/registry/tombstones.go
@@ -50,7 +50,7 @@
 			return fmt.Errorf("tombstone of %s: %w", k, err)
 		}
 		if entry.Value == nil {
-			entry.Value = deregistered
+			entry.Value = nullValue
 		}
 		entry.AgeMs = 0 // as if received now, so that it is not forgotten too early
 		entries = append(entries, entry)
@@ -122,9 +122,9 @@
 	return bucket.Put([]byte(entry.Key), raw)
 }
 
-// forget removes those of the keys that are tombstones on this disk: no late
+// purge removes those of the keys that are tombstones on this disk: no late
 // heartbeat can undo them any more. It gives their number.
-func (t *tombstones) forget(keys []string) (int, error) {
+func (t *tombstones) purge(keys []string) (int, error) {
 	present := t.removePresent(keys)
 	if len(present) == 0 {
 		return 0, nil
