--- a/internal/registry/load.go
+++ b/internal/registry/load.go
@@ -24,10 +24,10 @@
 // contact. It ends with ctx.
 func (r *Registry) RunLoader(ctx context.Context) {
 	wasInContact := false
-	var pages pageLoad
+	var pages pageCursor
 	for ctx.Err() == nil {
 		inContact := r.config.Chain.InContact()
-		loaded, stale := r.completeness.observe(wasInContact && !inContact)
+		loaded, stale := r.completeness.updateStale(wasInContact && !inContact)
 		wasInContact = wasInContact || inContact
 		outdated := stale && inContact
 		if r.VoterReady() && !outdated {
@@ -43,7 +43,7 @@
 			continue
 		}
 		if inContact {
-			r.completeness.markCurrent()
+			r.completeness.clearStale()
 		}
 	}
 }
@@ -65,8 +65,8 @@
 	for _, peer := range peers {
 		r.config.Go(func(context.Context) { answers <- r.fetchTombstones(ctx, peer, view) })
 	}
-	responses := completeResponses{}
-	if r.becomeComplete(responses) { // the only voter
+	responses := loadResponses{}
+	if r.tryComplete(responses) { // the only voter
 		return nil
 	}
 	for range peers {
@@ -81,7 +81,7 @@
 			return err
 		}
 		responses[answer.from] = answer.response
-		if r.becomeComplete(responses) {
+		if r.tryComplete(responses) {
 			return nil
 		}
 	}
@@ -109,11 +109,11 @@
 	return peerResponse{chain.Member{Address: peer, Disk: out.Disk}, &out}
 }
 
-// becomeComplete notes, on disk and in memory, that this core is complete if the
+// tryComplete notes, on disk and in memory, that this core is complete if the
 // responses are enough for that.
-func (r *Registry) becomeComplete(responses completeResponses) bool {
+func (r *Registry) tryComplete(responses loadResponses) bool {
 	view := r.config.Chain.View()
-	n, ok := responses.areQuorum(view, r.config.Self(), r.completeness.currentEpoch())
+	n, ok := responses.hasQuorum(view, r.config.Self(), r.completeness.currentEpoch())
 	if !ok {
 		return false
 	}
@@ -121,7 +121,7 @@
 		r.config.Log.Printf("core: %v", err)
 		return false
 	}
-	if r.completeness.markLoaded() {
+	if r.completeness.setLoaded() {
 		r.config.Log.Printf("core: the registry is loaded from %d of %d voters", n, len(view.Voters))
 	}
 	return true
--- a/internal/registry/pages.go
+++ b/internal/registry/pages.go
@@ -39,24 +39,24 @@
 // errNoPages says that no other core that is loaded has sent all of its pages.
 var errNoPages = errors.New("no core that is loaded has sent its entries")
 
-// pageLoad is how far the loading of the entries is. It goes on where it was when a
+// pageCursor is how far the loading of the entries is. It goes on where it was when a
 // core that sent pages does not answer any more: what another one has of the keys
 // before comes by anti-entropy.
-type pageLoad struct{ after string }
+type pageCursor struct{ after string }
 
 // loadPages takes the pages that are left from the first core that sends them. The
 // error is errNoPages.
-func (r *Registry) loadPages(ctx context.Context, load *pageLoad) error {
+func (r *Registry) loadPages(ctx context.Context, cursor *pageCursor) error {
 	for _, peer := range r.loadPeers(r.config.Chain.View()) {
 		for {
-			response, err := r.fetchPage(ctx, peer, load.after)
+			response, err := r.fetchPage(ctx, peer, cursor.after)
 			if err != nil || !response.Loaded || r.merge(response.Entries) != nil {
 				break
 			}
 			if !response.More {
 				return nil
 			}
-			load.after = response.Entries[len(response.Entries)-1].Key
+			cursor.after = response.Entries[len(response.Entries)-1].Key
 		}
 	}
 	return errNoPages
--- a/internal/registry/pages_test.go
+++ b/internal/registry/pages_test.go
@@ -88,7 +88,7 @@
 			fillTable(source.tables[peer], entries)
 		}
 		r.config.Client = source
-		err := r.loadPages(t.Context(), &pageLoad{})
+		err := r.loadPages(t.Context(), &pageCursor{})
 		if (err == nil) != c.complete || source.calls != c.calls {
 			t.Errorf("%s: %v after %d calls", name, err, source.calls)
 		}
--- a/internal/registry/quorum_epoch.go
+++ b/internal/registry/quorum_epoch.go
@@ -60,23 +60,23 @@
 	return c.loaded && !c.stale
 }
 
-// observe notes that this core lost contact, and gives the state.
-func (c *completeness) observe(lostContact bool) (loaded, stale bool) {
+// updateStale notes that this core lost contact, and gives the state.
+func (c *completeness) updateStale(lostContact bool) (loaded, stale bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stale = c.stale || lostContact
 	return c.loaded, c.stale
 }
 
-// markCurrent ends being stale.
-func (c *completeness) markCurrent() {
+// clearStale ends being stale.
+func (c *completeness) clearStale() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stale = false
 }
 
-// markLoaded says whether this is the first time.
-func (c *completeness) markLoaded() bool {
+// setLoaded says whether this is the first time.
+func (c *completeness) setLoaded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	first := !c.loaded
@@ -90,12 +90,12 @@
 	c.completeEpoch = max(c.completeEpoch, epoch)
 }
 
-// completeResponses are the answers of other cores that loaded their entries.
-type completeResponses map[chain.Member]*SyncResponse
+// loadResponses are the answers of other cores that loaded their entries.
+type loadResponses map[chain.Member]*SyncResponse
 
-// areQuorum says whether the responses, with what this core itself has, make it
+// hasQuorum says whether the responses, with what this core itself has, make it
 // complete for the epoch of a view, and how many cores they come from.
-func (responses completeResponses) areQuorum(view chain.View, self chain.Member, completeEpoch int64) (n int, ok bool) {
+func (responses loadResponses) hasQuorum(view chain.View, self chain.Member, completeEpoch int64) (n int, ok bool) {
 	majority := func(voters []chain.Member, epoch int64) (int, bool) {
 		return chain.CountMembers(voters, func(m chain.Member) bool {
 			if m == self {
--- a/internal/registry/quorum_epoch_test.go
+++ b/internal/registry/quorum_epoch_test.go
@@ -41,7 +41,7 @@
 		"a core that is no voter":                     {9, []response{{"z", 9, 9}}, 1, false},
 		"another disk":                                {9, []response{{"b/other", 9, 9}}, 1, false},
 	} {
-		responses := completeResponses{}
+		responses := loadResponses{}
 		for _, r := range c.responses {
 			member := members(r.from)[0]
 			if r.from == "b/other" {
@@ -49,7 +49,7 @@
 			}
 			responses[member] = &SyncResponse{View: &chain.View{QuorumEpoch: r.inForce}, CompleteEpoch: r.isFrom}
 		}
-		if n, ok := responses.areQuorum(view, members(self)[0], c.own); ok != c.complete || ok && n != c.n {
+		if n, ok := responses.hasQuorum(view, members(self)[0], c.own); ok != c.complete || ok && n != c.n {
 			t.Errorf("%s: %v, %d cores", name, ok, n)
 		}
 	}
--- a/internal/registry/record.go
+++ b/internal/registry/record.go
@@ -126,10 +126,10 @@
 	r.replacedIncarnations = r.replacedIncarnations[max(0, len(r.replacedIncarnations)-maxReplacedIncarnations):]
 }
 
-// lacksValueOf says whether an entry without its value is newer than what is
+// needsValue says whether an entry without its value is newer than what is
 // known here: also where this core received nothing for so long that the record
 // expired, while another core still receives heartbeats.
-func (r *record) lacksValueOf(in Entry) bool {
+func (r *record) needsValue(in Entry) bool {
 	if in.Value != nil {
 		return false
 	}
--- a/internal/registry/record_test.go
+++ b/internal/registry/record_test.go
@@ -148,7 +148,7 @@
 		"expired here, older there":  {expired, Entry{Version: version(5, 0), Changed: version(3, 0)}, false},
 		"changed value, value there": {held, Entry{Version: version(6, 0), Changed: version(6, 0), Value: json.RawMessage(`{}`)}, false},
 	} {
-		if got := c.held.lacksValueOf(c.in); got != c.want {
+		if got := c.held.needsValue(c.in); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
--- a/internal/registry/sync.go
+++ b/internal/registry/sync.go
@@ -141,7 +141,7 @@
 	}
 	usable := in.Entries[:0]
 	for _, entry := range in.Entries {
-		if r.table.lacksValueOf(entry) {
+		if r.table.needsValue(entry) {
 			out.MissingValues = append(out.MissingValues, entry.Key)
 		} else {
 			usable = append(usable, entry)
--- a/internal/registry/table.go
+++ b/internal/registry/table.go
@@ -189,12 +189,12 @@
 	return expired, purged
 }
 
-// lacksValueOf says whether an entry came without a value that this core does
+// needsValue says whether an entry came without a value that this core does
 // not know.
-func (t *table) lacksValueOf(in Entry) bool {
+func (t *table) needsValue(in Entry) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.records[in.Key].lacksValueOf(in)
+	return t.records[in.Key].needsValue(in)
 }
 
 // isConfirmed says whether a tombstone of this stage is known to be on the
--- a/internal/registry/table_test.go
+++ b/internal/registry/table_test.go
@@ -98,7 +98,7 @@
 		exchange := func() {
 			entries, _ := near.updatedSince(time.Time{}, sent.of)
 			for _, entry := range entries {
-				if far.lacksValueOf(entry) {
+				if far.needsValue(entry) {
 					delete(sent, entry.Key) // it is asked for
 				} else {
 					far.merge(entry)
