--- a/internal/controlplane/heartbeats.go
+++ b/internal/controlplane/heartbeats.go
@@ -73,9 +73,9 @@
 	view := s.chain.View()
 	sessionStart := s.registry.SessionStart(in.ID)
 	candidates := []candidate{{s.address, s.settings.Zone, s.settings.Region}}
-	for _, n := range s.registry.RecentCores() {
+	for _, n := range s.registry.CachedCores() {
 		inView := slices.ContainsFunc(view.Members, func(m chain.Member) bool { return m.Address == n.Address })
-		if inView && n.Age < s.timing.heartbeatTargetRecency() && n.SeenAt.After(sessionStart) {
+		if inView && n.Age < s.timing.heartbeatTargetRecency() && n.LastSeen.After(sessionStart) {
 			candidates = append(candidates, candidate{n.Address, n.Zone, n.Region})
 		}
 	}
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -112,19 +112,19 @@
 		return err
 	}
 	s.registry, err = registry.New(registry.Config{
-		Address:        s.address,
-		Seeds:          s.settings.CoreAddresses,
-		Self:           func() chain.Member { return s.chain.Self },
-		Chain:          s.chain,
-		Client:         s.client,
-		Storage:        s.state,
-		Journal:        s.journal,
-		HostFailures:   hostFailures,
-		ContactTimeout: s.timing.contact,
-		Keepalive:      settings.Ms(float64(max(s.settings.KeepaliveMs, 1))),
-		Log:            s.log,
-		Go:             s.goBackground,
-		OnNodeChanged:  s.wakeController, // it may wait for this node
+		Address:           s.address,
+		Seeds:             s.settings.CoreAddresses,
+		Self:              func() chain.Member { return s.chain.Self },
+		Chain:             s.chain,
+		Client:            s.client,
+		Storage:           s.state,
+		Journal:           s.journal,
+		HostFailures:      hostFailures,
+		ContactTimeout:    s.timing.contact,
+		KeepaliveInterval: settings.Ms(float64(max(s.settings.KeepaliveMs, 1))),
+		Log:               s.log,
+		Go:                s.goBackground,
+		OnNodeChanged:     s.wakeController, // it may wait for this node
 	})
 	if err != nil {
 		return err
--- a/internal/registry/peers.go
+++ b/internal/registry/peers.go
@@ -58,10 +58,10 @@
 	listedAt time.Time
 }
 
-// RecentCores are the other cores as they were a moment ago; the ages are of
+// CachedCores are the other cores as they were a moment ago; the ages are of
 // then. It costs little: each heartbeat of a handler asks for them, and a list of
 // all nodes goes through all handlers. The result must not be changed.
-func (r *Registry) RecentCores() []NodeStatus {
+func (r *Registry) CachedCores() []NodeStatus {
 	r.cores.mu.Lock()
 	list, current := r.cores.cores, time.Since(r.cores.listedAt) < r.timing.coreCacheAge()
 	r.cores.mu.Unlock()
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -37,17 +37,17 @@
 // Config is what a Registry is made of. All fields but Seeds, OnNodeChanged and
 // HostFailures are required.
 type Config struct {
-	Address        string              // internal, of this core
-	Seeds          func() []string     // internal addresses of cores, as long as no others are known
-	Self           func() chain.Member // this core as a member of the chain, once its disk is open
-	Chain          Chain
-	Client         Caller
-	Storage        Storage
-	Journal        *journal.Journal // gets each change of an instance or node
-	HostFailures   int              // how many machines may be lost at once
-	ContactTimeout time.Duration
-	Keepalive      time.Duration // between two heartbeats of a handler
-	Log            *log.Logger
+	Address           string              // internal, of this core
+	Seeds             func() []string     // internal addresses of cores, as long as no others are known
+	Self              func() chain.Member // this core as a member of the chain, once its disk is open
+	Chain             Chain
+	Client            Caller
+	Storage           Storage
+	Journal           *journal.Journal // gets each change of an instance or node
+	HostFailures      int              // how many machines may be lost at once
+	ContactTimeout    time.Duration
+	KeepaliveInterval time.Duration // between two heartbeats of a handler
+	Log               *log.Logger
 	// Go runs a task in the background, until the process ends at the latest.
 	Go func(task func(ctx context.Context))
 	// OnNodeChanged is called when what is known of a node has changed.
@@ -72,7 +72,7 @@
 	switch {
 	case config.Address == "":
 		return nil, errors.New("registry: no address")
-	case config.ContactTimeout <= 0 || config.Keepalive <= 0:
+	case config.ContactTimeout <= 0 || config.KeepaliveInterval <= 0:
 		return nil, errors.New("registry: the timeouts are not positive")
 	case config.Self == nil || config.Chain == nil || config.Client == nil || config.Storage == nil || config.Journal == nil || config.Log == nil || config.Go == nil:
 		return nil, errors.New("registry: a part is missing")
@@ -83,7 +83,7 @@
 	if config.OnNodeChanged == nil {
 		config.OnNodeChanged = func() {}
 	}
-	timing := timing{contact: config.ContactTimeout, keepalive: config.Keepalive}
+	timing := timing{contact: config.ContactTimeout, keepaliveInterval: config.KeepaliveInterval}
 	return &Registry{
 		config:     config,
 		timing:     timing,
--- a/internal/registry/sync_test.go
+++ b/internal/registry/sync_test.go
@@ -51,7 +51,7 @@
 	file := &boltstore.File{Path: filepath.Join(t.TempDir(), "core.db"), BatchDelay: time.Millisecond, Warn: t.Logf}
 	r, err := New(Config{
 		Address: "a", Self: func() chain.Member { return members("a")[0] }, Chain: &fakeChain{view}, Client: unreachable{}, Storage: file,
-		Journal: journal.New("a", time.Hour, ""), ContactTimeout: 100 * time.Millisecond, Keepalive: time.Second,
+		Journal: journal.New("a", time.Hour, ""), ContactTimeout: 100 * time.Millisecond, KeepaliveInterval: time.Second,
 		Log: log.New(io.Discard, "", 0), Go: func(task func(context.Context)) { go task(t.Context()) },
 	})
 	if err != nil {
@@ -66,7 +66,7 @@
 }
 
 func TestNewRefusesAnIncompleteConfig(t *testing.T) {
-	if _, err := New(Config{Address: "a", ContactTimeout: time.Second, Keepalive: time.Second}); err == nil {
+	if _, err := New(Config{Address: "a", ContactTimeout: time.Second, KeepaliveInterval: time.Second}); err == nil {
 		t.Error("a registry without its parts is made")
 	}
 	if _, err := New(Config{}); err == nil {
--- a/internal/registry/table.go
+++ b/internal/registry/table.go
@@ -146,8 +146,8 @@
 // any core received that.
 type NodeStatus struct {
 	membership.Node
-	Age    time.Duration
-	SeenAt time.Time // the moment Age ago
+	Age      time.Duration
+	LastSeen time.Time // the moment Age ago
 }
 
 // nodes lists our own processes that have not expired, by name.
@@ -157,7 +157,7 @@
 	out := map[string]NodeStatus{}
 	for key, r := range t.records {
 		if name, ok := strings.CutPrefix(key, distribution.PrefixNode); ok && !isNull(r.value) {
-			out[name] = NodeStatus{Node: r.node, Age: time.Since(r.lastSeen), SeenAt: r.lastSeen}
+			out[name] = NodeStatus{Node: r.node, Age: time.Since(r.lastSeen), LastSeen: r.lastSeen}
 		}
 	}
 	return out
--- a/internal/registry/timing.go
+++ b/internal/registry/timing.go
@@ -5,8 +5,8 @@
 // timing derives the durations of the registry from contact-ms, the time within
 // which the system notices that a machine is lost.
 type timing struct {
-	contact   time.Duration
-	keepalive time.Duration // between two heartbeats of a handler
+	contact           time.Duration
+	keepaliveInterval time.Duration // between two heartbeats of a handler
 }
 
 // staleHeartbeatWindow is how long a heartbeat of an earlier incarnation of a
@@ -53,7 +53,7 @@
 func (t timing) nodeExpiry() time.Duration { return t.contact * 3 / 4 }
 
 // instanceExpiry is how long an instance may send no heartbeat: two may be lost.
-func (t timing) instanceExpiry() time.Duration { return 3 * t.keepalive }
+func (t timing) instanceExpiry() time.Duration { return 3 * t.keepaliveInterval }
 
 // contactBeforeExpiry is how long this core must have been in contact before it
 // expires anything: a core that was out of contact cannot say who was reachable.
