--- a/cmd/saltreel-control/main.go
+++ b/cmd/saltreel-control/main.go
@@ -40,6 +40,6 @@
 	root.PersistentFlags().StringSliceVar(&controls, "control", nil, "control-plane addresses, host:port, separated by commas")
 	root.PersistentFlags().DurationVar(&timeout, "timeout", 2*time.Second, "how long to wait for one answer")
 	return func() *operator.Client {
-		return &operator.Client{Pool: &httpwire.Pool{Network: httpwire.TCP()}, Controls: controls, Timeout: timeout}
+		return &operator.Client{Pool: &httpwire.Pool{Network: httpwire.TCP()}, Addresses: controls, Timeout: timeout}
 	}
 }
--- a/internal/cluster/core_isolation_test.go
+++ b/internal/cluster/core_isolation_test.go
@@ -324,7 +324,7 @@
 			}
 		}
 		op := w.operator()
-		op.Controls = []string{core}
+		op.Addresses = []string{core}
 		w.waitFor(5*time.Second, "a write by way of the isolated core is acknowledged", func() bool {
 			return op.PutConfiguration(context.Background(), raw, int64(w.revision)) == nil
 		})
--- a/internal/cluster/operator_test.go
+++ b/internal/cluster/operator_test.go
@@ -14,7 +14,7 @@
 )
 
 func (w *world) operator() *operator.Client {
-	return &operator.Client{Pool: w.client.Pool, Controls: w.controlAddresses(), Timeout: time.Second}
+	return &operator.Client{Pool: w.client.Pool, Addresses: w.controlAddresses(), Timeout: time.Second}
 }
 
 func (w *world) status() (controlplane.Overview, error) {
--- a/internal/controlplane/heartbeats.go
+++ b/internal/controlplane/heartbeats.go
@@ -21,8 +21,8 @@
 	Target string `json:"keepalive-target,omitempty"`
 }
 
-// ServeControl answers the handlers; what is the operator's goes to operate.
-func (s *Server) ServeControl(operate httpwire.Handler) httpwire.Handler {
+// ControlHandler answers the handlers; what is the operator's goes to operate.
+func (s *Server) ControlHandler(operatorHandler httpwire.Handler) httpwire.Handler {
 	return func(ctx context.Context, r *httpwire.Request) *httpwire.Response {
 		if !s.opened.Load() {
 			return httpwire.Problem(503, "the state on disk is not open")
@@ -30,7 +30,7 @@
 		if id, ok := strings.CutPrefix(r.URL.Path, "/v1/instances/"); ok {
 			return s.handleInstance(ctx, r, id)
 		}
-		return operate(ctx, r)
+		return operatorHandler(ctx, r)
 	}
 }
 
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -287,7 +287,7 @@
 				s.log.Printf("core: the state is open")
 			}
 			s.node.Disk = s.chain.Self.Disk
-			s.grantor.StayQuiet(s.timing.grantorQuietPeriod())
+			s.grantor.StayQuiet(s.timing.leaseGrantDelay())
 			s.opened.Store(true)
 			return true
 		}
@@ -302,14 +302,14 @@
 // prepareState makes the state on an empty disk. A disk that replaced a damaged
 // one does not bootstrap the chain: what it held is on the others.
 func (s *Server) prepareState(tx *bbolt.Tx) error {
-	var founders []string
+	var initialMembers []string
 	if s.settings.Bootstrap && !boltstore.WasReplaced(s.state.Path) {
-		founders = s.settings.CoreAddresses()
+		initialMembers = s.settings.CoreAddresses()
 	}
 	if err := s.registry.InitState(tx); err != nil {
 		return err
 	}
-	return s.chain.InitState(tx, founders)
+	return s.chain.InitState(tx, initialMembers)
 }
 
 // loadState reads the state on disk.
--- a/internal/controlplane/timing.go
+++ b/internal/controlplane/timing.go
@@ -9,9 +9,9 @@
 // diskRetryInterval is how often a disk that fails is tried again.
 func (t timing) diskRetryInterval() time.Duration { return t.contact / 40 }
 
-// grantorQuietPeriod is how long no lease is granted after the start: the process
+// leaseGrantDelay is how long no lease is granted after the start: the process
 // before may have granted one.
-func (t timing) grantorQuietPeriod() time.Duration { return t.contact / 32 }
+func (t timing) leaseGrantDelay() time.Duration { return t.contact / 32 }
 
 // journalRetention is how long the journal holds deleted keys: longer than any
 // subscriber that is cut off for a while.
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -26,9 +26,9 @@
 
 // Client sends orders to the control plane.
 type Client struct {
-	Pool     *httpwire.Pool
-	Controls []string      // addresses of the control plane, host:port
-	Timeout  time.Duration // of one attempt, redirects included
+	Pool      *httpwire.Pool
+	Addresses []string      // addresses of the control plane, host:port
+	Timeout   time.Duration // of one attempt, redirects included
 }
 
 // Do sends one order and returns the body of the answer. It follows redirects,
@@ -36,12 +36,12 @@
 // 429, until an answer is conclusive. The error is an *IndeterminateError if the
 // order may have taken effect in any of the attempts.
 func (c *Client) Do(ctx context.Context, call httpwire.Call) ([]byte, error) {
-	if len(c.Controls) == 0 {
+	if len(c.Addresses) == 0 {
 		return nil, errors.New("no control address is given")
 	}
 	var lastErr, indeterminate error
 	backoff := initialBackoff
-	for attempt := range attemptsPerServer * len(c.Controls) {
+	for attempt := range attemptsPerServer * len(c.Addresses) {
 		if attempt > 0 {
 			select {
 			case <-time.After(backoff):
@@ -50,7 +50,7 @@
 			}
 			backoff *= 2
 		}
-		body, err := c.attempt(ctx, c.Controls[attempt%len(c.Controls)], call)
+		body, err := c.attempt(ctx, c.Addresses[attempt%len(c.Addresses)], call)
 		outcome := outcomeOf(err)
 		if outcome == succeeded || outcome == rejected {
 			return body, err
@@ -77,7 +77,7 @@
 			return nil, fmt.Errorf("%s %s: %w", call.Method, call.Target, err)
 		}
 		if answer.Status != http.StatusTemporaryRedirect {
-			if err := errorOf(answer.Status, answer.Body); err != nil {
+			if err := errorFromStatus(answer.Status, answer.Body); err != nil {
 				return nil, &httpwire.Error{Step: call.Method + " " + call.Target, Peer: address, Sent: true, Err: err}
 			}
 			return answer.Body, nil
--- a/internal/operator/client_test.go
+++ b/internal/operator/client_test.go
@@ -87,7 +87,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			f := &fakeControlPlane{t: t, answers: tc.answers, location: "http://10.0.0.9:82/v1/configuration"}
-			c := &Client{Pool: &httpwire.Pool{Network: httpwire.Network{Dial: f.dial}}, Controls: []string{"a:82", "b:82"}, Timeout: time.Second}
+			c := &Client{Pool: &httpwire.Pool{Network: httpwire.Network{Dial: f.dial}}, Addresses: []string{"a:82", "b:82"}, Timeout: time.Second}
 			err := c.PutConfiguration(context.Background(), []byte("seven"), 6)
 			if len(f.attempts) != tc.attempts {
 				t.Errorf("%v: attempts at %v", tc.answers, f.attempts)
@@ -110,7 +110,7 @@
 func TestNameOfAStoreIsEscapedInOrdersAndQuestions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeControlPlane{t: t, answers: []int{200}}
-		c := &Client{Pool: &httpwire.Pool{Network: httpwire.Network{Dial: f.dial}}, Controls: []string{"a:82"}, Timeout: time.Second}
+		c := &Client{Pool: &httpwire.Pool{Network: httpwire.Network{Dial: f.dial}}, Addresses: []string{"a:82"}, Timeout: time.Second}
 		if err := c.Retire(context.Background(), "a/b c", time.Second); err != nil {
 			t.Error(err)
 		}
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -36,8 +36,8 @@
 	return errors.As(err, new(*controlplane.UnavailableError))
 }
 
-// errorOf maps the HTTP status of an answer to an error, nil for success.
-func errorOf(status int, body []byte) error {
+// errorFromStatus maps the HTTP status of an answer to an error, nil for success.
+func errorFromStatus(status int, body []byte) error {
 	if status/100 == 2 {
 		return nil
 	}
--- a/internal/operator/errors_test.go
+++ b/internal/operator/errors_test.go
@@ -41,23 +41,23 @@
 		{&httpwire.Error{Err: errors.New("refused")}, noEffect},
 		{&httpwire.Error{Sent: true, Err: errors.New("closed")}, unknown},
 		{errors.New("other"), unknown},
-		{errorOf(200, nil), succeeded},
-		{errorOf(204, nil), succeeded},
-		{errorOf(304, nil), unknown},
-		{errorOf(400, nil), rejected},
-		{errorOf(404, nil), rejected},
-		{errorOf(408, nil), noEffect},
-		{errorOf(412, nil), rejected},
-		{errorOf(429, nil), noEffect},
-		{errorOf(500, nil), unknown},
-		{errorOf(503, nil), noEffect},
-		{errorOf(504, nil), unknown},
+		{errorFromStatus(200, nil), succeeded},
+		{errorFromStatus(204, nil), succeeded},
+		{errorFromStatus(304, nil), unknown},
+		{errorFromStatus(400, nil), rejected},
+		{errorFromStatus(404, nil), rejected},
+		{errorFromStatus(408, nil), noEffect},
+		{errorFromStatus(412, nil), rejected},
+		{errorFromStatus(429, nil), noEffect},
+		{errorFromStatus(500, nil), unknown},
+		{errorFromStatus(503, nil), noEffect},
+		{errorFromStatus(504, nil), unknown},
 	} {
 		if got := outcomeOf(c.err); got != c.outcome {
 			t.Errorf("%v: %d, not %d", c.err, got, c.outcome)
 		}
 	}
-	if text := errorOf(409, []byte("too few stores")).Error(); text != (&rpc.StatusError{Code: 409, Text: "too few stores"}).Error() {
+	if text := errorFromStatus(409, []byte("too few stores")).Error(); text != (&rpc.StatusError{Code: 409, Text: "too few stores"}).Error() {
 		t.Errorf("the text of the answer is lost: %s", text)
 	}
 }
--- a/internal/operator/serve.go
+++ b/internal/operator/serve.go
@@ -53,9 +53,9 @@
 	if err != nil {
 		return fmt.Errorf("listen for handlers and the operator: %w", err)
 	}
-	orders := &Server{Core: core}
+	operatorServer := &Server{Core: core}
 	server := &httpwire.Server{
-		Handle:     core.ServeControl(orders.Handle),
+		Handle:     core.ControlHandler(operatorServer.Handle),
 		Limits:     func() httpwire.Limits { return listenerLimits(set) },
 		AnswerTime: answerTimeout(set),
 	}
