--- a/internal/registry/deregister.go
+++ b/internal/registry/deregister.go
@@ -11,9 +11,9 @@
 	"saltreel/internal/timeutil"
 )
 
-// RecordInstance records a heartbeat that a handler instance sent to this core.
-// It returns nil once it is safe to acknowledge: that an instance drains is on
-// the disks of a quorum then. The error is a *NoQuorumError.
+// RecordInstance records a heartbeat that a handler instance sent to this core. It
+// returns nil once the heartbeat may be acknowledged: if the instance is draining,
+// its tombstone is then on the disks of a quorum. The error is a *NoQuorumError.
 func (r *Registry) RecordInstance(ctx context.Context, in handler.Instance) error {
 	version := journal.Version{Major: in.CallSeq}
 	if in.State != handler.Ready {
@@ -29,16 +29,16 @@
 	return nil
 }
 
-// Deregister removes an instance for good, whether it is known here or not.
-// It returns nil once that is on the disks of a quorum. The error is a
-// *NoQuorumError; then the instance may be deregistered all the same.
+// Deregister permanently removes an instance, whether or not this core knows it. It
+// returns nil once the tombstone is on the disks of a quorum. The error is a
+// *NoQuorumError, in which case the deregistration may still take effect.
 func (r *Registry) Deregister(ctx context.Context, id string) error {
 	version := journal.Version{Major: majorDeregistered}
 	return r.recordTombstone(ctx, Entry{Key: distribution.PrefixInstance + id, Version: version, Value: nullValue})
 }
 
-// recordTombstone returns nil once a tombstone is on the disks of a quorum.
-// Repeated calls cost nothing from then on.
+// recordTombstone returns nil once a tombstone is on the disks of a quorum. After
+// that, repeated calls are cheap.
 func (r *Registry) recordTombstone(ctx context.Context, entry Entry) error {
 	r.table.heartbeat(entry)
 	if r.table.isConfirmed(entry) {
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// persistOnQuorum returns nil once a tombstone is on the disks of a majority of
-// the voters, and of one more than may be lost.
+// persistOnQuorum returns nil once a tombstone is on the disks of a majority of the
+// voters, and of more voters than may fail at once.
 func (r *Registry) persistOnQuorum(ctx context.Context, entry Entry) error {
 	ctx, cancel := context.WithTimeout(ctx, r.timing.quorumTimeout())
 	defer cancel()
@@ -69,7 +69,7 @@
 	}
 }
 
-// persistUnderView makes one attempt, with the voters of a view.
+// persistUnderView makes one attempt with the voters of a view.
 func (r *Registry) persistUnderView(ctx context.Context, entry Entry, view chain.View) error {
 	ctx, cancel := context.WithTimeout(ctx, r.timing.quorumAttemptTimeout())
 	defer cancel()
@@ -92,7 +92,7 @@
 	return fmt.Errorf("quorum epoch %d: %w", view.QuorumEpoch, last)
 }
 
-// persistAt has one voter put a tombstone on its disk.
+// persistAt writes a tombstone to the disk of one voter.
 func (r *Registry) persistAt(ctx context.Context, voter chain.Member, entry Entry, epoch int64) error {
 	entries := []Entry{entry}
 	if voter.Address == r.config.Address {
@@ -109,10 +109,9 @@
 	return nil
 }
 
-// persistForEpoch persists tombstones as a voter of a quorum epoch. That the
-// epoch is in force is checked again once they are on disk: a core that loads
-// for the next epoch after this finds them, and one that loaded before has ended
-// this epoch here.
+// persistForEpoch persists tombstones as a voter of a quorum epoch. The epoch is
+// checked again after the write: a core that loads for the next epoch after this
+// check finds the tombstones, and one that loaded before has ended this epoch here.
 func (r *Registry) persistForEpoch(epoch int64, entries []Entry) error {
 	if err := r.checkEpoch(epoch); err != nil {
 		return err
@@ -123,8 +122,8 @@
 	return r.checkEpoch(epoch)
 }
 
-// checkEpoch gives a *WrongEpochError unless an epoch is in force and this core
-// is complete for it.
+// checkEpoch returns a *WrongEpochError unless the epoch is in force and this core is
+// complete for it.
 func (r *Registry) checkEpoch(epoch int64) error {
 	inForce := r.config.Chain.View().QuorumEpoch
 	complete := r.completeness.currentEpoch()
--- a/internal/registry/entry.go
+++ b/internal/registry/entry.go
@@ -9,32 +9,33 @@
 	"saltreel/internal/journal"
 )
 
-// Entry is what the cores send each other about one handler instance or node.
-// A value of null says that it is deregistered or has expired.
+// Entry is the state of one handler instance or node as the cores exchange it.
+// The value null means that the instance or node is deregistered or has expired.
 type Entry struct {
 	Key     string          `json:"key"`
 	Version journal.Version `json:"version"`
-	AgeMs   int64           `json:"age"`             // since the newest heartbeat
-	Value   json.RawMessage `json:"value,omitempty"` // left out where it did not change
-	Changed journal.Version `json:"changed"`         // when the value last changed, as the sender knows
+	AgeMs   int64           `json:"age"`             // time since the newest heartbeat
+	Value   json.RawMessage `json:"value,omitempty"` // omitted if unchanged
+	Changed journal.Version `json:"changed"`         // version of the last change of the value known to the sender
 }
 
-// Deregistration is final: the versions of a draining instance are above all of
-// a ready one, and those of a deregistered one above all others. So no late
-// heartbeat and no outdated entry brings an instance back, wherever they are merged.
+// Deregistration is final: every version of a draining instance is higher than all
+// versions of a ready one, and the version of a deregistered instance is higher than
+// both. Therefore neither a delayed heartbeat nor an outdated entry can restore an
+// instance, in whatever order they are merged.
 const (
 	majorDraining     = int64(1) << 60
 	majorDeregistered = int64(1) << 61
 )
 
-// stage is how far an instance is on its way out: 0 while it is ready, 1 when
-// it is draining, 2 when it is deregistered.
+// stage is the lifecycle stage of an instance: 0 while it is ready, 1 when it is
+// draining, 2 when it is deregistered.
 type stage int64
 
 func (e Entry) stage() stage { return stage(e.Version.Major / majorDraining) }
 
-// isTombstone says whether an entry must outlive the cores that hold it before
-// it is acknowledged.
+// isTombstone reports whether an entry must be on the disks of a quorum before it
+// is acknowledged.
 func (e Entry) isTombstone() bool {
 	return e.stage() > 0 && isInstance(e.Key)
 }
@@ -43,40 +44,40 @@
 
 func isNode(key string) bool { return strings.HasPrefix(key, distribution.PrefixNode) }
 
-// nullValue is the value of an entry that is no longer there.
+// nullValue is the value of an entry that has expired or is deregistered.
 var nullValue = json.RawMessage("null")
 
 func isNull(value json.RawMessage) bool { return string(value) == "null" }
 
-// SyncRequest is one exchange of anti-entropy between two cores.
+// SyncRequest is the request of one anti-entropy exchange between two cores.
 type SyncRequest struct {
 	From    string  `json:"from"` // internal address of the sender
 	Entries []Entry `json:"items,omitempty"`
-	Want    string  `json:"ask,omitempty"` // what the response is to contain: WantAll, WantTombstones, WantPage or nothing
-	// After is the key behind which the page begins, with WantPage.
+	Want    string  `json:"ask,omitempty"` // requested contents of the response: WantAll, WantTombstones, WantPage or none
+	// After is the key after which the page begins. Used with WantPage.
 	After string `json:"after,omitempty"`
-	// View is the newest view that the sender knows, with WantAll and WantTombstones:
-	// the receiver has installed it, or a newer one, before it answers.
+	// View is the newest view known to the sender. The receiver installs it, unless
+	// it has a newer one, before it responds. Used with WantAll and WantTombstones.
 	View *chain.View `json:"view,omitempty"`
-	// PersistForEpoch asks to put the entries on disk as a voter of this quorum
-	// epoch, and to fail when the receiver is not in that epoch.
+	// PersistForEpoch asks the receiver to write the entries to disk as a voter of this
+	// quorum epoch, and to fail if another epoch is in force there.
 	PersistForEpoch *int64 `json:"keep,omitempty"`
 }
 
-// What a SyncRequest may want.
+// Values of SyncRequest.Want.
 const (
-	WantAll        = "all" // asked by programs of earlier versions
+	WantAll        = "all" // requested by earlier versions only
 	WantTombstones = "leavings"
 	WantPage       = "page"
 )
 
-// SyncResponse answers a SyncRequest.
+// SyncResponse is the response to a SyncRequest.
 type SyncResponse struct {
-	Disk          string      `json:"disk"` // identity of the disk that the receiver's tombstones are on
+	Disk          string      `json:"disk"` // identity of the disk that stores the receiver's tombstones
 	Entries       []Entry     `json:"items,omitempty"`
-	MissingValues []string    `json:"want,omitempty"` // keys whose value the receiver does not know
+	MissingValues []string    `json:"want,omitempty"` // keys whose value the receiver lacks
 	View          *chain.View `json:"view,omitempty"` // with WantAll and WantTombstones
 	CompleteEpoch int64       `json:"complete,omitempty"`
 	Loaded        bool        `json:"loaded,omitempty"` // with WantPage: the receiver has loaded all entries itself
-	More          bool        `json:"more,omitempty"`   // with WantPage: others follow
+	More          bool        `json:"more,omitempty"`   // with WantPage: there are further pages
 }
--- a/internal/registry/errors.go
+++ b/internal/registry/errors.go
@@ -6,8 +6,8 @@
 	"net/http"
 )
 
-// WrongEpochError says that a core did not persist tombstones for a quorum
-// epoch, since another one is in force or it is not complete for that one.
+// WrongEpochError reports that a core did not persist tombstones for a quorum epoch
+// because another epoch is in force or because the core is not complete for it.
 type WrongEpochError struct {
 	Requested int64
 	InForce   int64
@@ -18,22 +18,22 @@
 	return fmt.Sprintf("quorum epoch %d is in force, complete for %d, not %d", e.InForce, e.Complete, e.Requested)
 }
 
-// NoQuorumError says that a tombstone did not reach enough disks in time. It may
-// take effect all the same.
+// NoQuorumError reports that a tombstone did not reach the disks of a quorum in
+// time. It may still take effect.
 type NoQuorumError struct{ Err error }
 
 func (e *NoQuorumError) Error() string {
 	return fmt.Sprintf("too few cores persist the tombstone: %v", e.Err)
 }
 
-// Unwrap gives the error of the last attempt.
+// Unwrap returns the error of the last attempt.
 func (e *NoQuorumError) Unwrap() error { return e.Err }
 
-// errNotComplete says that too few of the voters sent their entries.
+// errNotComplete reports that too few voters sent their tombstones.
 var errNotComplete = errors.New("no majority of the voters has sent its entries")
 
-// StatusCode maps the errors of this package to the status of a call, 0 for
-// other errors.
+// StatusCode maps the errors of this package to the HTTP status of a response, and
+// other errors to 0.
 func StatusCode(err error) int {
 	var wrongEpoch *WrongEpochError
 	var noQuorum *NoQuorumError
--- a/internal/registry/load.go
+++ b/internal/registry/load.go
@@ -7,21 +7,21 @@
 	"saltreel/internal/timeutil"
 )
 
-// VoterReady says whether this core holds what a voter must hold: all tombstones
-// that were acknowledged before the quorum epoch in force.
+// VoterReady reports whether this core holds what a voter must hold: all tombstones
+// acknowledged before the quorum epoch in force.
 func (r *Registry) VoterReady() bool {
 	return r.completeness.completeFor(r.config.Chain.View().QuorumEpoch)
 }
 
-// InContactWithQuorum says whether what this core knows of instances and nodes
-// is current: it loaded from a quorum since it was last out of contact.
+// InContactWithQuorum reports whether the instances and nodes known to this core are
+// current: it has loaded from a quorum since it was last out of contact.
 func (r *Registry) InContactWithQuorum() bool {
 	return r.completeness.upToDate() && r.config.Chain.InContact()
 }
 
-// RunLoader loads from the other cores whenever this core may lack what a quorum
-// knows: after its start, when the voters have changed, and when it was out of
-// contact. It ends with ctx.
+// RunLoader loads from the other cores whenever this core may lack state that a
+// quorum has: after its start, after a change of the voters, and after a loss of
+// contact. It returns when ctx ends.
 func (r *Registry) RunLoader(ctx context.Context) {
 	wasInContact := false
 	var pages pageCursor
@@ -35,7 +35,7 @@
 			continue
 		}
 		if !loaded {
-			// Without them too this core may become complete: all others may be starting.
+			// This core may become complete even if no pages arrive: all others may be starting.
 			_ = r.loadPages(ctx, &pages)
 		}
 		if r.load(ctx) != nil {
@@ -48,14 +48,14 @@
 	}
 }
 
-// peerResponse is the answer of a core; without a response it is a failure.
+// peerResponse is the response of a core, nil if the call failed.
 type peerResponse struct {
 	from     chain.Member
 	response *SyncResponse
 }
 
-// load asks all other cores at once for the tombstones that they know. It returns
-// nil when this core is complete for the quorum epoch in force.
+// load requests the tombstones of all other cores concurrently. It returns nil once
+// this core is complete for the quorum epoch in force.
 func (r *Registry) load(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, r.timing.loadTimeout())
 	defer cancel()
@@ -66,7 +66,7 @@
 		r.config.Go(func(context.Context) { answers <- r.fetchTombstones(ctx, peer, view) })
 	}
 	responses := loadResponses{}
-	if r.tryComplete(responses) { // the only voter
+	if r.tryComplete(responses) { // this core is the only voter
 		return nil
 	}
 	for range peers {
@@ -88,8 +88,8 @@
 	return errNotComplete
 }
 
-// loadPeers are the cores to load from: also the voters before, who may be the
-// only ones that are complete.
+// loadPeers returns the cores to load from. They include the previous voters, which
+// may be the only ones that are complete.
 func (r *Registry) loadPeers(view chain.View) []string {
 	peers := r.Peers()
 	for _, m := range view.PreviousVoters {
@@ -109,8 +109,8 @@
 	return peerResponse{chain.Member{Address: peer, Disk: out.Disk}, &out}
 }
 
-// tryComplete notes, on disk and in memory, that this core is complete if the
-// responses are enough for that.
+// tryComplete reports whether the responses make this core complete, and if so
+// records that on disk and in memory.
 func (r *Registry) tryComplete(responses loadResponses) bool {
 	view := r.config.Chain.View()
 	n, ok := responses.hasQuorum(view, r.config.Self(), r.completeness.currentEpoch())
--- a/internal/registry/pages.go
+++ b/internal/registry/pages.go
@@ -7,16 +7,17 @@
 	"slices"
 )
 
-// A core that starts takes the entries of another core page by page. All of them at
-// once, from all cores, take longer at some size than one call may, and cores that
-// try again and again keep each other from ever answering.
+// A core that starts loads the entries of another core page by page. Loading all
+// entries at once, from all cores, exceeds the timeout of a call beyond some size, and
+// the repeated attempts of several starting cores overload each other so that none
+// ever succeeds.
 
-// maxPageEntries bounds the entries of a page, so that the time that one takes does
-// not grow with the system: some 100 KB.
+// maxPageEntries bounds the entries of a page to some 100 KB, so that the time to
+// serve one does not grow with the system.
 const maxPageEntries = 256
 
-// page lists the first entries behind a key, in the order of the keys, with their
-// values; more says that others follow.
+// page returns the first entries after a key, in key order and with their values.
+// more reports whether others follow.
 func (t *table) page(after string) (entries []Entry, more bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -36,15 +37,15 @@
 	return entries, more
 }
 
-// errNoPages says that no other core that is loaded has sent all of its pages.
+// errNoPages reports that no loaded core has sent all of its pages.
 var errNoPages = errors.New("no core that is loaded has sent its entries")
 
-// pageCursor is how far the loading of the entries is. It goes on where it was when a
-// core that sent pages does not answer any more: what another one has of the keys
-// before comes by anti-entropy.
+// pageCursor is the position up to which the entries have been loaded. Loading resumes
+// there with another core if one stops responding. Entries at earlier keys that only
+// the other core has arrive by anti-entropy.
 type pageCursor struct{ after string }
 
-// loadPages takes the pages that are left from the first core that sends them. The
+// loadPages loads the remaining pages from the first core that sends them all. The
 // error is errNoPages.
 func (r *Registry) loadPages(ctx context.Context, cursor *pageCursor) error {
 	for _, peer := range r.loadPeers(r.config.Chain.View()) {
--- a/internal/registry/peers.go
+++ b/internal/registry/peers.go
@@ -10,7 +10,7 @@
 	"saltreel/internal/distribution"
 )
 
-// KnownCores are the other cores whose heartbeats are recent, by address.
+// KnownCores returns the other cores whose heartbeats are recent, sorted by address.
 func (r *Registry) KnownCores() []chain.Member {
 	var out []chain.Member
 	for _, n := range r.otherCores() {
@@ -22,8 +22,8 @@
 	return out
 }
 
-// Peers are the internal addresses of the other cores: the voters,
-// the known cores, and the seeds as long as the registry is not loaded.
+// Peers returns the internal addresses of the other cores: the voters, the known
+// cores, and the seeds while the registry is not loaded.
 func (r *Registry) Peers() []string {
 	all := r.config.Chain.Voters()
 	for _, m := range r.KnownCores() {
@@ -46,21 +46,23 @@
 	return out
 }
 
-// SessionStart is when an instance began to send its heartbeats to this core.
+// SessionStart returns the time of the first heartbeat in the instance's current
+// session with this core, or the zero time if there is none.
 func (r *Registry) SessionStart(instance string) time.Time {
 	return r.table.sessionStart(distribution.PrefixInstance + instance)
 }
 
-// coreCache is the list of the other cores as it was a moment ago.
+// coreCache caches the list of the other cores.
 type coreCache struct {
 	mu       sync.Mutex
 	cores    []NodeStatus
 	listedAt time.Time
 }
 
-// CachedCores are the other cores as they were a moment ago; the ages are of
-// then. It costs little: each heartbeat of a handler asks for them, and a list of
-// all nodes goes through all handlers. The result must not be changed.
+// CachedCores returns the other cores from a cache that is at most coreCacheAge old;
+// their ages are as of the time when the list was built. It is cheap enough to be
+// called for each heartbeat of a handler, whereas building the list scans all records.
+// The caller must not modify the result.
 func (r *Registry) CachedCores() []NodeStatus {
 	r.cores.mu.Lock()
 	list, current := r.cores.cores, time.Since(r.cores.listedAt) < r.timing.coreCacheAge()
--- a/internal/registry/quorum_epoch.go
+++ b/internal/registry/quorum_epoch.go
@@ -6,25 +6,26 @@
 	"saltreel/internal/chain"
 )
 
-// Tombstones are not in the chain: a majority of the voters holds each. When the
-// voters change, a majority of the new ones need not intersect that majority of
-// the old. So a tombstone is persisted for a quorum epoch, the time between two
-// changes of the voters:
+// Tombstones are not stored in the chain: each is held by a majority of the voters.
+// After a change of the voters, a majority of the new voters need not intersect the
+// majority of the old ones that holds a tombstone. Therefore a tombstone is persisted
+// for a quorum epoch, the period between two changes of the voters:
 //
-//   - A voter persists it only while that epoch is in force, and checks so again
-//     after the write.
-//   - A core is complete for an epoch once it has the tombstones of a majority
-//     of its voters, all complete, or of a majority of the voters before, all
-//     complete for their epoch and already in the new one. Whatever was
-//     acknowledged before is on its disk then.
+//   - A voter persists a tombstone only while its epoch is in force, and checks that
+//     again after the write.
+//   - A core is complete for an epoch once it has the tombstones of a majority of
+//     the epoch's voters that are all complete for it, or of a majority of the
+//     previous voters that are all complete for the previous epoch and have already
+//     entered the new one. Every tombstone acknowledged before the epoch is then on
+//     its disk.
 //   - The voters change again only when a majority of them is complete.
 
-// completeness is what this core may lack of what a quorum knows.
+// completeness tracks which part of the state of a quorum this core may lack.
 type completeness struct {
 	mu            sync.Mutex
-	loaded        bool  // since the start, a quorum has sent its entries
-	stale         bool  // this core was out of contact since it loaded
-	completeEpoch int64 // the tombstones acknowledged before this quorum epoch are on this disk
+	loaded        bool  // a quorum has sent its entries since the start
+	stale         bool  // this core has been out of contact since it loaded
+	completeEpoch int64 // all tombstones acknowledged before this quorum epoch are on this disk
 }
 
 func (c *completeness) reset(epoch int64) {
@@ -39,28 +40,28 @@
 	return c.completeEpoch
 }
 
-// isLoaded says whether a quorum has sent its entries since the start.
+// isLoaded reports whether a quorum has sent its entries since the start.
 func (c *completeness) isLoaded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.loaded
 }
 
-// completeFor says whether this core is loaded, and complete for an epoch.
+// completeFor reports whether this core is loaded and complete for an epoch.
 func (c *completeness) completeFor(epoch int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.loaded && c.completeEpoch >= epoch
 }
 
-// upToDate says whether this core is loaded and was in contact ever since.
+// upToDate reports whether this core is loaded and has been in contact ever since.
 func (c *completeness) upToDate() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.loaded && !c.stale
 }
 
-// updateStale notes that this core lost contact, and gives the state.
+// updateStale marks the state stale if contact was lost, and returns the flags.
 func (c *completeness) updateStale(lostContact bool) (loaded, stale bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,14 +69,14 @@
 	return c.loaded, c.stale
 }
 
-// clearStale ends being stale.
+// clearStale records that the state was loaded again while in contact.
 func (c *completeness) clearStale() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stale = false
 }
 
-// setLoaded says whether this is the first time.
+// setLoaded sets the loaded flag and reports whether it was unset before.
 func (c *completeness) setLoaded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,11 +91,11 @@
 	c.completeEpoch = max(c.completeEpoch, epoch)
 }
 
-// loadResponses are the answers of other cores that loaded their entries.
+// loadResponses holds the responses to a load, by the core that sent them.
 type loadResponses map[chain.Member]*SyncResponse
 
-// hasQuorum says whether the responses, with what this core itself has, make it
-// complete for the epoch of a view, and how many cores they come from.
+// hasQuorum reports whether the responses, together with this core's own state, make
+// it complete for the epoch of a view, and how many cores they come from.
 func (responses loadResponses) hasQuorum(view chain.View, self chain.Member, completeEpoch int64) (n int, ok bool) {
 	majority := func(voters []chain.Member, epoch int64) (int, bool) {
 		return chain.CountMembers(voters, func(m chain.Member) bool {
--- a/internal/registry/record.go
+++ b/internal/registry/record.go
@@ -9,31 +9,33 @@
 	"saltreel/internal/membership"
 )
 
-// record is what this core knows of one handler instance or node. Its methods
-// are the rules of merging; they look at no clock and take no lock.
+// record is the state of one handler instance or node at this core. Its methods
+// implement the merge rules; the caller provides the time, where a rule depends on
+// it, and the locking.
 type record struct {
 	version        journal.Version
-	changed        journal.Version // when the value last changed but for the numbers of each heartbeat
-	value          json.RawMessage // null once it has expired or is deregistered
+	changed        journal.Version // version of the last change of the value, per-heartbeat counters aside
+	value          json.RawMessage // null if expired or deregistered
 	node           membership.Node // the decoded value of a node
-	lastSeen       time.Time       // newest heartbeat that any core received
-	updated        time.Time       // when this core last received a heartbeat or a change, for anti-entropy
-	lastHeartbeat  time.Time       // newest heartbeat that this core received itself
-	sessionStart   time.Time       // the first of those without a gap before lastHeartbeat
+	lastSeen       time.Time       // time of the newest heartbeat that any core received
+	updated        time.Time       // when this core last received a heartbeat or a change; used by anti-entropy
+	lastHeartbeat  time.Time       // time of the newest heartbeat that this core received itself
+	sessionStart   time.Time       // time of the first heartbeat of the current session with this core
 	reportedAt     time.Time       // when this core last reported the heartbeat as overdue
-	confirmedStage stage           // the stage known to be on the disks of a quorum
+	confirmedStage stage           // highest stage known to be on the disks of a quorum
 
 	previousIncarnation  string
 	replacedAt           time.Time // when the current incarnation was first seen
-	replacedIncarnations []string  // those whose successor sent heartbeats to this core, newest last
+	replacedIncarnations []string  // incarnations whose successor sent a heartbeat to this core, newest last
 }
 
-// maxReplacedIncarnations is how many ended incarnations of a node are known: a
-// link that was cut may deliver a heartbeat of any of them, however late.
+// maxReplacedIncarnations bounds how many replaced incarnations of a node are
+// remembered. A link that recovers may deliver heartbeats of any of them, after any
+// delay.
 const maxReplacedIncarnations = 8
 
-// recordHeartbeat notes a heartbeat that this core received itself. After a gap longer
-// than expiry the sender counts as arriving here anew.
+// recordHeartbeat records a heartbeat that this core received itself. A heartbeat
+// after a gap longer than sessionTimeout begins a new session.
 func (r *record) recordHeartbeat(now time.Time, sessionTimeout time.Duration) {
 	if now.Sub(r.lastHeartbeat) > sessionTimeout {
 		r.sessionStart = now
@@ -42,13 +44,13 @@
 	r.updated = now
 }
 
-// entry is the record as it is sent to another core.
+// entry returns the record as an entry to send to another core.
 func (r *record) entry(key string) Entry {
 	return Entry{Key: key, Version: r.version, AgeMs: time.Since(r.lastSeen).Milliseconds(), Value: r.value, Changed: r.changed}
 }
 
-// merge merges an entry of another core, or one made of a heartbeat. The result
-// says whether the value changed.
+// merge merges an entry of another core, or one built from a heartbeat, and reports
+// whether the value changed.
 func (r *record) merge(in Entry, now time.Time) (changed bool) {
 	seen := now.Add(-time.Duration(in.AgeMs) * time.Millisecond)
 	if seen.After(r.lastSeen) && !in.Version.Less(r.version) {
@@ -79,18 +81,18 @@
 func (r *record) decodeNode(now time.Time) {
 	before := r.node.Incarnation
 	r.node = membership.Node{}
-	_ = json.Unmarshal(r.value, &r.node) // null, once it has expired, is the zero node
+	_ = json.Unmarshal(r.value, &r.node) // the value null of an expired node gives the zero node
 	if r.node.Incarnation != "" && before != r.node.Incarnation {
 		r.previousIncarnation = before
 		r.replacedAt = now
 	}
 }
 
-// heartbeatVersion is the version of a heartbeat that a node sent to this core,
-// and false for a stale one, of an earlier incarnation. An incarnation that is
-// not known succeeds the one that is: their order is that in which the cores
-// see them, and does not depend on anyone's clock. The clock only lifts a core
-// that just started above what it said before.
+// heartbeatVersion returns the version of a heartbeat that a node sent to this core,
+// and false if the heartbeat is stale, that is, of an earlier incarnation. An
+// unknown incarnation succeeds the current one: incarnations are ordered by when
+// the cores first see them, not by any clock. The clock only ensures that a core
+// that has just started assigns higher versions than before its restart.
 func (r *record) heartbeatVersion(n membership.Node, now time.Time, staleWindow time.Duration) (journal.Version, bool) {
 	version := journal.Version{Major: now.UnixMilli(), Minor: n.Sequence}
 	if r == nil {
@@ -107,8 +109,8 @@
 	return version, true
 }
 
-// isStale says whether an incarnation is an earlier one than the current, as
-// long as heartbeats of the current one are recent.
+// isStale reports whether an incarnation is an earlier one than the current, whose
+// heartbeats are recent.
 func (r *record) isStale(incarnation string, now time.Time, window time.Duration) bool {
 	if r.previousIncarnation == incarnation && now.Sub(r.replacedAt) < window {
 		return true
@@ -116,7 +118,7 @@
 	return slices.Contains(r.replacedIncarnations, incarnation) && now.Sub(r.lastSeen) < window
 }
 
-// recordReplaced remembers that a successor of the current incarnation sent a
+// recordReplaced records that a successor of the current incarnation sent a
 // heartbeat to this core.
 func (r *record) recordReplaced(successor string) {
 	if r.node.Incarnation == "" || r.node.Incarnation == successor {
@@ -126,9 +128,9 @@
 	r.replacedIncarnations = r.replacedIncarnations[max(0, len(r.replacedIncarnations)-maxReplacedIncarnations):]
 }
 
-// needsValue says whether an entry without its value is newer than what is
-// known here: also where this core received nothing for so long that the record
-// expired, while another core still receives heartbeats.
+// needsValue reports whether an entry without a value is newer than this record, so
+// that its value must be requested. That includes a record that expired here, where
+// no heartbeats arrived, while another core still receives them.
 func (r *record) needsValue(in Entry) bool {
 	if in.Value != nil {
 		return false
@@ -136,19 +138,19 @@
 	return r == nil || r.changed.Less(in.Changed) || isNull(r.value) && r.version.Less(in.Version)
 }
 
-// expiryAction is what becomes of a record that had no heartbeat for a while.
+// expiryAction is what to do with a record after a time without heartbeats.
 type expiryAction int
 
 const (
 	expiryNone   expiryAction = iota
-	expiryExpire              // it counts as not there until the next heartbeat
-	expiryPurge               // the record itself is dropped
+	expiryExpire              // treat it as absent until the next heartbeat
+	expiryPurge               // delete the record
 )
 
 func (r *record) expiryAction(now time.Time, expiry time.Duration) expiryAction {
 	age := now.Sub(r.lastSeen)
 	switch {
-	case age <= expiry: // by far the most
+	case age <= expiry: // the common case
 		return expiryNone
 	case !isNull(r.value):
 		return expiryExpire
@@ -164,9 +166,9 @@
 	r.changed = r.version
 }
 
-// isOverdue says whether a store that used to send its heartbeats to this core
-// is to be reported: it sent none for longer than after, though not for as long
-// as before, and was not reported lately.
+// isOverdue reports whether a store that used to send its heartbeats to this core
+// should be reported as overdue: its last heartbeat is older than after, but not
+// older than before, and it was not reported within the last interval of after.
 func (r *record) isOverdue(now time.Time, after, before time.Duration) bool {
 	if r.node.Role != "store" || r.lastHeartbeat.IsZero() {
 		return false
@@ -175,7 +177,7 @@
 	return age > after && age < before && now.Sub(r.reportedAt) > after
 }
 
-// sameValue compares two values but for the numbers that each heartbeat changes.
+// sameValue compares two values except for the counters that change with each heartbeat.
 func sameValue(a, b json.RawMessage) bool {
 	if a == nil || b == nil || isNull(a) || isNull(b) {
 		return string(a) == string(b)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,10 +1,10 @@
-// Package registry knows the handler instances and the nodes of the system: a
-// table in memory, filled by heartbeats and by anti-entropy between the cores
+// Package registry tracks the handler instances and the nodes of the system. It is
+// an in-memory table, filled by heartbeats and by anti-entropy between the cores
 // (Demers et al., "Epidemic algorithms for replicated database maintenance",
-// PODC 1987). Heartbeats may be lost; that an instance drains or was deregistered
-// may not. So a tombstone is on the disks of a quorum of the voters before it is
-// acknowledged, and a core that starts answers nothing about instances before
-// it has loaded the tombstones from a quorum.
+// PODC 1987). A lost heartbeat does no harm, but the fact that an instance is
+// draining or deregistered must not be lost: its tombstone is on the disks of a
+// quorum of the voters before it is acknowledged, and a core that starts answers
+// no request about instances before it has loaded the tombstones from a quorum.
 package registry
 
 import (
@@ -20,7 +20,7 @@
 	"saltreel/internal/membership"
 )
 
-// Chain is what the registry needs of the chain of control state.
+// Chain is the part of the control-state chain that the registry uses.
 type Chain interface {
 	View() chain.View
 	Voters() []string
@@ -29,33 +29,33 @@
 	InstallView(ctx context.Context, view chain.View) error
 }
 
-// Caller calls the other cores; *rpc.Client is one.
+// Caller makes calls to the other cores. *rpc.Client implements it.
 type Caller interface {
 	Call(ctx context.Context, address, path string, in any, raw []byte, out any) error
 }
 
-// Config is what a Registry is made of. All fields but Seeds, OnNodeChanged and
+// Config configures a Registry. All fields but Seeds, OnNodeChanged and
 // HostFailures are required.
 type Config struct {
-	Address           string              // internal, of this core
-	Seeds             func() []string     // internal addresses of cores, as long as no others are known
-	Self              func() chain.Member // this core as a member of the chain, once its disk is open
+	Address           string              // internal address of this core
+	Seeds             func() []string     // internal addresses of cores to contact while no others are known
+	Self              func() chain.Member // this core as a chain member; valid once its disk is open
 	Chain             Chain
 	Client            Caller
 	Storage           Storage
-	Journal           *journal.Journal // gets each change of an instance or node
-	HostFailures      int              // how many machines may be lost at once
+	Journal           *journal.Journal // receives every change of an instance or node
+	HostFailures      int              // number of simultaneous host failures to tolerate
 	ContactTimeout    time.Duration
-	KeepaliveInterval time.Duration // between two heartbeats of a handler
+	KeepaliveInterval time.Duration // interval between the heartbeats of a handler
 	Log               *log.Logger
-	// Go runs a task in the background, until the process ends at the latest.
+	// Go runs a background task. Its context is canceled when the process ends.
 	Go func(task func(ctx context.Context))
-	// OnNodeChanged is called when what is known of a node has changed.
+	// OnNodeChanged is called after the record of a node has changed.
 	OnNodeChanged func()
 }
 
-// Registry is one core's part of the registry. It is ready for use once
-// LoadState's result has been called.
+// Registry is one core's replica of the registry. It must not be used before the
+// install function returned by LoadState has been called.
 type Registry struct {
 	config       Config
 	timing       timing
@@ -67,7 +67,7 @@
 	cores        coreCache
 }
 
-// New makes a registry.
+// New makes a Registry. It returns an error if a required field of config is not set.
 func New(config Config) (*Registry, error) {
 	switch {
 	case config.Address == "":
@@ -93,7 +93,7 @@
 	}, nil
 }
 
-// InitState makes the registry's part of the state on a disk that may be empty.
+// InitState creates the buckets of the registry in a database that may be empty.
 func (r *Registry) InitState(tx *bbolt.Tx) error {
 	for _, name := range [][]byte{bucketTombstones, bucketComplete} {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -103,8 +103,9 @@
 	return nil
 }
 
-// LoadState reads the tombstones on disk; install puts them into memory, outside
-// of the transaction. An error is damage.
+// LoadState reads the tombstones from disk. The returned install function copies
+// them into memory and must be called outside of the transaction. An error means
+// that the state on disk is damaged.
 func (r *Registry) LoadState(tx *bbolt.Tx) (install func(), err error) {
 	entries, completeEpoch, err := readTombstones(tx)
 	return func() {
@@ -116,10 +117,10 @@
 	}, err
 }
 
-// RecordSelf records a heartbeat of this core itself.
+// RecordSelf records a heartbeat of this core.
 func (r *Registry) RecordSelf(n membership.Node) { r.table.nodeHeartbeat(n) }
 
-// RecordNode records a heartbeat that one of our own processes sent to this core.
+// RecordNode records a heartbeat that a node sent to this core.
 func (r *Registry) RecordNode(n membership.Node) {
 	if entry, changed := r.table.nodeHeartbeat(n); changed {
 		r.config.OnNodeChanged()
@@ -127,18 +128,19 @@
 	}
 }
 
-// Nodes lists our own processes that have not expired, by name.
+// Nodes returns the nodes that have not expired, by name.
 func (r *Registry) Nodes() map[string]NodeStatus { return r.table.nodes() }
 
-// OverdueStores are the names of the stores that used to send their heartbeats
-// to this core and sent none for longer than after, but less than before. Each
-// is named once in that time.
+// OverdueStores returns the names of the stores that used to send their heartbeats
+// to this core and whose last one is older than after, but not older than before.
+// Each store is returned at most once per interval of length after.
 func (r *Registry) OverdueStores(after, before time.Duration) []string {
 	return r.table.overdueStores(after, before)
 }
 
-// Expire marks instances and nodes that sent no heartbeat to any core as no
-// longer there. It does nothing while this core was out of contact lately.
+// Expire marks as absent the instances and nodes whose heartbeats no core has
+// received within their expiry time, and purges old tombstones. It does nothing
+// unless this core has been in contact long enough to know of recent heartbeats.
 func (r *Registry) Expire() {
 	if r.config.Chain.InContactFor() <= r.timing.contactBeforeExpiry() {
 		return
--- a/internal/registry/sync.go
+++ b/internal/registry/sync.go
@@ -10,21 +10,21 @@
 	"saltreel/internal/timeutil"
 )
 
-// syncProgress is what was sent to each of the other cores, by address. A core that
-// has restarted may lack it: it loads from the others, and asks for the values that
-// it is missing. So nothing is sent again because a call has failed, which would be
-// most where the cores have the least time for it.
+// syncProgress records what has been sent to each of the other cores, by address. A
+// core that has restarted may lack some of it, but it loads from the others and
+// requests the missing values. A failed call therefore causes no full resend, which
+// would be largest when the cores are most loaded.
 type syncProgress struct {
 	mu     sync.Mutex
 	sentAt map[string]time.Time
-	sent   map[string]map[string]journal.Version // by key of the entry
+	sent   map[string]map[string]journal.Version // by entry key
 }
 
 func newSyncProgress() syncProgress {
 	return syncProgress{sentAt: map[string]time.Time{}, sent: map[string]map[string]journal.Version{}}
 }
 
-// begin gives what was sent to a peer, and up to which moment.
+// begin returns what has been sent to a peer, and up to which time.
 func (p *syncProgress) begin(peer string) (after time.Time, sent map[string]journal.Version) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -34,7 +34,7 @@
 	return p.sentAt[peer], p.sent[peer]
 }
 
-// version is the version of a key that is among what was sent.
+// version returns the version of a key that has been sent, or unsent.
 func (p *syncProgress) version(sent map[string]journal.Version, key string) journal.Version {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,7 +44,7 @@
 	return unsent
 }
 
-// advance notes what a peer has merged, but for the values that it is missing.
+// advance records what a peer has merged, except for the values that it is missing.
 func (p *syncProgress) advance(peer string, at time.Time, sent map[string]journal.Version, entries []Entry, missing []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,8 +57,8 @@
 	}
 }
 
-// SyncWithPeers begins one round of anti-entropy: each of the other cores is
-// sent, in the background, what this core received since the round before.
+// SyncWithPeers starts a round of anti-entropy in the background: it sends to each of
+// the other cores what this core received since the previous round.
 func (r *Registry) SyncWithPeers() {
 	for _, peer := range r.Peers() {
 		r.config.Go(func(ctx context.Context) { r.syncWith(ctx, peer) })
@@ -72,21 +72,21 @@
 	defer cancel()
 	var out SyncResponse
 	if err := r.config.Client.Call(ctx, peer, pathSync, SyncRequest{From: r.config.Address, Entries: entries}, nil, &out); err != nil {
-		return // what was not received goes with the next round
+		return // retried in the next round
 	}
 	r.progress.advance(peer, now, sent, entries, out.MissingValues)
 }
 
-// pathSync is the path of the call that HandleSync answers.
+// pathSync is the path of the call served by HandleSync.
 const pathSync = "/exchange"
 
-// outbox gathers entries that go to all other cores together.
+// outbox batches entries to be broadcast to all other cores.
 type outbox struct {
 	mu      sync.Mutex
 	entries []Entry
 }
 
-// add says whether the entry is the first one.
+// add appends an entry and reports whether it is the first one in the batch.
 func (o *outbox) add(entry Entry) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -102,10 +102,10 @@
 	return entries
 }
 
-// broadcast sends an entry to all other cores and does not wait for them; what
-// is lost goes with the next round of anti-entropy. Entries that come within a
-// moment go together: when many nodes start at once, each core receives all of
-// them at once.
+// broadcast sends an entry to all other cores without waiting for them; lost ones
+// are sent again in the next round of anti-entropy. Entries that follow within
+// broadcastDelay are sent together, so that the start of many nodes at the same time
+// does not cause a call to each core for each of them.
 func (r *Registry) broadcast(entry Entry) {
 	if !r.outbox.add(entry) {
 		return
@@ -127,7 +127,7 @@
 	}
 }
 
-// HandleSync answers another core's part of anti-entropy. Tombstones among the
+// HandleSync serves the anti-entropy call of another core. Tombstones among the
 // entries are on disk when it returns.
 func (r *Registry) HandleSync(ctx context.Context, in *SyncRequest, _ []byte) (*SyncResponse, error) {
 	out := &SyncResponse{Disk: r.config.Self().Disk}
@@ -161,10 +161,10 @@
 	return out, nil
 }
 
-// addSnapshot adds what a core that loads asks for.
+// addSnapshot adds the view and the entries that a loading core requested.
 func (r *Registry) addSnapshot(out *SyncResponse, want string) {
-	// The view comes first: a tombstone that is persisted for it later is not
-	// certain to be among the entries.
+	// The view is read before the entries, which may lack a tombstone persisted for
+	// that view later.
 	view := r.config.Chain.View()
 	out.View = &view
 	out.CompleteEpoch = r.completeness.currentEpoch()
@@ -174,7 +174,7 @@
 	}
 }
 
-// merge merges entries of another core; tombstones are on disk when it returns.
+// merge merges entries of another core. Tombstones are on disk when it returns.
 func (r *Registry) merge(entries []Entry) error {
 	var tombstones []Entry
 	for _, entry := range entries {
--- a/internal/registry/table.go
+++ b/internal/registry/table.go
@@ -10,13 +10,13 @@
 	"saltreel/internal/membership"
 )
 
-// table holds the records of all instances and nodes in memory, and appends
-// each change to the journal. Each core receives some heartbeats itself and gets
-// the rest from the other cores by anti-entropy.
+// table holds the records of all instances and nodes in memory and appends every
+// change to the journal. Each core receives some of the heartbeats itself and the
+// others from the other cores by anti-entropy.
 type table struct {
 	journal        *journal.Journal
 	staleWindow    time.Duration // how long heartbeats of earlier incarnations are ignored
-	sessionTimeout time.Duration // without heartbeats, after which a sender arrives anew
+	sessionTimeout time.Duration // a longer gap between heartbeats begins a new session
 
 	mu      sync.Mutex
 	records map[string]*record
@@ -26,8 +26,9 @@
 	return &table{journal: events, staleWindow: staleWindow, sessionTimeout: sessionTimeout, records: map[string]*record{}}
 }
 
-// sessionStart is when the first of the heartbeats came that an instance sends to this core
-// without a gap; the zero time if there is none.
+// sessionStart returns the time of the first heartbeat in the current session of an
+// instance with this core, or the zero time if there is none. A session is a run of
+// heartbeats without a gap longer than sessionTimeout.
 func (t *table) sessionStart(key string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -37,7 +38,8 @@
 	return time.Time{}
 }
 
-// merge merges an entry that another core sent; it says whether the value changed.
+// merge merges an entry that another core sent and reports whether the value
+// changed.
 func (t *table) merge(in Entry) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -60,7 +62,7 @@
 	return changed
 }
 
-// heartbeat merges an entry made of a heartbeat that this core itself received.
+// heartbeat merges an entry built from a heartbeat that this core received itself.
 func (t *table) heartbeat(in Entry) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -75,8 +77,8 @@
 	return changed
 }
 
-// nodeHeartbeat merges a heartbeat of one of our own processes. It gives the
-// entry made of it, and whether its value changed.
+// nodeHeartbeat merges a heartbeat of a node. It returns the entry built from it and
+// reports whether the value changed.
 func (t *table) nodeHeartbeat(n membership.Node) (Entry, bool) {
 	in := Entry{Key: distribution.PrefixNode + n.Name, Value: journal.Encode(n)}
 	t.mu.Lock()
@@ -94,9 +96,9 @@
 	return in, t.heartbeatLocked(in, now)
 }
 
-// overdueStores are the names of the stores that used to send their heartbeats
-// to this core and sent none for longer than after, but less than before. Each
-// is named once in that time.
+// overdueStores returns the names of the stores that used to send their heartbeats
+// to this core and whose last one is older than after, but not older than before.
+// Each store is returned at most once per interval of length after.
 func (t *table) overdueStores(after, before time.Duration) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -112,9 +114,9 @@
 	return out
 }
 
-// updatedSince lists the entries received or changed after a moment, and gives
-// the moment now. Those that did not change since the version that the receiver
-// has carry no value.
+// updatedSince returns the entries received or changed after the given time, and
+// the current time. Entries whose value has not changed since the version that was
+// sent to the receiver carry no value.
 func (t *table) updatedSince(after time.Time, sentVersion func(key string) journal.Version) ([]Entry, time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,24 +135,24 @@
 	return out, now
 }
 
-// unsent is the version of what a receiver never got.
+// unsent is the version that stands for a key that was never sent to a receiver.
 var unsent = journal.Version{Major: -1}
 
-// all lists all entries with their values.
+// all returns all entries with their values.
 func (t *table) all() []Entry {
 	entries, _ := t.updatedSince(time.Time{}, func(string) journal.Version { return unsent })
 	return entries
 }
 
-// NodeStatus is a node as its newest heartbeat describes it, and how long ago
-// any core received that.
+// NodeStatus is a node as described by its newest heartbeat, and how long ago any
+// core received that heartbeat.
 type NodeStatus struct {
 	membership.Node
 	Age      time.Duration
-	LastSeen time.Time // the moment Age ago
+	LastSeen time.Time // the time of that heartbeat
 }
 
-// nodes lists our own processes that have not expired, by name.
+// nodes returns the nodes that have not expired, by name.
 func (t *table) nodes() map[string]NodeStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -163,9 +165,9 @@
 	return out
 }
 
-// expire marks what had no heartbeat for longer than its expiry as no longer
-// there, and forgets what has not been there for much longer. It gives the keys
-// of both.
+// expire marks records as absent whose last heartbeat is older than their expiry
+// time, and purges records that have been absent for much longer. It returns the
+// keys of both.
 func (t *table) expire(instanceExpiry, nodeExpiry time.Duration) (expired, purged []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -189,16 +191,16 @@
 	return expired, purged
 }
 
-// needsValue says whether an entry came without a value that this core does
-// not know.
+// needsValue reports whether an entry came without its value, and this core does
+// not have that value.
 func (t *table) needsValue(in Entry) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.records[in.Key].needsValue(in)
 }
 
-// isConfirmed says whether a tombstone of this stage is known to be on the
-// disks of a quorum.
+// isConfirmed reports whether a tombstone of this stage is known to be on the disks
+// of a quorum.
 func (t *table) isConfirmed(in Entry) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -206,7 +208,7 @@
 	return r != nil && r.confirmedStage >= in.stage()
 }
 
-// confirm notes that a tombstone is on the disks of a quorum.
+// confirm records that a tombstone is on the disks of a quorum.
 func (t *table) confirm(in Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/registry/timing.go
+++ b/internal/registry/timing.go
@@ -3,66 +3,73 @@
 import "time"
 
 // timing derives the durations of the registry from contact-ms, the time within
-// which the system notices that a machine is lost.
+// which the system detects the loss of a machine.
 type timing struct {
 	contact           time.Duration
-	keepaliveInterval time.Duration // between two heartbeats of a handler
+	keepaliveInterval time.Duration // interval between the heartbeats of a handler
 }
 
-// staleHeartbeatWindow is how long a heartbeat of an earlier incarnation of a
-// node is ignored: as long as the current one is certain to send one.
+// staleHeartbeatWindow is how long heartbeats of an earlier incarnation of a node
+// are ignored. The current incarnation sends at least one heartbeat in that time.
 func (t timing) staleHeartbeatWindow() time.Duration { return t.contact / 2 }
 
-// coreRecency is how old the newest heartbeat of a core may be for it to count
-// as running: two rounds of anti-entropy.
+// coreRecency is the maximum age of the newest heartbeat of a core that counts as
+// running: two rounds of anti-entropy.
 func (t timing) coreRecency() time.Duration { return t.contact / 2 }
 
-// coreCacheAge is how old the list of cores may be that each heartbeat of a
-// handler looks at: listing goes through all handlers.
+// coreCacheAge is the maximum age of the cached list of cores, which is consulted
+// for every heartbeat of a handler. Building the list scans all records.
 func (t timing) coreCacheAge() time.Duration { return t.contact / 40 }
 
-// broadcastDelay is how long an entry waits for others to be sent together:
-// short beside a call, long enough for a fleet that starts at once.
+// broadcastDelay is how long a changed entry is held back so that others are sent
+// with it. It is short compared with a call, but long enough to batch the entries
+// of many nodes that start at the same time.
 func (t timing) broadcastDelay() time.Duration { return t.contact / 400 }
 
-// syncTimeout bounds one exchange: half a round.
+// syncTimeout bounds one anti-entropy exchange: half the interval between rounds.
 func (t timing) syncTimeout() time.Duration { return t.contact / 8 }
 
-// loadTimeout bounds the attempt to load from a majority: a few round trips
-// between regions.
+// loadTimeout bounds one attempt to load from a quorum: a few round trips between
+// regions.
 func (t timing) loadTimeout() time.Duration { return t.contact / 16 }
 
-// loadRetryDelay is the wait after an attempt to load that failed. Handlers
-// are not served meanwhile, so it is short.
+// loadRetryDelay is the delay after a failed attempt to load. It is short, since
+// handlers are not served in the meantime.
 func (t timing) loadRetryDelay() time.Duration { return t.contact / 80 }
 
-// loadCheckInterval is how often a loaded registry checks that it still is.
+// loadCheckInterval is how often a loaded registry checks whether it has to load
+// again.
 func (t timing) loadCheckInterval() time.Duration { return t.contact / 40 }
 
 // quorumTimeout bounds how long a handler waits for its deregistration.
 func (t timing) quorumTimeout() time.Duration { return t.contact / 5 }
 
-// quorumAttemptTimeout is short enough for a second attempt under the next voters.
+// quorumAttemptTimeout bounds one attempt. It leaves time for a second attempt
+// after a change of the voters.
 func (t timing) quorumAttemptTimeout() time.Duration { return t.contact / 10 }
 
-// quorumRetryDelay is the wait between two attempts: a change of voters needs
-// about as long.
+// quorumRetryDelay is the delay between two attempts, about the time that a change
+// of the voters takes.
 func (t timing) quorumRetryDelay() time.Duration { return t.contact / 80 }
 
-// nodeExpiry is how long a node may send no heartbeat: three rounds.
+// nodeExpiry is how long after its last heartbeat a node expires: three heartbeat
+// intervals.
 func (t timing) nodeExpiry() time.Duration { return t.contact * 3 / 4 }
 
-// instanceExpiry is how long an instance may send no heartbeat: two may be lost.
+// instanceExpiry is how long after its last heartbeat an instance expires. Two
+// heartbeats may be lost.
 func (t timing) instanceExpiry() time.Duration { return 3 * t.keepaliveInterval }
 
 // contactBeforeExpiry is how long this core must have been in contact before it
-// expires anything: a core that was out of contact cannot say who was reachable.
+// expires anything: a core that was isolated does not know which heartbeats the
+// others received.
 func (t timing) contactBeforeExpiry() time.Duration { return max(t.contact, t.instanceExpiry()) }
 
-// tombstoneRetentionPeriods is how many expiries after its last heartbeat an entry that
-// is no longer there is dropped: no heartbeat is under way for that long.
+// tombstoneRetentionPeriods is the number of expiry periods after the last heartbeat
+// for which the record of an absent instance or node is retained. No heartbeat is
+// delayed for that long.
 const tombstoneRetentionPeriods = 16
 
-// TombstoneBatchDelay is how long a tombstone waits for others to be synced
-// with: about the duration of a sync.
+// TombstoneBatchDelay is how long a tombstone waits for others to be written in the
+// same transaction: about the duration of one disk sync.
 const TombstoneBatchDelay = 2 * time.Millisecond
--- a/internal/registry/tombstones.go
+++ b/internal/registry/tombstones.go
@@ -11,20 +11,20 @@
 
 var (
 	bucketTombstones = []byte("leavings")
-	// bucketComplete holds the quorum epoch for which the tombstones of this
-	// disk are complete, under a key of the same name.
+	// bucketComplete holds the quorum epoch for which the tombstones on this disk are
+	// complete, under a key of the same name.
 	bucketComplete = []byte("leavings-complete")
 )
 
-// Storage is the state on disk. A call returns nil only once what it wrote
-// survives a loss of power.
+// Storage is the database on disk. A call returns nil only once its writes survive a
+// loss of power.
 type Storage interface {
 	Update(fn func(tx *bbolt.Tx) error) error
-	// Batch may sync several concurrent calls at once.
+	// Batch may combine concurrent calls into one transaction and disk sync.
 	Batch(fn func(tx *bbolt.Tx) error) error
 }
 
-// tombstones are the draining and deregistered instances on this disk.
+// tombstones tracks the tombstones of draining and deregistered instances on this disk.
 type tombstones struct {
 	storage Storage
 
@@ -36,8 +36,8 @@
 	return &tombstones{storage: storage, persisted: map[string]stage{}}
 }
 
-// readTombstones reads the tombstones on this disk, and the quorum epoch for
-// which they are complete: those acknowledged before its time are all here.
+// readTombstones reads the tombstones on this disk and the quorum epoch for which
+// they are complete: all tombstones acknowledged before that epoch are on this disk.
 func readTombstones(tx *bbolt.Tx) (entries []Entry, completeEpoch int64, err error) {
 	if raw := tx.Bucket(bucketComplete).Get(bucketComplete); raw != nil {
 		if completeEpoch, err = strconv.ParseInt(string(raw), 10, 64); err != nil {
@@ -52,14 +52,14 @@
 		if entry.Value == nil {
 			entry.Value = nullValue
 		}
-		entry.AgeMs = 0 // as if received now, so that it is not forgotten too early
+		entry.AgeMs = 0 // as if received now, so that it is not purged too early
 		entries = append(entries, entry)
 		return nil
 	})
 	return entries, completeEpoch, err
 }
 
-// reset replaces what is known to be on disk.
+// reset replaces the set of tombstones known to be on disk.
 func (t *tombstones) reset(entries []Entry) {
 	persisted := map[string]stage{}
 	for _, entry := range entries {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// missing are the entries whose stage is not on disk.
+// missing returns the entries whose stage is not on disk yet.
 func (t *tombstones) missing(entries []Entry) []Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -109,7 +109,7 @@
 	return out
 }
 
-// putNewer writes an entry unless one as new is there.
+// putNewer writes an entry unless the bucket holds one that is at least as new.
 func putNewer(bucket *bbolt.Bucket, entry Entry) error {
 	raw, err := json.Marshal(entry)
 	if err != nil {
@@ -122,8 +122,8 @@
 	return bucket.Put([]byte(entry.Key), raw)
 }
 
-// purge removes those of the keys that are tombstones on this disk: no late
-// heartbeat can undo them any more. It gives their number.
+// purge deletes the tombstones with the given keys from this disk and returns their
+// number. The caller ensures that no delayed heartbeat can undo them any more.
 func (t *tombstones) purge(keys []string) (int, error) {
 	present := t.removePresent(keys)
 	if len(present) == 0 {
@@ -139,7 +139,7 @@
 	})
 }
 
-// removePresent removes keys from memory and gives those that were there.
+// removePresent removes keys from memory and returns those that were present.
 func (t *tombstones) removePresent(keys []string) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -153,7 +153,8 @@
 	return present
 }
 
-// persistCompleteEpoch writes for which quorum epoch the tombstones are complete.
+// persistCompleteEpoch writes the quorum epoch for which the tombstones on this disk
+// are complete.
 func (t *tombstones) persistCompleteEpoch(epoch int64) error {
 	err := t.storage.Update(func(tx *bbolt.Tx) error {
 		return tx.Bucket(bucketComplete).Put(bucketComplete, strconv.AppendInt(nil, epoch, 10))
