--- a/internal/registry/deregister.go
+++ b/internal/registry/deregister.go
@@ -104,7 +104,7 @@
 		return err
 	}
 	if out.Disk != voter.Disk {
-		return fmt.Errorf("%s has another disk", voter.Address)
+		return fmt.Errorf("voter %s has a different disk", voter.Address)
 	}
 	return nil
 }
--- a/internal/registry/errors.go
+++ b/internal/registry/errors.go
@@ -15,7 +15,7 @@
 }
 
 func (e *WrongEpochError) Error() string {
-	return fmt.Sprintf("quorum epoch %d is in force, complete for %d, not %d", e.InForce, e.Complete, e.Requested)
+	return fmt.Sprintf("quorum epoch %d is in force and this core is complete for %d, requested was %d", e.InForce, e.Complete, e.Requested)
 }
 
 // NoQuorumError reports that a tombstone did not reach the disks of a quorum in
@@ -23,14 +23,14 @@
 type NoQuorumError struct{ Err error }
 
 func (e *NoQuorumError) Error() string {
-	return fmt.Sprintf("too few cores persist the tombstone: %v", e.Err)
+	return fmt.Sprintf("tombstone not persisted on a quorum: %v", e.Err)
 }
 
 // Unwrap returns the error of the last attempt.
 func (e *NoQuorumError) Unwrap() error { return e.Err }
 
 // errNotComplete reports that too few voters sent their tombstones.
-var errNotComplete = errors.New("no majority of the voters has sent its entries")
+var errNotComplete = errors.New("no majority of the voters sent its tombstones")
 
 // StatusCode maps the errors of this package to the HTTP status of a response, and
 // other errors to 0.
--- a/internal/registry/load.go
+++ b/internal/registry/load.go
@@ -122,7 +122,7 @@
 		return false
 	}
 	if r.completeness.setLoaded() {
-		r.config.Log.Printf("core: the registry is loaded from %d of %d voters", n, len(view.Voters))
+		r.config.Log.Printf("core: registry loaded from %d of %d voters", n, len(view.Voters))
 	}
 	return true
 }
--- a/internal/registry/pages.go
+++ b/internal/registry/pages.go
@@ -38,7 +38,7 @@
 }
 
 // errNoPages reports that no loaded core has sent all of its pages.
-var errNoPages = errors.New("no core that is loaded has sent its entries")
+var errNoPages = errors.New("no loaded core sent all of its entries")
 
 // pageCursor is the position up to which the entries have been loaded. Loading resumes
 // there with another core if one stops responding. Entries at earlier keys that only
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -71,11 +71,11 @@
 func New(config Config) (*Registry, error) {
 	switch {
 	case config.Address == "":
-		return nil, errors.New("registry: no address")
+		return nil, errors.New("registry: the address is not set")
 	case config.ContactTimeout <= 0 || config.KeepaliveInterval <= 0:
-		return nil, errors.New("registry: the timeouts are not positive")
+		return nil, errors.New("registry: the contact timeout and the keepalive interval must be positive")
 	case config.Self == nil || config.Chain == nil || config.Client == nil || config.Storage == nil || config.Journal == nil || config.Log == nil || config.Go == nil:
-		return nil, errors.New("registry: a part is missing")
+		return nil, errors.New("registry: a required component is not set")
 	}
 	if config.Seeds == nil {
 		config.Seeds = func() []string { return nil }
@@ -147,9 +147,9 @@
 	}
 	expired, purged := r.table.expire(r.timing.instanceExpiry(), r.timing.nodeExpiry())
 	for _, key := range expired {
-		r.config.Log.Printf("core: no heartbeat, expired: %s", key)
+		r.config.Log.Printf("core: %s expired: no heartbeat received", key)
 	}
 	if n, err := r.tombstones.purge(purged); err != nil {
-		r.config.Log.Printf("core: forget %d tombstones: %v", n, err)
+		r.config.Log.Printf("core: failed to purge %d tombstones: %v", n, err)
 	}
 }
--- a/internal/registry/tombstones.go
+++ b/internal/registry/tombstones.go
@@ -41,13 +41,13 @@
 func readTombstones(tx *bbolt.Tx) (entries []Entry, completeEpoch int64, err error) {
 	if raw := tx.Bucket(bucketComplete).Get(bucketComplete); raw != nil {
 		if completeEpoch, err = strconv.ParseInt(string(raw), 10, 64); err != nil {
-			return nil, 0, fmt.Errorf("the quorum epoch of the tombstones: %w", err)
+			return nil, 0, fmt.Errorf("parse the quorum epoch of the tombstones: %w", err)
 		}
 	}
 	err = tx.Bucket(bucketTombstones).ForEach(func(k, v []byte) error {
 		var entry Entry
 		if err := json.Unmarshal(v, &entry); err != nil {
-			return fmt.Errorf("tombstone of %s: %w", k, err)
+			return fmt.Errorf("parse the tombstone of %s: %w", k, err)
 		}
 		if entry.Value == nil {
 			entry.Value = nullValue
