--- a/internal/registry/entry_test.go
+++ b/internal/registry/entry_test.go
@@ -7,7 +7,8 @@
 	"saltreel/internal/chain"
 )
 
-// Old and new programs serve side by side, so the names on the wire stay.
+// Cores of different versions run side by side during an upgrade, so the names on the
+// wire must not change.
 func TestSyncWireFormat(t *testing.T) {
 	epoch := int64(7)
 	for name, c := range map[string]struct {
--- a/internal/registry/record_test.go
+++ b/internal/registry/record_test.go
@@ -16,7 +16,7 @@
 func TestMergeAcceptsNewerVersionsOnly(t *testing.T) {
 	const key = "instance/i"
 	ready, draining := json.RawMessage(`{"oper-state":"ready"}`), json.RawMessage(`{"oper-state":"draining"}`)
-	held := record{version: version(5, 0), changed: version(5, 0), value: ready, lastSeen: testStart}
+	existing := record{version: version(5, 0), changed: version(5, 0), value: ready, lastSeen: testStart}
 	now := testStart.Add(time.Minute)
 	for name, c := range map[string]struct {
 		in          Entry
@@ -29,23 +29,23 @@
 		"newer value":           {Entry{Version: version(6, 0), Value: draining}, true, version(6, 0), draining, version(6, 0), 0},
 		"newer, same value":     {Entry{Version: version(6, 0), Value: ready}, false, version(6, 0), ready, version(5, 0), 0},
 		"newer, without value":  {Entry{Version: version(6, 0)}, false, version(6, 0), ready, version(5, 0), 0},
-		"newer, seen long ago":  {Entry{Version: version(6, 0), AgeMs: 3600_000}, false, version(6, 0), ready, version(5, 0), time.Minute},
+		"newer, old heartbeat":  {Entry{Version: version(6, 0), AgeMs: 3600_000}, false, version(6, 0), ready, version(5, 0), time.Minute},
 		"changed at the sender": {Entry{Version: version(7, 0), Value: ready, Changed: version(6, 0)}, false, version(7, 0), ready, version(6, 0), 0},
 		"same version":          {Entry{Version: version(5, 0), Value: draining}, false, version(5, 0), ready, version(5, 0), 0},
 		"older version":         {Entry{Version: version(4, 9), Value: draining}, false, version(5, 0), ready, version(5, 0), time.Minute},
 		"deregistered":          {Entry{Version: version(majorDeregistered, 0), Value: nullValue}, true, version(majorDeregistered, 0), nullValue, version(majorDeregistered, 0), 0},
 	} {
-		r := held
+		r := existing
 		c.in.Key = key
 		changed := r.merge(c.in, now)
 		if changed != c.changed || r.version != c.version || string(r.value) != string(c.value) || r.changed != c.valueSince {
 			t.Errorf("%s: changed %v, %+v", name, changed, r)
 		}
 		if ago := now.Sub(r.lastSeen); ago != c.lastSeenAgo {
-			t.Errorf("%s: last seen %v ago, not %v", name, ago, c.lastSeenAgo)
+			t.Errorf("%s: last seen %v ago, want %v", name, ago, c.lastSeenAgo)
 		}
 		if changed != r.updated.Equal(now) {
-			t.Errorf("%s: changed %v, for anti-entropy at %v", name, changed, r.updated)
+			t.Errorf("%s: changed is %v, but updated is %v", name, changed, r.updated)
 		}
 	}
 }
@@ -60,21 +60,21 @@
 	ahead := known
 	ahead.version.Major = clock + 1<<40
 	for name, c := range map[string]struct {
-		held        *record
+		existing    *record
 		incarnation string
 		after       time.Duration
 		version     journal.Version
 		current     bool
 	}{
-		"unknown node":                                    {nil, "a", 0, version(clock, 7), true},
-		"same incarnation":                                {&known, "b", 0, version(clock-1000, 7), true},
-		"new incarnation":                                 {&known, "c", 0, version(clock, 7), true},
-		"new incarnation, other's clock ahead":            {&ahead, "c", 0, version(clock+1<<40+1, 7), true},
-		"previous incarnation":                            {&known, "a", 0, version(clock, 7), false},
-		"earlier incarnation":                             {&known, "z", 0, version(clock, 7), false},
-		"earlier one, no recent heartbeat of the current": {&known, "z", window, version(clock+1000, 7), true},
+		"unknown node":     {nil, "a", 0, version(clock, 7), true},
+		"same incarnation": {&known, "b", 0, version(clock-1000, 7), true},
+		"new incarnation":  {&known, "c", 0, version(clock, 7), true},
+		"new incarnation, known version ahead of the clock": {&ahead, "c", 0, version(clock+1<<40+1, 7), true},
+		"previous incarnation":                              {&known, "a", 0, version(clock, 7), false},
+		"earlier incarnation":                               {&known, "z", 0, version(clock, 7), false},
+		"earlier incarnation, current one not recent":       {&known, "z", window, version(clock+1000, 7), true},
 	} {
-		got, current := c.held.heartbeatVersion(node(c.incarnation), testStart.Add(c.after), window)
+		got, current := c.existing.heartbeatVersion(node(c.incarnation), testStart.Add(c.after), window)
 		if got != c.version || current != c.current {
 			t.Errorf("%s: %+v, current %v", name, got, current)
 		}
@@ -83,25 +83,25 @@
 
 func TestReplacedIncarnationsAreBounded(t *testing.T) {
 	r := record{}
-	r.recordReplaced("0") // there was none before
+	r.recordReplaced("0") // no incarnation was known before
 	for i := range 20 {
 		r.node.Incarnation = string(rune('a' + i))
-		r.recordReplaced(r.node.Incarnation) // a heartbeat of the same one
+		r.recordReplaced(r.node.Incarnation) // a heartbeat of the same incarnation
 		r.recordReplaced("next")
 	}
 	if n := len(r.replacedIncarnations); n != maxReplacedIncarnations || r.replacedIncarnations[n-1] != "t" {
-		t.Errorf("remembered: %q", r.replacedIncarnations)
+		t.Errorf("remembered incarnations: %q", r.replacedIncarnations)
 	}
 }
 
-func TestSenderArrivesAnewAfterAGap(t *testing.T) {
+func TestSessionBeginsAfterAGap(t *testing.T) {
 	var r record
-	for _, c := range []struct{ at, arrived time.Duration }{
+	for _, c := range []struct{ at, started time.Duration }{
 		{0, 0}, {time.Second, 0}, {2 * time.Second, 0}, {3*time.Second + 1, 3*time.Second + 1}, {4 * time.Second, 3*time.Second + 1},
 	} {
 		r.recordHeartbeat(testStart.Add(c.at), time.Second)
-		if got := r.sessionStart.Sub(testStart); got != c.arrived {
-			t.Errorf("a heartbeat after %v: arrived after %v, not %v", c.at, got, c.arrived)
+		if got := r.sessionStart.Sub(testStart); got != c.started {
+			t.Errorf("heartbeat after %v: session began after %v, want %v", c.at, got, c.started)
 		}
 	}
 }
@@ -114,47 +114,47 @@
 		age   time.Duration
 		want  expiryAction
 	}{
-		"recent":                   {value, expiry, expiryNone},
-		"no heartbeat":             {value, expiry + 1, expiryExpire},
-		"no heartbeat for long":    {value, 20 * expiry, expiryExpire},
-		"deregistered":             {nullValue, expiry + 1, expiryNone},
-		"deregistered not so long": {nullValue, tombstoneRetentionPeriods * expiry, expiryNone},
-		"deregistered for long":    {nullValue, tombstoneRetentionPeriods*expiry + 1, expiryPurge},
+		"recent":                                 {value, expiry, expiryNone},
+		"no heartbeat":                           {value, expiry + 1, expiryExpire},
+		"no heartbeat for a long time":           {value, 20 * expiry, expiryExpire},
+		"deregistered":                           {nullValue, expiry + 1, expiryNone},
+		"deregistered, at the retention limit":   {nullValue, tombstoneRetentionPeriods * expiry, expiryNone},
+		"deregistered, past the retention limit": {nullValue, tombstoneRetentionPeriods*expiry + 1, expiryPurge},
 	} {
 		r := record{value: c.value, lastSeen: testStart}
 		if got := r.expiryAction(testStart.Add(c.age), expiry); got != c.want {
-			t.Errorf("%s: %v, not %v", name, got, c.want)
+			t.Errorf("%s: got %v, want %v", name, got, c.want)
 		}
 	}
 	r := record{version: version(4, 1), value: value}
 	if r.expire(); !isNull(r.value) || r.version != version(4, 2) || r.changed != r.version {
-		t.Errorf("after it expired: %+v", r)
+		t.Errorf("after expiry: %+v", r)
 	}
 }
 
-func TestEntryWithoutUnknownValueIsAskedFor(t *testing.T) {
-	held := &record{version: version(5, 0), changed: version(3, 0), value: json.RawMessage(`{}`)}
+func TestMissingValueIsNeeded(t *testing.T) {
+	existing := &record{version: version(5, 0), changed: version(3, 0), value: json.RawMessage(`{}`)}
 	expired := &record{version: version(5, 1), changed: version(5, 1), value: nullValue}
 	for name, c := range map[string]struct {
-		held *record
-		in   Entry
-		want bool
+		existing *record
+		in       Entry
+		want     bool
 	}{
-		"unknown key":                {nil, Entry{Version: version(1, 0)}, true},
-		"unknown key, with value":    {nil, Entry{Version: version(1, 0), Value: nullValue}, false},
-		"unchanged value":            {held, Entry{Version: version(6, 0), Changed: version(3, 0)}, false},
-		"changed value":              {held, Entry{Version: version(6, 0), Changed: version(6, 0)}, true},
-		"expired here, newer there":  {expired, Entry{Version: version(6, 0), Changed: version(3, 0)}, true},
-		"expired here, older there":  {expired, Entry{Version: version(5, 0), Changed: version(3, 0)}, false},
-		"changed value, value there": {held, Entry{Version: version(6, 0), Changed: version(6, 0), Value: json.RawMessage(`{}`)}, false},
+		"unknown key":               {nil, Entry{Version: version(1, 0)}, true},
+		"unknown key, with value":   {nil, Entry{Version: version(1, 0), Value: nullValue}, false},
+		"unchanged value":           {existing, Entry{Version: version(6, 0), Changed: version(3, 0)}, false},
+		"changed value":             {existing, Entry{Version: version(6, 0), Changed: version(6, 0)}, true},
+		"expired here, newer there": {expired, Entry{Version: version(6, 0), Changed: version(3, 0)}, true},
+		"expired here, older there": {expired, Entry{Version: version(5, 0), Changed: version(3, 0)}, false},
+		"changed value, with value": {existing, Entry{Version: version(6, 0), Changed: version(6, 0), Value: json.RawMessage(`{}`)}, false},
 	} {
-		if got := c.held.needsValue(c.in); got != c.want {
+		if got := c.existing.needsValue(c.in); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
 }
 
-func TestSameValueIgnoresNumbersOfEachHeartbeat(t *testing.T) {
+func TestSameValueIgnoresPerHeartbeatCounters(t *testing.T) {
 	for name, c := range map[string]struct {
 		a, b string
 		want bool
--- a/internal/registry/registry_bench_test.go
+++ b/internal/registry/registry_bench_test.go
@@ -21,7 +21,7 @@
 	return Entry{Key: distribution.PrefixInstance + in.ID, Version: journal.Version{Major: in.CallSeq}, Value: journal.Encode(in)}
 }
 
-// benchNode is store i of a fleet in nine zones of three regions.
+// benchNode returns store i of a fleet in nine zones and three regions.
 func benchNode(i int) membership.Node {
 	return membership.Node{Name: fmt.Sprintf("store-zone-%d-%d", i%9, i), Role: "store", Address: fmt.Sprintf("10.%d.0.%d:7100", i%9, i), Zone: fmt.Sprintf("zone-%d", i%9),
 		Region: fmt.Sprintf("region-%d", i%3), Disk: fmt.Sprintf("DISKDISKDISKDISKDISK%06d", i)}
@@ -40,9 +40,9 @@
 
 func alreadySent(string) journal.Version { return journal.Version{Major: 1 << 62} }
 
-// BenchmarkRegistry is what a core does with n handlers and 650 nodes: merge one
-// heartbeat of a handler, list what an exchange carries, list the nodes, look for
-// the overdue ones.
+// BenchmarkRegistry measures the work of a core with n handlers and 650 nodes: merging a
+// heartbeat of a handler, listing the entries of an exchange, listing the nodes, finding
+// the overdue stores, and expiring records.
 func BenchmarkRegistry(b *testing.B) {
 	for _, n := range handlerSizes {
 		var before, after runtime.MemStats
@@ -83,7 +83,7 @@
 	}
 }
 
-// benchmarkHeartbeats parses and merges heartbeats of a thousand handlers in turn.
+// benchmarkHeartbeats parses and merges heartbeats of 1000 handlers in turn.
 func benchmarkHeartbeats(b *testing.B, r *table) {
 	bodies := make([][]byte, 1000)
 	b.ReportAllocs()
@@ -107,8 +107,8 @@
 	}
 }
 
-// BenchmarkSync encodes and decodes an exchange of n entries without values, as
-// it goes between two cores each quarter of contact-ms.
+// BenchmarkSync encodes and decodes an exchange of n entries without values, as one
+// core sends it to another four times per contact-ms.
 func BenchmarkSync(b *testing.B) {
 	for _, n := range handlerSizes {
 		entries, _ := tableOf(n).updatedSince(time.Time{}, alreadySent)
--- a/internal/registry/sync_test.go
+++ b/internal/registry/sync_test.go
@@ -18,7 +18,7 @@
 	"saltreel/internal/journal"
 )
 
-// fakeChain is in contact, under a view that the test sets.
+// fakeChain is a chain that is in contact, with a view set by the test.
 type fakeChain struct{ view chain.View }
 
 func (f *fakeChain) View() chain.View            { return f.view }
@@ -38,14 +38,14 @@
 	return nil
 }
 
-// unreachable is a network on which no call arrives.
+// unreachable is a Caller whose calls all fail.
 type unreachable struct{}
 
 func (unreachable) Call(context.Context, string, string, any, []byte, any) error {
 	return errors.New("unreachable")
 }
 
-// newTestRegistry makes the registry of core "a" with its state on disk.
+// newTestRegistry makes the registry of core "a" with a database in a temporary directory.
 func newTestRegistry(t *testing.T, view chain.View) *Registry {
 	t.Helper()
 	file := &boltstore.File{Path: filepath.Join(t.TempDir(), "core.db"), BatchDelay: time.Millisecond, Warn: t.Logf}
@@ -65,16 +65,16 @@
 	return r
 }
 
-func TestNewRefusesAnIncompleteConfig(t *testing.T) {
+func TestNewRejectsIncompleteConfig(t *testing.T) {
 	if _, err := New(Config{Address: "a", ContactTimeout: time.Second, KeepaliveInterval: time.Second}); err == nil {
-		t.Error("a registry without its parts is made")
+		t.Error("New accepted a config without components")
 	}
 	if _, err := New(Config{}); err == nil {
-		t.Error("a registry without an address is made")
+		t.Error("New accepted a config without an address")
 	}
 }
 
-func TestSyncSendsValuesOnceAndRepairsLostOnes(t *testing.T) {
+func TestSyncSendsValuesOnceAndResendsLostOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestTable("a")
 		b := &Registry{
@@ -85,7 +85,7 @@
 			return Entry{Key: "instance/i", Version: journal.Version{Major: sequence}, Value: journal.Encode(map[string]any{"oper-state": state, "call-seq": sequence})}
 		}
 		sent := sentVersions{}
-		sync := func(arrives bool) (values int) {
+		sync := func(received bool) (values int) {
 			time.Sleep(time.Second)
 			entries, _ := a.updatedSince(time.Time{}, sent.of)
 			for _, entry := range entries {
@@ -94,7 +94,7 @@
 					values++
 				}
 			}
-			if arrives {
+			if received {
 				out, _ := b.HandleSync(t.Context(), &SyncRequest{Entries: entries}, nil)
 				for _, key := range out.MissingValues {
 					delete(sent, key)
@@ -104,27 +104,27 @@
 		}
 		a.merge(heartbeat(1, "ready"))
 		if n := sync(true); n != 1 {
-			t.Errorf("the first exchange carries %d values", n)
+			t.Errorf("the first exchange carries %d values, want 1", n)
 		}
 		a.merge(heartbeat(2, "ready"))
 		if n := sync(true); n != 0 {
-			t.Errorf("an unchanged value is sent again")
+			t.Errorf("an unchanged value was sent again")
 		}
 		a.merge(heartbeat(3, "draining"))
-		sync(false) // lost, though the sender thinks otherwise
+		sync(false) // lost, but recorded as sent
 		a.merge(heartbeat(4, "draining"))
 		sync(true)
 		sync(true)
 		if raw := valueOf(b.table, "instance/i"); !strings.Contains(string(raw), "draining") {
-			t.Errorf("the change that was lost is not known: %s", raw)
+			t.Errorf("the lost change was not sent again: %s", raw)
 		}
 		if n := sync(true); n != 0 {
-			t.Errorf("a known value is sent again")
+			t.Errorf("a known value was sent again")
 		}
 	})
 }
 
-func TestSyncProgressRepeatsMissingValuesOnly(t *testing.T) {
+func TestSyncProgressResendsMissingValuesOnly(t *testing.T) {
 	p := newSyncProgress()
 	_, sent := p.begin("b")
 	at := time.Now()
@@ -139,16 +139,16 @@
 func TestDeregistrationIsOnDiskBeforeItIsAcknowledged(t *testing.T) {
 	r := newTestRegistry(t, chain.View{Voters: members("a"), QuorumEpoch: 1})
 	if r.VoterReady() || r.InContactWithQuorum() {
-		t.Error("a core that has not loaded is ready")
+		t.Error("a core that has not loaded reports ready")
 	}
 	if err := r.load(t.Context()); err == nil || r.VoterReady() {
-		t.Errorf("the only voter, not complete, is ready: %v", err)
+		t.Errorf("the only voter, not complete, reports ready: %v", err)
 	}
 	if err := r.raiseCompleteEpoch(1); err != nil {
 		t.Fatal(err)
 	}
 	if err := r.load(t.Context()); err != nil || !r.VoterReady() || !r.InContactWithQuorum() {
-		t.Errorf("the only voter, complete, is not ready: %v", err)
+		t.Errorf("the only voter, complete, does not report ready: %v", err)
 	}
 	if err := r.Deregister(t.Context(), "i"); err != nil {
 		t.Fatal(err)
@@ -163,7 +163,7 @@
 		t.Errorf("on disk, for epoch %d: %+v, %v", epoch, onDisk, err)
 	}
 	if n, err := r.tombstones.purge([]string{"instance/i", "instance/other", "node/n"}); n != 1 || err != nil {
-		t.Errorf("%d tombstones are forgotten: %v", n, err)
+		t.Errorf("%d tombstones purged, want 1: %v", n, err)
 	}
 }
 
@@ -172,16 +172,16 @@
 	entry := Entry{Key: "instance/i", Version: version(majorDeregistered, 0), Value: nullValue}
 	var wrongEpoch *WrongEpochError
 	if err := r.persistForEpoch(3, []Entry{entry}); !errors.As(err, &wrongEpoch) || wrongEpoch.Complete != 0 {
-		t.Errorf("a core that is not complete: %v", err)
+		t.Errorf("core that is not complete: %v", err)
 	}
 	if err := r.raiseCompleteEpoch(3); err != nil {
 		t.Fatal(err)
 	}
 	if err := r.persistForEpoch(2, []Entry{entry}); !errors.As(err, &wrongEpoch) || wrongEpoch.InForce != 3 {
-		t.Errorf("for an epoch that ended: %v", err)
+		t.Errorf("epoch that has ended: %v", err)
 	}
 	if err := r.persistForEpoch(3, []Entry{entry}); err != nil {
-		t.Errorf("for the epoch in force: %v", err)
+		t.Errorf("epoch in force: %v", err)
 	}
 	var noQuorum *NoQuorumError
 	if err := r.Deregister(t.Context(), "j"); !errors.As(err, &noQuorum) {
--- a/internal/registry/table_test.go
+++ b/internal/registry/table_test.go
@@ -15,7 +15,7 @@
 	return newTable(journal.New(name, time.Hour, ""), time.Second, time.Second)
 }
 
-// valueOf is the value of an entry that is there, else nil.
+// valueOf returns the value of an entry, nil if it is unknown, expired or deregistered.
 func valueOf(table *table, key string) json.RawMessage {
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -26,8 +26,9 @@
 	return r.value
 }
 
-// The newer incarnation of a node is the one that the cores see later, whatever
-// their clocks and its own say; a late heartbeat of an earlier one changes nothing.
+// The newer incarnation of a node is the one that the cores see later, regardless of
+// their clocks and of the node's. A delayed heartbeat of an earlier incarnation changes
+// nothing.
 func TestOrderOfIncarnationsDoesNotDependOnClocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ahead, other := newTestTable("ahead"), newTestTable("other")
@@ -37,48 +38,49 @@
 			return entry
 		}
 		first := heartbeat(ahead, "one", 5)
-		first.Version.Major += 1 << 40 // as from a core whose clock is far ahead
+		first.Version.Major += 1 << 40 // as from a core with a clock far ahead
 		ahead.merge(first)
 		other.merge(first)
 		second := heartbeat(other, "two", 1)
 		if current(other) != "two" || !first.Version.Less(second.Version) {
-			t.Fatalf("the second incarnation is not the newer one: %q, %+v", current(other), second.Version)
+			t.Fatalf("the second incarnation is not newer than the first: %q, %+v", current(other), second.Version)
 		}
-		for n, late := range []time.Duration{0, 20 * time.Second, time.Hour} { // as long as a link may delay it
+		for n, late := range []time.Duration{0, 20 * time.Second, time.Hour} { // possible delays on a link
 			time.Sleep(late)
 			heartbeat(other, "two", int64(n+2))
 			if heartbeat(other, "one", 6); current(other) != "two" {
-				t.Errorf("a heartbeat of the first incarnation that came %v late brought it back", late)
+				t.Errorf("a heartbeat of the first incarnation delayed by %v restored it", late)
 			}
 		}
-		// Where it looks like the newer one, since this core never saw it, the
-		// real one comes back with a heartbeat of its own.
+		// A delayed heartbeat of an incarnation that this core never saw looks newer.
+		// The next heartbeat of the real incarnation replaces it.
 		heartbeat(other, "zero", 9)
 		time.Sleep(2 * time.Second)
 		if heartbeat(other, "two", 5); current(other) != "two" {
-			t.Errorf("after a late heartbeat of an unknown incarnation it is %q", current(other))
+			t.Errorf("after a delayed heartbeat of an unknown incarnation, the incarnation is %q", current(other))
 		}
-		// The other core saw only the first incarnation so far: the second wins
-		// there too, and a third that both see at once is the same for both.
+		// The core with the clock ahead has seen only the first incarnation. The second
+		// replaces it there too, and both cores agree on a third that they see at the
+		// same time.
 		ahead.merge(second)
 		third := [2]Entry{heartbeat(ahead, "three", 1), heartbeat(other, "three", 1)}
 		ahead.merge(third[1])
 		other.merge(third[0])
 		if current(ahead) != "three" || current(other) != "three" {
-			t.Errorf("the cores disagree: %q and %q", current(ahead), current(other))
+			t.Errorf("the cores disagree on the incarnation: %q and %q", current(ahead), current(other))
 		}
-		// An outdated entry in which the incarnation before is newer does not last.
+		// An outdated entry that gives an earlier incarnation a newer version is overridden.
 		stale := first
 		stale.Version.Major += 1 << 40
 		other.merge(stale)
 		time.Sleep(2 * time.Second)
 		if heartbeat(other, "three", 2); current(other) != "three" {
-			t.Errorf("after an outdated entry the incarnation is %q", current(other))
+			t.Errorf("after an outdated entry, the incarnation is %q", current(other))
 		}
 	})
 }
 
-// sentVersions is what a receiver has, for updatedSince.
+// sentVersions are the versions sent to a receiver, as updatedSince needs them.
 type sentVersions map[string]journal.Version
 
 func (s sentVersions) of(key string) journal.Version {
@@ -88,9 +90,9 @@
 	return unsent
 }
 
-// A store that froze for longer than one core waits, but not another, is known
-// to both again, though nothing about it has changed; so is a handler. What was
-// deregistered does not come back.
+// A store that was frozen long enough to expire at one core but not at another becomes
+// known to both again, although its value has not changed. The same holds for a handler.
+// A deregistered instance does not return.
 func TestExpiredEntryReturnsWithNextHeartbeatUnlessDeregistered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := newTestTable("near"), newTestTable("far")
@@ -99,7 +101,7 @@
 			entries, _ := near.updatedSince(time.Time{}, sent.of)
 			for _, entry := range entries {
 				if far.needsValue(entry) {
-					delete(sent, entry.Key) // it is asked for
+					delete(sent, entry.Key) // request the value
 				} else {
 					far.merge(entry)
 					sent[entry.Key] = entry.Version
@@ -122,21 +124,21 @@
 			exchange()
 		}
 		if _, ok := far.nodes()["store-1"]; !ok {
-			t.Error("the store is still unknown to the core where it expired")
+			t.Error("the store is still absent at the core where it expired")
 		}
 		if valueOf(far, instance) == nil {
-			t.Error("the handler is still unknown to the core where it expired")
+			t.Error("the handler is still absent at the core where it expired")
 		}
 		near.heartbeat(Entry{Key: instance, Version: journal.Version{Major: majorDeregistered}, Value: nullValue})
 		exchange()
 		exchange()
 		if valueOf(far, instance) != nil {
-			t.Error("a deregistered handler is still there")
+			t.Error("a deregistered handler is still present")
 		}
 	})
 }
 
-func TestOverdueStoreIsNamedOncePerInterval(t *testing.T) {
+func TestOverdueStoreIsReportedOncePerInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := newTestTable("watch")
 		table.nodeHeartbeat(membership.Node{Name: "store-1", Role: "store", Incarnation: "a", Sequence: 1})
@@ -144,19 +146,19 @@
 		table.merge(Entry{Key: distribution.PrefixNode + "store-2", Version: journal.Version{Major: 1}, Value: json.RawMessage(`{"name":"store-2","role":"store"}`)})
 		overdue := func() int { return len(table.overdueStores(time.Second, 10*time.Second)) }
 		if n := overdue(); n != 0 {
-			t.Errorf("%d stores are overdue at once", n)
+			t.Errorf("%d stores are overdue immediately", n)
 		}
 		time.Sleep(1500 * time.Millisecond)
 		if first, second := overdue(), overdue(); first != 1 || second != 0 {
-			t.Errorf("%d stores are named at first, %d right after", first, second)
+			t.Errorf("%d stores are reported at first, %d right after", first, second)
 		}
 		time.Sleep(1500 * time.Millisecond)
 		if n := overdue(); n != 1 {
-			t.Errorf("%d stores are named in the next interval", n)
+			t.Errorf("%d stores are reported in the next interval", n)
 		}
 		time.Sleep(10 * time.Second)
 		if n := overdue(); n != 0 {
-			t.Errorf("%d stores are named after the last interval", n)
+			t.Errorf("%d stores are reported after the last interval", n)
 		}
 	})
 }
