--- a/internal/configstore/decide.go
+++ b/internal/configstore/decide.go
@@ -10,20 +10,20 @@
 	"saltreel/internal/placement"
 )
 
-// The functions here decide on a change as the head sees it: from the state, and
-// nothing else, they give the documents to write, none if the change is in force
-// already, or a *RejectedError.
+// The decide functions evaluate a change at the head. They depend on nothing but the
+// state, and return the documents to write (none if the change is already in force)
+// or a *RejectedError.
 
 func decideConfiguration(docs chain.Documents, p *Proposal) (chain.Documents, error) {
 	current, hash := docs[KeyConfiguration], hashOf(p.Configuration)
 	if isRecorded(docs, hash) || bytes.Equal(current, p.Configuration) {
-		return nil, nil // accepted before; the answer waits until the tail has it
+		return nil, nil // accepted before; the chain responds once the tail has it
 	}
 	return decideNextConfiguration(docs, p.Configuration, p.Match, hash)
 }
 
-// decidePatch decides on a change of named items: the configuration that it makes
-// of the one in force is decided on like one that was sent whole.
+// decidePatch decides on a change of named items. The configuration that results from
+// applying it to the one in force is treated like one that was sent as a whole.
 func decidePatch(docs chain.Documents, p *Proposal) (chain.Documents, error) {
 	hash := hashOf(append([]byte("patch "), p.Patch...))
 	if isRecorded(docs, hash) {
@@ -34,7 +34,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if p.Match != revision { // said first: the patch may fit the other revision only
+	if p.Match != revision { // checked first: the patch may apply only to the other revision
 		return nil, revisionMismatch(revision, p.Match)
 	}
 	next, err := configuration.ApplyPatch(current, p.Patch)
@@ -44,8 +44,8 @@
 	return decideNextConfiguration(docs, next, p.Match, hash)
 }
 
-// decideNextConfiguration decides on a configuration that builds on a revision;
-// hash is that of what the operator sent.
+// decideNextConfiguration decides on a configuration that is based on a revision.
+// hash is the hash of what the operator sent.
 func decideNextConfiguration(docs chain.Documents, raw []byte, match int64, hash []byte) (chain.Documents, error) {
 	next, err := configuration.Parse(raw)
 	if err != nil {
@@ -69,9 +69,9 @@
 	return &RejectedError{412, fmt.Sprintf("revision %d is in force, not %d", inForce, match)}
 }
 
-// revisionOf is the revision of the configuration in force, 0 before the first.
-// What another version of this program accepted may be invalid for this
-// one; the next change repairs that, so it must not fail here.
+// revisionOf returns the revision of the configuration in force, 0 if there is none.
+// It must not fail for a configuration that another version of this program accepted
+// but that this version finds invalid, since only a further change can replace it.
 func revisionOf(current []byte) (int64, error) {
 	if current == nil {
 		return 0, nil
@@ -97,7 +97,7 @@
 		return nil, &RejectedError{404, "no store is called " + name}
 	}
 	if store.Retire != "" {
-		return nil, nil // ordered before, or done: a store stays listed, and retired
+		return nil, nil // already in progress or complete: a retired store stays listed
 	}
 	remaining := 0
 	for other, s := range current.Stores {
@@ -116,7 +116,7 @@
 	return chain.Documents{KeyPlacement: raw}, err
 }
 
-// retireStateOf is how far the emptying of a store is.
+// retireStateOf returns the progress of the retirement of a store.
 func retireStateOf(current placement.Placement, name string) (string, error) {
 	store, ok := current.Stores[name]
 	if !ok {
--- a/internal/configstore/errors.go
+++ b/internal/configstore/errors.go
@@ -5,9 +5,9 @@
 	"fmt"
 )
 
-// RejectedError says that the state does not allow a change. It is given only
-// once the tail holds that state, and nothing else may reject a change: one that
-// failed on the way may be in force all the same.
+// RejectedError reports that the state does not allow a change. It is returned only
+// once the tail holds that state, and for no other reason: a change that failed on
+// the way may still be in force.
 type RejectedError struct {
 	Code int    `json:"code"` // an HTTP status
 	Text string `json:"text"`
@@ -15,14 +15,14 @@
 
 func (e *RejectedError) Error() string { return fmt.Sprintf("refused %d: %s", e.Code, e.Text) }
 
-// UnavailableError is the error of a call that certainly did nothing: it did not
-// come as far as the state.
+// UnavailableError reports that a call certainly had no effect, because it did not
+// reach the state.
 type UnavailableError struct{ Err error }
 
 func (e *UnavailableError) Error() string { return e.Err.Error() }
 
-// Unwrap gives why the call did not come as far.
+// Unwrap returns the reason why the call did not reach the state.
 func (e *UnavailableError) Unwrap() error { return e.Err }
 
-// ErrNoView says that this core knows no view of the chain yet.
+// ErrNoView reports that this core does not know a view of the chain yet.
 var ErrNoView error = &UnavailableError{errors.New("no view is known")}
--- a/internal/configstore/idempotency.go
+++ b/internal/configstore/idempotency.go
@@ -14,20 +14,20 @@
 	"saltreel/internal/chain"
 )
 
-// Idempotency records: the configurations that were accepted are known by their
-// hashes, so that one that is sent again is acknowledged again. The hashes lie
-// in a ring of blocks, each a document of its own: a change writes one block,
-// and the state does not grow with the number of changes. A block begins with
-// its number, which counts on over the ring.
+// Idempotency records are hashes of the accepted configurations, by which one that is
+// sent again is recognized and acknowledged. The hashes are stored in a ring of
+// blocks, each of which is a document: a change writes one block, and the state does
+// not grow with the number of changes. A block begins with its number, which keeps
+// increasing when the ring wraps around.
 const (
 	recordBlocks    = 16
 	hashesPerBlock  = 128
-	hashSize        = 16 // bytes of a SHA-256 that are stored
+	hashSize        = 16 // stored bytes of a SHA-256
 	blockHeaderSize = 8  // the number of the block, big-endian
 )
 
-// keyRecords is the prefix of the keys of the blocks. Under the key itself
-// earlier versions stored a list of hashes: it is read, and written no more.
+// keyRecords is the prefix of the keys of the blocks. Earlier versions stored a list
+// of hashes under the key itself, which is still read but no longer written.
 const keyRecords = "taken"
 
 func blockKey(number uint64) string {
@@ -39,7 +39,7 @@
 	return sum[:hashSize]
 }
 
-// isRecorded says whether a configuration with this hash was accepted before.
+// isRecorded reports whether a configuration with this hash was accepted before.
 func isRecorded(docs chain.Documents, hash []byte) bool {
 	for n := range uint64(recordBlocks) {
 		if blockContains(docs[blockKey(n)], hash) {
@@ -63,8 +63,8 @@
 	return false
 }
 
-// appendRecord adds a hash to the newest block, or begins the next one, which
-// replaces the oldest, and gives the document to write.
+// appendRecord appends a hash to the newest block, or to a new block that replaces the
+// oldest one if the newest is full. It returns the document to write.
 func appendRecord(docs chain.Documents, hash []byte) (key string, block []byte) {
 	number, block := newestBlock(docs)
 	if len(block) >= blockHeaderSize+hashesPerBlock*hashSize {
@@ -77,7 +77,7 @@
 	return blockKey(number), slices.Concat(block, hash)
 }
 
-// newestBlock is the block with the highest number; nil before the first.
+// newestBlock returns the block with the highest number, nil if there is none.
 func newestBlock(docs chain.Documents) (number uint64, block []byte) {
 	for n := range uint64(recordBlocks) {
 		raw := docs[blockKey(n)]
@@ -92,7 +92,7 @@
 	return number, block
 }
 
-// withoutRecords is the state as readers need it.
+// withoutRecords returns the documents without the idempotency records.
 func withoutRecords(docs chain.Documents) chain.Documents {
 	out := maps.Clone(docs)
 	maps.DeleteFunc(out, func(key string, _ []byte) bool { return strings.HasPrefix(key, keyRecords) })
--- a/internal/configstore/placement_cache.go
+++ b/internal/configstore/placement_cache.go
@@ -8,16 +8,16 @@
 	"saltreel/internal/placement"
 )
 
-// placementCache decodes a placement once for all who ask for the same one: it
-// is the largest document that a core reads.
+// placementCache caches the most recently decoded placement, which is the largest
+// document that a core reads.
 type placementCache struct {
 	mu      sync.Mutex
 	raw     []byte
 	decoded placement.Placement
 }
 
-// decode gives the placement in a document, the zero one without a document. The
-// result must not be changed.
+// decode returns the placement in a document, the zero placement if the document is
+// nil. The caller must not modify the result.
 func (c *placementCache) decode(raw []byte) (placement.Placement, error) {
 	if raw == nil {
 		return placement.Placement{}, nil
--- a/internal/configstore/refusals.go
+++ b/internal/configstore/refusals.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// connectionRefusals are the addresses whose machine answered that no core runs
-// there. The zero value is ready for use.
+// connectionRefusals records the addresses whose host refused a connection, which
+// means that no core runs there. The zero value is ready for use.
 type connectionRefusals struct {
 	mu        sync.Mutex
 	refusedAt map[string]time.Time
 }
 
-// record notes the outcome of the newest call to an address.
+// record records the outcome of the latest call to an address.
 func (c *connectionRefusals) record(address string, refused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -1,9 +1,9 @@
 // Package configstore changes and reads the documents in the chain of control
-// state: the configuration, by compare-and-set on its revision, and the
-// placement, by compare-and-set on its version and fenced by the controller's
-// term. Changes are decided at the head, reads are answered by the tail, and any
-// core passes calls on to them. A change may be sent again: idempotency records
-// have the same one acknowledged again.
+// state: the configuration, by compare-and-set on its revision, and the placement,
+// by compare-and-set on its version and fenced by the controller's term. Changes are
+// decided at the head and reads are served by the tail; any core forwards calls to
+// them. A change may be sent again: idempotency records let the store recognize and
+// acknowledge it.
 package configstore
 
 import (
@@ -23,34 +23,34 @@
 	KeyPlacement     = "placement"
 )
 
-// Paths of the calls that HandlePropose and HandleRead answer.
+// Paths of the calls served by HandlePropose and HandleRead.
 const (
 	pathPropose = "/propose"
 	pathRead    = "/read"
 )
 
-// Proposal is a change that any core may bring to the head. Exactly one of
+// Proposal is a change submitted to the head by any core. Exactly one of
 // Configuration, Patch, Placement and Retire is set.
 type Proposal struct {
 	Configuration []byte               `json:"configuration,omitempty"`
-	Patch         []byte               `json:"patch,omitempty"` // of named items of the configuration
-	Match         int64                `json:"match,omitempty"` // the revision that Configuration or Patch builds on
+	Patch         []byte               `json:"patch,omitempty"` // changes named items of the configuration
+	Match         int64                `json:"match,omitempty"` // the revision that Configuration or Patch is based on
 	Placement     *placement.Placement `json:"placement,omitempty"`
 	Retire        string               `json:"retire,omitempty"` // name of a store to empty
 }
 
-// ProposeResponse answers a proposal. A rejection travels as a field: the status
-// of an answer may be that of any call on the way.
+// ProposeResponse is the response to a proposal. A rejection is a field of it, since
+// the HTTP status of a failure may stem from another call along the way.
 type ProposeResponse struct {
 	Rejection *RejectedError `json:"refusal,omitempty"`
 }
 
-// State is the state that the tail holds.
+// State is the state held by the tail.
 type State struct {
 	Documents chain.Documents `json:"documents"`
 }
 
-// Chain is what the store needs of the chain of control state.
+// Chain is the part of the control-state chain that the store uses.
 type Chain interface {
 	Head() string
 	Tail() string
@@ -58,22 +58,22 @@
 	Read(ctx context.Context) (chain.Documents, error)
 }
 
-// Caller calls the other cores; *rpc.Client is one.
+// Caller makes calls to the other cores. *rpc.Client implements it.
 type Caller interface {
 	Call(ctx context.Context, address, path string, in any, raw []byte, out any) error
 }
 
-// Config is what a Store is made of. All fields but HostFailures are required.
+// Config configures a Store. All fields but HostFailures are required.
 type Config struct {
-	Address        string // internal, of this core
+	Address        string // internal address of this core
 	Chain          Chain
 	Client         Caller
-	HostFailures   int // how many machines may be lost at once
+	HostFailures   int // number of simultaneous host failures to tolerate
 	ContactTimeout time.Duration
 	Log            *log.Logger
 }
 
-// Store is one core's access to the documents.
+// Store gives one core access to the documents.
 type Store struct {
 	config     Config
 	timing     timing
@@ -81,7 +81,7 @@
 	refusals   connectionRefusals
 }
 
-// New makes a store.
+// New makes a Store. It returns an error if a required field of config is not set.
 func New(config Config) (*Store, error) {
 	switch {
 	case config.Address == "":
@@ -94,12 +94,12 @@
 	return &Store{config: config, timing: timing{config.ContactTimeout}}, nil
 }
 
-// OperationTimeout is how long the operator's calls may take here.
+// OperationTimeout returns the time limit of an operator request at this core.
 func (s *Store) OperationTimeout() time.Duration { return s.timing.operationTimeout() }
 
-// Propose brings a change to the head, wherever it is. The error is a
-// *RejectedError, an *UnavailableError, or something else: then the change may
-// take effect or not.
+// Propose submits a change to the head, which may be this core or another one. If the
+// error is neither a *RejectedError nor an *UnavailableError, the change may or may
+// not take effect.
 func (s *Store) Propose(ctx context.Context, p Proposal) error {
 	timeout := s.timing.operationTimeout()
 	if p.Placement != nil {
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// proposeAtHead makes a change at this core, the head.
+// proposeAtHead applies a change at this core, which is the head.
 func (s *Store) proposeAtHead(ctx context.Context, p *Proposal) error {
 	decided := false
 	err := s.config.Chain.Propose(ctx, func(docs chain.Documents) (chain.Documents, error) {
@@ -161,7 +161,7 @@
 	return decideRetire(current, p.Retire, s.config.HostFailures)
 }
 
-// HandlePropose answers the proposal of another core, at the head.
+// HandlePropose serves a proposal of another core at the head.
 func (s *Store) HandlePropose(ctx context.Context, p *Proposal, _ []byte) (*ProposeResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.timing.headTimeout())
 	defer cancel()
@@ -171,13 +171,13 @@
 		return &ProposeResponse{rejected}, nil
 	}
 	if err != nil {
-		return nil, errors.New(err.Error()) // the status of a call further on says nothing of this one
+		return nil, errors.New(err.Error()) // drop the HTTP status, which may be that of a nested call
 	}
 	return &ProposeResponse{}, nil
 }
 
-// Read gets the state from the tail. The error is an *UnavailableError where
-// another core may answer.
+// Read returns the state from the tail. The error is an *UnavailableError if another
+// core may be able to serve the read.
 func (s *Store) Read(ctx context.Context) (State, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.timing.operationTimeout())
 	defer cancel()
@@ -197,21 +197,21 @@
 	return *own, nil
 }
 
-// HandleRead answers another core's read, at the tail.
+// HandleRead serves a read of another core at the tail.
 func (s *Store) HandleRead(ctx context.Context, _ *struct{}, _ []byte) (*State, error) {
 	docs, err := s.config.Chain.Read(ctx)
 	return &State{withoutRecords(docs)}, err
 }
 
-// Configuration reads the configuration in force, byte for byte as it was sent;
-// nil before the first.
+// Configuration returns the configuration in force byte for byte as it was sent, or
+// nil if there is none yet.
 func (s *Store) Configuration(ctx context.Context) ([]byte, error) {
 	state, err := s.Read(ctx)
 	return state.Documents[KeyConfiguration], err
 }
 
-// RetireState reads how far the emptying of a store is. The error is a
-// *RejectedError if the store is not known, or not being emptied.
+// RetireState returns the progress of the retirement of a store. The error is a
+// *RejectedError if the store is unknown or not being retired.
 func (s *Store) RetireState(ctx context.Context, name string) (string, error) {
 	state, err := s.Read(ctx)
 	if err != nil {
@@ -224,18 +224,19 @@
 	return retireStateOf(current, name)
 }
 
-// PlacementOf decodes the placement in a state, the zero one before the first.
-// The result must not be changed.
+// PlacementOf decodes the placement in a state, the zero placement if there is none.
+// The caller must not modify the result.
 func (s *Store) PlacementOf(docs chain.Documents) (placement.Placement, error) {
 	return s.placements.decode(docs[KeyPlacement])
 }
 
-// Prepare decodes what an update sets while the rest of the chain receives it.
+// Prepare decodes the documents of an update into the cache, in parallel with the
+// replication of the update along the rest of the chain.
 func (s *Store) Prepare(docs chain.Documents) { _, _ = s.PlacementOf(docs) }
 
-// RedirectTarget is the internal address of the core that answers changes, or
-// reads, in the view known here. It is "" if that is this core, if none is known,
-// or if its machine refused a connection a moment ago.
+// RedirectTarget returns the internal address of the core that serves changes or
+// reads according to the view known here. It returns "" if that is this core, if no
+// view is known, or if that core's host has recently refused a connection.
 func (s *Store) RedirectTarget(write bool) string {
 	address := s.config.Chain.Tail()
 	if write {
@@ -247,8 +248,8 @@
 	return address
 }
 
-// call calls another core on behalf of the operator, and remembers whether its
-// machine refused the connection.
+// call makes a call to another core for an operator request and records whether that
+// core's host refused the connection.
 func (s *Store) call(ctx context.Context, address, path string, in, out any) error {
 	err := s.config.Client.Call(ctx, address, path, in, nil, out)
 	s.refusals.record(address, httpwire.ConnectionRefused(err))
--- a/internal/configstore/timing.go
+++ b/internal/configstore/timing.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// timing derives the durations of the store from contact-ms, the time within
-// which the system notices that a machine is lost.
+// timing derives the durations of the store from contact-ms, the time within which
+// the system detects the loss of a machine.
 type timing struct{ contact time.Duration }
 
-// operationTimeout bounds the operator's calls: clients try another core after
-// a second without an answer, and contact-ms is about six.
+// operationTimeout bounds the operator's requests. Clients try another core after one
+// second without a response, and contact-ms is about six seconds.
 func (t timing) operationTimeout() time.Duration { return t.contact * 3 / 20 }
 
-// placementTimeout bounds a change of the placement: only the controller waits
-// for it.
+// placementTimeout bounds a change of the placement. It may be longer than
+// operationTimeout, since only the controller waits for it.
 func (t timing) placementTimeout() time.Duration { return t.contact / 4 }
 
-// headTimeout bounds a change that came from another core, which has given up
-// by then.
+// headTimeout bounds a change forwarded by another core, which no longer waits by
+// then.
 func (t timing) headTimeout() time.Duration { return t.contact / 4 }
 
-// refusalRecency is how long a core counts as down after its machine refused a
+// refusalRecency is how long a core is considered down after its host refused a
 // connection.
 func (t timing) refusalRecency() time.Duration { return t.contact / 4 }
