--- a/internal/configstore/decide.go
+++ b/internal/configstore/decide.go
@@ -78,7 +78,7 @@
 	}
 	conf, err := configuration.Parse(current)
 	if conf == nil {
-		return 0, fmt.Errorf("the configuration in force: %w", err)
+		return 0, fmt.Errorf("parse the configuration in force: %w", err)
 	}
 	return conf.Revision, nil
 }
@@ -94,7 +94,7 @@
 func decideRetire(current placement.Placement, name string, hostFailures int) (chain.Documents, error) {
 	store, ok := current.Stores[name]
 	if !ok {
-		return nil, &RejectedError{404, "no store is called " + name}
+		return nil, &RejectedError{404, "unknown store " + name}
 	}
 	if store.Retire != "" {
 		return nil, nil // already in progress or complete: a retired store stays listed
@@ -120,10 +120,10 @@
 func retireStateOf(current placement.Placement, name string) (string, error) {
 	store, ok := current.Stores[name]
 	if !ok {
-		return "", &RejectedError{404, "no store is called " + name}
+		return "", &RejectedError{404, "unknown store " + name}
 	}
 	if store.Retire == "" {
-		return "", &RejectedError{404, name + " is not being emptied"}
+		return "", &RejectedError{404, "store " + name + " is not being retired"}
 	}
 	return store.Retire, nil
 }
--- a/internal/configstore/errors.go
+++ b/internal/configstore/errors.go
@@ -13,7 +13,9 @@
 	Text string `json:"text"`
 }
 
-func (e *RejectedError) Error() string { return fmt.Sprintf("refused %d: %s", e.Code, e.Text) }
+func (e *RejectedError) Error() string {
+	return fmt.Sprintf("rejected with status %d: %s", e.Code, e.Text)
+}
 
 // UnavailableError reports that a call certainly had no effect, because it did not
 // reach the state.
@@ -25,4 +27,4 @@
 func (e *UnavailableError) Unwrap() error { return e.Err }
 
 // ErrNoView reports that this core does not know a view of the chain yet.
-var ErrNoView error = &UnavailableError{errors.New("no view is known")}
+var ErrNoView error = &UnavailableError{errors.New("no view of the chain is known yet")}
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -85,11 +85,11 @@
 func New(config Config) (*Store, error) {
 	switch {
 	case config.Address == "":
-		return nil, errors.New("configstore: no address")
+		return nil, errors.New("configstore: the address is not set")
 	case config.ContactTimeout <= 0:
-		return nil, errors.New("configstore: the contact timeout is not positive")
+		return nil, errors.New("configstore: the contact timeout must be positive")
 	case config.Chain == nil || config.Client == nil || config.Log == nil:
-		return nil, errors.New("configstore: a part is missing")
+		return nil, errors.New("configstore: a required component is not set")
 	}
 	return &Store{config: config, timing: timing{config.ContactTimeout}}, nil
 }
@@ -136,7 +136,7 @@
 	}
 	var rejected *RejectedError
 	if sent := len(p.Configuration) + len(p.Patch); sent > 0 && errors.As(err, &rejected) && rejected.Code == 400 {
-		s.config.Log.Printf("core: a configuration of %d bytes is refused: %v", sent, err)
+		s.config.Log.Printf("core: rejected a configuration of %d bytes: %v", sent, err)
 	}
 	return err
 }
