--- a/internal/configstore/configstore_bench_test.go
+++ b/internal/configstore/configstore_bench_test.go
@@ -29,9 +29,9 @@
 	return raw
 }
 
-// BenchmarkConfiguration is what a change of n destinations costs at the head to
-// decide, and at each core and node to read as it travels: as an update of the
-// chain, and as an event of the journal.
+// BenchmarkConfiguration measures a change of a configuration with n destinations: the
+// decision at the head, and the decoding at each core and node, as an update of the
+// chain and as an event of the journal.
 func BenchmarkConfiguration(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 44000} {
 		docs := chain.Documents{KeyConfiguration: configurationOf(n, 1)}
@@ -65,8 +65,8 @@
 	b.ReportMetric(float64(len(raw)), "document-B")
 }
 
-// benchmarkEvent decodes a page of the journal with a configuration, and makes
-// the table that a node looks routes up in.
+// benchmarkEvent decodes a journal page with a configuration and builds the routing
+// table of a node.
 func benchmarkEvent(b *testing.B, page []byte) {
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/configstore/decide_test.go
+++ b/internal/configstore/decide_test.go
@@ -17,17 +17,17 @@
 	return &Proposal{Configuration: fmt.Appendf(nil, `{"revision":%d}`, revision), Match: int64(revision - 1)}
 }
 
-// isAcknowledgedAgain checks that a change that was accepted before is neither
-// rejected nor written again.
-func isAcknowledgedAgain(t *testing.T, docs chain.Documents, revision int) {
+// checkAcknowledgedAgain checks that a change accepted before is neither rejected nor
+// written again.
+func checkAcknowledgedAgain(t *testing.T, docs chain.Documents, revision int) {
 	t.Helper()
 	if set, err := decideConfiguration(docs, change(revision)); err != nil || set != nil {
-		t.Fatalf("change %d again: %d documents, %v", revision, len(set), err)
+		t.Fatalf("change %d sent again: %d documents, %v", revision, len(set), err)
 	}
 }
 
-// A thousand changes are known, whichever came since, and what is stored of them
-// stays bounded.
+// The last thousand changes are recognized when they are sent again, and the size of the
+// stored records stays bounded.
 func TestRepeatedConfigurationIsAcknowledgedAgain(t *testing.T) {
 	docs := chain.Documents{}
 	for n := 1; n <= 5000; n++ {
@@ -38,7 +38,7 @@
 		maps.Copy(docs, set)
 		for _, back := range []int{0, 1, 127, 128, 129, 300, 1023} {
 			if n > back {
-				isAcknowledgedAgain(t, docs, n-back)
+				checkAcknowledgedAgain(t, docs, n-back)
 			}
 		}
 	}
@@ -51,7 +51,7 @@
 	}
 	other := &Proposal{Configuration: []byte(`{"revision":5000, "limits":{}}`), Match: 4999}
 	if _, err := decideConfiguration(docs, other); err == nil {
-		t.Error("another change of the same revision passes for the one that was accepted")
+		t.Error("a different change with the same revision was acknowledged")
 	}
 }
 
@@ -71,14 +71,14 @@
 		maps.Copy(docs, set)
 	}
 	for n := 1; n <= 365; n++ {
-		isAcknowledgedAgain(t, docs, n)
+		checkAcknowledgedAgain(t, docs, n)
 	}
 	if left := withoutRecords(docs); len(left) != 1 || left[KeyConfiguration] == nil {
-		t.Errorf("readers get %d documents", len(left))
+		t.Errorf("%d documents without the records", len(left))
 	}
 }
 
-// What earlier versions accepted may be invalid for this one.
+// Earlier versions may have accepted a configuration that is invalid for this one.
 func TestInvalidConfigurationInForceCanBeReplaced(t *testing.T) {
 	docs := chain.Documents{KeyConfiguration: []byte(`{"revision":7,"service-table":[{"name":""}]}`)}
 	if _, err := decideConfiguration(docs, change(8)); err != nil {
@@ -86,15 +86,15 @@
 	}
 }
 
-func TestConfigurationIsRejectedWithTypedError(t *testing.T) {
+func TestConfigurationRejections(t *testing.T) {
 	docs := chain.Documents{KeyConfiguration: change(5).Configuration}
 	for name, c := range map[string]struct {
 		proposal *Proposal
 		code     int
 	}{
 		"another revision is in force": {change(7), 412},
-		"unreadable":                   {&Proposal{Configuration: []byte("{")}, 400},
-		"not higher":                   {&Proposal{Configuration: []byte(`{"revision":4}`), Match: 5}, 400},
+		"invalid JSON":                 {&Proposal{Configuration: []byte("{")}, 400},
+		"revision not higher":          {&Proposal{Configuration: []byte(`{"revision":4}`), Match: 5}, 400},
 	} {
 		_, err := decideConfiguration(docs, c.proposal)
 		var rejected *RejectedError
@@ -104,8 +104,8 @@
 	}
 }
 
-// A retirement that was ordered is acknowledged again in each state, also where
-// the order would be rejected as a new one.
+// A repeated request to retire a store is acknowledged in each state of the retirement,
+// even where a new request would be rejected.
 func TestRepeatedRetirementIsAcknowledgedAgain(t *testing.T) {
 	s := &Store{config: Config{HostFailures: 1}}
 	retire := func(docs chain.Documents, name string) (chain.Documents, error) {
@@ -125,11 +125,11 @@
 		p.Stores["a"] = placement.Store{Retire: state}
 		docs[KeyPlacement], _ = json.Marshal(p)
 		if set, err := retire(docs, "a"); err != nil || set != nil {
-			t.Errorf("%s, ordered again: %v %v", state, set, err)
+			t.Errorf("%s, requested again: %v %v", state, set, err)
 		}
 		p, _ = s.PlacementOf(docs)
 		if got, err := retireStateOf(p, "a"); err != nil || got != state {
-			t.Errorf("the state is %q, not %q: %v", got, state, err)
+			t.Errorf("the state is %q, want %q: %v", got, state, err)
 		}
 	}
 	for name, code := range map[string]int{"b": 409, "nowhere": 404} {
@@ -157,7 +157,7 @@
 		"next version, higher term": {8, 4, true},
 		"next version, lower term":  {8, 2, false},
 		"same version":              {7, 4, false},
-		"a version is left out":     {9, 4, false},
+		"a version is skipped":      {9, 4, false},
 	} {
 		set, err := decidePlacement(current, &placement.Placement{Version: c.version, Term: c.term})
 		var rejected *RejectedError
@@ -167,7 +167,7 @@
 	}
 }
 
-func TestPatchIsDecidedLikeAConfiguration(t *testing.T) {
+func TestPatchIsCheckedLikeAConfiguration(t *testing.T) {
 	docs := chain.Documents{KeyConfiguration: []byte(`{"revision":3,"route-table":[{"name":"a","path-prefix":"a.","route-type":"stored","timeout-ms":5}]}`)}
 	patch := func(match int64, raw string) (chain.Documents, error) {
 		return decidePatch(docs, &Proposal{Patch: []byte(raw), Match: match})
@@ -178,10 +178,10 @@
 		raw   string
 		code  int
 	}{
-		"built on another revision": {2, add, 412},
-		"unreadable":                {3, `{"revision":`, 400},
+		"based on another revision": {2, add, 412},
+		"invalid JSON":              {3, `{"revision":`, 400},
 		"revision not higher":       {3, `{"revision":3}`, 400},
-		"its result is invalid":     {3, `{"revision":5,"upsert":{"route-table":[{"name":"b","path-prefix":"a.","route-type":"stored","timeout-ms":5}]}}`, 400},
+		"invalid result":            {3, `{"revision":5,"upsert":{"route-table":[{"name":"b","path-prefix":"a.","route-type":"stored","timeout-ms":5}]}}`, 400},
 	} {
 		var rejected *RejectedError
 		if set, err := patch(c.match, c.raw); set != nil || !errors.As(err, &rejected) || rejected.Code != c.code {
@@ -195,12 +195,12 @@
 	maps.Copy(docs, set)
 	want := `{"revision":5,"route-table":[{"name":"b","path-prefix":"b.","route-type":"stored","timeout-ms":5}]}`
 	if got := string(docs[KeyConfiguration]); got != want {
-		t.Errorf("in force is %s", got)
+		t.Errorf("the configuration in force is %s", got)
 	}
 	if set, err := patch(3, add); err != nil || set != nil {
-		t.Errorf("the same patch again: %v, %v", set, err)
+		t.Errorf("the same patch sent again: %v, %v", set, err)
 	}
 	if _, err := patch(3, `{"revision":6}`); err == nil {
-		t.Error("a second patch of the same revision is accepted")
+		t.Error("a second patch based on the same revision was accepted")
 	}
 }
--- a/internal/configstore/idempotency_test.go
+++ b/internal/configstore/idempotency_test.go
@@ -10,12 +10,12 @@
 	"saltreel/internal/placement"
 )
 
-// blockOf is a block with a number of hashes.
+// blockOf returns a block with the given number of hashes.
 func blockOf(number uint64, hashes int) []byte {
 	return append(binary.BigEndian.AppendUint64(nil, number), make([]byte, hashes*hashSize)...)
 }
 
-func TestRecordsFillARingOfBlocks(t *testing.T) {
+func TestRecordsWrapAroundTheRingOfBlocks(t *testing.T) {
 	hash := bytes.Repeat([]byte{7}, hashSize)
 	for name, c := range map[string]struct {
 		docs   chain.Documents
@@ -23,27 +23,27 @@
 		number uint64
 		hashes int
 	}{
-		"first":              {chain.Documents{}, "taken/00", 0, 1},
-		"block with room":    {chain.Documents{"taken/03": blockOf(3, 5), "taken/02": blockOf(2, hashesPerBlock)}, "taken/03", 3, 6},
-		"full block":         {chain.Documents{"taken/03": blockOf(3, hashesPerBlock)}, "taken/04", 4, 1},
-		"end of the ring":    {chain.Documents{"taken/15": blockOf(15, hashesPerBlock), "taken/00": blockOf(0, hashesPerBlock)}, "taken/00", 16, 1},
-		"second time around": {chain.Documents{"taken/15": blockOf(15, hashesPerBlock), "taken/00": blockOf(16, 2)}, "taken/00", 16, 3},
-		"truncated block":    {chain.Documents{"taken/09": []byte("short")}, "taken/00", 0, 1},
+		"first":             {chain.Documents{}, "taken/00", 0, 1},
+		"block with room":   {chain.Documents{"taken/03": blockOf(3, 5), "taken/02": blockOf(2, hashesPerBlock)}, "taken/03", 3, 6},
+		"full block":        {chain.Documents{"taken/03": blockOf(3, hashesPerBlock)}, "taken/04", 4, 1},
+		"end of the ring":   {chain.Documents{"taken/15": blockOf(15, hashesPerBlock), "taken/00": blockOf(0, hashesPerBlock)}, "taken/00", 16, 1},
+		"after wrap-around": {chain.Documents{"taken/15": blockOf(15, hashesPerBlock), "taken/00": blockOf(16, 2)}, "taken/00", 16, 3},
+		"truncated block":   {chain.Documents{"taken/09": []byte("short")}, "taken/00", 0, 1},
 	} {
 		key, block := appendRecord(c.docs, hash)
 		if key != c.key || binary.BigEndian.Uint64(block) != c.number || len(block) != blockHeaderSize+c.hashes*hashSize {
 			t.Errorf("%s: %s, number %d, %d bytes", name, key, binary.BigEndian.Uint64(block), len(block))
 		}
 		if !isRecorded(chain.Documents{key: block}, hash) || isRecorded(c.docs, hash) {
-			t.Errorf("%s: the hash is not recorded, or was before", name)
+			t.Errorf("%s: the hash is not recorded, or was recorded before", name)
 		}
 	}
 }
 
-func TestPlacementIsDecodedAnewWhenItChanges(t *testing.T) {
+func TestPlacementCacheFollowsChanges(t *testing.T) {
 	var cache placementCache
 	if p, err := cache.decode(nil); err != nil || p.Version != 0 {
-		t.Errorf("without a document: %+v, %v", p, err)
+		t.Errorf("nil document: %+v, %v", p, err)
 	}
 	for _, v := range []int64{1, 1, 2, 1} {
 		raw, _ := json.Marshal(placement.Placement{Version: v})
@@ -52,7 +52,7 @@
 		}
 	}
 	if _, err := cache.decode([]byte("{")); err == nil {
-		t.Error("an unreadable placement is decoded")
+		t.Error("an invalid placement was decoded without an error")
 	}
 }
 
@@ -64,7 +64,7 @@
 		`{"documents":{"configuration":"e30="}}`:             State{chain.Documents{KeyConfiguration: []byte("{}")}},
 	} {
 		if raw, err := json.Marshal(value); err != nil || string(raw) != want {
-			t.Errorf("%s, not %s: %v", raw, want, err)
+			t.Errorf("got %s, want %s: %v", raw, want, err)
 		}
 	}
 }
--- a/internal/configstore/store_test.go
+++ b/internal/configstore/store_test.go
@@ -15,11 +15,11 @@
 	"saltreel/internal/chain"
 )
 
-// fakeChain holds the documents of a chain whose head and tail the test sets.
+// fakeChain holds the documents of a chain whose head and tail are set by the test.
 type fakeChain struct {
 	head, tail string
 	docs       chain.Documents
-	err        error // of Propose, before anything is decided
+	err        error // returned by Propose before the decision, and by Read
 }
 
 func (f *fakeChain) Head() string { return f.head }
@@ -36,18 +36,18 @@
 	return err
 }
 
-// callerFunc is a Caller that answers itself.
+// callerFunc implements Caller with a function.
 type callerFunc func(address, path string, in, out any) error
 
 func (f callerFunc) Call(_ context.Context, address, path string, in any, _ []byte, out any) error {
 	return f(address, path, in, out)
 }
 
-// noCalls is a Caller for a test in which no call is made.
+// noCalls is a Caller that fails the test when it is called.
 func noCalls(t *testing.T) Caller {
 	t.Helper()
 	return callerFunc(func(address, path string, _, _ any) error {
-		t.Errorf("%s%s is called", address, path)
+		t.Errorf("unexpected call of %s%s", address, path)
 		return nil
 	})
 }
@@ -61,15 +61,15 @@
 	return s
 }
 
-func TestNewRefusesAnIncompleteConfig(t *testing.T) {
+func TestNewRejectsIncompleteConfig(t *testing.T) {
 	for name, config := range map[string]Config{"no address": {}, "no timeout": {Address: "a"}, "no chain": {Address: "a", ContactTimeout: 1}} {
 		if _, err := New(config); err == nil {
-			t.Errorf("%s: a store is made", name)
+			t.Errorf("%s: New accepted the config", name)
 		}
 	}
 }
 
-func TestErrorsOfProposalsTellWhetherTheyMayTakeEffect(t *testing.T) {
+func TestProposeErrorsDistinguishNoEffectFromUnknownOutcome(t *testing.T) {
 	unknown := errors.New("unknown outcome")
 	for name, c := range map[string]struct {
 		chain       *fakeChain
@@ -77,18 +77,18 @@
 		rejected    bool
 		unavailable bool
 	}{
-		"no view":                     {&fakeChain{}, nil, false, true},
-		"at the head":                 {&fakeChain{head: "self", docs: chain.Documents{}}, nil, true, false},
-		"at the head, before it does": {&fakeChain{head: "self", err: unknown}, nil, false, true},
-		"elsewhere, rejected": {&fakeChain{head: "other"}, func(out any) error {
+		"no view":                  {&fakeChain{}, nil, false, true},
+		"at the head":              {&fakeChain{head: "self", docs: chain.Documents{}}, nil, true, false},
+		"at the head, not decided": {&fakeChain{head: "self", err: unknown}, nil, false, true},
+		"at another core, rejected": {&fakeChain{head: "other"}, func(out any) error {
 			out.(*ProposeResponse).Rejection = &RejectedError{412, "another revision"}
 			return nil
 		}, true, false},
-		"elsewhere, no answer": {&fakeChain{head: "other"}, func(any) error { return unknown }, false, false},
+		"at another core, no response": {&fakeChain{head: "other"}, func(any) error { return unknown }, false, false},
 	} {
 		s := newTestStore(t, c.chain, callerFunc(func(_, path string, _, out any) error {
 			if path != "/propose" {
-				t.Errorf("%s: %s is called", name, path)
+				t.Errorf("%s: unexpected call of %s", name, path)
 			}
 			return c.answer(out)
 		}))
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestRejectionTravelsAsFieldAndOtherErrorsWithoutStatus(t *testing.T) {
+func TestProposeResponseCarriesRejectionAndOtherErrorsHaveNoStatus(t *testing.T) {
 	head := &fakeChain{head: "self", docs: chain.Documents{}}
 	s := newTestStore(t, head, noCalls(t))
 	if out, err := s.HandlePropose(t.Context(), change(7), nil); err != nil || out.Rejection == nil || out.Rejection.Code != 412 {
@@ -116,17 +116,17 @@
 	}
 }
 
-func TestReadGoesToTheTailAndHidesRecords(t *testing.T) {
+func TestReadIsServedByTheTailWithoutRecords(t *testing.T) {
 	docs := chain.Documents{KeyConfiguration: []byte(`{}`), "taken/03": []byte("x")}
 	own := newTestStore(t, &fakeChain{tail: "self", docs: docs}, noCalls(t))
-	far := newTestStore(t, &fakeChain{tail: "other"}, callerFunc(func(address, path string, _, out any) error {
+	remote := newTestStore(t, &fakeChain{tail: "other"}, callerFunc(func(address, path string, _, out any) error {
 		if address != "other" || path != "/read" {
-			t.Errorf("%s%s is called", address, path)
+			t.Errorf("unexpected call of %s%s", address, path)
 		}
 		out.(*State).Documents = withoutRecords(docs)
 		return nil
 	}))
-	for _, s := range []*Store{own, far} {
+	for _, s := range []*Store{own, remote} {
 		state, err := s.Read(t.Context())
 		if err != nil || len(state.Documents) != 1 {
 			t.Errorf("%d documents, %v", len(state.Documents), err)
@@ -144,15 +144,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestStore(t, &fakeChain{head: "head", tail: "self"}, callerFunc(func(string, string, any, any) error { return syscall.ECONNREFUSED }))
 		if head, tail := s.RedirectTarget(true), s.RedirectTarget(false); head != "head" || tail != "" {
-			t.Errorf("changes go to %q, reads to %q", head, tail)
+			t.Errorf("changes are redirected to %q, reads to %q", head, tail)
 		}
 		_ = s.Propose(t.Context(), *change(1))
 		if head := s.RedirectTarget(true); head != "" {
-			t.Errorf("after a refused connection changes go to %q", head)
+			t.Errorf("right after a refused connection, changes are redirected to %q", head)
 		}
 		time.Sleep(time.Second)
 		if head := s.RedirectTarget(true); head != "head" {
-			t.Errorf("a while after a refused connection changes go to %q", head)
+			t.Errorf("1 s after a refused connection, changes are redirected to %q", head)
 		}
 	})
 }
