--- a/internal/controlplane/heartbeats.go
+++ b/internal/controlplane/heartbeats.go
@@ -13,15 +13,16 @@
 	"saltreel/internal/ring"
 )
 
-// heartbeatResponse answers a heartbeat of a handler instance.
+// heartbeatResponse is the response to a heartbeat of a handler instance.
 type heartbeatResponse struct {
-	// Target is the control-plane address for later heartbeats. An instance that
-	// stays with one core is sent on to the others by that one only, and one that
-	// stays in its zone or region costs nothing between them.
+	// Target is the control-plane address for further heartbeats. While an instance
+	// stays with one core, only that core forwards its state to the others, and a
+	// core in the instance's zone or region avoids traffic between zones or regions.
 	Target string `json:"keepalive-target,omitempty"`
 }
 
-// ControlHandler answers the handlers; what is the operator's goes to operate.
+// ControlHandler returns the HTTP handler of the control-plane listener. It serves the
+// handler instances itself and passes other requests to operatorHandler.
 func (s *Server) ControlHandler(operatorHandler httpwire.Handler) httpwire.Handler {
 	return func(ctx context.Context, r *httpwire.Request) *httpwire.Response {
 		if !s.opened.Load() {
@@ -34,7 +35,7 @@
 	}
 }
 
-// handleInstance answers a heartbeat or the deregistration of an instance.
+// handleInstance serves a heartbeat or the deregistration of an instance.
 func (s *Server) handleInstance(ctx context.Context, r *httpwire.Request, id string) *httpwire.Response {
 	if !s.registry.InContactWithQuorum() {
 		return httpwire.Problem(503, ErrOutOfContact.Error())
@@ -57,18 +58,18 @@
 	}
 	if err != nil {
 		s.log.Printf("core: heartbeat of %s: %v", id, err)
-		return httpwire.Problem(503, err.Error()) // whatever status an inner call had: another core may accept it
+		return httpwire.Problem(503, err.Error()) // always 503, whatever status a nested call had: another core may accept it
 	}
 	return httpwire.JSON(200, out)
 }
 
-// candidate is a core that may receive an instance's heartbeats.
+// candidate is a core that may receive the heartbeats of an instance.
 type candidate struct{ address, zone, region string }
 
-// heartbeatTarget is the control-plane address of the core that an instance's
-// later heartbeats go to. Other cores count only while they are in the view and
-// have sent a heartbeat since the instance came here: it may have come because the
-// other core does not answer.
+// heartbeatTarget returns the control-plane address of the core to which an instance
+// should send further heartbeats. Other cores are candidates only if they are in the
+// view and have sent a heartbeat since the instance's session with this core began:
+// the instance may have come here because the other core does not respond.
 func (s *Server) heartbeatTarget(in handler.Instance) string {
 	view := s.chain.View()
 	sessionStart := s.registry.SessionStart(in.ID)
@@ -82,16 +83,16 @@
 	return s.controlAddress(nearest(in.ID, in.Zone, s.settings.Zones[in.Zone], candidates))
 }
 
-// How near a core is to an instance.
+// Proximity of a core to an instance.
 const (
 	otherRegion = iota
 	sameRegion
 	sameZone
 )
 
-// nearest is the address of the candidate for an instance: one of its zone, else
-// of its region, else the first. Which of several, the instance's identity
-// decides, so that all cores name the same one.
+// nearest returns the address of the candidate for an instance: one in its zone, else
+// one in its region, else the first. Among several, rendezvous hashing on the instance
+// ID selects one, so that all cores name the same.
 func nearest(instance, zone, region string, candidates []candidate) string {
 	best, bestProximity := candidates[0].address, otherRegion
 	for _, c := range candidates {
@@ -110,8 +111,8 @@
 	return best
 }
 
-// controlAddress is the control-plane address of the core at an internal address:
-// ports are alike on all machines. It is "" if there is none.
+// controlAddress returns the control-plane address of the core with the given internal
+// address, "" if there is none. Port numbers are the same on all machines.
 func (s *Server) controlAddress(internal string) string {
 	host, _, err := net.SplitHostPort(internal)
 	if err != nil {
--- a/internal/controlplane/publication.go
+++ b/internal/controlplane/publication.go
@@ -13,17 +13,17 @@
 	"saltreel/internal/placement"
 )
 
-// publication appends the documents that the tail of the chain is known to hold
-// to the journal, from where they are distributed to the nodes.
+// publication appends the documents that the tail of the chain is known to hold to the
+// journal, from which they are distributed to the nodes.
 type publication struct {
 	journal         *journal.Journal
 	log             *log.Logger
 	decodePlacement func(chain.Documents) (placement.Placement, error)
-	onPlacement     func() // called after a new placement was published
+	onPlacement     func() // called after a new placement has been published
 
 	mu        sync.Mutex
-	documents chain.Documents     // newest
-	placement placement.Placement // newest
+	documents chain.Documents     // the newest known
+	placement placement.Placement // the newest published
 }
 
 // update publishes the documents of a committed update.
@@ -39,8 +39,8 @@
 	}
 }
 
-// replace says whether any document is another one than before: most updates are
-// keepalives of the chain.
+// replace stores the documents and reports whether the configuration or the placement
+// differs from before. Most updates are keepalives of the chain that change neither.
 func (p *publication) replace(docs chain.Documents) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,7 +73,7 @@
 	p.onPlacement()
 }
 
-// advance says whether a placement is newer than the one before.
+// advance stores a placement and returns true if it is newer than the stored one.
 func (p *publication) advance(next placement.Placement) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,8 +84,8 @@
 	return true
 }
 
-// currentPlacement is the newest placement that the tail is known to hold. It
-// must not be changed.
+// currentPlacement returns the newest placement that the tail is known to hold. The
+// caller must not modify it.
 func (p *publication) currentPlacement() placement.Placement {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -1,8 +1,8 @@
-// Package controlplane is the process of a core machine. It wires the parts of
+// Package controlplane implements the process of a core. It wires the components of
 // the control plane together and serves their calls: the chain of control state
-// (package chain), the store of configuration and placement in it (configstore),
+// (package chain), the store of the configuration and placement in it (configstore),
 // the registry of instances and nodes (registry), the controller that reassigns
-// partitions (controller), and the distribution of all that to the nodes.
+// partitions (controller), and the distribution of all of these to the nodes.
 package controlplane
 
 import (
@@ -33,18 +33,18 @@
 	"saltreel/internal/timeutil"
 )
 
-// ErrDamaged ends Run when the state on disk was found damaged and moved aside.
-// Made anew, the core joins as one with an empty disk.
+// ErrDamaged is returned by Run if the state on disk was found to be damaged and was
+// moved aside. A new Server then joins like a core with an empty disk.
 var ErrDamaged = boltstore.ErrDamaged
 
-// Server is the process of one core machine.
+// Server is the process of one core.
 type Server struct {
 	settings *settings.Settings
 	timing   timing
 	log      *log.Logger
 	network  httpwire.Network
-	address  string          // internal
-	node     membership.Node // this core in its own heartbeats; the disk is set by open
+	address  string          // internal address
+	node     membership.Node // this core, as in its heartbeats; the disk is set by open
 
 	client      *rpc.Client
 	journal     *journal.Journal
@@ -63,7 +63,7 @@
 	tasks  sync.WaitGroup
 }
 
-// New makes the process; Run opens the state on disk.
+// New makes a Server. Run opens the state on disk.
 func New(set *settings.Settings, network httpwire.Network, logger *log.Logger) (*Server, error) {
 	incarnation := rand.Text()
 	s := &Server{settings: set, timing: timing{set.Contact()}, log: logger, network: network, address: set.InternalAddress()}
@@ -86,8 +86,8 @@
 	return s, nil
 }
 
-// wire makes the parts that need each other. The chain calls the other parts
-// only from Run on.
+// wire makes the components that refer to each other. The chain calls the others only
+// after Run has started it.
 func (s *Server) wire() (err error) {
 	hostFailures := int(s.settings.FaultTolerance.HostFailures)
 	s.publication = &publication{
@@ -124,7 +124,7 @@
 		KeepaliveInterval: settings.Ms(float64(max(s.settings.KeepaliveMs, 1))),
 		Log:               s.log,
 		Go:                s.goBackground,
-		OnNodeChanged:     s.wakeController, // it may wait for this node
+		OnNodeChanged:     s.wakeController, // the controller may be waiting for this node
 	})
 	if err != nil {
 		return err
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// The chain is made first; these reach the parts that are made after it.
+// The chain is made first, so its callbacks refer to later components through these methods.
 
 func (s *Server) prepareUpdate(docs chain.Documents) { s.store.Prepare(docs) }
 func (s *Server) knownCores() []chain.Member         { return s.registry.KnownCores() }
@@ -177,12 +177,13 @@
 
 func (s *Server) isWarming() bool { return s.chain.InContactFor() < s.timing.warmup() }
 
-// redundancyOf is how far apart the copies of a message must lie.
+// redundancyOf returns how the copies of a message must be spread over failure domains.
 func redundancyOf(t *settings.FaultTolerance) placement.Redundancy {
 	return placement.Redundancy{Backups: int(t.HostFailures), Zones: int(t.Zones), Regions: int(t.RegionFailures)}
 }
 
-// goBackground runs a task that Run waits for; its context ends with Run.
+// goBackground runs a background task. Run cancels its context and waits for it before
+// returning.
 func (s *Server) goBackground(task func(ctx context.Context)) {
 	s.tasks.Go(func() { task(s.ctx) })
 }
@@ -217,7 +218,7 @@
 	return err
 }
 
-// mux serves the calls of our own processes; docs/calls.md lists them.
+// mux returns the calls served to the other processes; docs/calls.md lists them.
 func (s *Server) mux() rpc.Mux {
 	return rpc.Mux{
 		"/news":           s.publisher.Handle,
@@ -253,8 +254,8 @@
 	return &struct{}{}, nil
 }
 
-// runAntiEntropy exchanges the registry with the other cores every so often, and
-// expires what sends no heartbeats.
+// runAntiEntropy periodically exchanges registry entries with the other cores and
+// expires those without heartbeats.
 func (s *Server) runAntiEntropy(ctx context.Context) {
 	tick := time.NewTicker(s.timing.syncInterval())
 	defer tick.Stop()
@@ -277,8 +278,8 @@
 	}
 }
 
-// open opens the state on disk. While the disk fails, this core waits and does
-// not participate. The result says whether it was opened before ctx ended.
+// open opens the state on disk. It retries while the disk fails, and the core does not
+// participate in the meantime. The result is false if ctx ended first.
 func (s *Server) open(ctx context.Context) bool {
 	for logged := false; ctx.Err() == nil; timeutil.Sleep(ctx, s.timing.diskRetryInterval()) {
 		err := s.state.Open()
@@ -299,8 +300,8 @@
 	return false
 }
 
-// prepareState makes the state on an empty disk. A disk that replaced a damaged
-// one does not bootstrap the chain: what it held is on the others.
+// prepareState initializes the state on an empty disk. A disk that replaced a damaged
+// one does not bootstrap the chain, since the other cores hold the lost state.
 func (s *Server) prepareState(tx *bbolt.Tx) error {
 	var initialMembers []string
 	if s.settings.Bootstrap && !boltstore.WasReplaced(s.state.Path) {
--- a/internal/controlplane/status.go
+++ b/internal/controlplane/status.go
@@ -16,7 +16,7 @@
 	"saltreel/internal/placement"
 )
 
-// Overview is what the operator's status command shows.
+// Overview is the output of the operator's status command.
 type Overview struct {
 	Revision  int64              `json:"revision"`
 	View      chain.View         `json:"view"`
@@ -25,12 +25,12 @@
 	Handlers  []handler.Instance `json:"handlers"`
 }
 
-// ErrOutOfContact says that this core lost contact with a majority of the cores:
-// what it knows of instances and nodes may be outdated.
+// ErrOutOfContact reports that this core has lost contact with a majority of the
+// cores, so that its instances and nodes may be outdated.
 var ErrOutOfContact = errors.New("this core is not in contact with the others")
 
-// Status gives the state of the system as this core and the tail of the chain
-// know it. The error is ErrOutOfContact, or that of Read.
+// Status returns the state of the system as known to this core and to the tail of the
+// chain. The error is ErrOutOfContact or one from Read.
 func (s *Server) Status(ctx context.Context) (Overview, error) {
 	overview := Overview{View: s.chain.View()}
 	if !s.registry.InContactWithQuorum() {
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -15,26 +15,26 @@
 	"saltreel/internal/rpc"
 )
 
-// Bounds of the attempts of one order.
+// Limits of the attempts of one request.
 const (
 	attemptsPerServer = 4
 	initialBackoff    = 50 * time.Millisecond // doubles after each attempt
-	// A server redirects to the one that answers. That one may have just been
-	// replaced and redirect once more; a longer chain is a loop.
+	// A server redirects to the one that serves the request. That one may have just
+	// been replaced and redirect once more; further redirects indicate a loop.
 	maxRedirects = 2
 )
 
-// Client sends orders to the control plane.
+// Client sends requests to the control plane.
 type Client struct {
 	Pool      *httpwire.Pool
-	Addresses []string      // addresses of the control plane, host:port
-	Timeout   time.Duration // of one attempt, redirects included
+	Addresses []string      // host:port of the control-plane servers
+	Timeout   time.Duration // of one attempt, including redirects
 }
 
-// Do sends one order and returns the body of the answer. It follows redirects,
-// and sends the same order to the next server after a failure, a 5xx, a 408 or a
-// 429, until an answer is conclusive. The error is an *IndeterminateError if the
-// order may have taken effect in any of the attempts.
+// Do sends one request and returns the body of the response. It follows redirects, and
+// sends the same request to the next server after a transport failure or a 5xx, 408 or
+// 429 status, until a response is conclusive. The error is an *IndeterminateError if
+// the request may have taken effect in any of the attempts.
 func (c *Client) Do(ctx context.Context, call httpwire.Call) ([]byte, error) {
 	if len(c.Addresses) == 0 {
 		return nil, errors.New("no control address is given")
@@ -66,7 +66,7 @@
 	return nil, cmp.Or(indeterminate, lastErr)
 }
 
-// attempt sends an order to one server, and to where that redirects.
+// attempt sends a request to one server and follows its redirects.
 func (c *Client) attempt(ctx context.Context, address string, call httpwire.Call) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
@@ -97,8 +97,8 @@
 	return c.Do(ctx, httpwire.Call{Method: http.MethodGet, Target: path})
 }
 
-// PutConfiguration sends a configuration that is based on the revision match.
-// The text of the error says what the operator is to do.
+// PutConfiguration sends a configuration that is based on the revision match. The text
+// of the error tells the operator what to do.
 func (c *Client) PutConfiguration(ctx context.Context, raw []byte, match int64) error {
 	return c.changeConfiguration(ctx, http.MethodPut, raw, match)
 }
@@ -121,8 +121,8 @@
 	case errors.As(err, new(*IndeterminateError)):
 		return fmt.Errorf("it is unclear whether the configuration is in force; send the same file again with --if-match %d: %w", match, err)
 	case rpc.StatusCode(err) == http.StatusPreconditionFailed:
-		// The servers recognize an order that took effect when it is sent again,
-		// so this is conclusive after indeterminate attempts too.
+		// The servers acknowledge a repeated request that has already taken effect,
+		// so this status is conclusive even after indeterminate attempts.
 		return fmt.Errorf("the configuration was not taken, another change came first; build on the one in force: %w", err)
 	case outcomeOf(err) == rejected:
 		return fmt.Errorf("the configuration was not taken, it is refused: %w", err)
@@ -130,7 +130,7 @@
 	return fmt.Errorf("the configuration was not taken, no core could take it; send the same file again with --if-match %d: %w", match, err)
 }
 
-// Retire orders a store to be emptied.
+// Retire requests that a store be retired, that is, emptied.
 func (c *Client) Retire(ctx context.Context, store string, deadline time.Duration) error {
 	_, err := c.Do(ctx, httpwire.Call{
 		Method: http.MethodPost,
@@ -144,7 +144,7 @@
 	return err
 }
 
-// RetireState returns how far the emptying of a store is: placement.RetireActive
+// RetireState returns the progress of the retirement of a store: placement.RetireActive
 // or RetireComplete.
 func (c *Client) RetireState(ctx context.Context, store string) (string, error) {
 	raw, err := c.Get(ctx, retirePath+url.PathEscape(store))
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -9,16 +9,15 @@
 	"saltreel/internal/rpc"
 )
 
-// IndeterminateError says that an order had no conclusive answer: it may be in
-// force, or take effect later. The same order may be sent again by anybody
-// within a day; if it took effect before, that is acknowledged.
+// IndeterminateError reports that a request got no conclusive response: it may be in
+// force, or may take effect later. Any client may send the same request again within a
+// day; if it has already taken effect, it is acknowledged.
 type IndeterminateError struct{ Err error }
 
 func (e *IndeterminateError) Error() string { return "no clear answer: " + e.Err.Error() }
 func (e *IndeterminateError) Unwrap() error { return e.Err }
 
-// statusOf maps an error of the control plane to the HTTP status that the
-// operator gets, and its text.
+// statusOf maps an error of the control plane to the HTTP status and text of the response.
 func statusOf(err error, write bool) (status int, text string) {
 	var rejected *controlplane.RejectedError
 	switch {
@@ -27,16 +26,16 @@
 	case isUnavailable(err) || !write:
 		return http.StatusServiceUnavailable, err.Error()
 	}
-	return http.StatusGatewayTimeout, err.Error() // the order may still take effect
+	return http.StatusGatewayTimeout, err.Error() // the request may still take effect
 }
 
-// isUnavailable reports whether a call certainly had no effect, since it did
-// not reach the state.
+// isUnavailable reports whether a call certainly had no effect, since it did not reach
+// the state.
 func isUnavailable(err error) bool {
 	return errors.As(err, new(*controlplane.UnavailableError))
 }
 
-// errorFromStatus maps the HTTP status of an answer to an error, nil for success.
+// errorFromStatus maps the HTTP status of a response to an error, nil for success.
 func errorFromStatus(status int, body []byte) error {
 	if status/100 == 2 {
 		return nil
@@ -44,14 +43,14 @@
 	return &rpc.StatusError{Code: status, Text: string(body)}
 }
 
-// outcome is what an attempt means for an order.
+// outcome is the result of an attempt with regard to the request.
 type outcome int
 
 const (
 	succeeded outcome = iota
-	rejected          // conclusive: the order is not possible
-	noEffect          // the order certainly did not take effect; it may be sent again
-	unknown           // the order may have taken effect, or take effect later
+	rejected          // conclusive: the request is not possible
+	noEffect          // the request certainly had no effect; it may be sent again
+	unknown           // the request may have taken effect, or may take effect later
 )
 
 // outcomeOf maps the error of an attempt to its outcome.
@@ -60,7 +59,7 @@
 		return succeeded
 	}
 	switch status := rpc.StatusCode(err); status {
-	case 0: // no answer
+	case 0: // no response
 		if httpwire.NotSent(err) {
 			return noEffect
 		}
--- a/internal/operator/serve.go
+++ b/internal/operator/serve.go
@@ -12,8 +12,7 @@
 	"saltreel/internal/settings"
 )
 
-// Core is the process of a core machine with its listener for handlers and the
-// operator.
+// Core is the process of a core, including its listener for handlers and the operator.
 type Core struct {
 	server   *controlplane.Server
 	settings *settings.Settings
@@ -21,7 +20,7 @@
 	log      *log.Logger
 }
 
-// NewCore makes the process; Run opens the state on disk.
+// NewCore makes a Core. Run opens the state on disk.
 func NewCore(set *settings.Settings, network httpwire.Network, logger *log.Logger) (*Core, error) {
 	server, err := controlplane.New(set, network, logger)
 	if err != nil {
@@ -30,8 +29,9 @@
 	return &Core{server: server, settings: set, network: network, log: logger}, nil
 }
 
-// Run serves until ctx ends. A core that finds its state on disk damaged is
-// replaced by a new one, which joins like one with an empty disk.
+// Run serves until ctx ends. If the state on disk is found to be damaged, the
+// controlplane.Server is replaced by a new one, which joins like a core with an empty
+// disk.
 func (c *Core) Run(ctx context.Context) error {
 	for {
 		err := serve(ctx, c.server, c.settings, c.network, c.log)
@@ -44,10 +44,10 @@
 	}
 }
 
-// Reload does nothing: a core reads its settings when it starts.
+// Reload does nothing: a core reads its settings only at startup.
 func (c *Core) Reload(*settings.Settings) {}
 
-// serve runs one core until ctx ends or the core fails.
+// serve runs one controlplane.Server until ctx ends or the server fails.
 func serve(ctx context.Context, core *controlplane.Server, set *settings.Settings, network httpwire.Network, logger *log.Logger) error {
 	listener, err := network.Listen(set.Listeners.ControlPlane)
 	if err != nil {
@@ -59,7 +59,7 @@
 		Limits:     func() httpwire.Limits { return listenerLimits(set) },
 		AnswerTime: answerTimeout(set),
 	}
-	// The core goes on after ctx ends, until the listener has shut down.
+	// The core keeps running after ctx ends, until the listener has shut down.
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	coreDone := make(chan error, 1)
@@ -86,8 +86,8 @@
 	return err
 }
 
-// listenerLimits bounds what one connection may cost. The timeouts are multiples
-// of the contact bound, like all waits inside the system.
+// listenerLimits bounds the resources that one connection may use. The timeouts are
+// multiples of contact-ms, like all timeouts within the system.
 func listenerLimits(set *settings.Settings) httpwire.Limits {
 	return httpwire.Limits{
 		HeaderBytes:   16 << 10,
@@ -98,15 +98,15 @@
 	}
 }
 
-// shutdownTimeout is how long requests in progress may take at shutdown. With
-// coreStopTimeout it is well under the grace period, after which the platform
-// kills the process.
+// shutdownTimeout is how long requests in progress may take at shutdown. Together with
+// coreStopTimeout it is well below the grace period after which the platform kills the
+// process.
 func shutdownTimeout(set *settings.Settings) time.Duration {
 	return settings.Seconds(set.Timers.GraceS) / 8
 }
 
-// answerTimeout is how long the answers may take to those that did not end in that
-// time.
+// answerTimeout is how long it may take to send responses to the requests that did not
+// complete within shutdownTimeout.
 func answerTimeout(set *settings.Settings) time.Duration {
 	return settings.Seconds(set.Timers.GraceS) / 16
 }
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -1,6 +1,6 @@
-// Package operator is the operator's interface to the control plane: the HTTP
-// server at each core that takes orders, and the client that the commands send
-// them with. docs/operations.md describes the orders.
+// Package operator is the operator's interface to the control plane: the HTTP server
+// at each core, and the client used by the commands. docs/operations.md describes the
+// requests.
 package operator
 
 import (
@@ -15,7 +15,7 @@
 	"saltreel/internal/placement"
 )
 
-// MaxConfigurationBytes bounds the body of a configuration.
+// MaxConfigurationBytes bounds the body of a configuration request.
 const MaxConfigurationBytes = 4 << 20
 
 // Paths of the operator's interface.
@@ -25,11 +25,12 @@
 	retirePath        = "/v1/retire/" // followed by the name of the store
 )
 
-// Server answers the operator at one core.
+// Server serves the requests of the operator at one core.
 type Server struct{ Core *controlplane.Server }
 
-// Handle answers one request. A core that cannot answer redirects to the one
-// that can, if it knows one: the client may reach what this core cannot.
+// Handle serves one request. A core that cannot serve it redirects the client to the
+// core that can, if it knows one, since the client may be able to reach that core even
+// if this one cannot.
 func (s *Server) Handle(ctx context.Context, r *httpwire.Request) *httpwire.Response {
 	write := r.Method != http.MethodGet
 	if !s.Core.InContact() {
@@ -53,7 +54,7 @@
 	return &httpwire.Response{Status: http.StatusTemporaryRedirect, Header: []string{"Location", "http://" + address + r.URL.RequestURI()}}
 }
 
-// route returns the answer to a request, or the error of the control plane.
+// route returns the response to a request, or the error of the control plane.
 func (s *Server) route(ctx context.Context, r *httpwire.Request) (*httpwire.Response, error) {
 	path := r.URL.Path
 	switch {
@@ -72,8 +73,8 @@
 	return httpwire.Problem(http.StatusNotFound, "no such call: "+path), nil
 }
 
-// changeConfiguration takes a whole configuration (PUT), or a change of named
-// items (PATCH).
+// changeConfiguration accepts a whole configuration (PUT) or a change of named items
+// (PATCH).
 func (s *Server) changeConfiguration(ctx context.Context, r *httpwire.Request) (*httpwire.Response, error) {
 	match, err := parseRevision(r.Header.Get("If-Match"))
 	if err != nil {
@@ -92,7 +93,7 @@
 	return httpwire.JSON(http.StatusOK, struct{}{}), err
 }
 
-// parseRevision reads the value of If-Match, quoted or not; 0 if there is none.
+// parseRevision parses the value of If-Match, quoted or not. An empty value gives 0.
 func parseRevision(value string) (int64, error) {
 	value = strings.Trim(value, `"`)
 	if value == "" {
@@ -109,7 +110,7 @@
 	return &httpwire.Response{Status: http.StatusOK, Header: []string{"Content-Type", "application/json"}, Body: raw}, err
 }
 
-// RetireStatus is how far the retirement of a store is.
+// RetireStatus is the progress of the retirement of a store.
 type RetireStatus struct {
 	State string `json:"oper-state"` // placement.RetireActive or RetireComplete
 }
