--- a/internal/controlplane/heartbeats.go
+++ b/internal/controlplane/heartbeats.go
@@ -46,7 +46,7 @@
 	case http.MethodPut:
 		in, invalid := handler.ParseHeartbeat(id, r.Body)
 		if invalid != nil {
-			s.log.Printf("core: heartbeat of %s from %s is refused: %v", id, r.Conn.RemoteAddr(), invalid)
+			s.log.Printf("core: rejected the heartbeat of %s from %s: %v", id, r.Conn.RemoteAddr(), invalid)
 			return httpwire.Problem(400, invalid.Error())
 		}
 		err = s.registry.RecordInstance(ctx, in)
@@ -54,10 +54,10 @@
 	case http.MethodDelete:
 		err = s.registry.Deregister(ctx, id)
 	default:
-		return httpwire.Problem(405, "instances take PUT and DELETE")
+		return httpwire.Problem(405, "instances support PUT and DELETE")
 	}
 	if err != nil {
-		s.log.Printf("core: heartbeat of %s: %v", id, err)
+		s.log.Printf("core: %s of instance %s failed: %v", r.Method, id, err)
 		return httpwire.Problem(503, err.Error()) // always 503, whatever status a nested call had: another core may accept it
 	}
 	return httpwire.JSON(200, out)
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -196,7 +196,7 @@
 	}
 	listener, err := s.network.Listen(s.address)
 	if err != nil {
-		return fmt.Errorf("listen for our own processes: %w", err)
+		return fmt.Errorf("listen on the internal address: %w", err)
 	}
 	server := &httpwire.Server{Handle: s.mux().Handle}
 	s.goBackground(func(ctx context.Context) { _ = server.Serve(ctx, listener) })
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -37,7 +37,7 @@
 // the request may have taken effect in any of the attempts.
 func (c *Client) Do(ctx context.Context, call httpwire.Call) ([]byte, error) {
 	if len(c.Addresses) == 0 {
-		return nil, errors.New("no control address is given")
+		return nil, errors.New("no control-plane address is given")
 	}
 	var lastErr, indeterminate error
 	backoff := initialBackoff
@@ -84,7 +84,7 @@
 		}
 		location, err := url.Parse(answer.Header.Get("Location"))
 		if err != nil || location.Host == "" {
-			return nil, &httpwire.Error{Step: "redirect", Peer: address, Err: fmt.Errorf("location %q", answer.Header.Get("Location"))}
+			return nil, &httpwire.Error{Step: "redirect", Peer: address, Err: fmt.Errorf("invalid Location %q", answer.Header.Get("Location"))}
 		}
 		address = location.Host
 		call.Target = location.RequestURI()
@@ -119,15 +119,15 @@
 	case err == nil:
 		return nil
 	case errors.As(err, new(*IndeterminateError)):
-		return fmt.Errorf("it is unclear whether the configuration is in force; send the same file again with --if-match %d: %w", match, err)
+		return fmt.Errorf("outcome unknown, the configuration may be in force; send the same file again with --if-match %d: %w", match, err)
 	case rpc.StatusCode(err) == http.StatusPreconditionFailed:
 		// The servers acknowledge a repeated request that has already taken effect,
 		// so this status is conclusive even after indeterminate attempts.
-		return fmt.Errorf("the configuration was not taken, another change came first; build on the one in force: %w", err)
+		return fmt.Errorf("configuration not applied, another change came first; base the change on the revision in force: %w", err)
 	case outcomeOf(err) == rejected:
-		return fmt.Errorf("the configuration was not taken, it is refused: %w", err)
+		return fmt.Errorf("configuration not applied, it was rejected: %w", err)
 	}
-	return fmt.Errorf("the configuration was not taken, no core could take it; send the same file again with --if-match %d: %w", match, err)
+	return fmt.Errorf("configuration not applied, no core accepted it; send the same file again with --if-match %d: %w", match, err)
 }
 
 // Retire requests that a store be retired, that is, emptied.
@@ -139,7 +139,7 @@
 		Header: []string{"Content-Type", "application/json"},
 	})
 	if errors.As(err, new(*IndeterminateError)) {
-		return fmt.Errorf("it is unclear whether %s is being emptied; send the order again: %w", store, err)
+		return fmt.Errorf("outcome unknown, the retirement of store %s may have started; send the request again: %w", store, err)
 	}
 	return err
 }
@@ -153,7 +153,7 @@
 	}
 	var status RetireStatus
 	if err := json.Unmarshal(raw, &status); err != nil {
-		return "", fmt.Errorf("read the state of %s: %w", store, err)
+		return "", fmt.Errorf("parse the retirement status of %s: %w", store, err)
 	}
 	return status.State, nil
 }
--- a/internal/operator/client_test.go
+++ b/internal/operator/client_test.go
@@ -77,13 +77,13 @@
 		{[]int{answerLost, 504, 503, 200}, 4, "", false},
 		{[]int{307, 200}, 2, "", false},
 		{[]int{307, 307, 307, 200}, 4, "", false},
-		{[]int{412}, 1, "was not taken, another change came first", false},
-		{[]int{answerLost, 412}, 2, "was not taken, another change came first", false},
-		{[]int{504, 400}, 2, "was not taken, it is refused", false},
-		{[]int{503, 429, connectionRefused}, 8, "was not taken, no core could take it; send the same file again with --if-match 6", false},
-		{[]int{504, 503}, 8, "it is unclear whether the configuration is in force; send the same file again with --if-match 6", true},
-		{[]int{answerLost, connectionRefused}, 8, "it is unclear whether", true},
-		{[]int{503, 500}, 8, "it is unclear whether", true},
+		{[]int{412}, 1, "configuration not applied, another change came first", false},
+		{[]int{answerLost, 412}, 2, "configuration not applied, another change came first", false},
+		{[]int{504, 400}, 2, "configuration not applied, it was rejected", false},
+		{[]int{503, 429, connectionRefused}, 8, "configuration not applied, no core accepted it; send the same file again with --if-match 6", false},
+		{[]int{504, 503}, 8, "outcome unknown, the configuration may be in force; send the same file again with --if-match 6", true},
+		{[]int{answerLost, connectionRefused}, 8, "outcome unknown, the configuration may be in force", true},
+		{[]int{503, 500}, 8, "outcome unknown, the configuration may be in force", true},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			f := &fakeControlPlane{t: t, answers: tc.answers, location: "http://10.0.0.9:82/v1/configuration"}
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -14,7 +14,7 @@
 // day; if it has already taken effect, it is acknowledged.
 type IndeterminateError struct{ Err error }
 
-func (e *IndeterminateError) Error() string { return "no clear answer: " + e.Err.Error() }
+func (e *IndeterminateError) Error() string { return "no conclusive response: " + e.Err.Error() }
 func (e *IndeterminateError) Unwrap() error { return e.Err }
 
 // statusOf maps an error of the control plane to the HTTP status and text of the response.
--- a/internal/operator/serve.go
+++ b/internal/operator/serve.go
@@ -51,7 +51,7 @@
 func serve(ctx context.Context, core *controlplane.Server, set *settings.Settings, network httpwire.Network, logger *log.Logger) error {
 	listener, err := network.Listen(set.Listeners.ControlPlane)
 	if err != nil {
-		return fmt.Errorf("listen for handlers and the operator: %w", err)
+		return fmt.Errorf("listen on the control-plane address: %w", err)
 	}
 	operatorServer := &Server{Core: core}
 	server := &httpwire.Server{
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -63,7 +63,7 @@
 	case path == configurationPath && r.Method == http.MethodGet:
 		return s.getConfiguration(ctx)
 	case path == configurationPath:
-		return httpwire.Problem(http.StatusMethodNotAllowed, "the configuration takes GET, PUT and PATCH"), nil
+		return httpwire.Problem(http.StatusMethodNotAllowed, "the configuration supports GET, PUT and PATCH"), nil
 	case strings.HasPrefix(path, retirePath):
 		return s.retire(ctx, r, strings.TrimPrefix(path, retirePath))
 	case path == statusPath && r.Method == http.MethodGet:
@@ -81,7 +81,7 @@
 		return httpwire.Problem(http.StatusBadRequest, "If-Match is not a revision"), nil
 	}
 	if len(r.Body) == 0 {
-		return httpwire.Problem(http.StatusBadRequest, "the configuration is empty"), nil
+		return httpwire.Problem(http.StatusBadRequest, "the request body is empty"), nil
 	}
 	proposal := controlplane.Proposal{Match: match}
 	if r.Method == http.MethodPatch {
@@ -122,7 +122,7 @@
 			Deadline float64 `json:"deadline-s"`
 		}
 		if len(r.Body) > 0 && (json.Unmarshal(r.Body, &order) != nil || order.Deadline < 0) {
-			return httpwire.Problem(http.StatusBadRequest, "the order cannot be read"), nil
+			return httpwire.Problem(http.StatusBadRequest, "invalid request body"), nil
 		}
 		err := s.Core.Propose(ctx, controlplane.Proposal{Retire: store})
 		return httpwire.JSON(http.StatusOK, RetireStatus{placement.RetireActive}), err
@@ -130,5 +130,5 @@
 		state, err := s.Core.RetireState(ctx, store)
 		return httpwire.JSON(http.StatusOK, RetireStatus{state}), err
 	}
-	return httpwire.Problem(http.StatusMethodNotAllowed, "retire takes POST and GET"), nil
+	return httpwire.Problem(http.StatusMethodNotAllowed, "retire supports GET and POST"), nil
 }
