--- a/internal/controlplane/publication_test.go
+++ b/internal/controlplane/publication_test.go
@@ -38,13 +38,13 @@
 		placement     int64
 		placements    int
 	}{
-		{"nothing yet", chain.Documents{}, "", 0, 0},
+		{"no documents", chain.Documents{}, "", 0, 0},
 		{"first", documents(`{"revision":1}`, 1), `{"revision":1}`, 1, 1},
 		{"repeated", documents(`{"revision":1}`, 1), `{"revision":1}`, 1, 1},
 		{"configuration only", documents(`{"revision":2}`, 1), `{"revision":2}`, 1, 1},
 		{"placement only", documents(`{"revision":2}`, 2), `{"revision":2}`, 2, 2},
 		{"older placement", documents(`{"revision":2}`, 1), `{"revision":2}`, 2, 2},
-		{"unreadable configuration", documents(`{`, 2), `{"revision":2}`, 2, 2},
+		{"invalid configuration", documents(`{`, 2), `{"revision":2}`, 2, 2},
 	} {
 		p.update(c.documents)
 		configuration, _ := events.Get(distribution.KeyConfiguration)
--- a/internal/operator/errors_test.go
+++ b/internal/operator/errors_test.go
@@ -23,11 +23,11 @@
 		{fmt.Errorf("propose: %w", rejected), true, 412, "revision 7 is in force"},
 		{unavailable, true, 503, "no view"},
 		{unavailable, false, 503, "no view"},
-		{errors.New("time-out"), true, 504, "time-out"}, // the order may take effect
-		{errors.New("time-out"), false, 503, "time-out"},
+		{errors.New("timeout"), true, 504, "timeout"}, // the request may still take effect
+		{errors.New("timeout"), false, 503, "timeout"},
 	} {
 		if status, text := statusOf(c.err, c.write); status != c.status || text != c.text {
-			t.Errorf("%v, write is %v: %d %q, not %d %q", c.err, c.write, status, text, c.status, c.text)
+			t.Errorf("%v, write is %v: got %d %q, want %d %q", c.err, c.write, status, text, c.status, c.text)
 		}
 	}
 }
@@ -54,10 +54,10 @@
 		{errorFromStatus(504, nil), unknown},
 	} {
 		if got := outcomeOf(c.err); got != c.outcome {
-			t.Errorf("%v: %d, not %d", c.err, got, c.outcome)
+			t.Errorf("%v: got %d, want %d", c.err, got, c.outcome)
 		}
 	}
 	if text := errorFromStatus(409, []byte("too few stores")).Error(); text != (&rpc.StatusError{Code: 409, Text: "too few stores"}).Error() {
-		t.Errorf("the text of the answer is lost: %s", text)
+		t.Errorf("the text of the response is lost: %s", text)
 	}
 }
