--- a/internal/registry/deregister.go
+++ b/internal/registry/deregister.go
@@ -23,7 +23,7 @@
 	if entry.isTombstone() {
 		return r.recordTombstone(ctx, entry)
 	}
-	if r.table.heartbeat(entry) {
+	if r.table.mergeHeartbeat(entry) {
 		r.broadcast(entry)
 	}
 	return nil
@@ -40,7 +40,7 @@
 // recordTombstone returns nil once a tombstone is on the disks of a quorum. After
 // that, repeated calls are cheap.
 func (r *Registry) recordTombstone(ctx context.Context, entry Entry) error {
-	r.table.heartbeat(entry)
+	r.table.mergeHeartbeat(entry)
 	if r.table.isConfirmed(entry) {
 		return nil
 	}
@@ -126,7 +126,7 @@
 // complete for it.
 func (r *Registry) checkEpoch(epoch int64) error {
 	inForce := r.config.Chain.View().QuorumEpoch
-	complete := r.completeness.currentEpoch()
+	complete := r.completeness.completedEpoch()
 	if inForce != epoch || complete < epoch {
 		return &WrongEpochError{Requested: epoch, InForce: inForce, Complete: complete}
 	}
--- a/internal/registry/load.go
+++ b/internal/registry/load.go
@@ -10,13 +10,13 @@
 // VoterReady reports whether this core holds what a voter must hold: all tombstones
 // acknowledged before the quorum epoch in force.
 func (r *Registry) VoterReady() bool {
-	return r.completeness.completeFor(r.config.Chain.View().QuorumEpoch)
+	return r.completeness.isCompleteFor(r.config.Chain.View().QuorumEpoch)
 }
 
 // InContactWithQuorum reports whether the instances and nodes known to this core are
 // current: it has loaded from a quorum since it was last out of contact.
 func (r *Registry) InContactWithQuorum() bool {
-	return r.completeness.upToDate() && r.config.Chain.InContact()
+	return r.completeness.isUpToDate() && r.config.Chain.InContact()
 }
 
 // RunLoader loads from the other cores whenever this core may lack state that a
@@ -61,26 +61,26 @@
 	defer cancel()
 	view := r.config.Chain.View()
 	peers := r.loadPeers(view)
-	answers := make(chan peerResponse, len(peers))
+	results := make(chan peerResponse, len(peers))
 	for _, peer := range peers {
-		r.config.Go(func(context.Context) { answers <- r.fetchTombstones(ctx, peer, view) })
+		r.config.Go(func(context.Context) { results <- r.fetchTombstones(ctx, peer, view) })
 	}
 	responses := loadResponses{}
 	if r.tryComplete(responses) { // this core is the only voter
 		return nil
 	}
 	for range peers {
-		answer := <-answers
-		if answer.response == nil || answer.response.View == nil {
+		result := <-results
+		if result.response == nil || result.response.View == nil {
 			continue
 		}
-		if err := r.config.Chain.InstallView(ctx, *answer.response.View); err != nil {
+		if err := r.config.Chain.InstallView(ctx, *result.response.View); err != nil {
 			return err
 		}
-		if err := r.merge(answer.response.Entries); err != nil {
+		if err := r.merge(result.response.Entries); err != nil {
 			return err
 		}
-		responses[answer.from] = answer.response
+		responses[result.from] = result.response
 		if r.tryComplete(responses) {
 			return nil
 		}
@@ -113,7 +113,7 @@
 // records that on disk and in memory.
 func (r *Registry) tryComplete(responses loadResponses) bool {
 	view := r.config.Chain.View()
-	n, ok := responses.hasQuorum(view, r.config.Self(), r.completeness.currentEpoch())
+	n, ok := responses.hasQuorum(view, r.config.Self(), r.completeness.completedEpoch())
 	if !ok {
 		return false
 	}
@@ -128,7 +128,7 @@
 }
 
 func (r *Registry) raiseCompleteEpoch(epoch int64) error {
-	if r.completeness.currentEpoch() >= epoch {
+	if r.completeness.completedEpoch() >= epoch {
 		return nil
 	}
 	if err := r.tombstones.persistCompleteEpoch(epoch); err != nil {
--- a/internal/registry/quorum_epoch.go
+++ b/internal/registry/quorum_epoch.go
@@ -34,7 +34,7 @@
 	c.completeEpoch = epoch
 }
 
-func (c *completeness) currentEpoch() int64 {
+func (c *completeness) completedEpoch() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.completeEpoch
@@ -47,15 +47,15 @@
 	return c.loaded
 }
 
-// completeFor reports whether this core is loaded and complete for an epoch.
-func (c *completeness) completeFor(epoch int64) bool {
+// isCompleteFor reports whether this core is loaded and complete for an epoch.
+func (c *completeness) isCompleteFor(epoch int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.loaded && c.completeEpoch >= epoch
 }
 
-// upToDate reports whether this core is loaded and has been in contact ever since.
-func (c *completeness) upToDate() bool {
+// isUpToDate reports whether this core is loaded and has been in contact ever since.
+func (c *completeness) isUpToDate() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.loaded && !c.stale
--- a/internal/registry/record.go
+++ b/internal/registry/record.go
@@ -167,14 +167,14 @@
 }
 
 // isOverdue reports whether a store that used to send its heartbeats to this core
-// should be reported as overdue: its last heartbeat is older than after, but not
-// older than before, and it was not reported within the last interval of after.
-func (r *record) isOverdue(now time.Time, after, before time.Duration) bool {
+// should be reported as overdue: its last heartbeat is older than minAge, but not
+// older than maxAge, and it was not reported within the last interval of minAge.
+func (r *record) isOverdue(now time.Time, minAge, maxAge time.Duration) bool {
 	if r.node.Role != "store" || r.lastHeartbeat.IsZero() {
 		return false
 	}
 	age := now.Sub(r.lastHeartbeat)
-	return age > after && age < before && now.Sub(r.reportedAt) > after
+	return age > minAge && age < maxAge && now.Sub(r.reportedAt) > minAge
 }
 
 // sameValue compares two values except for the counters that change with each heartbeat.
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -118,11 +118,11 @@
 }
 
 // RecordSelf records a heartbeat of this core.
-func (r *Registry) RecordSelf(n membership.Node) { r.table.nodeHeartbeat(n) }
+func (r *Registry) RecordSelf(n membership.Node) { r.table.mergeNodeHeartbeat(n) }
 
 // RecordNode records a heartbeat that a node sent to this core.
 func (r *Registry) RecordNode(n membership.Node) {
-	if entry, changed := r.table.nodeHeartbeat(n); changed {
+	if entry, changed := r.table.mergeNodeHeartbeat(n); changed {
 		r.config.OnNodeChanged()
 		r.broadcast(entry)
 	}
@@ -132,10 +132,10 @@
 func (r *Registry) Nodes() map[string]NodeStatus { return r.table.nodes() }
 
 // OverdueStores returns the names of the stores that used to send their heartbeats
-// to this core and whose last one is older than after, but not older than before.
-// Each store is returned at most once per interval of length after.
-func (r *Registry) OverdueStores(after, before time.Duration) []string {
-	return r.table.overdueStores(after, before)
+// to this core and whose last one is older than minAge, but not older than maxAge.
+// Each store is returned at most once per interval of length minAge.
+func (r *Registry) OverdueStores(minAge, maxAge time.Duration) []string {
+	return r.table.overdueStores(minAge, maxAge)
 }
 
 // Expire marks as absent the instances and nodes whose heartbeats no core has
--- a/internal/registry/registry_bench_test.go
+++ b/internal/registry/registry_bench_test.go
@@ -30,10 +30,10 @@
 func tableOf(n int) *table {
 	r := newTable(journal.New("bench", time.Hour, distribution.PrefixNode), time.Second, time.Second)
 	for i := range n {
-		r.heartbeat(heartbeatOf(i, 1))
+		r.mergeHeartbeat(heartbeatOf(i, 1))
 	}
 	for i := range 650 {
-		r.nodeHeartbeat(benchNode(i))
+		r.mergeNodeHeartbeat(benchNode(i))
 	}
 	return r
 }
@@ -102,7 +102,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		r.heartbeat(Entry{Key: distribution.PrefixInstance + in.ID, Version: journal.Version{Major: in.CallSeq}, Value: journal.Encode(in)})
+		r.mergeHeartbeat(Entry{Key: distribution.PrefixInstance + in.ID, Version: journal.Version{Major: in.CallSeq}, Value: journal.Encode(in)})
 		at++
 	}
 }
--- a/internal/registry/sync.go
+++ b/internal/registry/sync.go
@@ -167,7 +167,7 @@
 	// that view later.
 	view := r.config.Chain.View()
 	out.View = &view
-	out.CompleteEpoch = r.completeness.currentEpoch()
+	out.CompleteEpoch = r.completeness.completedEpoch()
 	out.Entries = r.table.all()
 	if want == WantTombstones {
 		out.Entries = slices.DeleteFunc(out.Entries, func(entry Entry) bool { return !entry.isTombstone() })
--- a/internal/registry/table.go
+++ b/internal/registry/table.go
@@ -62,14 +62,14 @@
 	return changed
 }
 
-// heartbeat merges an entry built from a heartbeat that this core received itself.
-func (t *table) heartbeat(in Entry) bool {
+// mergeHeartbeat merges an entry built from a mergeHeartbeat that this core received itself.
+func (t *table) mergeHeartbeat(in Entry) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.heartbeatLocked(in, time.Now())
+	return t.mergeHeartbeatLocked(in, time.Now())
 }
 
-func (t *table) heartbeatLocked(in Entry, now time.Time) bool {
+func (t *table) mergeHeartbeatLocked(in Entry, now time.Time) bool {
 	changed := t.mergeLocked(in, now)
 	if r := t.records[in.Key]; r != nil {
 		r.recordHeartbeat(now, t.sessionTimeout)
@@ -77,9 +77,9 @@
 	return changed
 }
 
-// nodeHeartbeat merges a heartbeat of a node. It returns the entry built from it and
+// mergeNodeHeartbeat merges a heartbeat of a node. It returns the entry built from it and
 // reports whether the value changed.
-func (t *table) nodeHeartbeat(n membership.Node) (Entry, bool) {
+func (t *table) mergeNodeHeartbeat(n membership.Node) (Entry, bool) {
 	in := Entry{Key: distribution.PrefixNode + n.Name, Value: journal.Encode(n)}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -93,20 +93,20 @@
 	if r != nil {
 		r.recordReplaced(n.Incarnation)
 	}
-	return in, t.heartbeatLocked(in, now)
+	return in, t.mergeHeartbeatLocked(in, now)
 }
 
 // overdueStores returns the names of the stores that used to send their heartbeats
-// to this core and whose last one is older than after, but not older than before.
-// Each store is returned at most once per interval of length after.
-func (t *table) overdueStores(after, before time.Duration) []string {
+// to this core and whose last one is older than minAge, but not older than maxAge.
+// Each store is returned at most once per interval of length minAge.
+func (t *table) overdueStores(minAge, maxAge time.Duration) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	var out []string
 	for key, r := range t.records {
 		name, ok := strings.CutPrefix(key, distribution.PrefixNode)
-		if ok && r.isOverdue(now, after, before) {
+		if ok && r.isOverdue(now, minAge, maxAge) {
 			r.reportedAt = now
 			out = append(out, name)
 		}
--- a/internal/registry/table_test.go
+++ b/internal/registry/table_test.go
@@ -34,7 +34,7 @@
 		ahead, other := newTestTable("ahead"), newTestTable("other")
 		current := func(table *table) string { return table.nodes()["edge-1"].Incarnation }
 		heartbeat := func(table *table, incarnation string, sequence int64) Entry {
-			entry, _ := table.nodeHeartbeat(membership.Node{Name: "edge-1", Incarnation: incarnation, Sequence: sequence})
+			entry, _ := table.mergeNodeHeartbeat(membership.Node{Name: "edge-1", Incarnation: incarnation, Sequence: sequence})
 			return entry
 		}
 		first := heartbeat(ahead, "one", 5)
@@ -110,8 +110,8 @@
 		}
 		const instance = distribution.PrefixInstance + "one"
 		heartbeat := func(n int64) {
-			near.nodeHeartbeat(membership.Node{Name: "store-1", Role: "store", Incarnation: "a", Sequence: n})
-			near.heartbeat(Entry{Key: instance, Version: journal.Version{Major: n}, Value: json.RawMessage(`{"state":"ready"}`)})
+			near.mergeNodeHeartbeat(membership.Node{Name: "store-1", Role: "store", Incarnation: "a", Sequence: n})
+			near.mergeHeartbeat(Entry{Key: instance, Version: journal.Version{Major: n}, Value: json.RawMessage(`{"state":"ready"}`)})
 		}
 		heartbeat(1)
 		exchange()
@@ -129,7 +129,7 @@
 		if valueOf(far, instance) == nil {
 			t.Error("the handler is still absent at the core where it expired")
 		}
-		near.heartbeat(Entry{Key: instance, Version: journal.Version{Major: majorDeregistered}, Value: nullValue})
+		near.mergeHeartbeat(Entry{Key: instance, Version: journal.Version{Major: majorDeregistered}, Value: nullValue})
 		exchange()
 		exchange()
 		if valueOf(far, instance) != nil {
@@ -141,8 +141,8 @@
 func TestOverdueStoreIsReportedOncePerInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := newTestTable("watch")
-		table.nodeHeartbeat(membership.Node{Name: "store-1", Role: "store", Incarnation: "a", Sequence: 1})
-		table.nodeHeartbeat(membership.Node{Name: "edge-1", Role: "edge", Incarnation: "a", Sequence: 1})
+		table.mergeNodeHeartbeat(membership.Node{Name: "store-1", Role: "store", Incarnation: "a", Sequence: 1})
+		table.mergeNodeHeartbeat(membership.Node{Name: "edge-1", Role: "edge", Incarnation: "a", Sequence: 1})
 		table.merge(Entry{Key: distribution.PrefixNode + "store-2", Version: journal.Version{Major: 1}, Value: json.RawMessage(`{"name":"store-2","role":"store"}`)})
 		overdue := func() int { return len(table.overdueStores(time.Second, 10*time.Second)) }
 		if n := overdue(); n != 0 {
