--- a/internal/configstore/configstore_bench_test.go
+++ b/internal/configstore/configstore_bench_test.go
@@ -39,7 +39,7 @@
 		b.Run(fmt.Sprintf("decide/destinations=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := decideConfiguration(docs, &Proposal{Configuration: next, Match: 1}); err != nil {
+				if _, err := decideConfiguration(docs, &Proposal{Configuration: next, BaseRevision: 1}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/configstore/decide.go
+++ b/internal/configstore/decide.go
@@ -19,7 +19,7 @@
 	if isRecorded(docs, hash) || bytes.Equal(current, p.Configuration) {
 		return nil, nil // accepted before; the chain responds once the tail has it
 	}
-	return decideNextConfiguration(docs, p.Configuration, p.Match, hash)
+	return decideNextConfiguration(docs, p.Configuration, p.BaseRevision, hash)
 }
 
 // decidePatch decides on a change of named items. The configuration that results from
@@ -34,19 +34,19 @@
 	if err != nil {
 		return nil, err
 	}
-	if p.Match != revision { // checked first: the patch may apply only to the other revision
-		return nil, revisionMismatch(revision, p.Match)
+	if p.BaseRevision != revision { // checked first: the patch may apply only to the other revision
+		return nil, revisionMismatch(revision, p.BaseRevision)
 	}
 	next, err := configuration.ApplyPatch(current, p.Patch)
 	if err != nil {
 		return nil, &RejectedError{400, err.Error()}
 	}
-	return decideNextConfiguration(docs, next, p.Match, hash)
+	return decideNextConfiguration(docs, next, p.BaseRevision, hash)
 }
 
 // decideNextConfiguration decides on a configuration that is based on a revision.
 // hash is the hash of what the operator sent.
-func decideNextConfiguration(docs chain.Documents, raw []byte, match int64, hash []byte) (chain.Documents, error) {
+func decideNextConfiguration(docs chain.Documents, raw []byte, baseRevision int64, hash []byte) (chain.Documents, error) {
 	next, err := configuration.Parse(raw)
 	if err != nil {
 		return nil, &RejectedError{400, err.Error()}
@@ -55,8 +55,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if match != revision {
-		return nil, revisionMismatch(revision, match)
+	if baseRevision != revision {
+		return nil, revisionMismatch(revision, baseRevision)
 	}
 	if next.Revision <= revision {
 		return nil, &RejectedError{400, fmt.Sprintf("revision %d is not higher than %d", next.Revision, revision)}
@@ -65,8 +65,8 @@
 	return chain.Documents{KeyConfiguration: raw, key: block}, nil
 }
 
-func revisionMismatch(inForce, match int64) *RejectedError {
-	return &RejectedError{412, fmt.Sprintf("revision %d is in force, not %d", inForce, match)}
+func revisionMismatch(inForce, baseRevision int64) *RejectedError {
+	return &RejectedError{412, fmt.Sprintf("revision %d is in force, not %d", inForce, baseRevision)}
 }
 
 // revisionOf returns the revision of the configuration in force, 0 if there is none.
--- a/internal/configstore/decide_test.go
+++ b/internal/configstore/decide_test.go
@@ -14,7 +14,7 @@
 )
 
 func change(revision int) *Proposal {
-	return &Proposal{Configuration: fmt.Appendf(nil, `{"revision":%d}`, revision), Match: int64(revision - 1)}
+	return &Proposal{Configuration: fmt.Appendf(nil, `{"revision":%d}`, revision), BaseRevision: int64(revision - 1)}
 }
 
 // checkAcknowledgedAgain checks that a change accepted before is neither rejected nor
@@ -49,7 +49,7 @@
 	if len(docs) > 17 || size > 34<<10 {
 		t.Errorf("%d documents, %d bytes", len(docs), size)
 	}
-	other := &Proposal{Configuration: []byte(`{"revision":5000, "limits":{}}`), Match: 4999}
+	other := &Proposal{Configuration: []byte(`{"revision":5000, "limits":{}}`), BaseRevision: 4999}
 	if _, err := decideConfiguration(docs, other); err == nil {
 		t.Error("a different change with the same revision was acknowledged")
 	}
@@ -94,7 +94,7 @@
 	}{
 		"another revision is in force": {change(7), 412},
 		"invalid JSON":                 {&Proposal{Configuration: []byte("{")}, 400},
-		"revision not higher":          {&Proposal{Configuration: []byte(`{"revision":4}`), Match: 5}, 400},
+		"revision not higher":          {&Proposal{Configuration: []byte(`{"revision":4}`), BaseRevision: 5}, 400},
 	} {
 		_, err := decideConfiguration(docs, c.proposal)
 		var rejected *RejectedError
@@ -170,7 +170,7 @@
 func TestPatchIsCheckedLikeAConfiguration(t *testing.T) {
 	docs := chain.Documents{KeyConfiguration: []byte(`{"revision":3,"route-table":[{"name":"a","path-prefix":"a.","route-type":"stored","timeout-ms":5}]}`)}
 	patch := func(match int64, raw string) (chain.Documents, error) {
-		return decidePatch(docs, &Proposal{Patch: []byte(raw), Match: match})
+		return decidePatch(docs, &Proposal{Patch: []byte(raw), BaseRevision: match})
 	}
 	add := `{"revision":5,"upsert":{"route-table":[{"name":"b","path-prefix":"b.","route-type":"stored","timeout-ms":5}]},"withdraw":{"route-table":["a"]}}`
 	for name, c := range map[string]struct {
--- a/internal/configstore/idempotency_test.go
+++ b/internal/configstore/idempotency_test.go
@@ -58,7 +58,7 @@
 
 func TestProposeWireFormat(t *testing.T) {
 	for want, value := range map[string]any{
-		`{"configuration":"e30=","match":4}`:                 Proposal{Configuration: []byte("{}"), Match: 4},
+		`{"configuration":"e30=","match":4}`:                 Proposal{Configuration: []byte("{}"), BaseRevision: 4},
 		`{"retire":"store-1"}`:                               Proposal{Retire: "store-1"},
 		`{"refusal":{"code":412,"text":"another revision"}}`: ProposeResponse{&RejectedError{412, "another revision"}},
 		`{"documents":{"configuration":"e30="}}`:             State{chain.Documents{KeyConfiguration: []byte("{}")}},
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -34,7 +34,7 @@
 type Proposal struct {
 	Configuration []byte               `json:"configuration,omitempty"`
 	Patch         []byte               `json:"patch,omitempty"` // changes named items of the configuration
-	Match         int64                `json:"match,omitempty"` // the revision that Configuration or Patch is based on
+	BaseRevision  int64                `json:"match,omitempty"` // the revision that Configuration or Patch is based on
 	Placement     *placement.Placement `json:"placement,omitempty"`
 	Retire        string               `json:"retire,omitempty"` // name of a store to empty
 }
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -97,29 +97,29 @@
 	return c.Do(ctx, httpwire.Call{Method: http.MethodGet, Target: path})
 }
 
-// PutConfiguration sends a configuration that is based on the revision match. The text
+// PutConfiguration sends a configuration that is based on baseRevision. The text
 // of the error tells the operator what to do.
-func (c *Client) PutConfiguration(ctx context.Context, raw []byte, match int64) error {
-	return c.changeConfiguration(ctx, http.MethodPut, raw, match)
+func (c *Client) PutConfiguration(ctx context.Context, raw []byte, baseRevision int64) error {
+	return c.changeConfiguration(ctx, http.MethodPut, raw, baseRevision)
 }
 
 // PatchConfiguration is PutConfiguration for a change of named items.
-func (c *Client) PatchConfiguration(ctx context.Context, raw []byte, match int64) error {
-	return c.changeConfiguration(ctx, http.MethodPatch, raw, match)
+func (c *Client) PatchConfiguration(ctx context.Context, raw []byte, baseRevision int64) error {
+	return c.changeConfiguration(ctx, http.MethodPatch, raw, baseRevision)
 }
 
-func (c *Client) changeConfiguration(ctx context.Context, method string, raw []byte, match int64) error {
+func (c *Client) changeConfiguration(ctx context.Context, method string, raw []byte, baseRevision int64) error {
 	_, err := c.Do(ctx, httpwire.Call{
 		Method: method,
 		Target: "/v1/configuration",
 		Body:   raw,
-		Header: []string{"If-Match", strconv.FormatInt(match, 10), "Content-Type", "application/json"},
+		Header: []string{"If-Match", strconv.FormatInt(baseRevision, 10), "Content-Type", "application/json"},
 	})
 	switch {
 	case err == nil:
 		return nil
 	case errors.As(err, new(*IndeterminateError)):
-		return fmt.Errorf("outcome unknown, the configuration may be in force; send the same file again with --if-match %d: %w", match, err)
+		return fmt.Errorf("outcome unknown, the configuration may be in force; send the same file again with --if-match %d: %w", baseRevision, err)
 	case rpc.StatusCode(err) == http.StatusPreconditionFailed:
 		// The servers acknowledge a repeated request that has already taken effect,
 		// so this status is conclusive even after indeterminate attempts.
@@ -127,7 +127,7 @@
 	case outcomeOf(err) == rejected:
 		return fmt.Errorf("configuration not applied, it was rejected: %w", err)
 	}
-	return fmt.Errorf("configuration not applied, no core accepted it; send the same file again with --if-match %d: %w", match, err)
+	return fmt.Errorf("configuration not applied, no core accepted it; send the same file again with --if-match %d: %w", baseRevision, err)
 }
 
 // Retire requests that a store be retired, that is, emptied.
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -76,14 +76,14 @@
 // changeConfiguration accepts a whole configuration (PUT) or a change of named items
 // (PATCH).
 func (s *Server) changeConfiguration(ctx context.Context, r *httpwire.Request) (*httpwire.Response, error) {
-	match, err := parseRevision(r.Header.Get("If-Match"))
+	baseRevision, err := parseRevision(r.Header.Get("If-Match"))
 	if err != nil {
 		return httpwire.Problem(http.StatusBadRequest, "If-Match is not a revision"), nil
 	}
 	if len(r.Body) == 0 {
 		return httpwire.Problem(http.StatusBadRequest, "the request body is empty"), nil
 	}
-	proposal := controlplane.Proposal{Match: match}
+	proposal := controlplane.Proposal{BaseRevision: baseRevision}
 	if r.Method == http.MethodPatch {
 		proposal.Patch = r.Body
 	} else {
