--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -72,19 +72,19 @@
 	defer cancel()
 	for range 1 + maxRedirects {
 		call.Host = address
-		answer, err := c.Pool.Do(ctx, address, &call)
+		response, err := c.Pool.Do(ctx, address, &call)
 		if err != nil {
 			return nil, fmt.Errorf("%s %s: %w", call.Method, call.Target, err)
 		}
-		if answer.Status != http.StatusTemporaryRedirect {
-			if err := errorFromStatus(answer.Status, answer.Body); err != nil {
+		if response.Status != http.StatusTemporaryRedirect {
+			if err := errorFromStatus(response.Status, response.Body); err != nil {
 				return nil, &httpwire.Error{Step: call.Method + " " + call.Target, Peer: address, Sent: true, Err: err}
 			}
-			return answer.Body, nil
+			return response.Body, nil
 		}
-		location, err := url.Parse(answer.Header.Get("Location"))
+		location, err := url.Parse(response.Header.Get("Location"))
 		if err != nil || location.Host == "" {
-			return nil, &httpwire.Error{Step: "redirect", Peer: address, Err: fmt.Errorf("invalid Location %q", answer.Header.Get("Location"))}
+			return nil, &httpwire.Error{Step: "redirect", Peer: address, Err: fmt.Errorf("invalid Location %q", response.Header.Get("Location"))}
 		}
 		address = location.Host
 		call.Target = location.RequestURI()
--- a/internal/operator/serve.go
+++ b/internal/operator/serve.go
@@ -57,7 +57,7 @@
 	server := &httpwire.Server{
 		Handle:     core.ControlHandler(operatorServer.Handle),
 		Limits:     func() httpwire.Limits { return listenerLimits(set) },
-		AnswerTime: answerTimeout(set),
+		AnswerTime: responseTimeout(set),
 	}
 	// The core keeps running after ctx ends, until the listener has shut down.
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
@@ -105,9 +105,9 @@
 	return settings.Seconds(set.Timers.GraceS) / 8
 }
 
-// answerTimeout is how long it may take to send responses to the requests that did not
+// responseTimeout is how long it may take to send responses to the requests that did not
 // complete within shutdownTimeout.
-func answerTimeout(set *settings.Settings) time.Duration {
+func responseTimeout(set *settings.Settings) time.Duration {
 	return settings.Seconds(set.Timers.GraceS) / 16
 }
 
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -38,9 +38,9 @@
 			return redirect(target, r)
 		}
 	}
-	answer, err := s.route(ctx, r)
+	response, err := s.route(ctx, r)
 	if err == nil {
-		return answer
+		return response
 	}
 	if isUnavailable(err) {
 		if target := s.Core.RedirectAddress(write); target != "" {
@@ -118,10 +118,10 @@
 func (s *Server) retire(ctx context.Context, r *httpwire.Request, store string) (*httpwire.Response, error) {
 	switch r.Method {
 	case http.MethodPost:
-		var order struct {
+		var body struct {
 			Deadline float64 `json:"deadline-s"`
 		}
-		if len(r.Body) > 0 && (json.Unmarshal(r.Body, &order) != nil || order.Deadline < 0) {
+		if len(r.Body) > 0 && (json.Unmarshal(r.Body, &body) != nil || body.Deadline < 0) {
 			return httpwire.Problem(http.StatusBadRequest, "invalid request body"), nil
 		}
 		err := s.Core.Propose(ctx, controlplane.Proposal{Retire: store})
