--- a/internal/registry/errors.go
+++ b/internal/registry/errors.go
@@ -15,7 +15,7 @@
 }
 
 func (e *WrongEpochError) Error() string {
-	return fmt.Sprintf("quorum epoch %d is in force and this core is complete for %d, requested was %d", e.InForce, e.Complete, e.Requested)
+	return fmt.Sprintf("wrong quorum epoch: %d is in force, the core is complete for %d, the request is for %d", e.InForce, e.Complete, e.Requested)
 }
 
 // NoQuorumError reports that a tombstone did not reach the disks of a quorum in
--- a/internal/registry/registry_bench_test.go
+++ b/internal/registry/registry_bench_test.go
@@ -51,10 +51,10 @@
 		r := tableOf(n)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		held := float64(after.HeapAlloc-before.HeapAlloc) / float64(n)
+		heapPerHandler := float64(after.HeapAlloc-before.HeapAlloc) / float64(n)
 		b.Run(fmt.Sprintf("heartbeat/handlers=%d", n), func(b *testing.B) {
 			benchmarkHeartbeats(b, r)
-			b.ReportMetric(held, "held-B/handler")
+			b.ReportMetric(heapPerHandler, "held-B/handler")
 		})
 		b.Run(fmt.Sprintf("updated-since/handlers=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/registry/table.go
+++ b/internal/registry/table.go
@@ -62,7 +62,7 @@
 	return changed
 }
 
-// mergeHeartbeat merges an entry built from a mergeHeartbeat that this core received itself.
+// mergeHeartbeat merges an entry built from a heartbeat that this core received itself.
 func (t *table) mergeHeartbeat(in Entry) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
