--- a/internal/registry/load.go
+++ b/internal/registry/load.go
@@ -7,27 +7,27 @@
 	"saltreel/internal/timeutil"
 )
 
-// VoterReady says whether this core holds what a voter must hold: all tombstones
-// that were acknowledged before the quorum epoch in force.
+// VoterReady reports whether this core holds what a voter must hold: all tombstones
+// acknowledged before the quorum epoch in force.
 func (r *Registry) VoterReady() bool {
-	return r.completeness.completeFor(r.config.Chain.View().QuorumEpoch)
+	return r.completeness.isCompleteFor(r.config.Chain.View().QuorumEpoch)
 }
 
-// InContactWithQuorum says whether what this core knows of instances and nodes
-// is current: it loaded from a quorum since it was last out of contact.
+// InContactWithQuorum reports whether the instances and nodes known to this core are
+// current: it has loaded from a quorum since it was last out of contact.
 func (r *Registry) InContactWithQuorum() bool {
-	return r.completeness.upToDate() && r.config.Chain.InContact()
+	return r.completeness.isUpToDate() && r.config.Chain.InContact()
 }
 
-// RunLoader loads from the other cores whenever this core may lack what a quorum
-// knows: after its start, when the voters have changed, and when it was out of
-// contact. It ends with ctx.
+// RunLoader loads from the other cores whenever this core may lack state that a
+// quorum has: after its start, after a change of the voters, and after a loss of
+// contact. It returns when ctx ends.
 func (r *Registry) RunLoader(ctx context.Context) {
 	wasInContact := false
-	var pages pageLoad
+	var pages pageCursor
 	for ctx.Err() == nil {
 		inContact := r.config.Chain.InContact()
-		loaded, stale := r.completeness.observe(wasInContact && !inContact)
+		loaded, stale := r.completeness.updateStale(wasInContact && !inContact)
 		wasInContact = wasInContact || inContact
 		outdated := stale && inContact
 		if r.VoterReady() && !outdated {
@@ -35,7 +35,7 @@
 			continue
 		}
 		if !loaded {
-			// Without them too this core may become complete: all others may be starting.
+			// This core may become complete even if no pages arrive: all others may be starting.
 			_ = r.loadPages(ctx, &pages)
 		}
 		if r.load(ctx) != nil {
@@ -43,53 +43,53 @@
 			continue
 		}
 		if inContact {
-			r.completeness.markCurrent()
+			r.completeness.clearStale()
 		}
 	}
 }
 
-// peerResponse is the answer of a core; without a response it is a failure.
+// peerResponse is the response of a core, nil if the call failed.
 type peerResponse struct {
 	from     chain.Member
 	response *SyncResponse
 }
 
-// load asks all other cores at once for the tombstones that they know. It returns
-// nil when this core is complete for the quorum epoch in force.
+// load requests the tombstones of all other cores concurrently. It returns nil once
+// this core is complete for the quorum epoch in force.
 func (r *Registry) load(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, r.timing.loadTimeout())
 	defer cancel()
 	view := r.config.Chain.View()
 	peers := r.loadPeers(view)
-	answers := make(chan peerResponse, len(peers))
+	results := make(chan peerResponse, len(peers))
 	for _, peer := range peers {
-		r.config.Go(func(context.Context) { answers <- r.fetchTombstones(ctx, peer, view) })
+		r.config.Go(func(context.Context) { results <- r.fetchTombstones(ctx, peer, view) })
 	}
-	responses := completeResponses{}
-	if r.becomeComplete(responses) { // the only voter
+	responses := loadResponses{}
+	if r.tryComplete(responses) { // this core is the only voter
 		return nil
 	}
 	for range peers {
-		answer := <-answers
-		if answer.response == nil || answer.response.View == nil {
+		result := <-results
+		if result.response == nil || result.response.View == nil {
 			continue
 		}
-		if err := r.config.Chain.InstallView(ctx, *answer.response.View); err != nil {
+		if err := r.config.Chain.InstallView(ctx, *result.response.View); err != nil {
 			return err
 		}
-		if err := r.merge(answer.response.Entries); err != nil {
+		if err := r.merge(result.response.Entries); err != nil {
 			return err
 		}
-		responses[answer.from] = answer.response
-		if r.becomeComplete(responses) {
+		responses[result.from] = result.response
+		if r.tryComplete(responses) {
 			return nil
 		}
 	}
 	return errNotComplete
 }
 
-// loadPeers are the cores to load from: also the voters before, who may be the
-// only ones that are complete.
+// loadPeers returns the cores to load from. They include the previous voters, which
+// may be the only ones that are complete.
 func (r *Registry) loadPeers(view chain.View) []string {
 	peers := r.Peers()
 	for _, m := range view.PreviousVoters {
@@ -109,11 +109,11 @@
 	return peerResponse{chain.Member{Address: peer, Disk: out.Disk}, &out}
 }
 
-// becomeComplete notes, on disk and in memory, that this core is complete if the
-// responses are enough for that.
-func (r *Registry) becomeComplete(responses completeResponses) bool {
+// tryComplete reports whether the responses make this core complete, and if so
+// records that on disk and in memory.
+func (r *Registry) tryComplete(responses loadResponses) bool {
 	view := r.config.Chain.View()
-	n, ok := responses.areQuorum(view, r.config.Self(), r.completeness.currentEpoch())
+	n, ok := responses.hasQuorum(view, r.config.Self(), r.completeness.completedEpoch())
 	if !ok {
 		return false
 	}
@@ -121,14 +121,14 @@
 		r.config.Log.Printf("core: %v", err)
 		return false
 	}
-	if r.completeness.markLoaded() {
-		r.config.Log.Printf("core: the registry is loaded from %d of %d voters", n, len(view.Voters))
+	if r.completeness.setLoaded() {
+		r.config.Log.Printf("core: registry loaded from %d of %d voters", n, len(view.Voters))
 	}
 	return true
 }
 
 func (r *Registry) raiseCompleteEpoch(epoch int64) error {
-	if r.completeness.currentEpoch() >= epoch {
+	if r.completeness.completedEpoch() >= epoch {
 		return nil
 	}
 	if err := r.tombstones.persistCompleteEpoch(epoch); err != nil {
--- a/internal/registry/registry_bench_test.go
+++ b/internal/registry/registry_bench_test.go
@@ -21,7 +21,7 @@
 	return Entry{Key: distribution.PrefixInstance + in.ID, Version: journal.Version{Major: in.CallSeq}, Value: journal.Encode(in)}
 }
 
-// benchNode is store i of a fleet in nine zones of three regions.
+// benchNode returns store i of a fleet in nine zones and three regions.
 func benchNode(i int) membership.Node {
 	return membership.Node{Name: fmt.Sprintf("store-zone-%d-%d", i%9, i), Role: "store", Address: fmt.Sprintf("10.%d.0.%d:7100", i%9, i), Zone: fmt.Sprintf("zone-%d", i%9),
 		Region: fmt.Sprintf("region-%d", i%3), Disk: fmt.Sprintf("DISKDISKDISKDISKDISK%06d", i)}
@@ -30,19 +30,19 @@
 func tableOf(n int) *table {
 	r := newTable(journal.New("bench", time.Hour, distribution.PrefixNode), time.Second, time.Second)
 	for i := range n {
-		r.heartbeat(heartbeatOf(i, 1))
+		r.mergeHeartbeat(heartbeatOf(i, 1))
 	}
 	for i := range 650 {
-		r.nodeHeartbeat(benchNode(i))
+		r.mergeNodeHeartbeat(benchNode(i))
 	}
 	return r
 }
 
 func alreadySent(string) journal.Version { return journal.Version{Major: 1 << 62} }
 
-// BenchmarkRegistry is what a core does with n handlers and 650 nodes: merge one
-// heartbeat of a handler, list what an exchange carries, list the nodes, look for
-// the overdue ones.
+// BenchmarkRegistry measures the work of a core with n handlers and 650 nodes: merging a
+// heartbeat of a handler, listing the entries of an exchange, listing the nodes, finding
+// the overdue stores, and expiring records.
 func BenchmarkRegistry(b *testing.B) {
 	for _, n := range handlerSizes {
 		var before, after runtime.MemStats
@@ -51,10 +51,10 @@
 		r := tableOf(n)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		held := float64(after.HeapAlloc-before.HeapAlloc) / float64(n)
+		heapPerHandler := float64(after.HeapAlloc-before.HeapAlloc) / float64(n)
 		b.Run(fmt.Sprintf("heartbeat/handlers=%d", n), func(b *testing.B) {
 			benchmarkHeartbeats(b, r)
-			b.ReportMetric(held, "held-B/handler")
+			b.ReportMetric(heapPerHandler, "held-B/handler")
 		})
 		b.Run(fmt.Sprintf("updated-since/handlers=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
@@ -83,7 +83,7 @@
 	}
 }
 
-// benchmarkHeartbeats parses and merges heartbeats of a thousand handlers in turn.
+// benchmarkHeartbeats parses and merges heartbeats of 1000 handlers in turn.
 func benchmarkHeartbeats(b *testing.B, r *table) {
 	bodies := make([][]byte, 1000)
 	b.ReportAllocs()
@@ -102,13 +102,13 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		r.heartbeat(Entry{Key: distribution.PrefixInstance + in.ID, Version: journal.Version{Major: in.CallSeq}, Value: journal.Encode(in)})
+		r.mergeHeartbeat(Entry{Key: distribution.PrefixInstance + in.ID, Version: journal.Version{Major: in.CallSeq}, Value: journal.Encode(in)})
 		at++
 	}
 }
 
-// BenchmarkSync encodes and decodes an exchange of n entries without values, as
-// it goes between two cores each quarter of contact-ms.
+// BenchmarkSync encodes and decodes an exchange of n entries without values, as one
+// core sends it to another four times per contact-ms.
 func BenchmarkSync(b *testing.B) {
 	for _, n := range handlerSizes {
 		entries, _ := tableOf(n).updatedSince(time.Time{}, alreadySent)
