--- a/internal/partition/antientropy.go
+++ b/internal/partition/antientropy.go
@@ -121,7 +121,7 @@
 		return nil, nil, ErrUnknownPartition
 	}
 	p := m.partitions[in.Partition]
-	outdated := m.isOutdatedLocked(p) && !in.OutdatedToo
+	outdated := m.isOutdatedLocked(p) && !in.IncludeOutdated
 	batch := &PartitionBatch{Partition: in.Partition, Now: m.Now()}
 	bodies := []byte{}
 	for _, id := range in.IDs {
--- a/internal/partition/handover.go
+++ b/internal/partition/handover.go
@@ -23,13 +23,13 @@
 	h.acceptsStopped = false
 }
 
-// Freeze prepares the handover of partitions to their backups: it stops their
+// PrepareHandover prepares the handover of partitions to their backups: it stops their
 // deliveries, waits until those under way have ended, stops accepting messages,
 // and returns the partitions whose backups hold all records and have their lease
 // back. The partitions go on as before if no new placement comes. wanted gives
-// the epoch of each partition; Freeze changes it. idle reports whether no delivery
+// the epoch of each partition; PrepareHandover changes it. idle reports whether no delivery
 // of a partition is under way.
-func (m *Manager) Freeze(ctx context.Context, wanted map[int]int64, idle func(n int) bool) map[int]int64 {
+func (m *Manager) PrepareHandover(ctx context.Context, wanted map[int]int64, idle func(n int) bool) map[int]int64 {
 	ready := map[int]int64{}
 	request := m.stopDeliveries(wanted)
 	for len(wanted) > 0 && ctx.Err() == nil {
--- a/internal/partition/handover_test.go
+++ b/internal/partition/handover_test.go
@@ -42,7 +42,7 @@
 	m.mu.Lock()
 	m.partitions[0].replicas[0].connected = true
 	m.mu.Unlock()
-	if out := m.Freeze(ctx, map[int]int64{0: 6}, idle); len(out) != 0 {
+	if out := m.PrepareHandover(ctx, map[int]int64{0: 6}, idle); len(out) != 0 {
 		t.Errorf("handed over without an answer: %v", out)
 	}
 }
@@ -76,7 +76,7 @@
 			return handover.deliveriesStopped && handover.acceptsStopped
 		}
 		for _, which := range []string{"first", "second"} {
-			if out := m.Freeze(t.Context(), map[int]int64{0: 6}, func(int) bool { return true }); len(out) != 1 {
+			if out := m.PrepareHandover(t.Context(), map[int]int64{0: 6}, func(int) bool { return true }); len(out) != 1 {
 				t.Fatalf("the %s call: %v", which, out)
 			}
 			time.Sleep(m.config.ContactTimeout * 3 / 16)
@@ -99,7 +99,7 @@
 		"a newer epoch":        {0: 7},
 		"an unknown partition": {1: 6},
 	} {
-		if out := m.Freeze(t.Context(), wanted, idle); len(out) != 0 || len(wanted) != 0 {
+		if out := m.PrepareHandover(t.Context(), wanted, idle); len(out) != 0 || len(wanted) != 0 {
 			t.Errorf("%s: %v, %v left", name, out, wanted)
 		}
 	}
--- a/internal/partition/manager.go
+++ b/internal/partition/manager.go
@@ -142,14 +142,14 @@
 	return m.storage.check(m.timing.stalledWrite(), m.timing.slowWrite())
 }
 
-// RecordActivity notes on disk that this store is active now; see DowntimeOf.
+// RecordActivity notes on disk that this store is active now; see Downtime.
 func (m *Manager) RecordActivity() {
 	m.storage.putMeta(keyActivity, strconv.AppendInt(nil, m.Now(), 10))
 }
 
-// DowntimeOf is how long this store was not active before this process, if it is
+// Downtime is how long this store was not active before this process, if it is
 // the primary of partition n and no other store has been since; else 0.
-func (m *Manager) DowntimeOf(n int) time.Duration {
+func (m *Manager) Downtime(n int) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.isPrimaryLocked(n) || m.storage.lastActivity.IsZero() || m.partitions[n].epoch != m.previousEpochs[n] {
@@ -180,8 +180,8 @@
 	return all, pending
 }
 
-// HoldsAny reports whether the placement gives this store any partition.
-func (m *Manager) HoldsAny() bool {
+// HasAssignedPartitions reports whether the placement gives this store any partition.
+func (m *Manager) HasAssignedPartitions() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, assignment := range m.placement.Partitions {
--- a/internal/partition/messages.go
+++ b/internal/partition/messages.go
@@ -56,6 +56,6 @@
 type FetchRequest struct {
 	Partition int      `json:"n"`
 	IDs       []string `json:"ids"`
-	// OutdatedToo asks for what an outdated replica holds as pending as well.
-	OutdatedToo bool `json:"outdated-too,omitempty"`
+	// IncludeOutdated asks for what an outdated replica holds as pending as well.
+	IncludeOutdated bool `json:"outdated-too,omitempty"`
 }
--- a/internal/partition/recovery.go
+++ b/internal/partition/recovery.go
@@ -107,7 +107,7 @@
 // takeRecords takes records from a source as they are. It returns the identifiers of those
 // that came.
 func (m *Manager) takeRecords(p *partition, epoch int64, address string, ids []string) (taken map[string]bool, err error) {
-	request := FetchRequest{Partition: p.number, IDs: ids[:min(len(ids), maxIDsPerFetch)], OutdatedToo: true}
+	request := FetchRequest{Partition: p.number, IDs: ids[:min(len(ids), maxIDsPerFetch)], IncludeOutdated: true}
 	batch, bodies, err := m.callFetch(m.background.ctx, address, request)
 	if err != nil {
 		return nil, err
--- a/internal/partition/recovery_test.go
+++ b/internal/partition/recovery_test.go
@@ -94,7 +94,7 @@
 		outdatedToo bool
 		want        int
 	}{{false, 1}, {true, 2}} {
-		batch, _, err := m.HandleFetch(t.Context(), &FetchRequest{IDs: []string{"ended here", "ended there"}, OutdatedToo: c.outdatedToo}, nil)
+		batch, _, err := m.HandleFetch(t.Context(), &FetchRequest{IDs: []string{"ended here", "ended there"}, IncludeOutdated: c.outdatedToo}, nil)
 		if err != nil || len(batch.Records) != c.want {
 			t.Errorf("outdated too %v: %d records, %v", c.outdatedToo, len(batch.Records), err)
 		}
--- a/internal/store/calls.go
+++ b/internal/store/calls.go
@@ -19,5 +19,5 @@
 func (s *Store) handleHandover(ctx context.Context, in *placement.HandoverRequest, _ []byte) (*placement.HandoverRequest, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.timing.handover())
 	defer cancel()
-	return &placement.HandoverRequest{Partitions: s.partitions.Freeze(ctx, in.Partitions, s.workload.Idle)}, nil
+	return &placement.HandoverRequest{Partitions: s.partitions.PrepareHandover(ctx, in.Partitions, s.workload.Idle)}, nil
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -149,7 +149,7 @@
 		Table:          s.node.Table,
 		Partitions:     s.partitionCount,
 		IsOwner:        s.partitions.MayDeliver,
-		Downtime:       s.partitions.DowntimeOf,
+		Downtime:       s.partitions.Downtime,
 		RecordActivity: s.partitions.RecordActivity,
 	})
 	s.limiter = limiter
@@ -255,11 +255,11 @@
 	s.node.Drain()
 	deadline := time.Now().Add(s.timing.drain())
 	s.workload.EndBy(deadline.Add(s.timing.deliveries()))
-	for s.partitions.HoldsAny() && time.Now().Before(deadline) {
+	for s.partitions.HasAssignedPartitions() && time.Now().Before(deadline) {
 		time.Sleep(s.timing.drainPoll())
 	}
 	all, pending := s.partitions.Count()
-	s.log.Printf("store: stopping, holds partitions: %v, %d records, %d pending", s.partitions.HoldsAny(), all, pending)
+	s.log.Printf("store: stopping, holds partitions: %v, %d records, %d pending", s.partitions.HasAssignedPartitions(), all, pending)
 }
 
 // shutdown lets the server answer what it has read.
