--- a/internal/partition/accept.go
+++ b/internal/partition/accept.go
@@ -159,7 +159,7 @@
 	r.Order = p.records.sequence + 1
 	if r.IsEntry() {
 		r.ID = entryID(Position{p.epoch, r.Order})
-		r.Previous = p.log.last[r.Topic]
+		r.Previous = p.log.lastPosition[r.Topic]
 	}
 	accept := &pendingAccept{record: r, onBackupDisk: map[string]bool{}, done: make(chan struct{})}
 	p.unconfirmed[r.ID] = accept
--- a/internal/partition/accept_test.go
+++ b/internal/partition/accept_test.go
@@ -20,13 +20,13 @@
 		t.Errorf("another tenant's id: %v", err)
 	}
 	m.storage.mu.Lock()
-	m.storage.health.refused = os.ErrClosed
+	m.storage.health.lastError = os.ErrClosed
 	m.storage.mu.Unlock()
 	if err := m.Accept(t.Context(), 0, &Record{ID: "y"}); !errors.Is(err, ErrDiskRefusesWrites) || StatusCode(err) != 421 {
 		t.Errorf("a disk that refuses writes: %v", err)
 	}
 	m.storage.mu.Lock()
-	m.storage.health.refused = nil
+	m.storage.health.lastError = nil
 	m.storage.mu.Unlock()
 	m.mu.Lock()
 	if m.partitions[0].records.byID["y"] != nil {
@@ -92,7 +92,7 @@
 		delete(p.unconfirmed, "x")
 		m.commitLocked(p, &Record{ID: "x", State: Deleted}, nil)
 		m.config.Backups = 2 // a new message would be declined
-		p.announceChange()
+		p.notifyChanged()
 		m.mu.Unlock()
 		var unconfirmed *UnconfirmedError
 		if err := <-accepted; !errors.As(err, &unconfirmed) {
--- a/internal/partition/antientropy.go
+++ b/internal/partition/antientropy.go
@@ -14,7 +14,7 @@
 func (m *Manager) HandleDigest(_ context.Context, in *DigestRequest, _ []byte) (*DigestResponse, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.knowsLocked(in.Partition) {
+	if !m.hasPartitionLocked(in.Partition) {
 		return nil, &NotPrimaryError{in.Partition}
 	}
 	if in.Disk != "" && in.Disk != m.storage.identity {
@@ -65,29 +65,29 @@
 // are and the identifiers of those to fetch. It does nothing if this store leads
 // the partition in that epoch no longer.
 func (m *Manager) compare(p *partition, epoch int64, peer string, digest DigestResponse) (toSend int, toFetch []string) {
-	theirs := digest.states()
+	remote := digest.statesByID()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.leadsInLocked(p, epoch) {
 		return 0, nil
 	}
 	if r := p.replica(peer); r != nil {
-		toSend = r.queueMissing(&p.records, theirs)
-		toSend += m.removeUnknownEntriesLocked(p, theirs)
+		toSend = r.queueMissing(&p.records, remote)
+		toSend += m.deleteUnconfirmedEntriesLocked(p, remote)
 		if digest.Outdated {
-			toSend += m.removeForgottenLocked(p, theirs)
+			toSend += m.deleteStalePendingLocked(p, remote)
 		}
 	}
 	if digest.Outdated {
-		withoutPending(theirs)
+		dropPendingMessages(remote)
 	}
-	toFetch = slices.DeleteFunc(p.records.lacking(theirs), isEntryID) // the primary decides which there are
+	toFetch = slices.DeleteFunc(p.records.missingOrOlder(remote), isEntryID) // the primary decides which there are
 	m.wakeReplicatorLocked(peer)
 	return toSend, toFetch
 }
 
-// states is the state of each record by its identifier.
-func (d *DigestResponse) states() map[string]State {
+// statesByID is the state of each record by its identifier.
+func (d *DigestResponse) statesByID() map[string]State {
 	states := map[string]State{}
 	for state, ids := range d.IDs {
 		for _, id := range ids {
@@ -97,15 +97,15 @@
 	return states
 }
 
-// lacking lists what is not here, or only in an earlier state: messages and log entries.
-func (s *recordSet) lacking(theirs map[string]State) []string {
-	var lacking []string
-	for id, state := range theirs {
+// missingOrOlder lists what is not here, or only in an earlier state: messages and log entries.
+func (s *recordSet) missingOrOlder(remote map[string]State) []string {
+	var ids []string
+	for id, state := range remote {
 		if r := s.byID[id]; r == nil || r.State < state {
-			lacking = append(lacking, id)
+			ids = append(ids, id)
 		}
 	}
-	return lacking
+	return ids
 }
 
 // maxFetchBytes bounds the bodies in the answer to a FetchRequest.
@@ -117,7 +117,7 @@
 func (m *Manager) HandleFetch(_ context.Context, in *FetchRequest, _ []byte) (*PartitionBatch, []byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.knowsLocked(in.Partition) {
+	if !m.hasPartitionLocked(in.Partition) {
 		return nil, nil, ErrUnknownPartition
 	}
 	p := m.partitions[in.Partition]
--- a/internal/partition/assignment.go
+++ b/internal/partition/assignment.go
@@ -76,7 +76,7 @@
 	}
 	p.handover.resume()
 	m.epochs[p.number] = p.epoch
-	p.announceChange()
+	p.notifyChanged()
 	isPrimary := m.leadsLocked(p)
 	if isPrimary {
 		p.setReplicas(assignment.Backups, m.placement.Stores)
@@ -92,7 +92,7 @@
 		}
 		m.releaseEntriesLocked(p)
 	case wasPrimary:
-		m.losePrimaryLocked(p)
+		m.resignPrimaryLocked(p)
 	}
 	for _, r := range p.replicas {
 		m.startReplicatorLocked(r.store)
@@ -112,7 +112,7 @@
 		p.records.sequence += sequenceGap
 	}
 	m.events.push(Event{Partition: p.number, BecamePrimary: true, Records: p.pending()})
-	m.becomeLogPrimaryLocked(p)
+	m.initTopicLogLocked(p)
 	// A former primary that handed the partition over is a backup now, and holds
 	// nothing that is not here. One that is none was taken for failed.
 	if _, known := m.placement.Stores[former]; known && former != m.config.Self && assignment.BackupIndex(former) < 0 {
@@ -120,7 +120,7 @@
 	}
 }
 
-func (m *Manager) losePrimaryLocked(p *partition) {
+func (m *Manager) resignPrimaryLocked(p *partition) {
 	p.granted.end()
 	if through := p.log.releasedThrough(); through.After(p.released) {
 		p.released = through
--- a/internal/partition/backup.go
+++ b/internal/partition/backup.go
@@ -10,7 +10,7 @@
 // HandleBatch applies a batch as the backup, and answers once all of it is on
 // disk. It returns ErrTruncatedBatch, ErrOutOfOrder, or the error of ctx.
 func (m *Manager) HandleBatch(ctx context.Context, batch *BatchRequest, raw []byte) (*BatchResponse, error) {
-	if err := m.awaitBatchBefore(ctx, batch); err != nil {
+	if err := m.awaitPrecedingBatch(ctx, batch); err != nil {
 		return nil, err
 	}
 	response, onDisk, err := m.applyBatch(batch, raw)
@@ -46,16 +46,16 @@
 		raw = raw[size:]
 		response.Partitions = append(response.Partitions, m.applyPartitionBatchLocked(batch, part, bodies))
 	}
-	m.noteAppliedLocked(batch)
+	m.recordAppliedLocked(batch)
 	// Also what came with an earlier batch, or from another primary: the checksum
 	// covers it, and a message that a checksum covers may be answered with 202.
 	m.storage.afterSync(func() { close(onDisk) })
 	return response, onDisk, nil
 }
 
-// awaitBatchBefore waits until the batch that is to be applied before this one has
+// awaitPrecedingBatch waits until the batch that is to be applied before this one has
 // been.
-func (m *Manager) awaitBatchBefore(ctx context.Context, batch *BatchRequest) error {
+func (m *Manager) awaitPrecedingBatch(ctx context.Context, batch *BatchRequest) error {
 	if batch.After == 0 { // as most are
 		return nil
 	}
@@ -84,8 +84,8 @@
 	return sameIncarnation(applied, number) && applied >= number
 }
 
-// noteAppliedLocked lets batches that are to follow this one be applied.
-func (m *Manager) noteAppliedLocked(batch *BatchRequest) {
+// recordAppliedLocked lets batches that are to follow this one be applied.
+func (m *Manager) recordAppliedLocked(batch *BatchRequest) {
 	if m.hasAppliedLocked(batch.From, batch.Number) {
 		return
 	}
@@ -105,7 +105,7 @@
 
 func (m *Manager) applyPartitionBatchLocked(batch *BatchRequest, part PartitionBatch, bodies []byte) PartitionResult {
 	stale := PartitionResult{Partition: part.Partition, Stale: true}
-	if !m.knowsLocked(part.Partition) {
+	if !m.hasPartitionLocked(part.Partition) {
 		return stale
 	}
 	p := m.partitions[part.Partition]
--- a/internal/partition/contact.go
+++ b/internal/partition/contact.go
@@ -76,20 +76,20 @@
 	m.storage.putMeta(keyContact, times.encode())
 }
 
-// removeForgottenLocked deletes, at the replicas, the messages that an outdated one
+// deleteStalePendingLocked deletes, at the replicas, the messages that an outdated one
 // holds as pending and this primary does not have. It returns how many there are.
-func (m *Manager) removeForgottenLocked(p *partition, theirs map[string]State) (removed int) {
-	for id, state := range theirs {
+func (m *Manager) deleteStalePendingLocked(p *partition, remote map[string]State) (deleted int) {
+	for id, state := range remote {
 		if state == Pending && !isEntryID(id) && p.records.byID[id] == nil {
 			m.commitLocked(p, &Record{ID: id, Partition: p.number, State: Deleted}, nil)
-			removed++
+			deleted++
 		}
 	}
-	return removed
+	return deleted
 }
 
-// withoutPending removes the deferred messages that are pending.
-func withoutPending(states map[string]State) {
+// dropPendingMessages removes the deferred messages that are pending.
+func dropPendingMessages(states map[string]State) {
 	for id, state := range states {
 		if state == Pending && !isEntryID(id) {
 			delete(states, id)
--- a/internal/partition/floor.go
+++ b/internal/partition/floor.go
@@ -43,8 +43,8 @@
 	return floors
 }
 
-// forget forgets a floor whose record is deleted; other records are none.
-func (f topicFloors) forget(id string) {
+// remove forgets a floor whose record is deleted; other records are none.
+func (f topicFloors) remove(id string) {
 	if topic, at, ok := parseFloorID(id); ok && f[topic] == at {
 		delete(f, topic)
 	}
@@ -69,13 +69,13 @@
 // entries leaves empty. It comes before the deletion, and so at the backups as well.
 func (m *Manager) raiseFloorsLocked(p *partition, now int64) {
 	for topic, at := range p.log.emptiedTopics(now) {
-		former, known := p.log.floors[topic]
+		previous, known := p.log.floors[topic]
 		p.log.floors[topic] = at
 		m.commitLocked(p, &Record{
 			ID: floorID(topic, at), Partition: p.number, State: Complete, Expires: now + floorRetention.Milliseconds(),
 		}, nil)
 		if known {
-			m.commitLocked(p, &Record{ID: floorID(topic, former), Partition: p.number, State: Deleted}, nil)
+			m.commitLocked(p, &Record{ID: floorID(topic, previous), Partition: p.number, State: Deleted}, nil)
 		}
 	}
 }
--- a/internal/partition/floor_test.go
+++ b/internal/partition/floor_test.go
@@ -66,8 +66,8 @@
 		synctest.Wait()
 		events, _ := m.Events()
 		i := slices.IndexFunc(events, func(e Event) bool { return e.LogReady })
-		if i < 0 || !maps.Equal(events[i].Floors, topicFloors{"a": last}) || p.log.last["a"] != last {
-			t.Errorf("the next primary finds %+v, and %v before the next message", events, p.log.last["a"])
+		if i < 0 || !maps.Equal(events[i].Floors, topicFloors{"a": last}) || p.log.lastPosition["a"] != last {
+			t.Errorf("the next primary finds %+v, and %v before the next message", events, p.log.lastPosition["a"])
 		}
 		time.Sleep(floorRetention + time.Second)
 		if got := floors(); got["a"] != (Position{}) {
--- a/internal/partition/flush.go
+++ b/internal/partition/flush.go
@@ -22,7 +22,7 @@
 // returns an *UnreplicatedError if ctx ends before.
 func (m *Manager) Flush(ctx context.Context) error {
 	for {
-		err := m.wakeUnreplicated()
+		err := m.sendUnreplicated()
 		if err == nil {
 			return nil
 		}
@@ -33,12 +33,12 @@
 	}
 }
 
-// wakeUnreplicated has the changes sent that backups lack. It returns an
+// sendUnreplicated has the changes sent that backups lack. It returns an
 // *UnreplicatedError if there are any.
-func (m *Manager) wakeUnreplicated() error {
+func (m *Manager) sendUnreplicated() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	lacking := UnreplicatedError{}
+	unreplicated := UnreplicatedError{}
 	for _, p := range m.partitions {
 		if !m.leadsLocked(p) {
 			continue
@@ -47,13 +47,13 @@
 			if len(r.unreplicated) == 0 || !r.inSync && !r.connected {
 				continue
 			}
-			lacking.Changes += len(r.unreplicated)
-			lacking.Backup = r.store
+			unreplicated.Changes += len(r.unreplicated)
+			unreplicated.Backup = r.store
 			m.wakeReplicatorLocked(r.store)
 		}
 	}
-	if lacking.Changes == 0 {
+	if unreplicated.Changes == 0 {
 		return nil
 	}
-	return &lacking
+	return &unreplicated
 }
--- a/internal/partition/handover.go
+++ b/internal/partition/handover.go
@@ -106,8 +106,8 @@
 // anyStoppedAcceptingLocked reports whether any of the partitions is close to its
 // handover. Where none is, some deliveries take long, and the partitions that are
 // ready do not wait for them.
-func (m *Manager) anyStoppedAcceptingLocked(wanted map[int]int64) bool {
-	for n := range wanted {
+func (m *Manager) anyStoppedAcceptingLocked(partitions map[int]int64) bool {
+	for n := range partitions {
 		if m.partitions[n].handover.acceptsStopped {
 			return true
 		}
@@ -140,5 +140,5 @@
 	for _, r := range p.replicas {
 		r.leaseReleased = false
 	}
-	p.announceChange()
+	p.notifyChanged()
 }
--- a/internal/partition/maintenance.go
+++ b/internal/partition/maintenance.go
@@ -52,7 +52,7 @@
 	m.raiseFloorsLocked(p, now)
 	for _, r := range p.records.byID {
 		if (r.State != Pending || r.IsEntry()) && r.Expires < now {
-			p.log.floors.forget(r.ID)
+			p.log.floors.remove(r.ID)
 			m.commitLocked(p, &Record{ID: r.ID, Partition: p.number, State: Deleted}, nil)
 		}
 	}
--- a/internal/partition/manager.go
+++ b/internal/partition/manager.go
@@ -192,12 +192,12 @@
 	return false
 }
 
-// knowsLocked reports whether partition n is in the placement known here.
-func (m *Manager) knowsLocked(n int) bool { return n >= 0 && n < len(m.partitions) }
+// hasPartitionLocked reports whether partition n is in the placement known here.
+func (m *Manager) hasPartitionLocked(n int) bool { return n >= 0 && n < len(m.partitions) }
 
 // isPrimaryLocked reports whether this store is the primary of partition n.
 func (m *Manager) isPrimaryLocked(n int) bool {
-	return m.knowsLocked(n) && m.leadsLocked(m.partitions[n])
+	return m.hasPartitionLocked(n) && m.leadsLocked(m.partitions[n])
 }
 
 // leadsLocked reports whether this store is the primary of p, and acts as such: it
--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -130,8 +130,8 @@
 	return pending
 }
 
-// announceChange lets those who wait for a change of the partition look again.
-func (p *partition) announceChange() {
+// notifyChanged lets those who wait for a change of the partition look again.
+func (p *partition) notifyChanged() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
--- a/internal/partition/pipeline_test.go
+++ b/internal/partition/pipeline_test.go
@@ -24,19 +24,19 @@
 		replicator replicator
 		want       time.Duration
 	}{
-		"nothing is wanted":             {replicator{}, never},
-		"none is under way":             {replicator{wanted: true}, 0},
-		"one just left":                 {replicator{wanted: true, inOrder: true, underWay: 1, sentAt: now}, spacing},
-		"one left a while ago":          {replicator{wanted: true, inOrder: true, underWay: 1, sentAt: now.Add(-spacing)}, 0},
-		"the backup knows no order":     {replicator{wanted: true, underWay: 1, sentAt: now.Add(-spacing)}, never},
-		"enough are under way":          {replicator{wanted: true, inOrder: true, underWay: maxBatchesUnderWay, sentAt: now.Add(-spacing)}, never},
-		"one has failed":                {replicator{wanted: true, failedAt: now}, backoff},
-		"one failed a while ago":        {replicator{wanted: true, failedAt: now.Add(-backoff)}, 0},
-		"one has failed, others go on":  {replicator{wanted: true, inOrder: true, underWay: 1, sentAt: now.Add(-spacing), failedAt: now.Add(-backoff)}, never},
-		"the first one after a failure": {replicator{wanted: true, inOrder: true, underWay: 1, sentAt: now.Add(-spacing), failedAt: now.Add(-2 * backoff)}, never},
+		"nothing is wanted":             {replicator{}, waitForEvent},
+		"none is under way":             {replicator{sendRequested: true}, 0},
+		"one just left":                 {replicator{sendRequested: true, inOrder: true, inFlight: 1, lastSentAt: now}, spacing},
+		"one left a while ago":          {replicator{sendRequested: true, inOrder: true, inFlight: 1, lastSentAt: now.Add(-spacing)}, 0},
+		"the backup knows no order":     {replicator{sendRequested: true, inFlight: 1, lastSentAt: now.Add(-spacing)}, waitForEvent},
+		"enough are under way":          {replicator{sendRequested: true, inOrder: true, inFlight: maxInFlightBatches, lastSentAt: now.Add(-spacing)}, waitForEvent},
+		"one has failed":                {replicator{sendRequested: true, lastFailedAt: now}, backoff},
+		"one failed a while ago":        {replicator{sendRequested: true, lastFailedAt: now.Add(-backoff)}, 0},
+		"one has failed, others go on":  {replicator{sendRequested: true, inOrder: true, inFlight: 1, lastSentAt: now.Add(-spacing), lastFailedAt: now.Add(-backoff)}, waitForEvent},
+		"the first one after a failure": {replicator{sendRequested: true, inOrder: true, inFlight: 1, lastSentAt: now.Add(-spacing), lastFailedAt: now.Add(-2 * backoff)}, waitForEvent},
 	} {
 		c.replicator.manager = m
-		if got := c.replicator.untilSend(now); got != c.want {
+		if got := c.replicator.sendDelay(now); got != c.want {
 			t.Errorf("%s: %v, not %v", name, got, c.want)
 		}
 	}
@@ -170,7 +170,7 @@
 		delay    time.Duration
 		underWay int
 	}{
-		"a slow backup":  {150 * time.Millisecond, maxBatchesUnderWay},
+		"a slow backup":  {150 * time.Millisecond, maxInFlightBatches},
 		"a quick backup": {5 * time.Millisecond, 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
@@ -210,7 +210,7 @@
 			if !slices.Equal(backup.ids, want) || backup.most != c.underWay {
 				t.Errorf("%s: %d batches at once, with %v", name, backup.most, backup.ids)
 			}
-			if most := c.delay + m.timing.batchSpacing() + c.delay/maxBatchesUnderWay; worst > most {
+			if most := c.delay + m.timing.batchSpacing() + c.delay/maxInFlightBatches; worst > most {
 				t.Errorf("%s: a message took %v, more than %v", name, worst, most)
 			}
 			for i, call := range backup.calls[1:] {
--- a/internal/partition/record.go
+++ b/internal/partition/record.go
@@ -105,20 +105,20 @@
 
 // encode is the record's value on disk: one line of JSON and the body.
 func (r *Record) encode() []byte {
-	front, err := json.Marshal(r)
+	header, err := json.Marshal(r)
 	if err != nil {
 		panic("partition: a record cannot be encoded: " + err.Error())
 	}
-	return append(append(front, '\n'), r.Body...)
+	return append(append(header, '\n'), r.Body...)
 }
 
 func decodeRecord(key, value []byte) (*Record, error) {
 	if len(key) < 3 {
 		return nil, fmt.Errorf("record key %x is too short", key)
 	}
-	front, body, ok := bytes.Cut(value, []byte{'\n'})
+	header, body, ok := bytes.Cut(value, []byte{'\n'})
 	r := &Record{Partition: int(binary.BigEndian.Uint16(key))}
-	if err := json.Unmarshal(front, r); err != nil {
+	if err := json.Unmarshal(header, r); err != nil {
 		return nil, fmt.Errorf("record %q cannot be read: %w", key[2:], err)
 	}
 	if !ok {
--- a/internal/partition/recovery.go
+++ b/internal/partition/recovery.go
@@ -21,20 +21,20 @@
 // its primary. It ends early when the assignment is in force no longer.
 func (m *Manager) recoverFromSources(p *partition, assignment placement.Partition, former string) {
 	m.config.Log.Printf("recovery: partition %d: takes records from %v", p.number, assignment.Sources)
-	began := time.Now()
+	started := time.Now()
 	for _, source := range assignment.Sources {
-		for source != m.config.Self && !m.takeFromSource(p, assignment.Epoch, source) {
+		for source != m.config.Self && !m.copyFromSource(p, assignment.Epoch, source) {
 			timeutil.Sleep(m.background.ctx, m.timing.sourceRetry())
 			if !m.isRecovering(p, assignment.Epoch) {
 				return
 			}
 		}
 	}
-	m.removeForks(p, assignment.Epoch)
-	if !m.awaitDisk() || !m.beginToLead(p, assignment, former) {
+	m.removeDivergentEntries(p, assignment.Epoch)
+	if !m.awaitDisk() || !m.finishRecovery(p, assignment, former) {
 		return
 	}
-	m.config.Log.Printf("recovery: partition %d: is complete after %v", p.number, time.Since(began).Round(time.Millisecond))
+	m.config.Log.Printf("recovery: partition %d: is complete after %v", p.number, time.Since(started).Round(time.Millisecond))
 	m.reportRecovered(p, assignment.Epoch)
 }
 
@@ -62,35 +62,35 @@
 	}
 }
 
-// takeFromSource takes over what a source holds and this store lacks. It reports whether
+// copyFromSource takes over what a source holds and this store lacks. It reports whether
 // it has all; what it has got so far remains.
-func (m *Manager) takeFromSource(p *partition, epoch int64, source string) bool {
+func (m *Manager) copyFromSource(p *partition, epoch int64, source string) bool {
 	m.mu.Lock()
 	store := m.placement.Stores[source]
 	m.mu.Unlock()
-	digest, err := m.askSource(p.number, epoch, store)
+	digest, err := m.requestDigest(p.number, epoch, store)
 	if err != nil {
 		m.config.Log.Printf("recovery: partition %d: %s: %v", p.number, source, err)
 		return false
 	}
 	m.mu.Lock()
-	lacking := p.records.lacking(digest.states())
+	missing := p.records.missingOrOlder(digest.statesByID())
 	m.mu.Unlock()
-	for len(lacking) > 0 {
-		taken, err := m.takeRecords(p, epoch, store.Address, lacking)
+	for len(missing) > 0 {
+		received, err := m.fetchFromSource(p, epoch, store.Address, missing)
 		if err != nil {
 			m.config.Log.Printf("recovery: partition %d: %s: %v", p.number, source, err)
 		}
-		if len(taken) == 0 { // or it has changed: it is asked anew
+		if len(received) == 0 { // or it has changed: it is asked anew
 			return false
 		}
-		lacking = slices.DeleteFunc(lacking, func(id string) bool { return taken[id] })
+		missing = slices.DeleteFunc(missing, func(id string) bool { return received[id] })
 	}
 	return true
 }
 
-// askSource asks a source what it holds.
-func (m *Manager) askSource(n int, epoch int64, store placement.Store) (*DigestResponse, error) {
+// requestDigest asks a source what it holds.
+func (m *Manager) requestDigest(n int, epoch int64, store placement.Store) (*DigestResponse, error) {
 	ctx, cancel := context.WithTimeout(m.background.ctx, m.timing.reconcileTimeout())
 	defer cancel()
 	request := DigestRequest{From: m.config.Self, Partition: n, Epoch: epoch, Disk: store.Disk}
@@ -104,9 +104,9 @@
 // maxIDsPerFetch bounds the identifiers in one FetchRequest.
 const maxIDsPerFetch = 1000
 
-// takeRecords takes records from a source as they are. It returns the identifiers of those
+// fetchFromSource takes records from a source as they are. It returns the identifiers of those
 // that came.
-func (m *Manager) takeRecords(p *partition, epoch int64, address string, ids []string) (taken map[string]bool, err error) {
+func (m *Manager) fetchFromSource(p *partition, epoch int64, address string, ids []string) (received map[string]bool, err error) {
 	request := FetchRequest{Partition: p.number, IDs: ids[:min(len(ids), maxIDsPerFetch)], IncludeOutdated: true}
 	batch, bodies, err := m.callFetch(m.background.ctx, address, request)
 	if err != nil {
@@ -117,23 +117,23 @@
 	if !m.isRecoveringLocked(p, epoch) {
 		return nil, &NotPrimaryError{p.number}
 	}
-	taken = map[string]bool{}
+	received = map[string]bool{}
 	for _, r := range batch.Records {
 		var complete bool
 		if bodies, complete = m.receiveRecord(p, r, bodies, m.Now()-batch.Now); !complete {
-			return taken, errTruncatedFetch
+			return received, errTruncatedFetch
 		}
 		if old := p.records.byID[r.ID]; old == nil || r.State > old.State {
 			m.storeLocked(p, r, nil)
 		}
-		taken[r.ID] = true
+		received[r.ID] = true
 	}
-	return taken, nil
+	return received, nil
 }
 
-// removeForks removes the entries that one of the stores held although no later primary had
+// removeDivergentEntries removes the entries that one of the stores held although no later primary had
 // them: nobody confirmed them.
-func (m *Manager) removeForks(p *partition, epoch int64) {
+func (m *Manager) removeDivergentEntries(p *partition, epoch int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.isRecoveringLocked(p, epoch) {
@@ -146,31 +146,31 @@
 		}
 	}
 	for _, entries := range topics {
-		for _, r := range forks(entries) {
+		for _, r := range divergentEntries(entries) {
 			m.storeLocked(p, &Record{ID: r.ID, Partition: p.number, State: Deleted}, nil)
 		}
 	}
 }
 
-// forks returns the entries of one topic that are not in the log which ends with the last
+// divergentEntries returns the entries of one topic that are not in the log which ends with the last
 // of them: an entry names the one before it, so there is none between the two.
-func forks(entries []*Record) []*Record {
+func divergentEntries(entries []*Record) []*Record {
 	slices.SortFunc(entries, func(a, b *Record) int { return b.Position().Compare(a.Position()) })
 	var next *Record
-	var outside []*Record
+	var divergent []*Record
 	for _, r := range entries {
 		if next != nil && r.Position().After(next.Previous) {
-			outside = append(outside, r)
+			divergent = append(divergent, r)
 			continue
 		}
 		next = r
 	}
-	return outside
+	return divergent
 }
 
-// beginToLead lets this store act as the primary of a partition that is complete now. It
+// finishRecovery lets this store act as the primary of a partition that is complete now. It
 // reports whether the assignment is in force still.
-func (m *Manager) beginToLead(p *partition, assignment placement.Partition, former string) bool {
+func (m *Manager) finishRecovery(p *partition, assignment placement.Partition, former string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.isRecoveringLocked(p, assignment.Epoch) {
@@ -179,7 +179,7 @@
 	p.sources = nil
 	p.setReplicas(assignment.Backups, m.placement.Stores)
 	m.becomePrimaryLocked(p, assignment, former)
-	p.announceChange()
+	p.notifyChanged()
 	for _, r := range p.replicas {
 		m.startReplicatorLocked(r.store)
 	}
@@ -189,15 +189,15 @@
 // reportRecovered reports that this store holds everything, until the placement says so.
 func (m *Manager) reportRecovered(p *partition, epoch int64) {
 	report := placement.InSyncReport{Replicas: []placement.Replica{{Partition: p.number, Epoch: epoch, Store: m.config.Self}}}
-	for m.isUnknownAsComplete(p, epoch) {
+	for m.placementNamesSources(p, epoch) {
 		m.reportInSync(report)
 		timeutil.Sleep(m.background.ctx, m.timing.inSyncReportInterval())
 	}
 }
 
-// isUnknownAsComplete reports whether the placement still names sources for a partition
+// placementNamesSources reports whether the placement still names sources for a partition
 // that this store leads.
-func (m *Manager) isUnknownAsComplete(p *partition, epoch int64) bool {
+func (m *Manager) placementNamesSources(p *partition, epoch int64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.leadsInLocked(p, epoch) && m.background.ctx.Err() == nil && len(m.placement.Partitions[p.number].Sources) > 0
--- a/internal/partition/recovery_test.go
+++ b/internal/partition/recovery_test.go
@@ -29,7 +29,7 @@
 		"nothing was accepted later":         {[]*Record{unconfirmed, confirmed, first}, nil},
 		"no entry precedes the one of epoch": {[]*Record{first, unconfirmed, entry(2, 4, Position{})}, []*Record{unconfirmed, first}},
 	} {
-		if got := forks(slices.Clone(c.entries)); !slices.Equal(got, c.want) {
+		if got := divergentEntries(slices.Clone(c.entries)); !slices.Equal(got, c.want) {
 			t.Errorf("%s: %d entries are outside of the log, not %d: %+v", name, len(got), len(c.want), got)
 		}
 	}
@@ -84,7 +84,7 @@
 	digest := DigestResponse{IDs: map[State][]string{
 		Pending: {"ended here", "only there", entryID(Position{1, 1})}, Complete: {"ended there"},
 	}}
-	lacking := p.records.lacking(digest.states())
+	lacking := p.records.missingOrOlder(digest.statesByID())
 	m.mu.Unlock()
 	slices.Sort(lacking)
 	if want := []string{entryID(Position{1, 1}), "ended there", "only there"}; !slices.Equal(lacking, want) {
--- a/internal/partition/replica.go
+++ b/internal/partition/replica.go
@@ -17,10 +17,10 @@
 	connected bool // it answered in this epoch
 	verified  bool // it was seen to hold the same records in this epoch
 
-	unreplicated map[string]*Record // changed since, and not known to be there
-	missing      []string           // identifiers of older records that it lacks
-	sent         map[string]*Record // those of unreplicated that are under way
-	batches      int                // that are under way
+	unreplicated    map[string]*Record // changed since, and not known to be there
+	missing         []string           // identifiers of older records that it lacks
+	inFlight        map[string]*Record // those of unreplicated that are under way
+	inFlightBatches int                // that are under way
 
 	released Position // the entries that it knows to be released
 
@@ -33,7 +33,7 @@
 }
 
 func newReplica(backup placement.Backup, disk string) *replica {
-	return &replica{store: backup.Store, disk: disk, inSync: backup.InSync, unreplicated: map[string]*Record{}, sent: map[string]*Record{}}
+	return &replica{store: backup.Store, disk: disk, inSync: backup.InSync, unreplicated: map[string]*Record{}, inFlight: map[string]*Record{}}
 }
 
 // hasBacklog reports whether records are to be sent.
@@ -44,7 +44,7 @@
 // lease is to be renewed. Beside a batch that is under way only new messages are sent:
 // its response decides on all else.
 func (r *replica) needsBatch(now time.Time, release bool, renewal time.Duration) bool {
-	if r.batches > 0 {
+	if r.inFlightBatches > 0 {
 		return r.hasNewMessages()
 	}
 	if r.hasBacklog() || !r.connected || release && !r.leaseReleased {
@@ -62,7 +62,7 @@
 // is selected of missing is removed from it.
 func (r *replica) selectRecords(records *recordSet, size int64) (selected []*Record, complete bool) {
 	for _, record := range r.unreplicated {
-		if r.sent[record.ID] != record {
+		if r.inFlight[record.ID] != record {
 			selected = append(selected, record)
 		}
 	}
@@ -87,7 +87,7 @@
 // hasNewMessages reports whether there are pending messages that are not under way.
 func (r *replica) hasNewMessages() bool {
 	for id, record := range r.unreplicated {
-		if record.State == Pending && r.sent[id] != record {
+		if record.State == Pending && r.inFlight[id] != record {
 			return true
 		}
 	}
@@ -96,18 +96,18 @@
 
 // beginBatch notes that a batch with these records is under way.
 func (r *replica) beginBatch(records []*Record) {
-	r.batches++
+	r.inFlightBatches++
 	for _, record := range records {
-		r.sent[record.ID] = record
+		r.inFlight[record.ID] = record
 	}
 }
 
 // endBatch notes that a batch with these records is under way no longer.
 func (r *replica) endBatch(records []*Record) {
-	r.batches--
+	r.inFlightBatches--
 	for _, record := range records {
-		if r.sent[record.ID] == record {
-			delete(r.sent, record.ID)
+		if r.inFlight[record.ID] == record {
+			delete(r.inFlight, record.ID)
 		}
 	}
 }
@@ -122,14 +122,14 @@
 
 // queueMissing notes which records the replica lacks, given the states of those
 // that it holds: pending messages first. It returns how many there are.
-func (r *replica) queueMissing(records *recordSet, held map[string]State) int {
+func (r *replica) queueMissing(records *recordSet, remote map[string]State) int {
 	queued := map[string]bool{}
 	for _, id := range r.missing {
 		queued[id] = true
 	}
 	var urgent, rest []string
 	for id, record := range records.byID {
-		state, ok := held[id]
+		state, ok := remote[id]
 		if ok && state >= record.State || queued[id] || r.unreplicated[id] != nil {
 			continue
 		}
--- a/internal/partition/replica_test.go
+++ b/internal/partition/replica_test.go
@@ -96,7 +96,7 @@
 	if n := r.queueMissing(records, theirs); n != 2 || !slices.Equal(r.missing, []string{"queued", "pending", "complete"}) {
 		t.Errorf("%d: %v", n, r.missing)
 	}
-	lacking := records.lacking(theirs)
+	lacking := records.missingOrOlder(theirs)
 	slices.Sort(lacking)
 	if !slices.Equal(lacking, []string{"ended there", "only there"}) {
 		t.Errorf("to fetch: %v", lacking)
--- a/internal/partition/replicator.go
+++ b/internal/partition/replicator.go
@@ -20,21 +20,21 @@
 //
 // Its fields belong to the goroutine of run, except for the channels.
 type replicator struct {
-	manager   *Manager
-	peer      string // name of the backup
-	wakeup    chan struct{}
-	finished  chan batchOutcome
-	wanted    bool // it was woken since the last batch
-	underWay  int  // batches
-	lastBatch int64
-	sentAt    time.Time // of the last batch
-	failedAt  time.Time // of the last batch that ended, if it failed; else zero
-	inOrder   bool      // the backup applies batches in the order that they name
-
-	// Of the batches under way: it has ended once one of them has failed, without which
+	manager       *Manager
+	peer          string // name of the backup
+	wakeup        chan struct{}
+	finished      chan batchOutcome
+	sendRequested bool // it was woken since the last batch
+	inFlight      int  // batches
+	lastBatch     int64
+	lastSentAt    time.Time // of the last batch
+	lastFailedAt  time.Time // of the last batch that ended, if it failed; else zero
+	inOrder       bool      // the backup applies batches in the order that they name
+
+	// Of the pipeline under way: it has ended once one of them has failed, without which
 	// the backup does not apply those behind it.
-	batches context.Context
-	cancel  context.CancelFunc
+	pipeline       context.Context
+	cancelPipeline context.CancelFunc
 }
 
 // batchOutcome is how a batch ended.
@@ -43,8 +43,8 @@
 	inOrder bool
 }
 
-// maxBatchesUnderWay bounds the batches to one backup.
-const maxBatchesUnderWay = 4
+// maxInFlightBatches bounds the batches to one backup.
+const maxInFlightBatches = 4
 
 // wake makes the replicator look for work.
 func (r *replicator) wake() {
@@ -71,7 +71,7 @@
 		manager:   m,
 		peer:      peer,
 		wakeup:    make(chan struct{}, 1),
-		finished:  make(chan batchOutcome, maxBatchesUnderWay),
+		finished:  make(chan batchOutcome, maxInFlightBatches),
 		lastBatch: rand.Int64N(1<<20) * batchesPerIncarnation,
 	}
 	m.replicators[peer] = r
@@ -84,69 +84,69 @@
 	defer ticker.Stop()
 	for {
 		var timer <-chan time.Time
-		if wait := r.untilSend(time.Now()); wait > 0 {
+		if wait := r.sendDelay(time.Now()); wait > 0 {
 			timer = time.After(wait)
 		}
 		select {
 		case <-ctx.Done():
-			if r.cancel != nil {
-				r.cancel()
+			if r.cancelPipeline != nil {
+				r.cancelPipeline()
 			}
 			return
 		case <-r.wakeup:
-			r.wanted = true
+			r.sendRequested = true
 		case <-ticker.C:
-			r.wanted = true
+			r.sendRequested = true
 		case outcome := <-r.finished:
-			r.noteOutcome(ctx, outcome)
+			r.handleOutcome(ctx, outcome)
 		case <-timer:
 		}
-		if r.untilSend(time.Now()) == 0 {
+		if r.sendDelay(time.Now()) == 0 {
 			r.sendNext(ctx)
 		}
 	}
 }
 
-// never is a wait that an event ends.
-const never = time.Duration(-1)
+// waitForEvent is a wait that an event ends.
+const waitForEvent = time.Duration(-1)
 
-// untilSend is how long to wait until the next batch may be sent; 0 if it may now.
-func (r *replicator) untilSend(now time.Time) time.Duration {
+// sendDelay is how long to wait until the next batch may be sent; 0 if it may now.
+func (r *replicator) sendDelay(now time.Time) time.Duration {
 	timing := r.manager.timing
 	switch {
-	case !r.wanted:
-		return never
-	case r.underWay == 0 && r.failedAt.IsZero():
+	case !r.sendRequested:
+		return waitForEvent
+	case r.inFlight == 0 && r.lastFailedAt.IsZero():
 		return 0
-	case r.underWay == 0:
-		return max(0, timing.replicationBackoff()-now.Sub(r.failedAt))
-	case !r.failedAt.IsZero() || !r.inOrder || r.underWay >= maxBatchesUnderWay:
-		return never
+	case r.inFlight == 0:
+		return max(0, timing.replicationBackoff()-now.Sub(r.lastFailedAt))
+	case !r.lastFailedAt.IsZero() || !r.inOrder || r.inFlight >= maxInFlightBatches:
+		return waitForEvent
 	}
-	return max(0, timing.batchSpacing()-now.Sub(r.sentAt))
+	return max(0, timing.batchSpacing()-now.Sub(r.lastSentAt))
 }
 
 // sendNext sends the next batch, unless there is nothing to send.
 func (r *replicator) sendNext(ctx context.Context) {
 	m := r.manager
-	r.wanted = false
+	r.sendRequested = false
 	number := r.lastBatch + 1
 	batch := m.makeBatch(r.peer, number)
 	if len(batch.sent) == 0 {
 		return
 	}
-	if r.underWay > 0 {
+	if r.inFlight > 0 {
 		batch.request.After = r.lastBatch
 	} else {
-		r.beginBatches(ctx)
+		r.resetPipeline(ctx)
 	}
 	r.lastBatch = number
-	r.underWay++
-	r.sentAt = time.Now() // the lease counts from before the call: the backup grants it later
-	batches, sentAt := r.batches, r.sentAt
+	r.inFlight++
+	r.lastSentAt = time.Now() // the lease counts from before the call: the backup grants it later
+	pipeline, sentAt := r.pipeline, r.lastSentAt
 	m.background.tasks.Go(func() {
 		var response BatchResponse
-		err := r.call(batches, &batch, &response)
+		err := r.call(pipeline, &batch, &response)
 		if err == nil {
 			m.handleResponse(r, sentAt, number, batch.sent, response)
 		} else {
@@ -156,25 +156,25 @@
 	})
 }
 
-// beginBatches begins a sequence of batches, while none is under way.
-func (r *replicator) beginBatches(ctx context.Context) {
-	if r.cancel != nil {
-		r.cancel()
+// resetPipeline begins a sequence of batches, while none is under way.
+func (r *replicator) resetPipeline(ctx context.Context) {
+	if r.cancelPipeline != nil {
+		r.cancelPipeline()
 	}
-	r.batches, r.cancel = context.WithCancel(ctx)
+	r.pipeline, r.cancelPipeline = context.WithCancel(ctx)
 }
 
-// noteOutcome notes how a batch ended. With the first that fails, the others end too:
+// handleOutcome notes how a batch ended. With the first that fails, the others end too:
 // those behind it would wait for it at the backup.
-func (r *replicator) noteOutcome(ctx context.Context, outcome batchOutcome) {
-	r.underWay--
+func (r *replicator) handleOutcome(ctx context.Context, outcome batchOutcome) {
+	r.inFlight--
 	switch {
-	case r.batches.Err() != nil:
+	case r.pipeline.Err() != nil:
 	case outcome.err != nil:
-		r.cancel()
+		r.cancelPipeline()
 		r.handleFailure(ctx, outcome.err)
 	default:
-		r.failedAt = time.Time{}
+		r.lastFailedAt = time.Time{}
 		r.inOrder = outcome.inOrder
 	}
 }
@@ -183,8 +183,8 @@
 	m := r.manager
 	ctx, cancel := context.WithTimeout(ctx, m.timing.lease())
 	defer cancel()
-	early := time.AfterFunc(m.timing.slowBackup(), func() { m.config.ReportFailure(r.peer, false) })
-	defer early.Stop()
+	slowTimer := time.AfterFunc(m.timing.slowBackup(), func() { m.config.ReportFailure(r.peer, false) })
+	defer slowTimer.Stop()
 	return m.config.Client.Call(ctx, batch.address, "/copy", batch.request, batch.bodies, response)
 }
 
@@ -192,10 +192,10 @@
 // try again.
 func (r *replicator) handleFailure(ctx context.Context, err error) {
 	m := r.manager
-	if r.failedAt.IsZero() && ctx.Err() == nil {
+	if r.lastFailedAt.IsZero() && ctx.Err() == nil {
 		m.config.Log.Printf("copy: %s: %v", r.peer, err)
 	}
-	r.failedAt = time.Now()
-	r.wanted = true
+	r.lastFailedAt = time.Now()
+	r.sendRequested = true
 	m.config.ReportFailure(r.peer, httpwire.ConnectionRefused(err))
 }
--- a/internal/partition/storage.go
+++ b/internal/partition/storage.go
@@ -198,7 +198,7 @@
 func (s *storage) refusesWrites() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.health.refused != nil
+	return s.health.lastError != nil
 }
 
 // check is the error of a disk that is not healthy; see writeHealth.check.
@@ -210,32 +210,32 @@
 
 // writeHealth is what the writes say of the disk.
 type writeHealth struct {
-	started time.Time     // of the write under way; zero if there is none
-	average time.Duration // of the time of a write, smoothed
-	refused error         // of the last write, if it failed
+	writeStarted time.Time     // of the write under way; zero if there is none
+	averageWrite time.Duration // of the time of a write, smoothed
+	lastError    error         // of the last write, if it failed
 }
 
 // check is an error if a write has been under way for longer than stalled, if
 // writes have recently taken longer than slow, or if the last one was refused.
 func (h *writeHealth) check(now time.Time, stalled, slow time.Duration) error {
 	var age time.Duration
-	if !h.started.IsZero() {
-		age = now.Sub(h.started)
+	if !h.writeStarted.IsZero() {
+		age = now.Sub(h.writeStarted)
 	}
 	switch {
-	case h.refused != nil:
-		return fmt.Errorf("the disk refuses writes: %w", h.refused)
+	case h.lastError != nil:
+		return fmt.Errorf("the disk refuses writes: %w", h.lastError)
 	case age > stalled:
 		return fmt.Errorf("the disk has not answered for %v", age.Round(time.Millisecond))
-	case h.average > slow:
-		return fmt.Errorf("the disk takes %v for a write", h.average.Round(time.Millisecond))
+	case h.averageWrite > slow:
+		return fmt.Errorf("the disk takes %v for a write", h.averageWrite.Round(time.Millisecond))
 	}
 	return nil
 }
 
-// finish ends the write under way, which took the given time.
-func (h *writeHealth) finish(took time.Duration) {
+// recordWrite ends the write under way, which took the given time.
+func (h *writeHealth) recordWrite(took time.Duration) {
 	const weight = 4 // a single slow write moves the average by a quarter
-	h.started = time.Time{}
-	h.average += (took - h.average) / weight
+	h.writeStarted = time.Time{}
+	h.averageWrite += (took - h.averageWrite) / weight
 }
--- a/internal/partition/storage_test.go
+++ b/internal/partition/storage_test.go
@@ -107,10 +107,10 @@
 		unhealthy bool
 	}{
 		"idle":    {writeHealth{}, false},
-		"writing": {writeHealth{started: now, average: time.Millisecond}, false},
-		"stalled": {writeHealth{started: now.Add(-time.Second), average: time.Millisecond}, true},
-		"slow":    {writeHealth{average: 200 * time.Millisecond}, true},
-		"refuses": {writeHealth{refused: os.ErrClosed}, true},
+		"writing": {writeHealth{writeStarted: now, averageWrite: time.Millisecond}, false},
+		"stalled": {writeHealth{writeStarted: now.Add(-time.Second), averageWrite: time.Millisecond}, true},
+		"slow":    {writeHealth{averageWrite: 200 * time.Millisecond}, true},
+		"refuses": {writeHealth{lastError: os.ErrClosed}, true},
 	} {
 		s := &storage{health: c.health}
 		if err := s.check(250*time.Millisecond, 80*time.Millisecond); (err != nil) != c.unhealthy {
@@ -128,10 +128,10 @@
 }
 
 func TestAverageWriteTimeMovesByAQuarter(t *testing.T) {
-	h := writeHealth{started: time.Now()}
+	h := writeHealth{writeStarted: time.Now()}
 	for _, want := range []time.Duration{100, 175} {
-		h.finish(400 * time.Millisecond)
-		if h.average != want*time.Millisecond || !h.started.IsZero() {
+		h.recordWrite(400 * time.Millisecond)
+		if h.averageWrite != want*time.Millisecond || !h.writeStarted.IsZero() {
 			t.Errorf("%+v, want %v", h, want*time.Millisecond)
 		}
 	}
--- a/internal/partition/topiclog.go
+++ b/internal/partition/topiclog.go
@@ -45,15 +45,15 @@
 // topicLog is the log of a partition at its primary. It has no lock: the Manager's
 // mu guards it.
 type topicLog struct {
-	entries  []*Record // by position
-	byNumber map[publication]*Record
-	newest   map[publisherTopic]int64 // the highest number in entries
-	last     map[string]Position      // of each topic; also if the entry is deleted by now
-	floors   topicFloors
+	entries       []*Record // by position
+	byPublication map[publication]*Record
+	highestNumber map[publisherTopic]int64 // the highest number in entries
+	lastPosition  map[string]Position      // of each topic; also if the entry is deleted by now
+	floors        topicFloors
 
-	recovery logRecovery
-	released int      // how many of entries have gone to the consumer
-	through  Position // of the last of them
+	recovery      logRecovery
+	releasedCount int      // how many of entries have gone to the consumer
+	lastReleased  Position // of the last of them
 }
 
 // logRecovery is what a new primary waits for until it releases entries: each
@@ -65,7 +65,7 @@
 // hold all.
 type logRecovery struct {
 	onDisk       bool // this store's disk has the entries found
-	tailAccepted bool // those behind the last released one are accepted anew
+	tailRequeued bool // those behind the last released one are accepted anew
 	done         bool
 }
 
@@ -78,7 +78,7 @@
 		return false
 	}
 	for _, r := range replicas {
-		if !r.verified && (r.inSync || !l.tailAccepted) {
+		if !r.verified && (r.inSync || !l.tailRequeued) {
 			return false
 		}
 	}
@@ -92,14 +92,14 @@
 // while a replica still held the first ones: those that repeat are returned, to
 // be deleted. What was delivered is never among them: a primary delivers nothing
 // until its replicas hold what it holds and no more.
-func newTopicLog(records *recordSet) (l *topicLog, repeated []*Record) {
+func newTopicLog(records *recordSet) (l *topicLog, duplicates []*Record) {
 	l = &topicLog{
-		byNumber: map[publication]*Record{},
-		newest:   map[publisherTopic]int64{},
-		last:     map[string]Position{},
-		floors:   newTopicFloors(records),
+		byPublication: map[publication]*Record{},
+		highestNumber: map[publisherTopic]int64{},
+		lastPosition:  map[string]Position{},
+		floors:        newTopicFloors(records),
 	}
-	maps.Copy(l.last, l.floors)
+	maps.Copy(l.lastPosition, l.floors)
 	var found []*Record
 	for _, r := range records.byID {
 		if r.IsEntry() {
@@ -109,24 +109,24 @@
 	slices.SortFunc(found, func(a, b *Record) int { return a.Position().Compare(b.Position()) })
 	for _, r := range found {
 		if l.isSuperseded(r) {
-			repeated = append(repeated, r)
+			duplicates = append(duplicates, r)
 			continue
 		}
 		l.append(r)
 	}
-	return l, repeated
+	return l, duplicates
 }
 
 // append adds an entry behind all others.
 func (l *topicLog) append(r *Record) {
 	l.entries = append(l.entries, r)
-	l.byNumber[r.publication()] = r
-	l.newest[r.publisherTopic()] = r.Number
-	l.last[r.Topic] = r.Position()
+	l.byPublication[r.publication()] = r
+	l.highestNumber[r.publisherTopic()] = r.Number
+	l.lastPosition[r.Topic] = r.Position()
 }
 
 // find returns the entry of the same publication as r; nil if there is none.
-func (l *topicLog) find(r *Record) *Record { return l.byNumber[r.publication()] }
+func (l *topicLog) find(r *Record) *Record { return l.byPublication[r.publication()] }
 
 // HoldsNumber reports whether this store leads partition n and has a publisher's number on a
 // topic, confirmed or not.
@@ -136,25 +136,25 @@
 	if !m.isPrimaryLocked(n) {
 		return false
 	}
-	return m.partitions[n].log.byNumber[publication{publisherTopic{publisher, topic}, number}] != nil
+	return m.partitions[n].log.byPublication[publication{publisherTopic{publisher, topic}, number}] != nil
 }
 
 // isSuperseded reports whether the publisher's numbers on the topic have passed
 // that of r, or reached it.
 func (l *topicLog) isSuperseded(r *Record) bool {
-	newest, ok := l.newest[r.publisherTopic()]
+	newest, ok := l.highestNumber[r.publisherTopic()]
 	return ok && r.Number <= newest
 }
 
 // release returns the entries that may be delivered and were not returned before:
 // in order, up to the first that waits for disks.
 func (l *topicLog) release(isUnconfirmed func(id string) bool) []*Record {
-	first := l.released
-	for l.released < len(l.entries) && !isUnconfirmed(l.entries[l.released].ID) {
-		l.through = l.entries[l.released].Position()
-		l.released++
+	first := l.releasedCount
+	for l.releasedCount < len(l.entries) && !isUnconfirmed(l.entries[l.releasedCount].ID) {
+		l.lastReleased = l.entries[l.releasedCount].Position()
+		l.releasedCount++
 	}
-	return l.entries[first:l.released:l.released]
+	return l.entries[first:l.releasedCount:l.releasedCount]
 }
 
 // releasedThrough is the position of the last entry that was released.
@@ -162,7 +162,7 @@
 	if l == nil {
 		return Position{}
 	}
-	return l.through
+	return l.lastReleased
 }
 
 // EntriesAfter returns those of entries, which are in order, that are after a
@@ -183,43 +183,43 @@
 // removeDeleted drops the entries that the record set has no more.
 func (l *topicLog) removeDeleted(records *recordSet) {
 	var remaining []*Record
-	released := l.released
+	released := l.releasedCount
 	for i, r := range l.entries {
 		if records.byID[r.ID] != nil {
 			remaining = append(remaining, r)
 			continue
 		}
-		if i < l.released {
+		if i < l.releasedCount {
 			released--
 		}
-		delete(l.byNumber, r.publication())
-		if l.newest[r.publisherTopic()] == r.Number {
-			delete(l.newest, r.publisherTopic())
+		delete(l.byPublication, r.publication())
+		if l.highestNumber[r.publisherTopic()] == r.Number {
+			delete(l.highestNumber, r.publisherTopic())
 		}
 	}
-	l.entries, l.released = remaining, released
-	if len(l.last) > maxIdleTopics+len(l.entries) {
-		clear(l.last)
-		maps.Copy(l.last, l.floors)
+	l.entries, l.releasedCount = remaining, released
+	if len(l.lastPosition) > maxIdleTopics+len(l.entries) {
+		clear(l.lastPosition)
+		maps.Copy(l.lastPosition, l.floors)
 		for _, r := range l.entries {
-			l.last[r.Topic] = r.Position()
+			l.lastPosition[r.Topic] = r.Position()
 		}
 	}
 }
 
-// becomeLogPrimaryLocked makes the log of a partition that this store leads from
+// initTopicLogLocked makes the log of a partition that this store leads from
 // now on.
-func (m *Manager) becomeLogPrimaryLocked(p *partition) {
-	log, repeated := newTopicLog(&p.records)
+func (m *Manager) initTopicLogLocked(p *partition) {
+	log, duplicates := newTopicLog(&p.records)
 	p.log = log
-	for _, r := range repeated {
+	for _, r := range duplicates {
 		m.commitLocked(p, &Record{ID: r.ID, Partition: p.number, State: Deleted}, nil)
 	}
 	var tail []*pendingAccept
 	if p.released != (Position{}) {
-		log.recovery.tailAccepted = true
+		log.recovery.tailRequeued = true
 		for _, r := range EntriesAfter(log.entries, p.released) {
-			tail = append(tail, p.acceptAgain(r))
+			tail = append(tail, p.requeueAccept(r))
 		}
 	}
 	m.storage.afterSync(func() {
@@ -233,8 +233,8 @@
 	})
 }
 
-// acceptAgain has an entry wait for the disks of this store and of all replicas.
-func (p *partition) acceptAgain(r *Record) *pendingAccept {
+// requeueAccept has an entry wait for the disks of this store and of all replicas.
+func (p *partition) requeueAccept(r *Record) *pendingAccept {
 	accept := &pendingAccept{record: r, onBackupDisk: map[string]bool{}, done: make(chan struct{})}
 	p.unconfirmed[r.ID] = accept
 	for _, replica := range p.replicas {
@@ -273,14 +273,14 @@
 	}
 }
 
-// removeUnknownEntriesLocked deletes the entries that a replica holds and this
+// deleteUnconfirmedEntriesLocked deletes the entries that a replica holds and this
 // primary lacks: nobody confirmed them, and nobody will.
-func (m *Manager) removeUnknownEntriesLocked(p *partition, theirs map[string]State) (removed int) {
-	for id, state := range theirs {
+func (m *Manager) deleteUnconfirmedEntriesLocked(p *partition, remote map[string]State) (deleted int) {
+	for id, state := range remote {
 		if isEntryID(id) && state != Deleted && p.records.byID[id] == nil {
 			m.commitLocked(p, &Record{ID: id, Partition: p.number, State: Deleted}, nil)
-			removed++
+			deleted++
 		}
 	}
-	return removed
+	return deleted
 }
--- a/internal/partition/topiclog_test.go
+++ b/internal/partition/topiclog_test.go
@@ -85,8 +85,8 @@
 	if got := log.release(isWaiting); len(got) != 1 || got[0].Order != 4 {
 		t.Errorf("released %v after a deletion", ids(got))
 	}
-	if log.find(entry(0, 0, "a", 2)) != nil || log.last["t"] != (Position{1, 4}) {
-		t.Errorf("a deleted entry is found, or the last one is %v", log.last["t"])
+	if log.find(entry(0, 0, "a", 2)) != nil || log.lastPosition["t"] != (Position{1, 4}) {
+		t.Errorf("a deleted entry is found, or the last one is %v", log.lastPosition["t"])
 	}
 }
 
--- a/internal/partition/writer.go
+++ b/internal/partition/writer.go
@@ -65,10 +65,10 @@
 			return nil
 		}
 		s.mu.Lock()
-		if s.health.refused == nil {
+		if s.health.lastError == nil {
 			warn("disk: %d changes are not written: %v", len(batch), err)
 		}
-		s.health.refused = err
+		s.health.lastError = err
 		s.mu.Unlock()
 		if errors.Is(err, boltstore.ErrDamaged) {
 			return err
@@ -84,13 +84,13 @@
 // reportWritten calls those who wait for a batch that is on disk.
 func (s *storage) reportWritten(batch []change, warn func(format string, args ...any)) {
 	s.mu.Lock()
-	if s.health.refused != nil {
+	if s.health.lastError != nil {
 		warn("disk: writes again")
 	}
 	afterWrite := s.afterWrite
 	s.afterWrite = nil
 	s.writing = false
-	s.health.refused = nil
+	s.health.lastError = nil
 	s.mu.Unlock()
 	for _, c := range batch {
 		if c.done != nil {
@@ -106,11 +106,11 @@
 func (s *storage) commit(batch []change) error {
 	started := time.Now()
 	s.mu.Lock()
-	s.health.started = started
+	s.health.writeStarted = started
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
-		s.health.finish(time.Since(started))
+		s.health.recordWrite(time.Since(started))
 		s.mu.Unlock()
 	}()
 	return s.file.Update(func(tx *bbolt.Tx) error {
