--- a/internal/partition/accept_test.go
+++ b/internal/partition/accept_test.go
@@ -62,9 +62,9 @@
 			return m.Accept(ctx, 0, &Record{ID: id})
 		}
 		var unconfirmed *UnconfirmedError
-		for _, which := range []string{"first", "second"} {
+		for _, attempt := range []string{"first", "second"} {
 			if err := accept("x"); !errors.As(err, &unconfirmed) {
-				t.Errorf("the %s accept, and the backup does not answer: %v", which, err)
+				t.Errorf("the %s accept, and the backup does not answer: %v", attempt, err)
 			}
 		}
 		m.mu.Lock()
--- a/internal/partition/config_test.go
+++ b/internal/partition/config_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestNewRefusesAnIncompleteConfig(t *testing.T) {
-	for name, breakIt := range map[string]func(c *Config){
+	for name, invalidate := range map[string]func(c *Config){
 		"no name":            func(c *Config) { c.Self = "" },
 		"no client":          func(c *Config) { c.Client = nil },
 		"no log":             func(c *Config) { c.Log = nil },
@@ -12,7 +12,7 @@
 		"no failure report":  func(c *Config) { c.ReportFailure = nil },
 	} {
 		config := testConfig(t.TempDir())
-		breakIt(&config)
+		invalidate(&config)
 		if _, err := New(config); err == nil {
 			t.Errorf("%s: no error", name)
 		}
--- a/internal/partition/contact_test.go
+++ b/internal/partition/contact_test.go
@@ -38,7 +38,7 @@
 // What an outdated replica holds as pending and the primary lacks is deleted there;
 // how a message ended, and entries of the log, are treated as from any replica.
 func TestPrimaryTakesNothingPendingFromAnOutdatedReplica(t *testing.T) {
-	theirs := map[State][]string{Pending: {"both", "forgotten"}, Complete: {"ended"}}
+	remote := map[State][]string{Pending: {"both", "forgotten"}, Complete: {"ended"}}
 	for name, c := range map[string]struct {
 		peer      string
 		outdated  bool
@@ -55,7 +55,7 @@
 			m.mu.Lock()
 			m.commitLocked(m.partitions[0], &Record{ID: "both"}, nil)
 			m.mu.Unlock()
-			_, fetch := m.compare(m.partitions[0], 6, c.peer, DigestResponse{IDs: theirs, Outdated: c.outdated})
+			_, fetch := m.compare(m.partitions[0], 6, c.peer, DigestResponse{IDs: remote, Outdated: c.outdated})
 			slices.Sort(fetch)
 			if !slices.Equal(fetch, c.wantFetch) {
 				t.Errorf("%s: fetches %v", name, fetch)
--- a/internal/partition/handover_test.go
+++ b/internal/partition/handover_test.go
@@ -75,9 +75,9 @@
 			handover := m.partitions[0].handover
 			return handover.deliveriesStopped && handover.acceptsStopped
 		}
-		for _, which := range []string{"first", "second"} {
+		for _, call := range []string{"first", "second"} {
 			if out := m.PrepareHandover(t.Context(), map[int]int64{0: 6}, func(int) bool { return true }); len(out) != 1 {
-				t.Fatalf("the %s call: %v", which, out)
+				t.Fatalf("the %s call: %v", call, out)
 			}
 			time.Sleep(m.config.ContactTimeout * 3 / 16)
 		}
--- a/internal/partition/lease_test.go
+++ b/internal/partition/lease_test.go
@@ -19,7 +19,7 @@
 	}
 	for _, c := range leaseBatches {
 		if got := granted(c.number, c.release); got != c.want {
-			t.Errorf("%s: granted %v", c.why, got)
+			t.Errorf("%s: granted %v", c.name, got)
 		}
 	}
 }
@@ -30,7 +30,7 @@
 	for _, c := range leaseBatches {
 		lease.apply(c.number, c.release, expires)
 		if got := lease.expires.Equal(expires); got != c.want {
-			t.Errorf("%s: granted %v", c.why, got)
+			t.Errorf("%s: granted %v", c.name, got)
 		}
 	}
 	lease.apply(leaseBatches[0].number, false, expires)
@@ -45,7 +45,7 @@
 var leaseBatches = []struct {
 	number        int64
 	release, want bool
-	why           string
+	name          string
 }{
 	{incarnation + 1, false, true, "granted"},
 	{incarnation + 3, false, true, "renewed, while batch 2 is on its way"},
--- a/internal/partition/pipeline_test.go
+++ b/internal/partition/pipeline_test.go
@@ -50,13 +50,13 @@
 		handle := func(number, after int64, id string) <-chan error {
 			batch := &BatchRequest{From: "other", Number: number, After: after,
 				Partitions: []PartitionBatch{{Epoch: 5, Records: []*Record{{ID: id, Sequence: number}}}}}
-			ended := make(chan error, 1)
+			result := make(chan error, 1)
 			go func() {
 				_, err := m.HandleBatch(t.Context(), batch, nil)
-				ended <- err
+				result <- err
 			}()
 			synctest.Wait()
-			return ended
+			return result
 		}
 		holds := func(id string) bool {
 			m.mu.Lock()
@@ -95,8 +95,8 @@
 		}
 		first := nextBatch(t, m, 1)
 		sentFirst := time.Now()
-		if beside := m.makeBatch("other", 2); len(beside.sent) > 0 {
-			t.Errorf("without new messages there is a second batch: %+v", beside.request)
+		if concurrent := m.makeBatch("other", 2); len(concurrent.sent) > 0 {
+			t.Errorf("without new messages there is a second batch: %+v", concurrent.request)
 		}
 		m.mu.Lock()
 		m.commitLocked(m.partitions[0], &Record{ID: "new"}, nil)
@@ -127,18 +127,18 @@
 
 // slowBackup is a backup whose disk is slow. It answers each batch after a while.
 type slowBackup struct {
-	delay time.Duration
-	mu    sync.Mutex
-	calls [][2]int64 // number and the one before it, in the order of their arrival
-	ids   []string
-	most  int // how many were under way at once
-	now   int
+	delay       time.Duration
+	mu          sync.Mutex
+	calls       [][2]int64 // number and the one before it, in the order of their arrival
+	ids         []string
+	maxInFlight int // how many were under way at once
+	inFlight    int
 }
 
 func (b *slowBackup) handleBatch(_ context.Context, batch *BatchRequest, _ []byte) (*BatchResponse, error) {
 	b.mu.Lock()
-	b.now++
-	b.most = max(b.most, b.now)
+	b.inFlight++
+	b.maxInFlight = max(b.maxInFlight, b.inFlight)
 	b.calls = append(b.calls, [2]int64{batch.Number, batch.After})
 	response := &BatchResponse{InOrder: true}
 	for _, part := range batch.Partitions {
@@ -149,16 +149,16 @@
 	time.Sleep(b.delay)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.now--
+	b.inFlight--
 	return response, nil
 }
 
 // pipeTo makes a client whose calls all reach a server in this process.
 func pipeTo(ctx context.Context, server *httpwire.Server) *rpc.Client {
 	return rpc.NewClient(&httpwire.Pool{Network: httpwire.Network{Dial: func(context.Context, string) (net.Conn, error) {
-		near, far := net.Pipe()
-		go server.ServeConn(ctx, far)
-		return near, nil
+		clientConn, serverConn := net.Pipe()
+		go server.ServeConn(ctx, serverConn)
+		return clientConn, nil
 	}}})
 }
 
@@ -167,8 +167,8 @@
 // gathers them.
 func TestNewMessagesDoNotWaitForASlowBatch(t *testing.T) {
 	for name, c := range map[string]struct {
-		delay    time.Duration
-		underWay int
+		delay       time.Duration
+		maxInFlight int
 	}{
 		"a slow backup":  {150 * time.Millisecond, maxInFlightBatches},
 		"a quick backup": {5 * time.Millisecond, 1},
@@ -187,31 +187,31 @@
 			})
 			time.Sleep(time.Second) // until a first batch has been answered
 			var accepts sync.WaitGroup
-			var worst time.Duration
+			var maxLatency time.Duration
 			var mu sync.Mutex
 			var want []string
 			for i := range 20 {
 				id := fmt.Sprint("m", i)
 				want = append(want, id)
 				accepts.Go(func() {
-					began := time.Now()
+					started := time.Now()
 					if err := m.Accept(t.Context(), 0, &Record{ID: id}); err != nil {
 						t.Errorf("%s: %s: %v", name, id, err)
 					}
 					mu.Lock()
 					defer mu.Unlock()
-					worst = max(worst, time.Since(began))
+					maxLatency = max(maxLatency, time.Since(started))
 				})
 				time.Sleep(10 * time.Millisecond)
 			}
 			accepts.Wait()
 			backup.mu.Lock()
 			defer backup.mu.Unlock()
-			if !slices.Equal(backup.ids, want) || backup.most != c.underWay {
-				t.Errorf("%s: %d batches at once, with %v", name, backup.most, backup.ids)
+			if !slices.Equal(backup.ids, want) || backup.maxInFlight != c.maxInFlight {
+				t.Errorf("%s: %d batches at once, with %v", name, backup.maxInFlight, backup.ids)
 			}
-			if most := c.delay + m.timing.batchSpacing() + c.delay/maxInFlightBatches; worst > most {
-				t.Errorf("%s: a message took %v, more than %v", name, worst, most)
+			if limit := c.delay + m.timing.batchSpacing() + c.delay/maxInFlightBatches; maxLatency > limit {
+				t.Errorf("%s: a message took %v, more than %v", name, maxLatency, limit)
 			}
 			for i, call := range backup.calls[1:] {
 				if call[0] != backup.calls[i][0]+1 || call[1] != 0 && call[1] != backup.calls[i][0] {
--- a/internal/partition/power_loss_test.go
+++ b/internal/partition/power_loss_test.go
@@ -23,12 +23,12 @@
 	t    *testing.T
 	path string
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	refuses bool
-	onDisk  []byte   // what a loss of power leaves
-	file    *os.File // that had this content; open, so that no other file gets its inode
-	clean   []byte   // what is in the cache and may never reach the disk
+	mu           sync.Mutex
+	rng          *rand.Rand
+	failing      bool
+	durable      []byte   // what a loss of power leaves
+	syncedFile   *os.File // that had this content; open, so that no other file gets its inode
+	falselyClean []byte   // what is in the cache and may never reach the disk
 }
 
 const pageSize = 4096
@@ -37,11 +37,11 @@
 func (d *faultyDisk) fault(step string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.refuses || d.rng.IntN(3) == 0 {
+	if !d.failing || d.rng.IntN(3) == 0 {
 		return nil
 	}
 	if step == boltstore.StepSync {
-		d.clean, _ = d.readLocked()
+		d.falselyClean, _ = d.readLocked()
 	}
 	return syscall.ENOSPC
 }
@@ -56,60 +56,60 @@
 	if err != nil {
 		d.t.Error(err)
 	}
-	if d.file == nil {
+	if d.syncedFile == nil {
 		return raw, false
 	}
-	before, err := d.file.Stat()
+	before, err := d.syncedFile.Stat()
 	if err != nil {
 		d.t.Error(err)
 	}
 	return raw, os.SameFile(before, now)
 }
 
-// holdLocked keeps the file open that is there now.
-func (d *faultyDisk) holdLocked() {
-	if d.file != nil {
-		_ = d.file.Close() // only read
+// keepOpenLocked keeps the file open that is there now.
+func (d *faultyDisk) keepOpenLocked() {
+	if d.syncedFile != nil {
+		_ = d.syncedFile.Close() // only read
 	}
 	var err error
-	if d.file, err = os.Open(d.path); err != nil {
+	if d.syncedFile, err = os.Open(d.path); err != nil {
 		d.t.Error(err)
 	}
 }
 
-func (d *faultyDisk) setRefuses(refuses bool) {
+func (d *faultyDisk) setFailing(failing bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.refuses = refuses
+	d.failing = failing
 }
 
-// noteSynced is called when the storage says that what was written is on disk. Of
+// recordSync is called when the storage says that what was written is on disk. Of
 // a file that is the same as before, pages that were clean and did not change
 // since are not.
-func (d *faultyDisk) noteSynced() {
+func (d *faultyDisk) recordSync() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	raw, same := d.readLocked()
 	if same {
-		for at := 0; at < min(len(d.clean), len(raw)); at += pageSize {
-			end := min(at+pageSize, len(d.clean), len(raw))
-			if bytes.Equal(raw[at:end], d.clean[at:end]) {
-				lost := make([]byte, end-at)
-				copy(lost, d.onDisk[min(at, len(d.onDisk)):min(end, len(d.onDisk))])
-				copy(raw[at:end], lost)
+		for offset := 0; offset < min(len(d.falselyClean), len(raw)); offset += pageSize {
+			end := min(offset+pageSize, len(d.falselyClean), len(raw))
+			if bytes.Equal(raw[offset:end], d.falselyClean[offset:end]) {
+				previous := make([]byte, end-offset)
+				copy(previous, d.durable[min(offset, len(d.durable)):min(end, len(d.durable))])
+				copy(raw[offset:end], previous)
 			}
 		}
 	} else {
-		d.clean = nil
-		d.holdLocked()
+		d.falselyClean = nil
+		d.keepOpenLocked()
 	}
-	d.onDisk = raw
+	d.durable = raw
 }
 
 // afterPowerLoss opens what the disk holds after a loss of power now.
 func (d *faultyDisk) afterPowerLoss() map[string]bool {
 	d.mu.Lock()
-	image := d.onDisk
+	image := d.durable
 	d.mu.Unlock()
 	dir := d.t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "store.db"), image, 0o600); err != nil {
@@ -120,11 +120,11 @@
 		d.t.Fatal(err)
 	}
 	defer closeDB(d.t, s)
-	held := map[string]bool{}
+	recovered := map[string]bool{}
 	for _, r := range saved.records {
-		held[r.ID] = true
+		recovered[r.ID] = true
 	}
-	return held
+	return recovered
 }
 
 // Whatever step of a write the disk refuses, and however often, a record that was
@@ -137,35 +137,35 @@
 			t.Fatal(err)
 		}
 		disk := &faultyDisk{t: t, path: filepath.Join(dir, "store.db"), rng: rand.New(rand.NewPCG(seed, 1))}
-		disk.noteSynced()
-		t.Cleanup(func() { _ = disk.file.Close() }) // only read
+		disk.recordSync()
+		t.Cleanup(func() { _ = disk.syncedFile.Close() }) // only read
 		s.file.Fault = disk.fault
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan error, 1)
-		go func() { ended <- s.run(ctx, time.Millisecond, t.Logf) }()
+		stopped := make(chan error, 1)
+		go func() { stopped <- s.run(ctx, time.Millisecond, t.Logf) }()
 		for n := range 60 {
-			disk.setRefuses(n%4 == 3)
+			disk.setFailing(n%4 == 3)
 			onDisk := make(chan struct{})
 			s.putRecord(n%3, &Record{ID: fmt.Sprint(n), Length: 700, Body: make([]byte, 700)}, func() {
-				disk.noteSynced()
+				disk.recordSync()
 				close(onDisk)
 			})
 			select {
 			case <-onDisk:
 			case <-time.After(50 * time.Millisecond): // the disk refuses it, for as long as it does
-				disk.setRefuses(false)
+				disk.setFailing(false)
 				select {
 				case <-onDisk:
-				case err := <-ended:
+				case err := <-stopped:
 					t.Fatalf("seed %d: the writer ended: %v", seed, err)
 				}
 			}
 		}
 		cancel()
-		<-ended
-		held := disk.afterPowerLoss()
+		<-stopped
+		recovered := disk.afterPowerLoss()
 		for n := range 60 {
-			if !held[fmt.Sprint(n)] {
+			if !recovered[fmt.Sprint(n)] {
 				t.Errorf("seed %d: record %d was said to be on disk, and is lost", seed, n)
 			}
 		}
--- a/internal/partition/recovery_test.go
+++ b/internal/partition/recovery_test.go
@@ -84,11 +84,11 @@
 	digest := DigestResponse{IDs: map[State][]string{
 		Pending: {"ended here", "only there", entryID(Position{1, 1})}, Complete: {"ended there"},
 	}}
-	lacking := p.records.missingOrOlder(digest.statesByID())
+	missing := p.records.missingOrOlder(digest.statesByID())
 	m.mu.Unlock()
-	slices.Sort(lacking)
-	if want := []string{entryID(Position{1, 1}), "ended there", "only there"}; !slices.Equal(lacking, want) {
-		t.Errorf("it takes %q, not %q", lacking, want)
+	slices.Sort(missing)
+	if want := []string{entryID(Position{1, 1}), "ended there", "only there"}; !slices.Equal(missing, want) {
+		t.Errorf("it takes %q, not %q", missing, want)
 	}
 	for _, c := range []struct {
 		outdatedToo bool
--- a/internal/partition/replica_test.go
+++ b/internal/partition/replica_test.go
@@ -91,15 +91,15 @@
 		&Record{ID: "queued"},
 		&Record{ID: "changed"},
 	)
-	theirs := map[string]State{"same": Pending, "ended there": Complete, "only there": Pending}
+	remote := map[string]State{"same": Pending, "ended there": Complete, "only there": Pending}
 	r := &replica{missing: []string{"queued"}, unreplicated: map[string]*Record{"changed": {}}}
-	if n := r.queueMissing(records, theirs); n != 2 || !slices.Equal(r.missing, []string{"queued", "pending", "complete"}) {
+	if n := r.queueMissing(records, remote); n != 2 || !slices.Equal(r.missing, []string{"queued", "pending", "complete"}) {
 		t.Errorf("%d: %v", n, r.missing)
 	}
-	lacking := records.missingOrOlder(theirs)
-	slices.Sort(lacking)
-	if !slices.Equal(lacking, []string{"ended there", "only there"}) {
-		t.Errorf("to fetch: %v", lacking)
+	missing := records.missingOrOlder(remote)
+	slices.Sort(missing)
+	if !slices.Equal(missing, []string{"ended there", "only there"}) {
+		t.Errorf("to fetch: %v", missing)
 	}
 }
 
--- a/internal/partition/storage_test.go
+++ b/internal/partition/storage_test.go
@@ -52,8 +52,8 @@
 		t.Errorf("damaged file: %v, warned %q", err, warned)
 	}
 	closeDB(t, s)
-	if left, _ := filepath.Glob(filepath.Join(dir, "*.damaged-*")); len(left) != 1 {
-		t.Errorf("moved aside: %v", left)
+	if quarantined, _ := filepath.Glob(filepath.Join(dir, "*.damaged-*")); len(quarantined) != 1 {
+		t.Errorf("moved aside: %v", quarantined)
 	}
 }
 
@@ -66,8 +66,8 @@
 	if _, _, err := openStorage(dir, t.Logf); err == nil {
 		t.Error("opened a folder")
 	}
-	if left, _ := filepath.Glob(filepath.Join(dir, "*.damaged-*")); len(left) != 0 {
-		t.Errorf("moved aside: %v", left)
+	if quarantined, _ := filepath.Glob(filepath.Join(dir, "*.damaged-*")); len(quarantined) != 0 {
+		t.Errorf("moved aside: %v", quarantined)
 	}
 }
 
@@ -155,13 +155,13 @@
 		cancel()
 		_ = s.run(ctx, time.Millisecond, t.Logf)
 	})
-	most := int64(0)
+	maxUsed := int64(0)
 	for ctx.Err() == nil {
-		most = max(most, s.usedBytes())
+		maxUsed = max(maxUsed, s.usedBytes())
 	}
 	tasks.Wait()
-	if most < 1<<20 || s.usedBytes() != 0 {
-		t.Errorf("at most %d bytes were seen in use, %d after the end", most, s.usedBytes())
+	if maxUsed < 1<<20 || s.usedBytes() != 0 {
+		t.Errorf("at most %d bytes were seen in use, %d after the end", maxUsed, s.usedBytes())
 	}
 }
 
--- a/internal/partition/topiclog_test.go
+++ b/internal/partition/topiclog_test.go
@@ -65,16 +65,16 @@
 func TestLogReleasesInOrder(t *testing.T) {
 	records := recordsOf(entry(1, 1, "a", 1), entry(1, 2, "a", 2), entry(1, 3, "b", 1))
 	log, _ := newTopicLog(records)
-	waiting := map[string]bool{entryID(Position{1, 2}): true}
-	isWaiting := func(id string) bool { return waiting[id] }
-	if got := log.release(isWaiting); len(got) != 1 || got[0].Order != 1 {
+	unconfirmed := map[string]bool{entryID(Position{1, 2}): true}
+	isUnconfirmed := func(id string) bool { return unconfirmed[id] }
+	if got := log.release(isUnconfirmed); len(got) != 1 || got[0].Order != 1 {
 		t.Errorf("released %v", ids(got))
 	}
-	if got := log.release(isWaiting); len(got) != 0 {
+	if got := log.release(isUnconfirmed); len(got) != 0 {
 		t.Errorf("released %v behind one that waits", ids(got))
 	}
-	clear(waiting)
-	if got := log.release(isWaiting); len(got) != 2 || got[0].Order != 2 || got[1].Order != 3 {
+	clear(unconfirmed)
+	if got := log.release(isUnconfirmed); len(got) != 2 || got[0].Order != 2 || got[1].Order != 3 {
 		t.Errorf("released %v", ids(got))
 	}
 	for _, r := range []*Record{entry(1, 1, "a", 1), entry(1, 2, "a", 2)} {
@@ -82,7 +82,7 @@
 	}
 	log.removeDeleted(records)
 	log.append(entry(1, 4, "a", 3))
-	if got := log.release(isWaiting); len(got) != 1 || got[0].Order != 4 {
+	if got := log.release(isUnconfirmed); len(got) != 1 || got[0].Order != 4 {
 		t.Errorf("released %v after a deletion", ids(got))
 	}
 	if log.find(entry(0, 0, "a", 2)) != nil || log.lastPosition["t"] != (Position{1, 4}) {
@@ -98,14 +98,14 @@
 	for _, n := range numbers {
 		records = append(records, &Record{Topic: "t", Publisher: "p", Number: n, Expires: m.Now() + time.Hour.Milliseconds(), Body: []byte("x")})
 	}
-	ended := make(chan []error, 1)
+	results := make(chan []error, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		ended <- m.AcceptAll(ctx, 0, records)
+		results <- m.AcceptAll(ctx, 0, records)
 	}()
 	synctest.Wait()
-	return ended
+	return results
 }
 
 // released returns the numbers of the entries that were released since the last
@@ -132,7 +132,7 @@
 		if got := released(m); !slices.Equal(got, []int64{5, 6}) {
 			t.Errorf("released %v", got)
 		}
-		again := publish(t, m, 5, 4, 6, 7)
+		republished := publish(t, m, 5, 4, 6, 7)
 		exchange(t, m, nil)
 		if got := released(m); !slices.Equal(got, []int64{7}) {
 			t.Errorf("released %v, and 5 and 6 were before", got)
@@ -142,7 +142,7 @@
 				t.Error(err)
 			}
 		}
-		errs := <-again
+		errs := <-republished
 		if errs[0] != nil || !errors.Is(errs[1], ErrSuperseded) || errs[2] != nil || errs[3] != nil {
 			t.Errorf("accepted again: %v", errs)
 		}
@@ -224,14 +224,14 @@
 func TestEntriesThatThePrimaryLacksAreDeletedAtTheReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startPrimary(t, placement.Backup{Store: "other", InSync: true})
-		extra := entryID(Position{5, 9})
+		unknownEntry := entryID(Position{5, 9})
 		p := m.partitions[0]
-		digest := DigestResponse{IDs: map[State][]string{Pending: {extra, "deferred"}}}
+		digest := DigestResponse{IDs: map[State][]string{Pending: {unknownEntry, "deferred"}}}
 		toSend, toFetch := m.compare(p, 6, "other", digest)
 		if toSend != 1 || !slices.Equal(toFetch, []string{"deferred"}) {
 			t.Errorf("%d to send, %q to fetch", toSend, toFetch)
 		}
-		if r := p.replicas[0].unreplicated[extra]; r == nil || r.State != Deleted {
+		if r := p.replicas[0].unreplicated[unknownEntry]; r == nil || r.State != Deleted {
 			t.Errorf("sent is %+v", r)
 		}
 		if toSend, toFetch := m.compare(p, 6, "a former primary", digest); toSend != 0 || len(toFetch) != 1 {
@@ -245,7 +245,7 @@
 func TestRestartedPrimaryGivesNoPositionTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		config := testConfig(t.TempDir())
-		for life, want := range []int64{1, sequenceGap + 2} {
+		for run, want := range []int64{1, sequenceGap + 2} {
 			m, err := New(config)
 			if err != nil {
 				t.Fatal(err)
@@ -257,11 +257,11 @@
 				_ = m.Run(ctx)
 			}()
 			assign(m, 1, placement.Partition{Epoch: 6, Primary: "me"})
-			if errs := <-publish(t, m, int64(life+1)); errs[0] != nil {
+			if errs := <-publish(t, m, int64(run+1)); errs[0] != nil {
 				t.Fatal(errs[0])
 			}
-			if r := m.partitions[0].log.entries[life]; r.Order != want {
-				t.Errorf("life %d: the order is %d, not %d", life, r.Order, want)
+			if r := m.partitions[0].log.entries[run]; r.Order != want {
+				t.Errorf("run %d: the order is %d, not %d", run, r.Order, want)
 			}
 			cancel()
 			<-done
