--- a/internal/partition/accept.go
+++ b/internal/partition/accept.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// pendingAccept is a message that the disks of this store and of all backups are
-// to confirm.
+// pendingAccept is a message that has not yet been confirmed by the disk of this store
+// and the disks of all backups.
 type pendingAccept struct {
 	record       *Record
 	onLocalDisk  bool
-	onBackupDisk map[string]bool // by the identity of the disk
-	done         chan struct{}   // closed once it is confirmed
+	onBackupDisk map[string]bool // by disk identity
+	done         chan struct{}   // closed when the message is confirmed
 }
 
-// acceptWait is what an accept waits for, outside of the lock. Any of the
-// channels may be nil.
+// acceptWait tells the caller of tryAccept what to wait for after it has released the
+// lock. Any of the channels may be nil.
 type acceptWait struct {
-	confirmed   <-chan struct{} // closed: the message is accepted
-	changed     <-chan struct{} // closed: look again
-	retryAfter  time.Duration   // look again then; 0 means never
-	mayBeStored bool            // some disk may have the message
+	confirmed   <-chan struct{} // closed when the message is accepted
+	changed     <-chan struct{} // closed when the partition has changed and the call must be retried
+	retryAfter  time.Duration   // delay before the next retry; 0 disables it
+	mayBeStored bool            // at least one disk may hold the message
 }
 
-// Accept stores a message. It returns nil once the disks of the primary and of
-// all backups, Config.Backups or more, hold it. An *UnconfirmedError says that it
-// may have been stored; after any other error it was not stored.
+// Accept stores a message. It returns nil once the message is on the disks of the primary
+// and of all backups, of which there must be at least Config.Backups. An
+// *UnconfirmedError means that the message may have been stored; after any other error it
+// was not stored.
 func (m *Manager) Accept(ctx context.Context, n int, r *Record) error {
 	return m.AcceptAll(ctx, n, []*Record{r})[0]
 }
 
-// AcceptAll accepts messages of one partition in their order. The errors are those
-// of Accept, for each message.
+// AcceptAll accepts messages of one partition in the given order. It returns one error
+// for each message, as Accept would.
 func (m *Manager) AcceptAll(ctx context.Context, n int, records []*Record) []error {
 	attempts := make([]acceptAttempt, len(records))
 	for i, r := range records {
@@ -44,14 +45,14 @@
 	return errs
 }
 
-// acceptAttempt is the outcome of a first tryAccept.
+// acceptAttempt is the result of the first tryAccept for a message.
 type acceptAttempt struct {
 	wait acceptWait
 	err  error
 }
 
-// awaitAccept waits until a message is accepted, and tries again where that may
-// help.
+// awaitAccept waits until a message is accepted, and retries when the state of the
+// partition changes.
 func (m *Manager) awaitAccept(ctx context.Context, n int, r *Record, attempt acceptAttempt) error {
 	mayBeStored := false
 	for {
@@ -67,7 +68,7 @@
 		select {
 		case <-wait.confirmed:
 			return nil
-		case <-wait.changed: // the message may be in the new epoch
+		case <-wait.changed: // the message may be accepted in the new epoch
 		case <-retry:
 		case <-ctx.Done():
 			return notAccepted(n, mayBeStored)
@@ -76,7 +77,7 @@
 	}
 }
 
-// notAccepted is the error of an accept that ends without a confirmation.
+// notAccepted returns the error of an accept that ends without a confirmation.
 func notAccepted(n int, mayBeStored bool) error {
 	if mayBeStored {
 		return &UnconfirmedError{n}
@@ -84,7 +85,7 @@
 	return &NotPrimaryError{n}
 }
 
-// tryAccept stores a message, unless it is stored already or cannot be now, and
+// tryAccept stores a message unless it is already stored or cannot be stored now, and
 // returns what to wait for. Messages are stored in the order of the calls.
 func (m *Manager) tryAccept(n int, r *Record, mayBeStored bool) (acceptWait, error) {
 	m.mu.Lock()
@@ -99,7 +100,7 @@
 		accept = p.unconfirmed[stored.ID]
 	}
 	switch {
-	case stored == nil && mayBeStored: // it expired, or another primary may have it
+	case stored == nil && mayBeStored: // it has expired, or another primary may hold it
 		return acceptWait{}, notAccepted(n, mayBeStored)
 	case stored == nil && p.handover.acceptsStopped:
 		return acceptWait{changed: p.changed}, nil
@@ -120,16 +121,16 @@
 	return acceptWait{confirmed: accept.done, changed: p.changed, mayBeStored: true}, nil
 }
 
-// closedChannel is what confirms at once.
+// closedChannel is the confirmation of a message that is already accepted.
 var closedChannel = func() chan struct{} {
 	closed := make(chan struct{})
 	close(closed)
 	return closed
 }()
 
-// awaitVerificationLocked is the wait for a message that was stored earlier: it
-// is accepted once all backups are known to hold the same records, and this disk
-// has what is in memory here.
+// awaitVerificationLocked returns the wait for a message that was stored earlier. Such a
+// message is accepted once every backup has been verified to hold the same records and
+// this store's disk has everything that is in memory.
 func (m *Manager) awaitVerificationLocked(p *partition) acceptWait {
 	wait := acceptWait{retryAfter: m.timing.verificationPoll(), mayBeStored: true}
 	if len(p.replicas) >= m.config.Backups && p.allVerified() {
@@ -140,7 +141,7 @@
 	return wait
 }
 
-// checkAcceptLocked is the reason why the partition takes no new message now.
+// checkAcceptLocked returns an error if the partition cannot accept new messages now.
 func (m *Manager) checkAcceptLocked(p *partition) error {
 	switch {
 	case len(p.replicas) < m.config.Backups:
@@ -153,7 +154,7 @@
 	return nil
 }
 
-// startAcceptLocked sends a message to this disk and to the backups.
+// startAcceptLocked queues a message for this store's disk and for the backups.
 func (m *Manager) startAcceptLocked(p *partition, r *Record) *pendingAccept {
 	r.Partition = p.number
 	r.Order = p.records.sequence + 1
@@ -175,7 +176,8 @@
 	return accept
 }
 
-// isConfirmed reports whether enough disks hold a message that waits for them.
+// isConfirmed reports whether a pending message is on this store's disk and on the disks
+// of all backups.
 func (p *partition) isConfirmed(accept *pendingAccept, backups int) bool {
 	if !accept.onLocalDisk || len(p.replicas) < backups || p.unconfirmed[accept.record.ID] != accept {
 		return false
@@ -188,8 +190,8 @@
 	return true
 }
 
-// confirmLocked ends the wait for a message that enough disks hold, and gives it
-// to the delivery.
+// confirmLocked confirms a message if enough disks hold it, and passes it to the
+// delivery.
 func (m *Manager) confirmLocked(p *partition, accept *pendingAccept) {
 	if !p.isConfirmed(accept, m.config.Backups) {
 		return
@@ -205,7 +207,7 @@
 	}
 }
 
-// Finish stores the outcome of a message: Complete or Dead.
+// Finish stores the outcome of a message, Complete or Dead.
 func (m *Manager) Finish(n int, id string, state State, seal string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -219,8 +221,8 @@
 		m.commitLocked(p, outcome, nil)
 		return
 	}
-	// This store is the primary no longer: the new one finds the outcome when it
-	// compares its records with those here.
+	// This store is no longer the primary. The new primary finds the outcome when it
+	// reconciles its records with those of this store.
 	outcome.Sequence, outcome.Epoch = p.records.sequence+1, r.Epoch
 	m.storeLocked(p, outcome, nil)
 }
--- a/internal/partition/antientropy.go
+++ b/internal/partition/antientropy.go
@@ -9,8 +9,8 @@
 	"saltreel/internal/placement"
 )
 
-// HandleDigest lists what is held here of a partition. It returns a
-// *NotPrimaryError if the partition is not known here, or ErrOtherDisk.
+// HandleDigest lists the records that this store holds of a partition. It returns a
+// *NotPrimaryError if the partition is unknown here, or ErrOtherDisk.
 func (m *Manager) HandleDigest(_ context.Context, in *DigestRequest, _ []byte) (*DigestResponse, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -21,7 +21,8 @@
 		return nil, ErrOtherDisk
 	}
 	p := m.partitions[in.Partition]
-	// The placement may arrive later: who asks under a newer epoch is its primary.
+	// The placement may arrive later than this request. A sender with a newer epoch is
+	// the primary of that epoch.
 	if in.From != "" && p.epoch < in.Epoch && m.leadsLocked(p) {
 		m.applyAssignmentLocked(p, placement.Partition{Epoch: in.Epoch, Primary: in.From})
 		m.saveEpochsLocked()
@@ -33,10 +34,10 @@
 	return out, nil
 }
 
-// reconcile compares the records of a partition, which this store leads in the
-// given epoch, with those of another store, and exchanges what differs
-// (anti-entropy, Demers and others 1987). From a store that is no backup it only
-// takes what is missing here. It reports whether the other store answered.
+// reconcile compares the records of a partition that this store leads in the given epoch
+// with those of another store, and exchanges the differences (anti-entropy, Demers et al.
+// 1987). From a store that is not a backup it only fetches what is missing here. It
+// reports whether the other store answered.
 func (m *Manager) reconcile(n int, epoch int64, peer string) bool {
 	m.mu.Lock()
 	p, address := m.partitions[n], m.placement.Stores[peer].Address
@@ -61,9 +62,9 @@
 	return true
 }
 
-// compare queues for a backup what it lacks, and returns how many records these
-// are and the identifiers of those to fetch. It does nothing if this store leads
-// the partition in that epoch no longer.
+// compare queues the records that a backup lacks. It returns their number and the
+// identifiers of the records to fetch from it. It does nothing if this store no longer
+// leads the partition in that epoch.
 func (m *Manager) compare(p *partition, epoch int64, peer string, digest DigestResponse) (toSend int, toFetch []string) {
 	remote := digest.statesByID()
 	m.mu.Lock()
@@ -81,12 +82,12 @@
 	if digest.Outdated {
 		dropPendingMessages(remote)
 	}
-	toFetch = slices.DeleteFunc(p.records.missingOrOlder(remote), isEntryID) // the primary decides which there are
+	toFetch = slices.DeleteFunc(p.records.missingOrOlder(remote), isEntryID) // the primary alone decides which entries exist
 	m.wakeReplicatorLocked(peer)
 	return toSend, toFetch
 }
 
-// statesByID is the state of each record by its identifier.
+// statesByID returns the state of each record, keyed by its identifier.
 func (d *DigestResponse) statesByID() map[string]State {
 	states := map[string]State{}
 	for state, ids := range d.IDs {
@@ -97,7 +98,8 @@
 	return states
 }
 
-// missingOrOlder lists what is not here, or only in an earlier state: messages and log entries.
+// missingOrOlder lists the messages and log entries that are missing here or present only
+// in an earlier state than in remote.
 func (s *recordSet) missingOrOlder(remote map[string]State) []string {
 	var ids []string
 	for id, state := range remote {
@@ -108,12 +110,12 @@
 	return ids
 }
 
-// maxFetchBytes bounds the bodies in the answer to a FetchRequest.
+// maxFetchBytes bounds the bodies in the response to a FetchRequest.
 const maxFetchBytes = 4 * maxBatchBytes
 
-// HandleFetch answers a FetchRequest with the records that are here, as a
-// PartitionBatch and their bodies. What is over maxFetchBytes is left out, and what
-// an outdated replica holds as pending, unless the request asks for it.
+// HandleFetch answers a FetchRequest with the requested records that this store holds, as
+// a PartitionBatch followed by their bodies. Records beyond maxFetchBytes are omitted, as
+// are the pending messages of an outdated replica unless the request includes them.
 func (m *Manager) HandleFetch(_ context.Context, in *FetchRequest, _ []byte) (*PartitionBatch, []byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -137,11 +139,11 @@
 	return batch, bodies, nil
 }
 
-// errTruncatedFetch says that the answer of another store is incomplete. It is not
-// ErrTruncatedBatch, which blames the one who called this store.
+// errTruncatedFetch means that the response of another store is incomplete. It is
+// distinct from ErrTruncatedBatch, which is answered to a caller as its own mistake.
 var errTruncatedFetch = errors.New("the bodies are cut short")
 
-// fetchRecords takes records from another store and makes them the primary's own.
+// fetchRecords fetches records from another store and commits them as the primary.
 func (m *Manager) fetchRecords(ctx context.Context, n int, peer string, ids []string) error {
 	m.mu.Lock()
 	p := m.partitions[n]
@@ -169,9 +171,9 @@
 	return batch, bodies, err
 }
 
-// adoptLocked makes records of another store the primary's own, as changes of its
-// epoch, where they are further than those here. It reports whether all bodies
-// were there; it ends at the first that is not.
+// adoptLocked commits records of another store as changes of the current epoch, where
+// their state is later than the state here. It stops at the first truncated body, and
+// reports whether all bodies were complete.
 func (m *Manager) adoptLocked(p *partition, batch PartitionBatch, bodies []byte) bool {
 	for _, r := range batch.Records {
 		var complete bool
@@ -189,9 +191,9 @@
 	return true
 }
 
-// receiveRecord completes a record that another store sent: it takes its body from the
-// front of bodies and returns the rest. ok is false if that is too short. clockShift is
-// how far this store's clock is ahead of the other's, in ms.
+// receiveRecord completes a record that another store sent. It takes the body from the
+// front of bodies and returns the rest; ok is false if bodies is too short. clockShift is
+// how far this store's clock is ahead of the sender's, in ms.
 func (m *Manager) receiveRecord(p *partition, r *Record, bodies []byte, clockShift int64) (rest []byte, ok bool) {
 	if r.Length > len(bodies) {
 		return bodies, false
@@ -202,10 +204,10 @@
 	return bodies[r.Length:], true
 }
 
-// Find returns the record of a message, as its primary. One that is not here is
-// looked for at the backups, and taken from there. It returns a *NotPrimaryError,
-// ErrUnknownMessage, ErrIndeterminate where messages have backups and none could
-// be asked, or the error of the last backup that did not answer.
+// Find returns the record of a message that this store leads as the primary. If the
+// record is not here, it is fetched from a backup. Find returns a *NotPrimaryError,
+// ErrUnknownMessage, ErrIndeterminate if messages require backups but none could be
+// asked, or the error of the last backup that did not answer.
 func (m *Manager) Find(ctx context.Context, n int, id string) (*Record, error) {
 	r, backups, err := m.lookUp(n, id)
 	if err != nil || r != nil {
@@ -230,7 +232,7 @@
 	return nil, ErrUnknownMessage
 }
 
-// lookUp returns a record that is here, or else the backups to ask for it.
+// lookUp returns the record if it is here, or else the backups to ask for it.
 func (m *Manager) lookUp(n int, id string) (r *Record, backups []string, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/partition/assignment.go
+++ b/internal/partition/assignment.go
@@ -6,7 +6,8 @@
 	"saltreel/internal/placement"
 )
 
-// ApplyPlacement applies a placement, unless a newer one has been applied.
+// ApplyPlacement applies a placement, unless the same or a newer one has already been
+// applied.
 func (m *Manager) ApplyPlacement(next placement.Placement) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -14,7 +15,8 @@
 		return
 	}
 	m.placement = next
-	// A store with another disk of the same name held the partitions, not this one.
+	// If the placement names another disk, the partitions were assigned to an earlier
+	// disk of a store with this name, not to this one.
 	ownDisk := next.Stores[m.config.Self].Disk == m.storage.identity
 	applied := false
 	for n, assignment := range next.Partitions {
@@ -44,7 +46,7 @@
 	}
 }
 
-// addPartitionLocked makes the state of a partition from what the disk has of it.
+// addPartitionLocked creates the state of a partition from the records loaded from disk.
 func (m *Manager) addPartitionLocked(n int) {
 	p, memoryBytes := newPartition(n, m.epochs[n], m.loaded[n])
 	m.usage.memoryBytes += memoryBytes
@@ -58,12 +60,12 @@
 	m.partitions = append(m.partitions, p)
 }
 
-// saveEpochsLocked puts the newest epochs on disk, ahead of what is written under
+// saveEpochsLocked queues the newest epochs for the disk, ahead of all writes made under
 // them.
 func (m *Manager) saveEpochsLocked() { m.storage.putMeta(keyEpochs, m.epochs.encode()) }
 
-// applyAssignmentLocked changes the roles of the stores in a partition. Its
-// caller calls saveEpochsLocked before it releases mu.
+// applyAssignmentLocked changes the roles of the stores in a partition. The caller must
+// call saveEpochsLocked before it releases mu.
 func (m *Manager) applyAssignmentLocked(p *partition, assignment placement.Partition) {
 	formerPrimary := p.primary
 	wasPrimary := m.leadsLocked(p)
@@ -86,7 +88,7 @@
 	switch {
 	case isPrimary && !wasPrimary:
 		m.becomePrimaryLocked(p, assignment, formerPrimary)
-	case isPrimary: // with fewer backups a message may be confirmed now
+	case isPrimary: // if backups were removed, pending messages may now be confirmed
 		for _, accept := range p.unconfirmed {
 			m.confirmLocked(p, accept)
 		}
@@ -102,19 +104,19 @@
 	}
 }
 
-// sequenceGap is more than the changes that one process makes in an epoch.
+// sequenceGap exceeds the number of changes that one process makes in an epoch.
 const sequenceGap = int64(1) << 32
 
 func (m *Manager) becomePrimaryLocked(p *partition, assignment placement.Partition, former string) {
 	if m.previousEpochs[p.number] == p.epoch {
-		// An earlier process may have led it in this epoch, and given numbers to
-		// changes that its disk lacks and a replica holds.
+		// An earlier process may have led the partition in this epoch and assigned
+		// sequence numbers to changes that a replica holds but this store's disk lacks.
 		p.records.sequence += sequenceGap
 	}
 	m.events.push(Event{Partition: p.number, BecamePrimary: true, Records: p.pending()})
 	m.initTopicLogLocked(p)
-	// A former primary that handed the partition over is a backup now, and holds
-	// nothing that is not here. One that is none was taken for failed.
+	// A former primary that handed the partition over is now a backup and holds nothing
+	// that is missing here. One that is not a backup was presumed to have failed.
 	if _, known := m.placement.Stores[former]; known && former != m.config.Self && assignment.BackupIndex(former) < 0 {
 		m.recoverFromLocked(p, former)
 	}
@@ -126,13 +128,14 @@
 		p.released = through
 	}
 	p.log = nil
-	clear(p.unconfirmed) // the accepts that wait see the change of the partition
+	clear(p.unconfirmed) // waiting accepts are woken by the change of the partition
 	m.events.push(Event{Partition: p.number, LostPrimary: true})
 }
 
-// recoverFromLocked takes over from a primary that was taken for failed: if it
-// runs, the comparison makes it stop, and its records come here, those of the
-// deliveries under way there as well before this store may deliver.
+// recoverFromLocked takes over from a primary that was presumed to have failed. If that
+// primary still runs, the digest request deposes it and its records are fetched. A second
+// reconciliation fetches the outcomes of its last deliveries before this store may
+// deliver.
 func (m *Manager) recoverFromLocked(p *partition, former string) {
 	n, epoch, leaseExpires := p.number, p.epoch, p.granted.expires
 	m.background.tasks.Go(func() {
--- a/internal/partition/backup.go
+++ b/internal/partition/backup.go
@@ -7,8 +7,8 @@
 	"saltreel/internal/placement"
 )
 
-// HandleBatch applies a batch as the backup, and answers once all of it is on
-// disk. It returns ErrTruncatedBatch, ErrOutOfOrder, or the error of ctx.
+// HandleBatch applies a batch as a backup, and returns once all of it is on disk. It
+// returns ErrTruncatedBatch, ErrOutOfOrder, or the error of ctx.
 func (m *Manager) HandleBatch(ctx context.Context, batch *BatchRequest, raw []byte) (*BatchResponse, error) {
 	if err := m.awaitPrecedingBatch(ctx, batch); err != nil {
 		return nil, err
@@ -25,13 +25,14 @@
 	}
 }
 
-// applyBatch applies a batch; the channel is closed once it is on disk.
+// applyBatch applies a batch. The returned channel is closed once the batch is on disk.
 func (m *Manager) applyBatch(batch *BatchRequest, raw []byte) (*BatchResponse, <-chan struct{}, error) {
 	response := &BatchResponse{InOrder: true}
 	onDisk := make(chan struct{})
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	// The response counts for the disk that the sender's placement names.
+	// The primary counts the response as a confirmation by the disk that its placement
+	// names.
 	otherDisk := batch.Disk != "" && batch.Disk != m.storage.identity
 	for _, part := range batch.Partitions {
 		if otherDisk {
@@ -47,16 +48,15 @@
 		response.Partitions = append(response.Partitions, m.applyPartitionBatchLocked(batch, part, bodies))
 	}
 	m.recordAppliedLocked(batch)
-	// Also what came with an earlier batch, or from another primary: the checksum
-	// covers it, and a message that a checksum covers may be answered with 202.
+	// This includes records of earlier batches and of other primaries: the checksum
+	// covers them, and a message that a checksum covers may be answered with 202.
 	m.storage.afterSync(func() { close(onDisk) })
 	return response, onDisk, nil
 }
 
-// awaitPrecedingBatch waits until the batch that is to be applied before this one has
-// been.
+// awaitPrecedingBatch waits until the batch that precedes this one has been applied.
 func (m *Manager) awaitPrecedingBatch(ctx context.Context, batch *BatchRequest) error {
-	if batch.After == 0 { // as most are
+	if batch.After == 0 { // the common case
 		return nil
 	}
 	timer := time.NewTimer(m.timing.lease())
@@ -78,13 +78,15 @@
 	}
 }
 
-// hasAppliedLocked reports whether a batch of a primary, or a later one, was applied.
+// hasAppliedLocked reports whether the batch with this number, or a later one of the same
+// incarnation, has been applied.
 func (m *Manager) hasAppliedLocked(from string, number int64) bool {
 	applied := m.appliedBatches[from]
 	return sameIncarnation(applied, number) && applied >= number
 }
 
-// recordAppliedLocked lets batches that are to follow this one be applied.
+// recordAppliedLocked records the number of an applied batch and wakes the batches that
+// wait for it.
 func (m *Manager) recordAppliedLocked(batch *BatchRequest) {
 	if m.hasAppliedLocked(batch.From, batch.Number) {
 		return
@@ -94,7 +96,7 @@
 	m.batchApplied = make(chan struct{})
 }
 
-// bodyBytes is the length of the bodies of records that were received.
+// bodyBytes returns the total length of the bodies that follow the records.
 func bodyBytes(records []*Record) int {
 	size := 0
 	for _, r := range records {
@@ -112,7 +114,7 @@
 	if p.epoch > part.Epoch {
 		return stale
 	}
-	if p.epoch < part.Epoch { // the placement arrives later than the batch
+	if p.epoch < part.Epoch { // the batch arrived before the placement
 		m.applyAssignmentLocked(p, placement.Partition{
 			Epoch:   part.Epoch,
 			Primary: batch.From,
@@ -125,7 +127,7 @@
 	}
 	m.renewContactLocked(p)
 	for _, r := range part.Records {
-		bodies, _ = m.receiveRecord(p, r, bodies, m.Now()-batch.Now) // the caller has checked the length
+		bodies, _ = m.receiveRecord(p, r, bodies, m.Now()-batch.Now) // the caller has checked the total length
 		if r.supersedes(p.records.byID[r.ID]) {
 			m.storeLocked(p, r, nil)
 		}
--- a/internal/partition/batch.go
+++ b/internal/partition/batch.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// outgoingBatch is a batch with what its sender remembers of it.
+// outgoingBatch is a batch together with the state that the sender needs to handle its
+// response.
 type outgoingBatch struct {
 	request BatchRequest
 	bodies  []byte
@@ -10,8 +11,7 @@
 	address string
 }
 
-// sentPartition is what the primary remembers of one partition in a batch, as it
-// was when the batch was made.
+// sentPartition records the state of one partition at the time when the batch was made.
 type sentPartition struct {
 	partition    *partition
 	replica      *replica
@@ -19,24 +19,23 @@
 	records      []*Record
 	checksum     uint64
 	count        int
-	complete     bool // nothing was left out
+	complete     bool // no record queued for the backup was left out
 	released     Position
 	releaseLease bool
 }
 
-// isCurrent reports whether the partition has the same epoch still, with the same
-// backup.
+// isCurrent reports whether the partition still has the same epoch and the same backup.
 func (s *sentPartition) isCurrent() bool {
 	return s.partition.epoch == s.epoch && s.partition.replica(s.replica.store) == s.replica
 }
 
-// inSync reports whether the backup holds the same records as were here when the
+// inSync reports whether the backup holds the same records as this store did when the
 // batch was made.
 func (s *sentPartition) inSync(result PartitionResult) bool {
 	return s.complete && result.Checksum == s.checksum && result.Count == s.count
 }
 
-// makeBatch makes the batch of a number for a peer.
+// makeBatch creates the batch with the given number for a peer.
 func (m *Manager) makeBatch(peer string, number int64) outgoingBatch {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -58,9 +57,9 @@
 	return batch
 }
 
-// add puts one partition into the batch. A lease that it gives back counts no
-// longer from now on, whether or not the response arrives, and whatever those of
-// earlier batches say.
+// add adds one partition to the batch. A lease that the batch releases is invalid from
+// now on, whether or not the response arrives, and regardless of responses to earlier
+// batches.
 func (b *outgoingBatch) add(p *partition, r *replica) {
 	release := p.handover.acceptsStopped
 	if release {
--- a/internal/partition/batch_response.go
+++ b/internal/partition/batch_response.go
@@ -7,7 +7,7 @@
 	"saltreel/internal/placement"
 )
 
-// handleFailedBatch notes that the records of a batch are to be sent again.
+// handleFailedBatch makes the records of a failed batch eligible for sending again.
 func (m *Manager) handleFailedBatch(batch []sentPartition) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -16,8 +16,8 @@
 	}
 }
 
-// handleResponse takes over what a backup answered to a batch, which had the given
-// number and was sent at the given time.
+// handleResponse applies the response of a backup to the batch with the given number,
+// which was sent at sentAt.
 func (m *Manager) handleResponse(r *replicator, sentAt time.Time, number int64, batch []sentPartition, response BatchResponse) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -58,8 +58,8 @@
 	}
 }
 
-// handleNewerEpochLocked notes that the backup obeys another primary: it grants
-// this one no lease.
+// handleNewerEpochLocked handles a backup that follows another primary: it grants this
+// store no lease.
 func (m *Manager) handleNewerEpochLocked(sent *sentPartition) {
 	p, replica := sent.partition, sent.replica
 	if replica.connected {
@@ -69,7 +69,7 @@
 	replica.connected = false
 }
 
-// acknowledgeLocked notes that the backup has the records of a batch on its disk.
+// acknowledgeLocked records that the records of a batch are on the backup's disk.
 func (m *Manager) acknowledgeLocked(sent *sentPartition) {
 	p, replica := sent.partition, sent.replica
 	replica.connected = true
@@ -85,10 +85,10 @@
 	}
 }
 
-// renewLeaseLocked notes the lease that the backup granted, or that it has its
-// lease back. A batch that gave the lease back granted none, even if the handover
-// was called off before its response came. Responses may come in another order than
-// the batches went: what the later batch says of the lease counts.
+// renewLeaseLocked records that the backup granted a lease or that it has accepted its
+// release. A batch that releases the lease grants none, even if the handover was
+// cancelled before the response arrived. Responses may arrive out of order: the batch
+// with the highest number decides.
 func (m *Manager) renewLeaseLocked(sent *sentPartition, sentAt time.Time, number int64) {
 	replica := sent.replica
 	if number < replica.leaseBatch {
@@ -104,9 +104,9 @@
 	replica.leaseReleased = false
 }
 
-// verifyLocked compares what the backup holds with what is here, and starts a
-// reconciliation if they differ. It reports whether the backup is newly in sync
-// and this is to be reported.
+// verifyLocked compares the records of the backup with those of this store, and starts a
+// reconciliation if they differ. It reports whether the backup is newly in sync and this
+// should be reported.
 func (m *Manager) verifyLocked(sent *sentPartition, result PartitionResult) bool {
 	p, replica := sent.partition, sent.replica
 	if sent.inSync(result) {
--- a/internal/partition/contact.go
+++ b/internal/partition/contact.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// The outcome of a message is deleted once it has been retained for
-// Config.StateRetention. A replica that was away for longer may hold the message as
-// pending while nobody knows any more that it has ended. So each store notes when it
-// was last in contact with the other replicas of a partition. One that was not for
-// too long is outdated: what it holds as pending and the primary lacks has ended, or
-// was never confirmed, and is deleted instead of taken over. What was confirmed is at
-// the primary, which was in sync when it became primary.
+// The outcome of a message is deleted after Config.StateRetention. A replica that was out
+// of contact for longer may hold the message as pending when no other store remembers
+// that it has ended. Each store therefore records when it last exchanged records of a
+// partition with another replica. A replica whose last contact is too old is outdated:
+// messages that it holds as pending and that the primary lacks have either ended or were
+// never confirmed, so they are deleted instead of being taken over. The primary holds
+// every confirmed message, since it was in sync when it became primary.
 
-// contactTimes is when a store was last in contact, by partition: in milliseconds of
-// its clock.
+// contactTimes is the time of a store's last contact for each partition, in milliseconds
+// of its own clock.
 type contactTimes map[int]int64
 
 func (c contactTimes) encode() []byte {
@@ -25,36 +25,36 @@
 	return raw
 }
 
-// replicaContact is the contact of this store with the other replicas of one
-// partition.
+// replicaContact is the contact of this store with the other replicas of one partition.
 type replicaContact struct {
 	last     int64 // milliseconds of this store's clock
 	outdated bool
 }
 
-// check notes whether the last contact was too long ago.
+// check marks the replica as outdated if the last contact is older than limit. A limit of
+// 0 disables the check.
 func (c *replicaContact) check(now int64, limit time.Duration) {
 	if limit > 0 && now-c.last > limit.Milliseconds() {
 		c.outdated = true
 	}
 }
 
-// renew notes a contact now.
+// renew records a contact at time now.
 func (c *replicaContact) renew(now int64, limit time.Duration) {
 	c.check(now, limit)
 	c.last = now
 }
 
-// outdatedAfter is how long a replica may be out of contact and still hold nothing
-// that the others have forgotten. Half of the retention leaves room for clocks that
-// run or are set differently, and for the age of the times on disk.
+// outdatedAfter is the longest time without contact after which a replica is still sure
+// to hold no message that the others have forgotten. Half of the retention leaves room
+// for clock differences and for the age of the contact times on disk.
 func (m *Manager) outdatedAfter() time.Duration { return m.config.StateRetention / 2 }
 
-// contactSaveInterval is how old the times of contact on disk may be.
+// contactSaveInterval is the maximum age of the contact times on disk.
 func (m *Manager) contactSaveInterval() time.Duration { return m.config.StateRetention / 8 }
 
-// renewContactLocked notes that this store exchanged records of the partition with
-// another replica just now.
+// renewContactLocked records that this store has just exchanged records of the partition
+// with another replica.
 func (m *Manager) renewContactLocked(p *partition) {
 	p.contact.renew(m.Now(), m.outdatedAfter())
 }
@@ -66,7 +66,7 @@
 	return p.contact.outdated && !m.leadsLocked(p)
 }
 
-// saveContactsLocked puts the times of contact on disk.
+// saveContactsLocked queues the contact times for the disk.
 func (m *Manager) saveContactsLocked() {
 	m.contactsSaved = m.Now()
 	times := contactTimes{}
@@ -76,8 +76,8 @@
 	m.storage.putMeta(keyContact, times.encode())
 }
 
-// deleteStalePendingLocked deletes, at the replicas, the messages that an outdated one
-// holds as pending and this primary does not have. It returns how many there are.
+// deleteStalePendingLocked deletes the pending messages of an outdated replica that this
+// primary does not have. It returns their number.
 func (m *Manager) deleteStalePendingLocked(p *partition, remote map[string]State) (deleted int) {
 	for id, state := range remote {
 		if state == Pending && !isEntryID(id) && p.records.byID[id] == nil {
@@ -88,7 +88,7 @@
 	return deleted
 }
 
-// dropPendingMessages removes the deferred messages that are pending.
+// dropPendingMessages removes pending deferred messages from states.
 func dropPendingMessages(states map[string]State) {
 	for id, state := range states {
 		if state == Pending && !isEntryID(id) {
--- a/internal/partition/errors.go
+++ b/internal/partition/errors.go
@@ -5,68 +5,70 @@
 	"fmt"
 )
 
-// Errors of the calls of this package.
+// Errors returned by this package. Their texts are part of the protocol between processes
+// of different versions.
 var (
-	// ErrDiskRefusesWrites says that the last write to this store's disk failed.
-	// Another store will lead its partitions soon.
+	// ErrDiskRefusesWrites means that the last write to this store's disk failed. Another
+	// store will soon lead its partitions.
 	ErrDiskRefusesWrites = errors.New("this store's disk takes no writes")
-	// ErrStoreFull says that the store is over its bound of disk or memory.
+	// ErrStoreFull means that the store has exceeded its disk or memory limit.
 	ErrStoreFull = errors.New("this store is full")
-	// ErrIDConflict says that the identifier belongs to a message of another tenant.
+	// ErrIDConflict means that the identifier belongs to a message of another tenant.
 	ErrIDConflict = errors.New("another tenant's message has this id")
-	// ErrSuperseded says that a publisher's number was not accepted, and that a
-	// higher one of its topic was: it never will be accepted.
+	// ErrSuperseded means that a publisher's number was not accepted and never will be,
+	// since a higher number of the same publisher and topic was accepted.
 	ErrSuperseded = errors.New("a later number of this publisher was accepted")
-	// ErrUnknownMessage says that no replica that answered has the message.
+	// ErrUnknownMessage means that no replica that answered has the message.
 	ErrUnknownMessage = errors.New("no such message")
-	// ErrIndeterminate says that this store cannot be sure that there is no such
-	// message: it lacks it, and no backup could be asked.
+	// ErrIndeterminate means that this store lacks the message and could ask no backup,
+	// so the message may exist.
 	ErrIndeterminate = errors.New("no backup can say whether there is such a message")
-	// ErrUnknownPartition says that this store knows of no such partition.
+	// ErrUnknownPartition means that the partition is not in the placement known to this
+	// store.
 	ErrUnknownPartition = errors.New("no such partition here")
-	// ErrOtherDisk says that this store has another disk than the one that is asked.
+	// ErrOtherDisk means that the request is for another disk than the one of this store.
 	ErrOtherDisk = errors.New("this store has another disk")
-	// ErrOutOfOrder says that the batch before this one has not come.
+	// ErrOutOfOrder means that the preceding batch has not arrived.
 	ErrOutOfOrder = errors.New("the batch before this one has not come")
-	// ErrTruncatedBatch says that a batch has fewer bytes of bodies than its
-	// records announce.
+	// ErrTruncatedBatch means that the bodies of a batch are shorter than its records
+	// announce.
 	ErrTruncatedBatch = errors.New("the bodies are cut short")
 )
 
-// DiskError says that the file of a store cannot be opened now. It may be tried
-// again.
+// DiskError means that the file of a store cannot be opened at present. Opening it may be
+// retried.
 type DiskError struct{ Err error }
 
 func (e *DiskError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the error of the disk.
+// Unwrap returns the underlying error of the disk.
 func (e *DiskError) Unwrap() error { return e.Err }
 
-// NotPrimaryError says that this store is not the primary of a partition. A
-// message refused with it was not stored.
+// NotPrimaryError means that this store is not the primary of a partition. A message
+// rejected with it was not stored.
 type NotPrimaryError struct{ Partition int }
 
 func (e *NotPrimaryError) Error() string {
 	return fmt.Sprintf("partition %d is not led here", e.Partition)
 }
 
-// TooFewBackupsError says that a partition has fewer backups than must hold a
-// message. A message refused with it was not stored.
+// TooFewBackupsError means that a partition has fewer backups than must hold a message. A
+// message rejected with it was not stored.
 type TooFewBackupsError struct{ Partition, Backups, Needed int }
 
 func (e *TooFewBackupsError) Error() string {
 	return fmt.Sprintf("partition %d has %d backups, %d are needed", e.Partition, e.Backups, e.Needed)
 }
 
-// UnconfirmedError says that too few replicas confirmed a message in time. It
-// may have been stored, and may be delivered.
+// UnconfirmedError means that too few replicas confirmed a message in time. The message
+// may have been stored and may be delivered.
 type UnconfirmedError struct{ Partition int }
 
 func (e *UnconfirmedError) Error() string {
 	return fmt.Sprintf("partition %d: too few stores answered in time", e.Partition)
 }
 
-// CertainlyNotStored reports whether an error of Accept says that the call did not
+// CertainlyNotStored reports whether an error of Accept guarantees that the call did not
 // store the message.
 func CertainlyNotStored(err error) bool {
 	switch StatusCode(err) {
@@ -76,9 +78,8 @@
 	return false
 }
 
-// StatusCode is the HTTP status by which an error of this package is answered to
-// another process, or 0 where the error is not of this package. docs/calls.md
-// lists the codes.
+// StatusCode returns the HTTP status with which an error of this package is reported to
+// another process, or 0 for other errors. docs/calls.md lists the codes.
 func StatusCode(err error) int {
 	var (
 		notPrimary    *NotPrimaryError
--- a/internal/partition/events.go
+++ b/internal/partition/events.go
@@ -1,22 +1,22 @@
 package partition
 
-// Event tells the delivery, or the broker, what changed. The events of a partition
-// are in the order of the changes: BecamePrimary, then what there is to deliver,
-// then LostPrimary. Between the two LogReady comes once, or not at all if the role
-// is lost before; it waits for disks, so messages may come ahead of it. Entries
-// come only after it.
+// Event reports a change to the delivery or to the broker. The events of a partition are
+// in the order of the changes: BecamePrimary, then the records to deliver, then
+// LostPrimary. LogReady comes once between BecamePrimary and LostPrimary, or not at all
+// if the role is lost first. It waits for disks, so messages may precede it. Entries only
+// follow it.
 type Event struct {
 	Partition     int
-	BecamePrimary bool                // this store is the primary from now on; Records are all deferred ones that are pending
-	LostPrimary   bool                // it is the primary no longer
+	BecamePrimary bool                // this store has become the primary; Records holds all pending deferred messages
+	LostPrimary   bool                // this store is no longer the primary
 	Records       []*Record           // deferred messages to deliver
-	LogReady      bool                // the entries found here when it became primary follow in Entries
-	Floors        map[string]Position // with LogReady: of the topics that have one
-	Entries       []*Record           // of the log, which enough disks hold, in order
+	LogReady      bool                // the entries held when this store became primary follow in Entries
+	Floors        map[string]Position // with LogReady: the floors of the topics that have one
+	Entries       []*Record           // log entries that enough disks hold, in order
 }
 
-// eventQueue is the events that the delivery has not yet received. It has no
-// lock: the Manager's mu guards it, so events are in the order of the changes.
+// eventQueue holds the events that have not yet been returned by Events. It is guarded by
+// the Manager's mu, so that events are in the order of the changes.
 type eventQueue struct {
 	queue []Event
 	ready chan struct{}
@@ -30,8 +30,8 @@
 	}
 }
 
-// Events returns the events since the last call, and a channel that receives a
-// value when there may be more.
+// Events returns the events since the last call, and a channel that receives a value when
+// there may be more.
 func (m *Manager) Events() ([]Event, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/partition/floor.go
+++ b/internal/partition/floor.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// The floor of a topic is the position of its last entry that was deleted. As long as
-// the topic has entries, the first of them names the one before it. For one that has
-// none, the floor is a record of its own in the partition, replicated like all others:
-// so a cursor from before a deletion is known as such after any failover and restart.
+// The floor of a topic is the position of its last deleted entry. While a topic has
+// entries, the first of them names its predecessor. For a topic without entries, the
+// floor is a separate record in the partition and is replicated like all others, so that
+// a cursor from before a deletion is recognized after any failover and restart.
 
-// floorIDPrefix begins the identifiers of floors. No message has such a one.
+// floorIDPrefix is the prefix of the identifiers of floors. No message identifier has it.
 const floorIDPrefix = " floor/"
 
-// floorRetention is how long the floor of a topic without entries is kept. A cursor
-// from before that counts as one that has missed nothing.
+// floorRetention is how long the floor of a topic without entries is retained. After
+// that, an older cursor is treated as one that has missed nothing.
 const floorRetention = time.Hour
 
-// floorID is the identifier of a floor. It holds all that the record says: records are
-// compared by their identifiers and states.
+// floorID returns the identifier of a floor. It encodes the whole content of the record,
+// since records are compared only by identifier and state.
 func floorID(topic string, at Position) string { return floorIDPrefix + at.String() + "/" + topic }
 
-// parseFloorID reads the identifier of a floor; ok is false for other records.
+// parseFloorID parses the identifier of a floor; ok is false for other records.
 func parseFloorID(id string) (topic string, at Position, ok bool) {
 	text, isFloor := strings.CutPrefix(id, floorIDPrefix)
 	position, topic, hasTopic := strings.Cut(text, "/")
@@ -29,10 +29,11 @@
 	return topic, at, isFloor && hasTopic && err == nil
 }
 
-// topicFloors is the floors among the records of a partition, at its primary.
-type topicFloors map[string]Position // by topic
+// topicFloors maps topics to their floors, as recorded in a partition. It is maintained
+// by the primary.
+type topicFloors map[string]Position
 
-// newTopicFloors finds the floors among records.
+// newTopicFloors collects the floors among records.
 func newTopicFloors(records *recordSet) topicFloors {
 	floors := topicFloors{}
 	for id := range records.byID {
@@ -43,15 +44,16 @@
 	return floors
 }
 
-// remove forgets a floor whose record is deleted; other records are none.
+// remove deletes the floor whose record has the given identifier. It ignores the
+// identifiers of other records.
 func (f topicFloors) remove(id string) {
 	if topic, at, ok := parseFloorID(id); ok && f[topic] == at {
 		delete(f, topic)
 	}
 }
 
-// emptiedTopics are the topics that have no entry behind the expired ones, with the
-// position of their last entry.
+// emptiedTopics returns the topics that have no entry after their expired ones, each with
+// the position of its last entry.
 func (l *topicLog) emptiedTopics(now int64) map[string]Position {
 	emptied := map[string]Position{}
 	for _, r := range l.entries { // in order
@@ -65,8 +67,9 @@
 	return emptied
 }
 
-// raiseFloorsLocked records the floors of the topics that a deletion of the expired
-// entries leaves empty. It comes before the deletion, and so at the backups as well.
+// raiseFloorsLocked records the floors of the topics that become empty when the expired
+// entries are deleted. It must be called before the deletion, so that the backups receive
+// the floors first.
 func (m *Manager) raiseFloorsLocked(p *partition, now int64) {
 	for topic, at := range p.log.emptiedTopics(now) {
 		previous, known := p.log.floors[topic]
--- a/internal/partition/flush.go
+++ b/internal/partition/flush.go
@@ -7,19 +7,20 @@
 	"saltreel/internal/timeutil"
 )
 
-// UnreplicatedError says that a process ends with changes that backups may lack.
+// UnreplicatedError means that a process ends with changes that backups may lack.
 type UnreplicatedError struct {
 	Changes int
-	Backup  string // one that lacks some
+	Backup  string // one of the backups that lack changes
 }
 
 func (e *UnreplicatedError) Error() string {
 	return fmt.Sprintf("%d changes are not known to be at their backups, %s is one", e.Changes, e.Backup)
 }
 
-// Flush waits until the backups that answer have all changes of the partitions that this
-// store leads, outcomes above all: they go with the next batch, which is sent now. It
-// returns an *UnreplicatedError if ctx ends before.
+// Flush waits until all backups that are in sync or answer have all changes of the
+// partitions that this store leads, in particular the outcomes, which would otherwise
+// wait for the next batch. That batch is sent at once. Flush returns an
+// *UnreplicatedError if ctx ends first.
 func (m *Manager) Flush(ctx context.Context) error {
 	for {
 		err := m.sendUnreplicated()
@@ -33,7 +34,7 @@
 	}
 }
 
-// sendUnreplicated has the changes sent that backups lack. It returns an
+// sendUnreplicated triggers the sending of changes that backups lack. It returns an
 // *UnreplicatedError if there are any.
 func (m *Manager) sendUnreplicated() error {
 	m.mu.Lock()
--- a/internal/partition/handover.go
+++ b/internal/partition/handover.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// handoverState says what a handover has stopped in a partition.
+// handoverState records what a handover has stopped in a partition.
 type handoverState struct {
 	deliveriesStopped bool
 	acceptsStopped    bool
-	request           int64 // the last call of Freeze that asked for the partition
+	request           int64 // number of the last PrepareHandover call for the partition
 }
 
 func (h *handoverState) stopDeliveries(request int64) {
@@ -17,18 +17,17 @@
 	h.request = request
 }
 
-// resume lets the partition deliver and accept again.
+// resume allows deliveries and accepts again.
 func (h *handoverState) resume() {
 	h.deliveriesStopped = false
 	h.acceptsStopped = false
 }
 
-// PrepareHandover prepares the handover of partitions to their backups: it stops their
-// deliveries, waits until those under way have ended, stops accepting messages,
-// and returns the partitions whose backups hold all records and have their lease
-// back. The partitions go on as before if no new placement comes. wanted gives
-// the epoch of each partition; PrepareHandover changes it. idle reports whether no delivery
-// of a partition is under way.
+// PrepareHandover prepares partitions for a handover to their backups. It stops their
+// deliveries, waits until those in progress have ended, stops accepting messages, and
+// returns the partitions whose backups hold all records and no longer grant a lease. The
+// partitions resume if no new placement arrives. wanted maps each partition to its epoch
+// and is modified. idle reports whether no delivery of a partition is in progress.
 func (m *Manager) PrepareHandover(ctx context.Context, wanted map[int]int64, idle func(n int) bool) map[int]int64 {
 	ready := map[int]int64{}
 	request := m.stopDeliveries(wanted)
@@ -46,9 +45,9 @@
 	return ready
 }
 
-// stopDeliveries stops the deliveries of the partitions that this store leads in
-// the wanted epochs, and removes the others from wanted. It returns the number of
-// the request.
+// stopDeliveries stops the deliveries of the partitions that this store leads in the
+// wanted epochs, and removes the others from wanted. It returns the number of the
+// request.
 func (m *Manager) stopDeliveries(wanted map[int]int64) int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -63,8 +62,8 @@
 	return m.handovers
 }
 
-// advanceHandover takes each wanted partition one step on, and moves those that
-// can be handed over to ready. It reports whether to wait no longer.
+// advanceHandover advances each wanted partition by one step, and moves those that can be
+// handed over to ready. It reports whether to stop waiting.
 func (m *Manager) advanceHandover(wanted, ready map[int]int64, idle func(n int) bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -87,9 +86,10 @@
 }
 
 // isReadyForHandover reports whether all backups that may become primary by a handover
-// hold all records and have their lease back. One that is still being filled, and is not
-// known to be in sync, is waited for only with what has changed, and not at all before it
-// has answered: the controller does not choose it.
+// hold all records and have accepted the release of their lease. A backup that is still
+// being filled and is not known to be in sync is only waited for until it has the latest
+// changes, and not at all before it has answered, since the controller does not choose
+// it.
 func (p *partition) isReadyForHandover() bool {
 	for _, r := range p.replicas {
 		switch {
@@ -103,9 +103,9 @@
 	return true
 }
 
-// anyStoppedAcceptingLocked reports whether any of the partitions is close to its
-// handover. Where none is, some deliveries take long, and the partitions that are
-// ready do not wait for them.
+// anyStoppedAcceptingLocked reports whether any of the partitions has stopped accepting
+// and so is close to its handover. If none has, only long deliveries remain, and the
+// partitions that are ready do not wait for them.
 func (m *Manager) anyStoppedAcceptingLocked(partitions map[int]int64) bool {
 	for n := range partitions {
 		if m.partitions[n].handover.acceptsStopped {
@@ -115,9 +115,9 @@
 	return false
 }
 
-// resumeAfter lets partitions that are led here in the same epoch go on after a
-// delay, unless a later request asked for them: the controller may rely on the
-// answer to that one for longer.
+// resumeAfter resumes partitions after a delay if they are still in the same epoch and no
+// later request has included them: the controller may rely on the response to a later
+// request for longer.
 func (m *Manager) resumeAfter(delay time.Duration, request int64, epochs map[int]int64) {
 	if len(epochs) == 0 {
 		return
@@ -134,7 +134,7 @@
 	})
 }
 
-// resume ends a handover that did not take place.
+// resume cancels a handover that did not take place.
 func (p *partition) resume() {
 	p.handover.resume()
 	for _, r := range p.replicas {
--- a/internal/partition/maintenance.go
+++ b/internal/partition/maintenance.go
@@ -6,20 +6,20 @@
 	"saltreel/internal/timeutil"
 )
 
-// usage is what the records of a store occupy, against its bounds.
+// usage tracks the resources that the records of a store occupy.
 type usage struct {
 	memoryBytes int64 // estimated
-	full        bool  // as last measured
+	full        bool  // result of the last measurement
 }
 
-// exceeds reports whether the records are over a bound; a bound of 0 is none.
+// exceeds reports whether the records exceed a limit. A limit of 0 means no limit.
 func (u *usage) exceeds(diskBytes, maxDisk, maxMemory int64) bool {
 	return maxDisk > 0 && diskBytes > maxDisk || maxMemory > 0 && u.memoryBytes > maxMemory
 }
 
-// measureUsageLocked decides whether the store is full, given the bytes in use on
-// disk. They are measured without the lock, since a file that is written anew after
-// a failed write may hold the measurement up.
+// measureUsageLocked updates whether the store is full, given the bytes in use on disk.
+// The caller measures these without the lock, since the measurement may block while the
+// file is rewritten after a failed write.
 func (m *Manager) measureUsageLocked(diskBytes int64) {
 	full := m.usage.exceeds(diskBytes, m.config.MaxDisk, m.config.MaxMemory)
 	if full != m.usage.full {
@@ -28,8 +28,7 @@
 	m.usage.full = full
 }
 
-// deleteExpired deletes the records of ended messages and the log entries that are
-// past their time, until ctx ends.
+// deleteExpired periodically deletes expired outcomes and log entries until ctx ends.
 func (m *Manager) deleteExpired(ctx context.Context) {
 	timeutil.Repeat(ctx, m.timing.expirySweep(), func() {
 		now := m.Now()
@@ -59,8 +58,8 @@
 	p.log.removeDeleted(&p.records)
 }
 
-// monitorDisk reports this store itself while its disk is not healthy, until ctx
-// ends. It writes then, so that it sees when the disk is healthy again.
+// monitorDisk reports this store as failed while its disk is unhealthy, until ctx ends.
+// It also writes a probe then, to detect when the disk is healthy again.
 func (m *Manager) monitorDisk(ctx context.Context) {
 	unhealthy := false
 	timeutil.Repeat(ctx, m.timing.diskCheck(), func() {
@@ -71,7 +70,7 @@
 		}
 		if (err != nil) != unhealthy {
 			unhealthy = err != nil
-			m.config.Log.Printf("disk: ill: %v: %v", unhealthy, err) // as docs/operations.md names it
+			m.config.Log.Printf("disk: ill: %v: %v", unhealthy, err) // this text is documented in docs/operations.md
 		}
 	})
 }
--- a/internal/partition/manager.go
+++ b/internal/partition/manager.go
@@ -1,12 +1,11 @@
-// Package partition replicates the messages of a store. Each partition has a
-// primary, which accepts and delivers messages, and backups, which hold the same
-// records: primary-backup replication, in which a placement from outside names
-// the primary of each epoch and fences the older ones (epochs as in Viewstamped
-// Replication, Oki and Liskov 1988).
+// Package partition replicates the messages of a store. Each partition has a primary,
+// which accepts and delivers messages, and backups, which hold the same records. This is
+// primary-backup replication: an external placement names the primary of each epoch and
+// fences off older ones (epochs as in Viewstamped Replication, Oki and Liskov 1988).
 //
-// A Manager owns all partitions of one store. The primary's side is in accept.go,
-// replicator.go, handover.go and antientropy.go, the backup's in backup.go; the
-// lease by which a primary may deliver is in lease.go.
+// A Manager owns all partitions of one store. The primary is implemented in accept.go,
+// replicator.go, handover.go and antientropy.go, the backup in backup.go, and the lease
+// under which a primary may deliver in lease.go.
 package partition
 
 import (
@@ -22,24 +21,25 @@
 	"saltreel/internal/rpc"
 )
 
-// Config is what a Manager needs.
+// Config configures a Manager.
 type Config struct {
-	Self           string        // name of this node
-	Dir            string        // folder of the file of records
+	Self           string        // name of this node in the placement
+	Dir            string        // directory of the record file
 	Client         *rpc.Client   // for calls to other stores
-	ContactTimeout time.Duration // all other times are derived from it
+	ContactTimeout time.Duration // all other timeouts and intervals are derived from it
 	StateRetention time.Duration // how long the outcome of a message is retained
 	Log            *log.Logger
 
 	// ReportInSync reports backups that hold all records.
 	ReportInSync func(ctx context.Context, in placement.InSyncReport) error
-	// ReportFailure reports a store that does not answer, or refuses connections.
+	// ReportFailure reports a store that does not answer or refuses connections.
 	ReportFailure func(store string, refused bool)
 
-	// MaxDisk and MaxMemory bound the records, in bytes; 0 means no bound. A store
-	// over them accepts no new messages.
+	// MaxDisk and MaxMemory limit the size of the records, in bytes; 0 means no limit. A
+	// store above a limit accepts no new messages.
 	MaxDisk, MaxMemory int64
-	// Backups is how many other stores must hold a message before it is accepted.
+	// Backups is the number of other stores that must hold a message before it is
+	// accepted.
 	Backups int
 }
 
@@ -61,35 +61,35 @@
 	timing         timing
 	clock          clock
 	storage        *storage
-	previousEpochs fencingEpochs // as an earlier process left them
+	previousEpochs fencingEpochs // as loaded from disk
 	background     background
 
-	mu          sync.Mutex // guards all below, and the partitions
+	mu          sync.Mutex // guards all fields below, and the partitions
 	placement   placement.Placement
 	partitions  []*partition
-	loaded      map[int][]*Record // read from disk; until the placement is known
+	loaded      map[int][]*Record // loaded from disk, until the placement is known
 	epochs      fencingEpochs
 	events      eventQueue
-	replicators map[string]*replicator // by the name of the backup
+	replicators map[string]*replicator // by backup
 	usage       usage
-	handovers   int64 // calls of Freeze
+	handovers   int64 // number of PrepareHandover calls
 
-	appliedBatches map[string]int64 // the newest of each primary's batches, by its name
-	batchApplied   chan struct{}    // closed and replaced when there is another one
+	appliedBatches map[string]int64 // number of the newest applied batch, by primary
+	batchApplied   chan struct{}    // closed and replaced when another batch is applied
 
-	contacts      contactTimes // read from disk
-	contactsSaved int64        // when they were last put on disk, milliseconds of this store's clock
+	contacts      contactTimes // loaded from disk
+	contactsSaved int64        // when contact times were last saved, in milliseconds of this store's clock
 }
 
-// background is what a Manager does on its own: it ends with ctx.
+// background holds the background tasks of a Manager. They end with ctx.
 type background struct {
 	ctx   context.Context
 	stop  context.CancelFunc
 	tasks sync.WaitGroup
 }
 
-// New opens the file of records in config.Dir. Run must be called next. A
-// *DiskError says that the disk does not work now, and that New may be tried again.
+// New opens the record file in config.Dir. Run must be called next. A *DiskError means
+// that the disk does not work at present and that New may be retried.
 func New(config Config) (*Manager, error) {
 	if err := config.check(); err != nil {
 		return nil, err
@@ -119,7 +119,7 @@
 	return m, nil
 }
 
-// Run writes, replicates and deletes expired records until ctx ends. It returns
+// Run writes and replicates records and deletes expired ones until ctx ends. It returns
 // the error of the last write or of closing the file.
 func (m *Manager) Run(ctx context.Context) error {
 	defer context.AfterFunc(ctx, m.background.stop)()
@@ -130,25 +130,26 @@
 	return err
 }
 
-// Now is this store's time in milliseconds since the Unix epoch: steps of the
-// wall clock while the process runs have no effect on it.
+// Now returns this store's time in milliseconds since the Unix epoch. It is unaffected by
+// steps of the wall clock while the process runs.
 func (m *Manager) Now() int64 { return m.clock.now() }
 
-// DiskID identifies the disk: an empty one has a new identity.
+// DiskID returns the identity of this store's disk. A replaced or emptied disk has a new
+// identity.
 func (m *Manager) DiskID() string { return m.storage.identity }
 
-// Health is the error of the disk, if it is not healthy.
+// Health returns an error if the disk is unhealthy.
 func (m *Manager) Health() error {
 	return m.storage.check(m.timing.stalledWrite(), m.timing.slowWrite())
 }
 
-// RecordActivity notes on disk that this store is active now; see Downtime.
+// RecordActivity records on disk that this store is active now; see Downtime.
 func (m *Manager) RecordActivity() {
 	m.storage.putMeta(keyActivity, strconv.AppendInt(nil, m.Now(), 10))
 }
 
-// Downtime is how long this store was not active before this process, if it is
-// the primary of partition n and no other store has been since; else 0.
+// Downtime returns how long this store was inactive before this process started, if it is
+// the primary of partition n and no other store has been primary since; otherwise 0.
 func (m *Manager) Downtime(n int) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -158,14 +159,14 @@
 	return max(0, m.clock.started.Sub(m.storage.lastActivity))
 }
 
-// IsPending reports whether a message has not ended, as far as is known here.
+// IsPending reports whether this store holds the message as pending.
 func (m *Manager) IsPending(n int, id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.partitions[n].records.isPending(id)
 }
 
-// Count returns how many records there are and how many of them are pending.
+// Count returns the number of records and how many of them are pending.
 func (m *Manager) Count() (all, pending int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -180,7 +181,8 @@
 	return all, pending
 }
 
-// HasAssignedPartitions reports whether the placement gives this store any partition.
+// HasAssignedPartitions reports whether the placement assigns any partition to this
+// store.
 func (m *Manager) HasAssignedPartitions() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -192,7 +194,7 @@
 	return false
 }
 
-// hasPartitionLocked reports whether partition n is in the placement known here.
+// hasPartitionLocked reports whether partition n is in the placement known to this store.
 func (m *Manager) hasPartitionLocked(n int) bool { return n >= 0 && n < len(m.partitions) }
 
 // isPrimaryLocked reports whether this store is the primary of partition n.
@@ -200,26 +202,26 @@
 	return m.hasPartitionLocked(n) && m.leadsLocked(m.partitions[n])
 }
 
-// leadsLocked reports whether this store is the primary of p, and acts as such: it
-// has what it had to take from other stores.
+// leadsLocked reports whether this store is the primary of p and acts as such, that is,
+// it has fetched everything it needs from its recovery sources.
 func (m *Manager) leadsLocked(p *partition) bool {
 	return p.primary == m.config.Self && len(p.sources) == 0
 }
 
-// leadsInLocked reports whether this store is the primary of p in an epoch.
+// leadsInLocked reports whether this store leads p in the given epoch.
 func (m *Manager) leadsInLocked(p *partition, epoch int64) bool {
 	return p.epoch == epoch && m.leadsLocked(p)
 }
 
-// storeLocked puts a record into the partition and onto the disk; done, unless
-// nil, is called without mu once it is on disk.
+// storeLocked stores a record in memory and queues it for the disk. If done is not nil,
+// it is called without mu once the record is on disk.
 func (m *Manager) storeLocked(p *partition, r *Record, done func()) {
 	m.usage.memoryBytes += p.records.put(r)
 	m.storage.putRecord(p.number, r, done)
 }
 
-// commitLocked makes a change as the primary: it gets the next sequence number
-// and goes to the disk and to the backups.
+// commitLocked makes a change as the primary: it assigns the next sequence number and
+// queues the record for the disk and the backups.
 func (m *Manager) commitLocked(p *partition, r *Record, done func()) {
 	r.Sequence, r.Epoch, r.Length = p.records.sequence+1, p.epoch, len(r.Body)
 	m.storeLocked(p, r, done)
--- a/internal/partition/messages.go
+++ b/internal/partition/messages.go
@@ -1,36 +1,37 @@
 package partition
 
-// BatchRequest is what a primary sends to a backup. The bodies of the records
-// follow it in the order of the records.
+// BatchRequest is sent by a primary to a backup. The bodies of the records follow it in
+// the order of the records.
 type BatchRequest struct {
 	From       string           `json:"from"`
-	Number     int64            `json:"no"`              // rises with each batch of one incarnation of the sender
-	After      int64            `json:"after,omitempty"` // the batch that is to be applied before it; 0: any
-	Now        int64            `json:"now"`             // the sender's clock, ms: machines may not agree on the time
-	Disk       string           `json:"disk,omitempty"`  // identity of the disk that the batch is for; empty: any
+	Number     int64            `json:"no"`              // increases with each batch of one incarnation of the sender
+	After      int64            `json:"after,omitempty"` // number of the batch to be applied first; 0 if there is none
+	Now        int64            `json:"now"`             // the sender's clock in ms, used to correct for clock differences
+	Disk       string           `json:"disk,omitempty"`  // identity of the receiving disk; empty for any
 	Partitions []PartitionBatch `json:"parts"`
 }
 
-// PartitionBatch is what a batch holds of one partition.
+// PartitionBatch is the part of a batch that concerns one partition.
 type PartitionBatch struct {
 	Partition    int       `json:"n"`
 	Epoch        int64     `json:"e"`
-	Now          int64     `json:"now,omitempty"` // the sender's clock, ms, in the answer to a FetchRequest
+	Now          int64     `json:"now,omitempty"` // the sender's clock in ms, in the response to a FetchRequest
 	Records      []*Record `json:"r,omitempty"`
-	ReleaseLease bool      `json:"release,omitempty"` // the primary gives its lease back
-	Released     Position  `json:"rel,omitzero"`      // the entries up to here were released
+	ReleaseLease bool      `json:"release,omitempty"` // the primary releases its lease
+	Released     Position  `json:"rel,omitzero"`      // position up to which the entries were released
 }
 
-// BatchResponse answers a BatchRequest once all of it is on the backup's disk.
+// BatchResponse is sent once the whole BatchRequest is on the backup's disk.
 type BatchResponse struct {
 	Partitions []PartitionResult `json:"parts"`
-	InOrder    bool              `json:"in-order,omitempty"` // the backup heeds BatchRequest.After
+	InOrder    bool              `json:"in-order,omitempty"` // the backup honours BatchRequest.After
 }
 
-// PartitionResult is what the backup holds of one partition after a batch.
+// PartitionResult describes the records that the backup holds of one partition after a
+// batch.
 type PartitionResult struct {
 	Partition int    `json:"n"`
-	Stale     bool   `json:"stale,omitempty"` // the sender is not the primary as far as is known there
+	Stale     bool   `json:"stale,omitempty"` // the backup does not regard the sender as the primary
 	Checksum  uint64 `json:"d"`
 	Count     int    `json:"c"`
 }
@@ -40,22 +41,22 @@
 	From      string `json:"from"`
 	Partition int    `json:"n"`
 	Epoch     int64  `json:"e"`
-	Disk      string `json:"disk,omitempty"` // identity of the disk that is asked; empty: any
+	Disk      string `json:"disk,omitempty"` // identity of the receiving disk; empty for any
 }
 
 // DigestResponse lists the identifiers of the records by state.
 type DigestResponse struct {
 	IDs map[State][]string `json:"ids"`
-	// Outdated says that the replica was out of contact for so long that it may hold
+	// Outdated means that the replica was out of contact for so long that it may hold
 	// messages as pending that have ended.
 	Outdated bool `json:"outdated,omitempty"`
 }
 
-// FetchRequest asks a replica for records. Its answer is a PartitionBatch with
-// the bodies behind it.
+// FetchRequest asks a replica for records. The response is a PartitionBatch followed by
+// the bodies.
 type FetchRequest struct {
 	Partition int      `json:"n"`
 	IDs       []string `json:"ids"`
-	// IncludeOutdated asks for what an outdated replica holds as pending as well.
+	// IncludeOutdated requests the pending messages of an outdated replica as well.
 	IncludeOutdated bool `json:"outdated-too,omitempty"`
 }
--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -7,28 +7,28 @@
 	"saltreel/internal/placement"
 )
 
-// partition is the state of one partition on this store. It has no lock: its
-// Manager's mu guards it, except for the number, which doesn't change.
+// partition is the state of one partition on this store. It is guarded by the Manager's
+// mu, except for number, which never changes.
 type partition struct {
 	number   int
 	epoch    int64
-	primary  string        // name of a store; empty if this store has no part in it
+	primary  string        // name of a store; empty if this store has no role in the partition
 	isBackup bool          // this store is a backup
-	sources  []string      // stores from which this one takes records before it leads the partition
-	changed  chan struct{} // closed and replaced when those who wait are to look again
+	sources  []string      // stores from which records are fetched before this store leads the partition
+	changed  chan struct{} // closed and replaced to wake waiters when the partition changes
 
 	records recordSet
 	contact replicaContact
 
-	// At the primary:
+	// Used by the primary:
 	replicas    []*replica
 	unconfirmed map[string]*pendingAccept
 	handover    handoverState
 	log         *topicLog
 
-	// At a backup, and afterwards until it becomes primary and the lease ends:
+	// Used by a backup, and after it becomes primary until the granted lease expires:
 	granted  grantedLease
-	released Position // the entries up to here were released, as the primary said last
+	released Position // position up to which entries were released, as last received from the primary
 }
 
 func newPartition(number int, epoch int64, records []*Record) (p *partition, memoryBytes int64) {
@@ -45,7 +45,7 @@
 	return p, memoryBytes
 }
 
-// replica returns what is known of a backup, or nil.
+// replica returns the state of a backup, or nil if the store is not one.
 func (p *partition) replica(store string) *replica {
 	return findReplica(p.replicas, store)
 }
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// allVerified reports whether all backups were seen to hold the same records.
+// allVerified reports whether all backups have been verified to hold the same records.
 func (p *partition) allVerified() bool {
 	for _, r := range p.replicas {
 		if !r.verified {
@@ -69,15 +69,15 @@
 	return true
 }
 
-// hasApplied reports whether an assignment is not newer than the one in force.
-// One of the same epoch is newer if this store had no part in the partition: it
-// knows that epoch from its disk only.
+// hasApplied reports whether an assignment is not newer than the current one. An
+// assignment of the current epoch is newer if this store has no role in the partition,
+// since it then knows the epoch from its disk only.
 func (p *partition) hasApplied(assignment placement.Partition) bool {
 	return assignment.Epoch < p.epoch || assignment.Epoch == p.epoch && p.primary != ""
 }
 
-// updateInSync takes over which backups may become primary, from an assignment of
-// the epoch in force.
+// updateInSync updates which backups may become primary, from an assignment of the
+// current epoch.
 func (p *partition) updateInSync(assignment placement.Partition) {
 	if assignment.Epoch != p.epoch {
 		return
@@ -89,9 +89,8 @@
 	}
 }
 
-// setReplicas makes the replicas of a new epoch. One that was a replica before,
-// with the same disk, still lacks what it lacked; another one gets what is
-// unconfirmed.
+// setReplicas sets the replicas of a new epoch. A replica that keeps its disk keeps its
+// backlog; any other one is sent the unconfirmed messages.
 func (p *partition) setReplicas(backups []placement.Backup, stores map[string]placement.Store) {
 	former := p.replicas
 	p.replicas = nil
@@ -108,8 +107,8 @@
 	}
 }
 
-// stored returns the record of the message that r is; nil if there is none. A log
-// entry is known by its publisher's number.
+// stored returns the stored record of the same message as r, or nil if there is none. Log
+// entries are matched by publisher, topic and number.
 func (p *partition) stored(r *Record) *Record {
 	if r.IsEntry() {
 		return p.log.find(r)
@@ -117,8 +116,7 @@
 	return p.records.byID[r.ID]
 }
 
-// pending returns the deferred messages that have not ended, in the order of their
-// arrival.
+// pending returns the pending deferred messages in the order of their arrival.
 func (p *partition) pending() []*Record {
 	var pending []*Record
 	for _, r := range p.records.byID {
@@ -130,7 +128,7 @@
 	return pending
 }
 
-// notifyChanged lets those who wait for a change of the partition look again.
+// notifyChanged wakes those who wait for a change of the partition.
 func (p *partition) notifyChanged() {
 	close(p.changed)
 	p.changed = make(chan struct{})
--- a/internal/partition/position.go
+++ b/internal/partition/position.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// Position is a place in the log of a partition. Positions of one partition are
-// unique and rise with time: the epoch decides, then the order within it. The
-// zero value is before all entries.
+// Position is a place in the log of a partition. The positions of one partition are
+// unique and increase with time; they are ordered by epoch, then by order within the
+// epoch. The zero value precedes all entries.
 type Position struct {
 	Epoch int64 `json:"e,omitempty"`
 	Order int64 `json:"o,omitempty"`
 }
 
-// Compare returns -1, 0 or 1 as p is before, at or after q.
+// Compare returns -1, 0 or 1 if p is before, equal to or after q.
 func (p Position) Compare(q Position) int {
 	return cmp.Or(cmp.Compare(p.Epoch, q.Epoch), cmp.Compare(p.Order, q.Order))
 }
@@ -23,17 +23,17 @@
 // After reports whether p is after q.
 func (p Position) After(q Position) bool { return p.Compare(q) > 0 }
 
-// String is the position as text, which ParsePosition reads.
+// String returns the text form of the position, which ParsePosition parses.
 func (p Position) String() string {
 	return strconv.FormatInt(p.Epoch, positionBase) + "-" + strconv.FormatInt(p.Order, positionBase)
 }
 
-// positionBase makes the text of a position short: every delivery carries one.
+// positionBase keeps the text of a position short, since every delivery carries one.
 const positionBase = 36
 
 var errPosition = errors.New("not a position")
 
-// ParsePosition reads the text of a position.
+// ParsePosition parses the text form of a position.
 func ParsePosition(text string) (Position, error) {
 	epoch, order, ok := strings.Cut(text, "-")
 	if !ok {
--- a/internal/partition/record.go
+++ b/internal/partition/record.go
@@ -10,8 +10,8 @@
 	"saltreel/internal/ring"
 )
 
-// State is how far a message is. Of two records of a message the one with the
-// higher state wins, so an ended message never becomes pending again.
+// State is the processing state of a message. Of two records of a message, the one with
+// the higher state wins, so a message that has ended never becomes pending again.
 type State int
 
 // The states of a message, in the order of their precedence.
@@ -22,13 +22,13 @@
 	Deleted // expired; replicas that receive it remove the record
 )
 
-// Record is a message as a store holds it. Records are shared between
-// goroutines and immutable: a change makes a new one.
+// Record is a message as held by a store. Records are shared between goroutines and
+// immutable: a change creates a new one.
 type Record struct {
 	ID        string   `json:"id"`
-	Sequence  int64    `json:"q"`           // of the last change
-	Epoch     int64    `json:"e"`           // under which it was made
-	Order     int64    `json:"o,omitempty"` // the position among the messages of its partition
+	Sequence  int64    `json:"q"`           // sequence number of the last change
+	Epoch     int64    `json:"e"`           // epoch of the last change
+	Order     int64    `json:"o,omitempty"` // order among the messages of its partition
 	State     State    `json:"st,omitempty"`
 	Tenant    string   `json:"t,omitempty"`
 	Method    string   `json:"m,omitempty"`
@@ -37,19 +37,19 @@
 	Type      string   `json:"c,omitempty"` // content type
 	OrderKey  string   `json:"k,omitempty"`
 	Due       int64    `json:"d,omitempty"` // wall clock, ms
-	Expires   int64    `json:"x,omitempty"` // end of retention, or of the time that an ended state is retained; wall clock, ms
-	Revision  int64    `json:"r,omitempty"` // configuration under which it was accepted
+	Expires   int64    `json:"x,omitempty"` // end of the retention of the entry or of the outcome; wall clock, ms
+	Revision  int64    `json:"r,omitempty"` // revision of the configuration under which it was accepted
 	Seal      string   `json:"s,omitempty"`
 	Topic     string   `json:"tp,omitempty"` // of a log entry
 	Publisher string   `json:"pb,omitempty"` // of a log entry: the client
-	Number    int64    `json:"pn,omitempty"` // of a log entry: the client's number of it
-	Previous  Position `json:"pv,omitzero"`  // of a log entry: that of the topic before it
-	Length    int      `json:"n,omitempty"`  // of the body, which follows the JSON
+	Number    int64    `json:"pn,omitempty"` // of a log entry: the number assigned by the client
+	Previous  Position `json:"pv,omitzero"`  // of a log entry: position of the preceding entry of the topic
+	Length    int      `json:"n,omitempty"`  // length of the body, which follows the JSON
 	Body      []byte   `json:"-"`
 	Partition int      `json:"-"`
 }
 
-// supersedes reports whether r is to replace old.
+// supersedes reports whether r replaces old.
 func (r *Record) supersedes(old *Record) bool {
 	if old == nil {
 		return true
@@ -60,8 +60,8 @@
 	return r.Epoch > old.Epoch || r.Epoch == old.Epoch && r.Sequence > old.Sequence
 }
 
-// outcome is the record that remains of a message that has ended. The body of a
-// dead letter remains, since it may be asked for.
+// outcome returns the record that remains of a message that has ended. A dead letter
+// retains its body, since it may be requested.
 func (r *Record) outcome(state State, seal string, expires int64) *Record {
 	if state != Dead {
 		return &Record{ID: r.ID, Partition: r.Partition, State: state, Tenant: r.Tenant, Seal: seal, Expires: expires}
@@ -71,9 +71,9 @@
 	return &dead
 }
 
-// checksum is what a record adds, by exclusive or, to the checksum of its
-// partition. It covers the identifier and the state: records that agree in both
-// need no reconciliation.
+// checksum returns the contribution of a record to the checksum of its partition, to
+// which it is added by exclusive or. It covers the identifier and the state: records that
+// agree in both need no reconciliation.
 func (r *Record) checksum() uint64 {
 	if r.State == Deleted {
 		return 0
@@ -81,14 +81,14 @@
 	return ring.Hash(r.ID, strconv.Itoa(int(r.State)))
 }
 
-// recordOverhead estimates the bytes of memory of a record without its body.
+// recordOverhead is the estimated memory of a record without its body, in bytes.
 const recordOverhead = 400
 
-// memoryBytes estimates the memory that a record occupies.
+// memoryBytes returns the estimated memory that a record occupies.
 func (r *Record) memoryBytes() int64 { return recordOverhead + int64(len(r.Body)) }
 
-// shiftTimes moves the times of a record from another machine's clock to this
-// machine's.
+// shiftTimes converts the times of a record from another machine's clock to this
+// machine's clock.
 func (r *Record) shiftTimes(ms int64) {
 	if r.Due != 0 {
 		r.Due += ms
@@ -98,12 +98,12 @@
 	}
 }
 
-// recordKey is the key of a record on disk.
+// recordKey returns the key of a record on disk.
 func recordKey(partition int, id string) []byte {
 	return append(binary.BigEndian.AppendUint16(nil, uint16(partition)), id...)
 }
 
-// encode is the record's value on disk: one line of JSON and the body.
+// encode returns the value of the record on disk: one line of JSON followed by the body.
 func (r *Record) encode() []byte {
 	header, err := json.Marshal(r)
 	if err != nil {
@@ -131,18 +131,18 @@
 	return r, nil
 }
 
-// recordSet is the records that a store holds of one partition.
+// recordSet holds the records that a store has of one partition.
 type recordSet struct {
 	byID     map[string]*Record
-	sequence int64  // the highest seen
+	sequence int64  // the highest sequence number seen
 	checksum uint64 // of all records; equal sets have equal checksums
 	count    int
 }
 
 func newRecordSet() recordSet { return recordSet{byID: map[string]*Record{}} }
 
-// put makes r the record of its identifier, or removes it if r is a deletion.
-// It returns by how many bytes the memory in use grew.
+// put stores r as the record of its identifier, or removes that record if r is a
+// deletion. It returns the increase in memory use, in bytes.
 func (s *recordSet) put(r *Record) (growth int64) {
 	if old := s.byID[r.ID]; old != nil {
 		s.checksum ^= old.checksum()
@@ -160,7 +160,7 @@
 	return growth + r.memoryBytes()
 }
 
-// isPending reports whether a message is here and has not ended.
+// isPending reports whether the message is present and pending.
 func (s *recordSet) isPending(id string) bool {
 	r := s.byID[id]
 	return r != nil && r.State == Pending
--- a/internal/partition/recovery.go
+++ b/internal/partition/recovery.go
@@ -9,16 +9,18 @@
 	"saltreel/internal/timeutil"
 )
 
-// A failure may take all replicas in sync of a partition, while the others together still
-// hold everything that was accepted (placement.Span). The placement then names a primary
-// that lacks some of it, and the sources from which it takes that. Until it has all, the
-// primary does not act as one: it neither accepts nor delivers, and answers no queries.
+// A failure may destroy all in-sync replicas of a partition while the remaining stores
+// together still hold everything that was accepted (placement.Span). The placement then
+// names a primary that lacks some of it, and the sources from which the primary fetches
+// it. Until it has everything, the primary does not act as one: it neither accepts nor
+// delivers, and answers no queries.
 //
-// Records are merged by state, as ever: what has ended at one of the stores has ended. For
-// log entries the newest decides which there are before it, see removeForks.
+// Records are merged by state as usual: a message that has ended at one of the stores has
+// ended. For log entries, the newest entry determines which earlier ones exist; see
+// removeDivergentEntries.
 
-// recoverFromSources takes what the sources of a partition hold, and then begins to act as
-// its primary. It ends early when the assignment is in force no longer.
+// recoverFromSources fetches the records that the sources of a partition hold, and then
+// starts to act as its primary. It ends early when the assignment is superseded.
 func (m *Manager) recoverFromSources(p *partition, assignment placement.Partition, former string) {
 	m.config.Log.Printf("recovery: partition %d: takes records from %v", p.number, assignment.Sources)
 	started := time.Now()
@@ -38,8 +40,8 @@
 	m.reportRecovered(p, assignment.Epoch)
 }
 
-// isRecovering reports whether the partition still takes records from its sources, under
-// an assignment of this epoch.
+// isRecovering reports whether the partition is still fetching records from its sources
+// under an assignment of this epoch.
 func (m *Manager) isRecovering(p *partition, epoch int64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -50,7 +52,8 @@
 	return p.epoch == epoch && len(p.sources) > 0 && m.background.ctx.Err() == nil
 }
 
-// awaitDisk waits until this store's disk has what is in memory here.
+// awaitDisk waits until everything in memory is on this store's disk. It returns false if
+// the Manager ends first.
 func (m *Manager) awaitDisk() bool {
 	onDisk := make(chan struct{})
 	m.storage.afterSync(func() { close(onDisk) })
@@ -62,8 +65,8 @@
 	}
 }
 
-// copyFromSource takes over what a source holds and this store lacks. It reports whether
-// it has all; what it has got so far remains.
+// copyFromSource fetches the records that a source holds and this store lacks. It reports
+// whether it got all of them; records that were fetched remain in either case.
 func (m *Manager) copyFromSource(p *partition, epoch int64, source string) bool {
 	m.mu.Lock()
 	store := m.placement.Stores[source]
@@ -81,7 +84,7 @@
 		if err != nil {
 			m.config.Log.Printf("recovery: partition %d: %s: %v", p.number, source, err)
 		}
-		if len(received) == 0 { // or it has changed: it is asked anew
+		if len(received) == 0 { // the source failed or has changed; request its digest again
 			return false
 		}
 		missing = slices.DeleteFunc(missing, func(id string) bool { return received[id] })
@@ -89,7 +92,7 @@
 	return true
 }
 
-// requestDigest asks a source what it holds.
+// requestDigest asks a source which records it holds.
 func (m *Manager) requestDigest(n int, epoch int64, store placement.Store) (*DigestResponse, error) {
 	ctx, cancel := context.WithTimeout(m.background.ctx, m.timing.reconcileTimeout())
 	defer cancel()
@@ -101,11 +104,11 @@
 	return &digest, nil
 }
 
-// maxIDsPerFetch bounds the identifiers in one FetchRequest.
+// maxIDsPerFetch limits the identifiers in one FetchRequest.
 const maxIDsPerFetch = 1000
 
-// fetchFromSource takes records from a source as they are. It returns the identifiers of those
-// that came.
+// fetchFromSource fetches records from a source and stores them unchanged. It returns the
+// identifiers of the received records.
 func (m *Manager) fetchFromSource(p *partition, epoch int64, address string, ids []string) (received map[string]bool, err error) {
 	request := FetchRequest{Partition: p.number, IDs: ids[:min(len(ids), maxIDsPerFetch)], IncludeOutdated: true}
 	batch, bodies, err := m.callFetch(m.background.ctx, address, request)
@@ -131,8 +134,8 @@
 	return received, nil
 }
 
-// removeDivergentEntries removes the entries that one of the stores held although no later primary had
-// them: nobody confirmed them.
+// removeDivergentEntries removes the entries that one of the stores held although no
+// later primary had them: they were never confirmed.
 func (m *Manager) removeDivergentEntries(p *partition, epoch int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -152,8 +155,9 @@
 	}
 }
 
-// divergentEntries returns the entries of one topic that are not in the log which ends with the last
-// of them: an entry names the one before it, so there is none between the two.
+// divergentEntries returns the entries of one topic that are not part of the log that
+// ends with the last entry. Each entry names its predecessor, so no entry can lie between
+// the two.
 func divergentEntries(entries []*Record) []*Record {
 	slices.SortFunc(entries, func(a, b *Record) int { return b.Position().Compare(a.Position()) })
 	var next *Record
@@ -168,8 +172,8 @@
 	return divergent
 }
 
-// finishRecovery lets this store act as the primary of a partition that is complete now. It
-// reports whether the assignment is in force still.
+// finishRecovery makes this store act as the primary of a partition that it has
+// recovered. It reports whether the assignment is still current.
 func (m *Manager) finishRecovery(p *partition, assignment placement.Partition, former string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -186,7 +190,8 @@
 	return true
 }
 
-// reportRecovered reports that this store holds everything, until the placement says so.
+// reportRecovered reports that this store holds all records, until the placement names no
+// more sources.
 func (m *Manager) reportRecovered(p *partition, epoch int64) {
 	report := placement.InSyncReport{Replicas: []placement.Replica{{Partition: p.number, Epoch: epoch, Store: m.config.Self}}}
 	for m.placementNamesSources(p, epoch) {
--- a/internal/partition/replica.go
+++ b/internal/partition/replica.go
@@ -8,41 +8,41 @@
 	"saltreel/internal/placement"
 )
 
-// replica is what the primary of a partition knows of one backup.
+// replica is the state that the primary of a partition keeps for one backup.
 type replica struct {
 	store string
 	disk  string
 
-	inSync    bool // the placement says that it may become primary
-	connected bool // it answered in this epoch
-	verified  bool // it was seen to hold the same records in this epoch
+	inSync    bool // the placement allows it to become primary
+	connected bool // it has answered in this epoch
+	verified  bool // it has been verified to hold the same records in this epoch
 
-	unreplicated    map[string]*Record // changed since, and not known to be there
+	unreplicated    map[string]*Record // changed records that it has not acknowledged
 	missing         []string           // identifiers of older records that it lacks
-	inFlight        map[string]*Record // those of unreplicated that are under way
-	inFlightBatches int                // that are under way
+	inFlight        map[string]*Record // those of unreplicated that are in a batch in flight
+	inFlightBatches int                // number of batches in flight
 
-	released Position // the entries that it knows to be released
+	released Position // position up to which it knows entries to be released
 
-	leaseExpires  time.Time // the lease that it granted
-	leaseBatch    int64     // the newest batch whose response said so
-	leaseReleased bool      // it has the lease back
+	leaseExpires  time.Time // expiry of the lease that it granted
+	leaseBatch    int64     // number of the newest batch that renewed or released the lease
+	leaseReleased bool      // it has accepted the release of the lease
 
 	lastReconciled time.Time
-	lastReported   time.Time // as in sync
+	lastReported   time.Time // when it was last reported as in sync
 }
 
 func newReplica(backup placement.Backup, disk string) *replica {
 	return &replica{store: backup.Store, disk: disk, inSync: backup.InSync, unreplicated: map[string]*Record{}, inFlight: map[string]*Record{}}
 }
 
-// hasBacklog reports whether records are to be sent.
+// hasBacklog reports whether there are records to send.
 func (r *replica) hasBacklog() bool { return len(r.unreplicated) > 0 || len(r.missing) > 0 }
 
-// needsBatch reports whether the partition is to be in the next batch. Bytes
-// between regions are expensive: one with nothing to send is left out until its
-// lease is to be renewed. Beside a batch that is under way only new messages are sent:
-// its response decides on all else.
+// needsBatch reports whether the partition belongs in the next batch. Since traffic
+// between regions is expensive, a partition with nothing to send is left out until its
+// lease must be renewed. While a batch is in flight, only new messages are sent: its
+// response decides about everything else.
 func (r *replica) needsBatch(now time.Time, release bool, renewal time.Duration) bool {
 	if r.inFlightBatches > 0 {
 		return r.hasNewMessages()
@@ -53,13 +53,13 @@
 	return r.leaseExpires.Sub(now) <= renewal
 }
 
-// maxBatchBytes bounds a batch, so that its memory is bounded too.
+// maxBatchBytes limits the size of a batch, and thereby its memory.
 const maxBatchBytes = 256 << 10
 
-// selectRecords chooses what the next batch holds for the replica: the changed
-// records in the order of their changes, then the missing ones. size is the bytes
-// that the batch holds already; complete reports that nothing was left out. What
-// is selected of missing is removed from it.
+// selectRecords selects the records of the next batch for the replica: the changed
+// records in the order of their changes, then the missing ones. size is the number of
+// bytes already in the batch; complete reports that nothing was left out. Selected
+// records are removed from missing.
 func (r *replica) selectRecords(records *recordSet, size int64) (selected []*Record, complete bool) {
 	for _, record := range r.unreplicated {
 		if r.inFlight[record.ID] != record {
@@ -84,7 +84,7 @@
 	return selected, len(r.missing) == 0
 }
 
-// hasNewMessages reports whether there are pending messages that are not under way.
+// hasNewMessages reports whether there are pending messages that are not in flight.
 func (r *replica) hasNewMessages() bool {
 	for id, record := range r.unreplicated {
 		if record.State == Pending && r.inFlight[id] != record {
@@ -94,7 +94,7 @@
 	return false
 }
 
-// beginBatch notes that a batch with these records is under way.
+// beginBatch marks the records of a batch as in flight.
 func (r *replica) beginBatch(records []*Record) {
 	r.inFlightBatches++
 	for _, record := range records {
@@ -102,7 +102,7 @@
 	}
 }
 
-// endBatch notes that a batch with these records is under way no longer.
+// endBatch marks the records of a batch as no longer in flight.
 func (r *replica) endBatch(records []*Record) {
 	r.inFlightBatches--
 	for _, record := range records {
@@ -112,7 +112,7 @@
 	}
 }
 
-// acknowledge notes that the replica holds a record: unless it has changed again
+// acknowledge records that the replica holds a record, unless the record has changed
 // since it was sent.
 func (r *replica) acknowledge(record *Record) {
 	if r.unreplicated[record.ID] == record {
@@ -120,8 +120,8 @@
 	}
 }
 
-// queueMissing notes which records the replica lacks, given the states of those
-// that it holds: pending messages first. It returns how many there are.
+// queueMissing queues the records that the replica lacks, given the states of those that
+// it holds, with complete messages last. It returns the number of records queued.
 func (r *replica) queueMissing(records *recordSet, remote map[string]State) int {
 	queued := map[string]bool{}
 	for _, id := range r.missing {
--- a/internal/partition/replicator.go
+++ b/internal/partition/replicator.go
@@ -8,45 +8,46 @@
 	"saltreel/internal/httpwire"
 )
 
-// replicator sends to one backup what it lacks of all partitions, and so renews the
-// leases that the backup grants. It is woken for new messages. Outcomes, for which
-// nobody waits, go with the next of them or with the next renewal: a call for each
-// would be most of the calls in a large fleet.
+// replicator sends one backup the records that it lacks of all partitions, and thereby
+// renews the leases that the backup grants. New messages wake it. Outcomes, which nobody
+// waits for, are sent with the next message or lease renewal: a call for each outcome
+// would make up most of the calls in a large fleet.
 //
-// One batch is under way at a time, unless it takes long, as on slow disks: then further
-// ones follow, of a partition that is in one with new messages only. Each of those names
-// the batch before it, which the backup applies first, so no record overtakes another.
-// After a failure a single one goes until the backup has answered again.
+// Normally one batch is in flight. If it takes long, as on slow disks, further batches
+// follow; for a partition that is already in a batch in flight they carry only new
+// messages. Each of them names its predecessor, which the backup applies first, so that
+// no record overtakes another. After a failure, a single batch is sent until the backup
+// has answered again.
 //
-// Its fields belong to the goroutine of run, except for the channels.
+// The fields belong to the goroutine of run, except for the channels.
 type replicator struct {
 	manager       *Manager
 	peer          string // name of the backup
 	wakeup        chan struct{}
 	finished      chan batchOutcome
-	sendRequested bool // it was woken since the last batch
-	inFlight      int  // batches
+	sendRequested bool // woken since the last batch
+	inFlight      int  // number of batches in flight
 	lastBatch     int64
-	lastSentAt    time.Time // of the last batch
-	lastFailedAt  time.Time // of the last batch that ended, if it failed; else zero
-	inOrder       bool      // the backup applies batches in the order that they name
+	lastSentAt    time.Time // when the last batch was sent
+	lastFailedAt  time.Time // when the last batch ended, if it failed; otherwise zero
+	inOrder       bool      // the backup honours BatchRequest.After
 
-	// Of the pipeline under way: it has ended once one of them has failed, without which
-	// the backup does not apply those behind it.
+	// The context of the batches in flight. It is cancelled once one of them fails, since
+	// the backup does not apply the batches that follow a missing one.
 	pipeline       context.Context
 	cancelPipeline context.CancelFunc
 }
 
-// batchOutcome is how a batch ended.
+// batchOutcome is the result of a batch.
 type batchOutcome struct {
 	err     error
 	inOrder bool
 }
 
-// maxInFlightBatches bounds the batches to one backup.
+// maxInFlightBatches limits the number of batches in flight to one backup.
 const maxInFlightBatches = 4
 
-// wake makes the replicator look for work.
+// wake requests a check for records to send.
 func (r *replicator) wake() {
 	select {
 	case r.wakeup <- struct{}{}:
@@ -60,8 +61,8 @@
 	}
 }
 
-// startReplicatorLocked wakes the replicator to a peer, and starts it if there is
-// none yet. It runs until the Manager ends.
+// startReplicatorLocked wakes the replicator of a peer, and starts it if there is none
+// yet. A replicator runs until the Manager ends.
 func (m *Manager) startReplicatorLocked(peer string) {
 	if r := m.replicators[peer]; r != nil {
 		r.wake()
@@ -107,10 +108,11 @@
 	}
 }
 
-// waitForEvent is a wait that an event ends.
+// waitForEvent is the delay of a replicator that has to wait for an event.
 const waitForEvent = time.Duration(-1)
 
-// sendDelay is how long to wait until the next batch may be sent; 0 if it may now.
+// sendDelay returns how long to wait before the next batch may be sent, 0 if it may be
+// sent now, or waitForEvent.
 func (r *replicator) sendDelay(now time.Time) time.Duration {
 	timing := r.manager.timing
 	switch {
@@ -142,7 +144,7 @@
 	}
 	r.lastBatch = number
 	r.inFlight++
-	r.lastSentAt = time.Now() // the lease counts from before the call: the backup grants it later
+	r.lastSentAt = time.Now() // before the call: the lease must not outlast the one that the backup grants
 	pipeline, sentAt := r.pipeline, r.lastSentAt
 	m.background.tasks.Go(func() {
 		var response BatchResponse
@@ -156,7 +158,7 @@
 	})
 }
 
-// resetPipeline begins a sequence of batches, while none is under way.
+// resetPipeline starts a new sequence of batches. No batch may be in flight.
 func (r *replicator) resetPipeline(ctx context.Context) {
 	if r.cancelPipeline != nil {
 		r.cancelPipeline()
@@ -164,8 +166,8 @@
 	r.pipeline, r.cancelPipeline = context.WithCancel(ctx)
 }
 
-// handleOutcome notes how a batch ended. With the first that fails, the others end too:
-// those behind it would wait for it at the backup.
+// handleOutcome handles the result of a batch. The first failure cancels the other
+// batches in flight, which would otherwise wait at the backup for the failed one.
 func (r *replicator) handleOutcome(ctx context.Context, outcome batchOutcome) {
 	r.inFlight--
 	switch {
@@ -188,8 +190,7 @@
 	return m.config.Client.Call(ctx, batch.address, "/copy", batch.request, batch.bodies, response)
 }
 
-// handleFailure reports a backup that did not answer, and makes the replicator
-// try again.
+// handleFailure reports a backup that did not answer, and requests a retry.
 func (r *replicator) handleFailure(ctx context.Context, err error) {
 	m := r.manager
 	if r.lastFailedAt.IsZero() && ctx.Err() == nil {
--- a/internal/partition/storage.go
+++ b/internal/partition/storage.go
@@ -14,7 +14,7 @@
 	"saltreel/internal/boltstore"
 )
 
-// Buckets and keys of the file. They are the format on disk.
+// Buckets and keys of the file. They are part of the on-disk format.
 var (
 	bucketRecords = []byte("records")
 	bucketMeta    = []byte("meta")
@@ -25,29 +25,29 @@
 	keyProbe      = []byte("probe")
 )
 
-// storage is the file of a store. Writes are queued; the goroutine of run groups
-// all that wait into one transaction.
+// storage is the record file of a store. Writes are queued, and the goroutine of run
+// commits all queued writes in one transaction.
 type storage struct {
 	file         *boltstore.File
 	identity     string
-	lastActivity time.Time // of an earlier process; zero if there was none
+	lastActivity time.Time // last activity of an earlier process; zero if there was none
 
 	mu         sync.Mutex
 	queue      []change
 	wake       chan struct{}
-	writing    bool     // a batch was dequeued and is not yet on disk
-	afterWrite []func() // to be called once it is
+	writing    bool     // a dequeued batch is not yet on disk
+	afterWrite []func() // called once that batch is on disk
 	health     writeHealth
 }
 
 // change is one write.
 type change struct {
-	key, value []byte // a nil value deletes; a nil key writes nothing
-	meta       bool   // in the bucket of what is not a record
-	done       func() // called when it is on disk; may be nil
+	key, value []byte // a nil value deletes the key; a nil key writes nothing
+	meta       bool   // in the meta bucket instead of the records bucket
+	done       func() // called when the change is on disk; may be nil
 }
 
-// savedState is what the file holds when it is opened.
+// savedState is the content of the file when it is opened.
 type savedState struct {
 	identity     string
 	lastActivity time.Time
@@ -56,8 +56,8 @@
 	records      []*Record
 }
 
-// fencingEpochs is the newest epoch seen of each partition. They are on disk so
-// that a store that starts again does not obey a deposed primary.
+// fencingEpochs holds the newest epoch seen of each partition. The epochs are persisted
+// so that a restarted store does not follow a deposed primary.
 type fencingEpochs map[int]int64
 
 func (f fencingEpochs) encode() []byte {
@@ -68,11 +68,11 @@
 	return raw
 }
 
-// openStorage opens the file in dir. A damaged one is moved aside: the replicas
-// on the other stores fill a new one. One that the disk can't read is left alone.
+// openStorage opens the file in dir. A damaged file is moved aside, and the replicas on
+// other stores fill a new one. A file that the disk cannot read is left in place.
 //
-// What the file holds is loaded once. When it is opened anew after a failed
-// write, memory has all that it holds and more.
+// The content of the file is loaded only once. When the file is reopened after a failed
+// write, memory already holds everything in it.
 func openStorage(dir string, warn func(format string, args ...any)) (*storage, *savedState, error) {
 	var saved *savedState
 	s := &storage{wake: make(chan struct{}, 1)}
@@ -96,7 +96,7 @@
 	return s, saved, nil
 }
 
-// prepareFile makes the buckets and the identity of a new file.
+// prepareFile creates the buckets and the identity of a new file.
 func prepareFile(tx *bbolt.Tx) error {
 	if _, err := tx.CreateBucketIfNotExists(bucketRecords); err != nil {
 		return err
@@ -108,7 +108,7 @@
 	return meta.Put(keyIdentity, []byte(rand.Text()))
 }
 
-// loadFile reads the file. An error means that its content is damaged.
+// loadFile loads the content of the file. An error means that the content is damaged.
 func loadFile(tx *bbolt.Tx) (*savedState, error) {
 	saved := &savedState{epochs: fencingEpochs{}}
 	if err := saved.loadMeta(tx.Bucket(bucketMeta)); err != nil {
@@ -143,9 +143,9 @@
 	return nil
 }
 
-// usedBytes is the size of the file without its free pages; 0 while it is not open.
-// All of it is read in a transaction: outside of one the writer may be mapping
-// the file anew, and reading the map then ends the process.
+// usedBytes returns the size of the file without its free pages, or 0 while the file is
+// not open. All values are read within a transaction: otherwise the writer may be
+// remapping the file, and reading the old mapping would crash the process.
 func (s *storage) usedBytes() int64 {
 	var size int64
 	_ = s.file.View(func(tx *bbolt.Tx) error { // fails only while the file is not open
@@ -157,7 +157,7 @@
 	return size
 }
 
-// putRecord queues a record; done, unless nil, is called when it is on disk.
+// putRecord queues a record. If done is not nil, it is called when the record is on disk.
 func (s *storage) putRecord(partition int, r *Record, done func()) {
 	c := change{key: recordKey(partition, r.ID), done: done}
 	if r.State != Deleted {
@@ -166,7 +166,7 @@
 	s.put(c)
 }
 
-// putMeta queues a value that is not a record.
+// putMeta queues a value for the meta bucket.
 func (s *storage) putMeta(key, value []byte) { s.put(change{key: key, value: value, meta: true}) }
 
 func (s *storage) put(c change) {
@@ -179,8 +179,8 @@
 	}
 }
 
-// afterSync calls done once all that was put before is on disk: before it
-// returns where nothing waits.
+// afterSync calls done once everything queued before is on disk. If nothing is queued or
+// being written, it calls done before it returns.
 func (s *storage) afterSync(done func()) {
 	s.mu.Lock()
 	switch {
@@ -194,29 +194,29 @@
 	s.mu.Unlock()
 }
 
-// refusesWrites reports whether the last write failed, as on a full disk.
+// refusesWrites reports whether the last write failed, for example on a full disk.
 func (s *storage) refusesWrites() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.health.lastError != nil
 }
 
-// check is the error of a disk that is not healthy; see writeHealth.check.
+// check returns an error if the disk is unhealthy; see writeHealth.check.
 func (s *storage) check(stalled, slow time.Duration) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.health.check(time.Now(), stalled, slow)
 }
 
-// writeHealth is what the writes say of the disk.
+// writeHealth tracks the health of the disk as observed by writes.
 type writeHealth struct {
-	writeStarted time.Time     // of the write under way; zero if there is none
-	averageWrite time.Duration // of the time of a write, smoothed
-	lastError    error         // of the last write, if it failed
+	writeStarted time.Time     // start of the current write; zero if there is none
+	averageWrite time.Duration // moving average of the write time
+	lastError    error         // error of the last write, if it failed
 }
 
-// check is an error if a write has been under way for longer than stalled, if
-// writes have recently taken longer than slow, or if the last one was refused.
+// check returns an error if the last write failed, if the current write has taken longer
+// than stalled, or if the average write time exceeds slow.
 func (h *writeHealth) check(now time.Time, stalled, slow time.Duration) error {
 	var age time.Duration
 	if !h.writeStarted.IsZero() {
@@ -233,9 +233,9 @@
 	return nil
 }
 
-// recordWrite ends the write under way, which took the given time.
+// recordWrite records that the current write has ended after the given time.
 func (h *writeHealth) recordWrite(took time.Duration) {
-	const weight = 4 // a single slow write moves the average by a quarter
+	const weight = 4 // a single write contributes a quarter to the average
 	h.writeStarted = time.Time{}
 	h.averageWrite += (took - h.averageWrite) / weight
 }
--- a/internal/partition/topiclog.go
+++ b/internal/partition/topiclog.go
@@ -6,33 +6,32 @@
 	"strings"
 )
 
-// A partition holds messages of two kinds. A deferred message has a state and
-// ends. A message of a topic is an entry of the partition's log: it never changes
-// and is deleted once its retention is over. The rules of replication are the
-// same for both, but for one: the primary alone decides which entries there are.
-// One that a replica holds and the primary lacks was confirmed by no primary, so
-// it is deleted there, where a deferred message would be taken over.
+// A partition holds two kinds of messages. A deferred message has a state and ends. A
+// message of a topic is an entry of the partition's log: it never changes and is deleted
+// when its retention is over. Both are replicated by the same rules with one exception:
+// the primary alone decides which log entries exist. An entry that a replica holds and
+// the primary lacks was confirmed by no primary, so the replica deletes it, whereas a
+// deferred message would be taken over.
 
-// entryIDPrefix begins the identifiers of log entries. No deferred message has
-// such a one: an attempt id holds no space.
+// entryIDPrefix is the prefix of the identifiers of log entries. No deferred message has
+// it, since an attempt id contains no space.
 const entryIDPrefix = " log/"
 
-// entryID is the identifier of the log entry at a position.
+// entryID returns the identifier of the log entry at a position.
 func entryID(at Position) string { return entryIDPrefix + at.String() }
 
 func isEntryID(id string) bool { return strings.HasPrefix(id, entryIDPrefix) }
 
-// IsEntry reports whether the record is an entry of the log.
+// IsEntry reports whether the record is a log entry.
 func (r *Record) IsEntry() bool { return r.Topic != "" }
 
-// Position is the place of a log entry.
+// Position returns the position of a log entry.
 func (r *Record) Position() Position { return Position{r.Epoch, r.Order} }
 
-// publisherTopic is a publisher on one topic. Its numbers rise along the log.
+// publisherTopic identifies a publisher on one topic. Its numbers increase along the log.
 type publisherTopic struct{ publisher, topic string }
 
-// publication identifies what a publisher published: a number that comes again is
-// the same message.
+// publication identifies a published message. A repeated number denotes the same message.
 type publication struct {
 	publisherTopic
 	number int64
@@ -42,30 +41,29 @@
 
 func (r *Record) publication() publication { return publication{r.publisherTopic(), r.Number} }
 
-// topicLog is the log of a partition at its primary. It has no lock: the Manager's
-// mu guards it.
+// topicLog is the log of a partition at its primary. It is guarded by the Manager's mu.
 type topicLog struct {
-	entries       []*Record // by position
+	entries       []*Record // in the order of their positions
 	byPublication map[publication]*Record
-	highestNumber map[publisherTopic]int64 // the highest number in entries
-	lastPosition  map[string]Position      // of each topic; also if the entry is deleted by now
+	highestNumber map[publisherTopic]int64 // highest number of each publisher and topic in entries
+	lastPosition  map[string]Position      // last position of each topic, even if its entry has been deleted
 	floors        topicFloors
 
 	recovery      logRecovery
-	releasedCount int      // how many of entries have gone to the consumer
-	lastReleased  Position // of the last of them
+	releasedCount int      // number of entries released to the consumer
+	lastReleased  Position // position of the last released entry
 }
 
-// logRecovery is what a new primary waits for until it releases entries: each
-// replica that may succeed it holds the entries found here, and no more.
+// logRecovery tracks the conditions under which a new primary may release entries: each
+// replica that may succeed it must hold exactly the entries found here.
 //
-// The entries up to the last that the former primary released were on enough disks.
-// Those behind it are accepted anew, and wait for the disks of all replicas like
-// new ones (unconfirmed). Where nothing is known of releases, all replicas have to
-// hold all.
+// The entries up to the last one that the former primary released are known to be on
+// enough disks. The entries after it are requeued and wait for the disks of all replicas
+// like new ones (unconfirmed). If the last released position is unknown, all replicas
+// must hold all entries.
 type logRecovery struct {
-	onDisk       bool // this store's disk has the entries found
-	tailRequeued bool // those behind the last released one are accepted anew
+	onDisk       bool // the entries found are on this store's disk
+	tailRequeued bool // the entries after the last released one were requeued
 	done         bool
 }
 
@@ -86,12 +84,12 @@
 	return true
 }
 
-// newTopicLog makes the log of a new primary from the records that it holds. The
-// numbers of a publisher on a topic must rise along it. They don't where a primary
-// lost entries that no disk of its own had, restarted and accepted them again
-// while a replica still held the first ones: those that repeat are returned, to
-// be deleted. What was delivered is never among them: a primary delivers nothing
-// until its replicas hold what it holds and no more.
+// newTopicLog creates the log of a new primary from the records that it holds. The
+// numbers of a publisher on a topic must increase along the log. They do not if a primary
+// lost entries that were not on its own disk, restarted, and accepted them again while a
+// replica still held the first ones. The repeated entries are returned so that they can
+// be deleted. They were never delivered: a primary delivers nothing until its replicas
+// hold exactly the entries that it holds.
 func newTopicLog(records *recordSet) (l *topicLog, duplicates []*Record) {
 	l = &topicLog{
 		byPublication: map[publication]*Record{},
@@ -117,7 +115,7 @@
 	return l, duplicates
 }
 
-// append adds an entry behind all others.
+// append adds an entry at the end of the log.
 func (l *topicLog) append(r *Record) {
 	l.entries = append(l.entries, r)
 	l.byPublication[r.publication()] = r
@@ -125,11 +123,11 @@
 	l.lastPosition[r.Topic] = r.Position()
 }
 
-// find returns the entry of the same publication as r; nil if there is none.
+// find returns the entry of the same publication as r, or nil if there is none.
 func (l *topicLog) find(r *Record) *Record { return l.byPublication[r.publication()] }
 
-// HoldsNumber reports whether this store leads partition n and has a publisher's number on a
-// topic, confirmed or not.
+// HoldsNumber reports whether this store leads partition n and holds a publisher's number
+// on a topic, confirmed or not.
 func (m *Manager) HoldsNumber(n int, topic, publisher string, number int64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -139,15 +137,15 @@
 	return m.partitions[n].log.byPublication[publication{publisherTopic{publisher, topic}, number}] != nil
 }
 
-// isSuperseded reports whether the publisher's numbers on the topic have passed
-// that of r, or reached it.
+// isSuperseded reports whether the log holds an equal or higher number of the same
+// publisher and topic as r.
 func (l *topicLog) isSuperseded(r *Record) bool {
 	newest, ok := l.highestNumber[r.publisherTopic()]
 	return ok && r.Number <= newest
 }
 
-// release returns the entries that may be delivered and were not returned before:
-// in order, up to the first that waits for disks.
+// release returns the entries that have become deliverable since the last call: in order,
+// up to the first unconfirmed one.
 func (l *topicLog) release(isUnconfirmed func(id string) bool) []*Record {
 	first := l.releasedCount
 	for l.releasedCount < len(l.entries) && !isUnconfirmed(l.entries[l.releasedCount].ID) {
@@ -157,7 +155,7 @@
 	return l.entries[first:l.releasedCount:l.releasedCount]
 }
 
-// releasedThrough is the position of the last entry that was released.
+// releasedThrough returns the position of the last released entry.
 func (l *topicLog) releasedThrough() Position {
 	if l == nil {
 		return Position{}
@@ -165,8 +163,7 @@
 	return l.lastReleased
 }
 
-// EntriesAfter returns those of entries, which are in order, that are after a
-// position.
+// EntriesAfter returns the entries after a position. entries must be in order.
 func EntriesAfter(entries []*Record, p Position) []*Record {
 	first, _ := slices.BinarySearchFunc(entries, p, func(r *Record, p Position) int {
 		if r.Position().After(p) {
@@ -177,10 +174,11 @@
 	return entries[first:]
 }
 
-// maxIdleTopics bounds the topics without entries whose last position is known.
+// maxIdleTopics limits the number of topics without entries whose last position is kept
+// in memory.
 const maxIdleTopics = 1 << 17
 
-// removeDeleted drops the entries that the record set has no more.
+// removeDeleted drops the entries that are no longer in the record set.
 func (l *topicLog) removeDeleted(records *recordSet) {
 	var remaining []*Record
 	released := l.releasedCount
@@ -207,8 +205,7 @@
 	}
 }
 
-// initTopicLogLocked makes the log of a partition that this store leads from
-// now on.
+// initTopicLogLocked creates the log of a partition that this store has begun to lead.
 func (m *Manager) initTopicLogLocked(p *partition) {
 	log, duplicates := newTopicLog(&p.records)
 	p.log = log
@@ -223,7 +220,7 @@
 		}
 	}
 	m.storage.afterSync(func() {
-		m.background.tasks.Go(func() { // the caller of afterSync may hold mu
+		m.background.tasks.Go(func() { // afterSync may call this function with mu held
 			m.mu.Lock()
 			defer m.mu.Unlock()
 			if p.log == log {
@@ -233,7 +230,7 @@
 	})
 }
 
-// requeueAccept has an entry wait for the disks of this store and of all replicas.
+// requeueAccept makes an entry wait again for the disks of this store and all replicas.
 func (p *partition) requeueAccept(r *Record) *pendingAccept {
 	accept := &pendingAccept{record: r, onBackupDisk: map[string]bool{}, done: make(chan struct{})}
 	p.unconfirmed[r.ID] = accept
@@ -243,8 +240,8 @@
 	return accept
 }
 
-// handleLogOnDiskLocked notes that this disk has the entries that were found here,
-// those that are accepted anew among them.
+// handleLogOnDiskLocked records that the entries found here, including the requeued ones,
+// are on this store's disk.
 func (m *Manager) handleLogOnDiskLocked(p *partition, tail []*pendingAccept) {
 	p.log.recovery.onDisk = true
 	for _, accept := range tail {
@@ -254,8 +251,8 @@
 	m.releaseEntriesLocked(p)
 }
 
-// releaseEntriesLocked gives the entries that enough disks hold to the consumer.
-// So no cursor names what a failover may lose.
+// releaseEntriesLocked passes the entries that enough disks hold to the consumer.
+// Therefore no cursor refers to an entry that a failover may lose.
 func (m *Manager) releaseEntriesLocked(p *partition) {
 	log := p.log
 	if log == nil {
@@ -274,7 +271,7 @@
 }
 
 // deleteUnconfirmedEntriesLocked deletes the entries that a replica holds and this
-// primary lacks: nobody confirmed them, and nobody will.
+// primary lacks: they were never confirmed and never will be.
 func (m *Manager) deleteUnconfirmedEntriesLocked(p *partition, remote map[string]State) (deleted int) {
 	for id, state := range remote {
 		if isEntryID(id) && state != Deleted && p.records.byID[id] == nil {
--- a/internal/partition/writer.go
+++ b/internal/partition/writer.go
@@ -12,10 +12,10 @@
 	"saltreel/internal/boltstore"
 )
 
-// run writes until ctx ends and nothing is left to write, and closes the file.
-// What the disk refuses is tried again, once the file has been written anew (see
-// boltstore.File): the messages wait, unconfirmed. It ends early only if the file
-// is found damaged.
+// run writes until ctx ends and nothing is left to write, then closes the file. Failed
+// writes are retried once the file has been rewritten (see boltstore.File); the messages
+// remain unconfirmed until then. run returns early only if the file is found to be
+// damaged.
 func (s *storage) run(ctx context.Context, retry time.Duration, warn func(format string, args ...any)) error {
 	recovering, stop := context.WithCancel(ctx)
 	var tasks sync.WaitGroup
@@ -45,7 +45,7 @@
 	}
 }
 
-// dequeue returns all changes that wait.
+// dequeue removes and returns all queued changes.
 func (s *storage) dequeue() []change {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,9 +55,10 @@
 	return batch
 }
 
-// commitWithRetry writes a batch. A batch may be written twice, since a commit
-// that failed may be on disk: its changes only set and delete values. It returns an
-// error only if ctx ends while the disk refuses the batch, or the file is damaged.
+// commitWithRetry writes a batch, retrying on failure. A batch may be written twice,
+// since a failed commit may have reached the disk; this is safe because changes only set
+// and delete values. An error is returned only if ctx ends while writes fail, or if the
+// file is damaged.
 func (s *storage) commitWithRetry(ctx context.Context, batch []change, retry time.Duration, warn func(format string, args ...any)) error {
 	for {
 		err := s.commit(batch)
@@ -81,7 +82,7 @@
 	}
 }
 
-// reportWritten calls those who wait for a batch that is on disk.
+// reportWritten calls the callbacks that wait for a batch that is now on disk.
 func (s *storage) reportWritten(batch []change, warn func(format string, args ...any)) {
 	s.mu.Lock()
 	if s.health.lastError != nil {
