--- a/internal/partition/batch_response.go
+++ b/internal/partition/batch_response.go
@@ -129,6 +129,6 @@
 	ctx, cancel := context.WithTimeout(m.background.ctx, m.timing.inSyncReportTimeout())
 	defer cancel()
 	if err := m.config.ReportInSync(ctx, report); err != nil && m.background.ctx.Err() == nil {
-		m.config.Log.Printf("copy: report of partitions in sync: %v", err)
+		m.config.Log.Printf("copy: in-sync report failed: %v", err)
 	}
 }
--- a/internal/partition/contact.go
+++ b/internal/partition/contact.go
@@ -20,7 +20,7 @@
 func (c contactTimes) encode() []byte {
 	raw, err := json.Marshal(c)
 	if err != nil {
-		panic("partition: the times of contact cannot be encoded: " + err.Error())
+		panic("partition: encode contact times: " + err.Error())
 	}
 	return raw
 }
--- a/internal/partition/flush.go
+++ b/internal/partition/flush.go
@@ -14,7 +14,7 @@
 }
 
 func (e *UnreplicatedError) Error() string {
-	return fmt.Sprintf("%d changes are not known to be at their backups, %s is one", e.Changes, e.Backup)
+	return fmt.Sprintf("%d changes are not confirmed by all backups, for example by %s", e.Changes, e.Backup)
 }
 
 // Flush waits until all backups that are in sync or answer have all changes of the
--- a/internal/partition/position.go
+++ b/internal/partition/position.go
@@ -31,7 +31,7 @@
 // positionBase keeps the text of a position short, since every delivery carries one.
 const positionBase = 36
 
-var errPosition = errors.New("not a position")
+var errPosition = errors.New("invalid log position")
 
 // ParsePosition parses the text form of a position.
 func ParsePosition(text string) (Position, error) {
--- a/internal/partition/record.go
+++ b/internal/partition/record.go
@@ -107,25 +107,25 @@
 func (r *Record) encode() []byte {
 	header, err := json.Marshal(r)
 	if err != nil {
-		panic("partition: a record cannot be encoded: " + err.Error())
+		panic("partition: encode record: " + err.Error())
 	}
 	return append(append(header, '\n'), r.Body...)
 }
 
 func decodeRecord(key, value []byte) (*Record, error) {
 	if len(key) < 3 {
-		return nil, fmt.Errorf("record key %x is too short", key)
+		return nil, fmt.Errorf("decode record: key %x is too short", key)
 	}
 	header, body, ok := bytes.Cut(value, []byte{'\n'})
 	r := &Record{Partition: int(binary.BigEndian.Uint16(key))}
 	if err := json.Unmarshal(header, r); err != nil {
-		return nil, fmt.Errorf("record %q cannot be read: %w", key[2:], err)
+		return nil, fmt.Errorf("decode record %q: %w", key[2:], err)
 	}
 	if !ok {
-		return nil, fmt.Errorf("record %q cannot be read: no end of line", key[2:])
+		return nil, fmt.Errorf("decode record %q: no newline after the JSON header", key[2:])
 	}
 	if r.Length != len(body) || r.ID != string(key[2:]) {
-		return nil, fmt.Errorf("record %q is damaged", key[2:])
+		return nil, fmt.Errorf("decode record %q: identifier or body length does not match", key[2:])
 	}
 	r.Body = bytes.Clone(body)
 	return r, nil
--- a/internal/partition/storage.go
+++ b/internal/partition/storage.go
@@ -63,7 +63,7 @@
 func (f fencingEpochs) encode() []byte {
 	raw, err := json.Marshal(f)
 	if err != nil {
-		panic("partition: the epochs cannot be encoded: " + err.Error())
+		panic("partition: encode epochs: " + err.Error())
 	}
 	return raw
 }
@@ -132,12 +132,12 @@
 	}
 	if raw := meta.Get(keyEpochs); raw != nil {
 		if err := json.Unmarshal(raw, &saved.epochs); err != nil {
-			return fmt.Errorf("the epochs: %w", err)
+			return fmt.Errorf("decode epochs: %w", err)
 		}
 	}
 	if raw := meta.Get(keyContact); raw != nil {
 		if err := json.Unmarshal(raw, &saved.contacts); err != nil {
-			return fmt.Errorf("the times of contact: %w", err)
+			return fmt.Errorf("decode contact times: %w", err)
 		}
 	}
 	return nil
--- a/internal/partition/writer.go
+++ b/internal/partition/writer.go
@@ -67,7 +67,7 @@
 		}
 		s.mu.Lock()
 		if s.health.lastError == nil {
-			warn("disk: %d changes are not written: %v", len(batch), err)
+			warn("disk: write of %d changes failed: %v", len(batch), err)
 		}
 		s.health.lastError = err
 		s.mu.Unlock()
@@ -86,7 +86,7 @@
 func (s *storage) reportWritten(batch []change, warn func(format string, args ...any)) {
 	s.mu.Lock()
 	if s.health.lastError != nil {
-		warn("disk: writes again")
+		warn("disk: writes succeed again")
 	}
 	afterWrite := s.afterWrite
 	s.afterWrite = nil
