--- a/internal/partition/accept_test.go
+++ b/internal/partition/accept_test.go
@@ -11,13 +11,13 @@
 	"saltreel/internal/placement"
 )
 
-func TestPrimaryRefusesWhatItMustNotAccept(t *testing.T) {
+func TestAcceptRejections(t *testing.T) {
 	m := startPrimary(t, placement.Backup{Store: "other"})
 	m.mu.Lock()
 	m.partitions[0].records.put(&Record{ID: "z", Tenant: "a"})
 	m.mu.Unlock()
 	if err := m.Accept(t.Context(), 0, &Record{ID: "z", Tenant: "b"}); !errors.Is(err, ErrIDConflict) || StatusCode(err) != 409 {
-		t.Errorf("another tenant's id: %v", err)
+		t.Errorf("id of another tenant's message: %v", err)
 	}
 	m.storage.mu.Lock()
 	m.storage.health.lastError = os.ErrClosed
@@ -30,7 +30,7 @@
 	m.storage.mu.Unlock()
 	m.mu.Lock()
 	if m.partitions[0].records.byID["y"] != nil {
-		t.Error("a message was stored for a disk that refuses writes")
+		t.Error("a message was stored although the disk refuses writes")
 	}
 	m.config.MaxMemory = 1
 	m.usage.memoryBytes = 2
@@ -52,7 +52,8 @@
 	}
 }
 
-// Without a confirmation the error says whether the message may be stored.
+// An accept that ends without a confirmation must report whether the message may have
+// been stored.
 func TestAcceptWithoutConfirmationSaysWhetherItMayBeStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startPrimary(t, placement.Backup{Store: "other"})
@@ -64,7 +65,7 @@
 		var unconfirmed *UnconfirmedError
 		for _, attempt := range []string{"first", "second"} {
 			if err := accept("x"); !errors.As(err, &unconfirmed) {
-				t.Errorf("the %s accept, and the backup does not answer: %v", attempt, err)
+				t.Errorf("%s accept without an answer from the backup: %v", attempt, err)
 			}
 		}
 		m.mu.Lock()
@@ -72,15 +73,16 @@
 		m.mu.Unlock()
 		var notPrimary *NotPrimaryError
 		if err := accept("y"); !errors.As(err, &notPrimary) {
-			t.Errorf("in a handover: %v", err)
+			t.Errorf("during a handover: %v", err)
 		}
 		if err := accept("x"); !errors.As(err, &unconfirmed) {
-			t.Errorf("in a handover, stored before: %v", err)
+			t.Errorf("during a handover, message already stored: %v", err)
 		}
 	})
 }
 
-// A message that was stored and is gone has ended, or another primary has it.
+// A stored message that has since been deleted has either ended or moved to another
+// primary, so the accept must not claim that it was not stored.
 func TestAcceptOfAMessageThatWasDeletedIsUnclear(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startPrimary(t, placement.Backup{Store: "other"})
@@ -91,12 +93,12 @@
 		p := m.partitions[0]
 		delete(p.unconfirmed, "x")
 		m.commitLocked(p, &Record{ID: "x", State: Deleted}, nil)
-		m.config.Backups = 2 // a new message would be declined
+		m.config.Backups = 2 // a new message would be rejected
 		p.notifyChanged()
 		m.mu.Unlock()
 		var unconfirmed *UnconfirmedError
 		if err := <-accepted; !errors.As(err, &unconfirmed) {
-			t.Errorf("answered %v", err)
+			t.Errorf("got %v, want an UnconfirmedError", err)
 		}
 	})
 }
@@ -113,11 +115,11 @@
 	}{
 		"all disks":          {true, []string{"d1", "d2"}, []*replica{{disk: "d1"}, {disk: "d2"}}, 2, true, true},
 		"not on this disk":   {false, []string{"d1"}, []*replica{{disk: "d1"}}, 1, true, false},
-		"one backup misses":  {true, []string{"d1"}, []*replica{{disk: "d1"}, {disk: "d2"}}, 1, true, false},
+		"one backup missing": {true, []string{"d1"}, []*replica{{disk: "d1"}, {disk: "d2"}}, 1, true, false},
 		"a replaced disk":    {true, []string{"d1"}, []*replica{{disk: "d9"}}, 1, true, false},
 		"too few backups":    {true, []string{"d1"}, []*replica{{disk: "d1"}}, 2, true, false},
 		"no backups needed":  {true, nil, nil, 0, true, true},
-		"waits no longer":    {true, nil, nil, 0, false, false},
+		"not pending":        {true, nil, nil, 0, false, false},
 		"one backup removed": {true, []string{"d1", "d2"}, []*replica{{disk: "d1"}}, 1, true, true},
 	} {
 		accept.onLocalDisk, accept.onBackupDisk = c.local, map[string]bool{}
--- a/internal/partition/assignment_test.go
+++ b/internal/partition/assignment_test.go
@@ -67,7 +67,7 @@
 	assign(m, 3, placement.Partition{Epoch: 7, Primary: "other", Backups: []placement.Backup{{Store: "me"}}})
 	events, _ = m.Events()
 	if len(events) != 2 || len(events[0].Records) != 1 || !events[1].LostPrimary {
-		t.Errorf("a message, then another primary: %+v", events)
+		t.Errorf("after a message and the loss of the role: %+v", events)
 	}
 	assign(m, 3, placement.Partition{Epoch: 8, Primary: "me"})
 	if events, _ := m.Events(); len(events) != 0 {
@@ -80,7 +80,7 @@
 	}
 }
 
-// The log is ready only while this store leads the partition in the epoch in which
+// LogReady must only be sent while this store leads the partition in the epoch in which
 // it waited for its disk.
 func TestLogIsNotReadyOnceTheRoleIsLost(t *testing.T) {
 	m := startBackup(t)
@@ -95,8 +95,8 @@
 	}
 }
 
-// eventsUntilLogReady returns the events up to the first LogReady, which is the
-// last of them.
+// eventsUntilLogReady returns the events up to the first LogReady, which must be the last
+// of them.
 func eventsUntilLogReady(t *testing.T, m *Manager) (events []Event) {
 	t.Helper()
 	for {
--- a/internal/partition/backup_test.go
+++ b/internal/partition/backup_test.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// A message that a checksum covers may be answered with 202, so a backup that
-// has it in memory only does not answer until its disk has it, whoever asks.
-func TestBackupAnswersOnlyForWhatIsOnDisk(t *testing.T) {
+// A message that a checksum covers may be answered with 202. A backup must therefore not
+// answer any primary while a record that the checksum covers is only in memory.
+func TestBackupAcknowledgesOnlyRecordsOnDisk(t *testing.T) {
 	m := startBackup(t)
 	resumeDisk := stallDisk(m.storage)
 	handle := func(batch *BatchRequest, limit time.Duration) error {
@@ -47,15 +47,15 @@
 		return err
 	}
 	if handle(&BatchRequest{From: "other", Partitions: []PartitionBatch{{Epoch: 5, Records: []*Record{{ID: "x", Epoch: 5, Sequence: 1}}}}}, 50*time.Millisecond) == nil {
-		t.Error("a message is said to be on a disk that stalls")
+		t.Error("the backup acknowledged a message while its disk is stalled")
 	}
 	next := &BatchRequest{From: "third", Partitions: []PartitionBatch{{Epoch: 6}}}
 	if handle(next, 50*time.Millisecond) == nil {
-		t.Error("the next primary gets the checksum of a message that is on no disk here")
+		t.Error("the next primary got a checksum that covers a message that is not on disk")
 	}
 	resumeDisk()
-	if err := handle(next, time.Minute); err != nil { // a real disk, on a busy machine
-		t.Errorf("the disk works again: %v", err)
+	if err := handle(next, time.Minute); err != nil { // generous limit, since this is a real disk on a possibly busy machine
+		t.Errorf("after the disk has recovered: %v", err)
 	}
 }
 
@@ -69,10 +69,10 @@
 	}
 	r := m.partitions[0].records.byID["x"]
 	if d := r.Due - now; d < 1900 || d > 3000 {
-		t.Errorf("due in %d ms, not 2000, behind a clock that is an hour ahead", d)
+		t.Errorf("due in %d ms, want 2000, with the sender's clock one hour ahead", d)
 	}
 	if d := r.Expires - now; d < 89000 || d > 91000 {
-		t.Errorf("expires in %d ms, not 90000", d)
+		t.Errorf("expires in %d ms, want 90000", d)
 	}
 }
 
@@ -80,7 +80,7 @@
 	m := startBackup(t)
 	batch := &BatchRequest{From: "other", Partitions: []PartitionBatch{{Epoch: 5, Records: []*Record{{ID: "x", Sequence: 1, Length: 3}}}}}
 	if _, err := m.HandleBatch(t.Context(), batch, []byte("ab")); !errors.Is(err, ErrTruncatedBatch) {
-		t.Errorf("two bytes of three: %v", err)
+		t.Errorf("body of two bytes instead of three: %v", err)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -89,8 +89,8 @@
 	}
 }
 
-// A store that is back with an empty disk under its old name has none of the
-// records that the placement assumes there: its responses must not count.
+// A store that returns under its old name with an empty disk has none of the records that
+// the placement assumes there, so its responses must not count as confirmations.
 func TestBackupRefusesBatchesForAnotherDisk(t *testing.T) {
 	m := startBackup(t)
 	for _, c := range []struct {
@@ -98,10 +98,10 @@
 		epoch      int64
 		stale      bool
 	}{
-		{"the disk that is gone, a newer epoch", "another", 6, true},
-		{"the disk that is gone, the same epoch", "another", 5, true},
+		{"the previous disk, a newer epoch", "another", 6, true},
+		{"the previous disk, the same epoch", "another", 5, true},
 		{"this disk", m.DiskID(), 6, false},
-		{"a sender of an earlier version names none", "", 7, false},
+		{"no disk named, as by a sender of an earlier version", "", 7, false},
 	} {
 		batch := &BatchRequest{From: "third", Disk: c.disk, Partitions: []PartitionBatch{{Epoch: c.epoch, Records: []*Record{{ID: c.name, Sequence: 1}}}}}
 		response, err := m.HandleBatch(t.Context(), batch, nil)
--- a/internal/partition/contact_test.go
+++ b/internal/partition/contact_test.go
@@ -12,17 +12,17 @@
 func TestReplicaIsOutdatedOnceItsLastContactIsTooOld(t *testing.T) {
 	const limit = time.Second
 	for name, c := range map[string]struct {
-		contacts []int64 // when contact was renewed
+		contacts []int64 // times at which the contact was renewed
 		now      int64
 		limit    time.Duration
 		want     bool
 	}{
-		"at the limit":                {nil, 1000, limit, false},
-		"over the limit":              {nil, 1001, limit, true},
-		"renewed in time":             {[]int64{900}, 1800, limit, false},
-		"renewed too late":            {[]int64{1500}, 1600, limit, true},
-		"no outcomes are retained":    {nil, 1 << 40, 0, false},
-		"the clock of the disk leads": {[]int64{-5000}, -4500, limit, false},
+		"at the limit":                     {nil, 1000, limit, false},
+		"over the limit":                   {nil, 1001, limit, true},
+		"renewed in time":                  {[]int64{900}, 1800, limit, false},
+		"renewed too late":                 {[]int64{1500}, 1600, limit, true},
+		"no outcomes are retained":         {nil, 1 << 40, 0, false},
+		"saved contact ahead of the clock": {[]int64{-5000}, -4500, limit, false},
 	} {
 		var contact replicaContact
 		for _, at := range c.contacts {
@@ -35,8 +35,8 @@
 	}
 }
 
-// What an outdated replica holds as pending and the primary lacks is deleted there;
-// how a message ended, and entries of the log, are treated as from any replica.
+// A message that an outdated replica holds as pending and that the primary lacks must be
+// deleted there. Outcomes and log entries are treated as from any other replica.
 func TestPrimaryTakesNothingPendingFromAnOutdatedReplica(t *testing.T) {
 	remote := map[State][]string{Pending: {"both", "forgotten"}, Complete: {"ended"}}
 	for name, c := range map[string]struct {
@@ -70,8 +70,8 @@
 	}
 }
 
-// A store that was out of contact says so, also after its restart, until the
-// placement says that it is in sync.
+// A store that was out of contact for too long must report itself as outdated until the
+// placement lists it as in sync.
 func TestOutdatedReplicaSaysSo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startBackup(t)
--- a/internal/partition/errors_test.go
+++ b/internal/partition/errors_test.go
@@ -9,7 +9,7 @@
 	"saltreel/internal/rpc"
 )
 
-// The codes and texts are part of the calls between processes of different
+// The status codes and texts are part of the protocol between processes of different
 // versions.
 func TestErrorsHaveTheCodesAndTextsOfTheCalls(t *testing.T) {
 	for _, c := range []struct {
@@ -38,7 +38,7 @@
 	}
 }
 
-// What another store answered to this one is passed on as it is.
+// An error response of another store must be passed on unchanged.
 func TestStatusCodeDoesNotMapTheAnswerOfAnotherStore(t *testing.T) {
 	answered := &httpwire.Error{Step: "fetch", Sent: true, Err: &rpc.StatusError{Code: 421, Text: "no such partition here"}}
 	if code := StatusCode(answered); code != 0 || rpc.StatusCode(answered) != 421 {
--- a/internal/partition/find_test.go
+++ b/internal/partition/find_test.go
@@ -7,7 +7,7 @@
 	"saltreel/internal/placement"
 )
 
-// A store says that there is no such message only if nobody else can have it.
+// A store may only report a message as unknown if no other store can have it.
 func TestFindIsSureOnlyWithABackup(t *testing.T) {
 	for name, c := range map[string]struct {
 		needed  int
--- a/internal/partition/floor_test.go
+++ b/internal/partition/floor_test.go
@@ -14,18 +14,18 @@
 	for _, topic := range []string{"t", "a/b", "", " floor/1-1/x"} {
 		at := Position{3, 1 << 33}
 		if got, read, ok := parseFloorID(floorID(topic, at)); !ok || got != topic || read != at {
-			t.Errorf("%q is read as %q, %v, %v", topic, got, read, ok)
+			t.Errorf("%q is parsed as %q, %v, %v", topic, got, read, ok)
 		}
 	}
 	for _, id := range []string{"", "t", "1-1/t", floorIDPrefix, floorIDPrefix + "1-1", floorIDPrefix + "x/t", entryID(Position{1, 1})} {
 		if topic, at, ok := parseFloorID(id); ok {
-			t.Errorf("%q is read as the floor %v of %q", id, at, topic)
+			t.Errorf("%q is parsed as the floor %v of %q", id, at, topic)
 		}
 	}
 }
 
-// The floor of a topic is recorded when its last entry is deleted, once, and found by
-// the next primary.
+// The floor of a topic must be recorded once when its last entry is deleted, and be found
+// by the next primary.
 func TestFloorIsRaisedWhenATopicBecomesEmpty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startPrimary(t)
@@ -43,7 +43,7 @@
 			defer m.mu.Unlock()
 			m.deleteExpiredLocked(p, m.Now())
 			if recorded := newTopicFloors(&p.records); !maps.Equal(recorded, p.log.floors) {
-				t.Errorf("recorded are %v, known are %v", recorded, p.log.floors)
+				t.Errorf("recorded floors %v, floors in memory %v", recorded, p.log.floors)
 			}
 			return maps.Clone(p.log.floors)
 		}
@@ -58,7 +58,7 @@
 		last = accept("a", 3, time.Second)
 		time.Sleep(2 * time.Second)
 		if got := floors(); !maps.Equal(got, topicFloors{"a": last}) {
-			t.Errorf("floors after the next message %v", got)
+			t.Errorf("floors after the next message expired: %v", got)
 		}
 		_, _ = m.Events()
 		assign(m, 3, placement.Partition{Epoch: 7, Primary: "other", Backups: []placement.Backup{{Store: "me"}}})
@@ -67,11 +67,11 @@
 		events, _ := m.Events()
 		i := slices.IndexFunc(events, func(e Event) bool { return e.LogReady })
 		if i < 0 || !maps.Equal(events[i].Floors, topicFloors{"a": last}) || p.log.lastPosition["a"] != last {
-			t.Errorf("the next primary finds %+v, and %v before the next message", events, p.log.lastPosition["a"])
+			t.Errorf("the next primary sends %+v; last position of the topic %v", events, p.log.lastPosition["a"])
 		}
 		time.Sleep(floorRetention + time.Second)
 		if got := floors(); got["a"] != (Position{}) {
-			t.Errorf("floors after their retention %v", got)
+			t.Errorf("floors after their retention: %v", got)
 		}
 	})
 }
--- a/internal/partition/flush_test.go
+++ b/internal/partition/flush_test.go
@@ -9,7 +9,7 @@
 	"saltreel/internal/placement"
 )
 
-// A process that ends waits until its backups have all outcomes.
+// Before a process ends, Flush must wait until its backups have all outcomes.
 func TestFlushWaitsForTheBackups(t *testing.T) {
 	m := startPrimary(t, placement.Backup{Store: "b", InSync: true}, placement.Backup{Store: "being filled"})
 	if err := m.Flush(t.Context()); err != nil {
--- a/internal/partition/handover_test.go
+++ b/internal/partition/handover_test.go
@@ -43,7 +43,7 @@
 	m.partitions[0].replicas[0].connected = true
 	m.mu.Unlock()
 	if out := m.PrepareHandover(ctx, map[int]int64{0: 6}, idle); len(out) != 0 {
-		t.Errorf("handed over without an answer: %v", out)
+		t.Errorf("ready for a handover without an answer from the backup: %v", out)
 	}
 }
 
@@ -81,12 +81,12 @@
 			}
 			time.Sleep(m.config.ContactTimeout * 3 / 16)
 		}
-		if !stopped() { // a quarter of the contact timeout after the first
-			t.Error("the first lets the partition go on while the second is relied on")
+		if !stopped() { // 3/8 of the contact timeout after the first call, which is valid for a quarter
+			t.Error("the first call resumed the partition while the second is still valid")
 		}
 		time.Sleep(m.config.ContactTimeout / 8)
 		if stopped() {
-			t.Error("no new placement came, and the partition does not go on")
+			t.Error("the partition did not resume although no new placement arrived")
 		}
 	})
 }
--- a/internal/partition/helpers_test.go
+++ b/internal/partition/helpers_test.go
@@ -16,7 +16,8 @@
 	"saltreel/internal/rpc"
 )
 
-// testConfig is the configuration of a store named me that reaches no other one.
+// testConfig returns the configuration of a store named "me" that cannot reach any other
+// store.
 func testConfig(dir string) Config {
 	unreachable := func(context.Context, string) (net.Conn, error) { return nil, io.EOF }
 	return Config{
@@ -31,8 +32,8 @@
 	}
 }
 
-// startBackup runs a Manager that backs up partition 0, epoch 5, of the store
-// named other.
+// startBackup runs a Manager that backs up partition 0 in epoch 5 for the store named
+// "other".
 func startBackup(tb testing.TB) *Manager {
 	tb.Helper()
 	m, err := New(testConfig(tb.TempDir()))
@@ -70,7 +71,7 @@
 	})
 }
 
-// recordsOf makes a record set.
+// recordsOf returns a record set with the given records.
 func recordsOf(records ...*Record) *recordSet {
 	set := newRecordSet()
 	for _, r := range records {
@@ -79,7 +80,7 @@
 	return &set
 }
 
-// stallDisk lets no write of a storage take place until resume is called.
+// stallDisk blocks all writes of a storage until resume is called.
 func stallDisk(s *storage) (resume func()) {
 	stalled, released := make(chan struct{}), make(chan struct{})
 	go func() {
--- a/internal/partition/lease_test.go
+++ b/internal/partition/lease_test.go
@@ -40,22 +40,22 @@
 	}
 }
 
-// leaseBatches are batches in the order of their arrival, and whether the lease
-// is granted after each.
+// leaseBatches lists batches in the order of their arrival, and whether the lease is
+// granted after each.
 var leaseBatches = []struct {
 	number        int64
 	release, want bool
 	name          string
 }{
 	{incarnation + 1, false, true, "granted"},
-	{incarnation + 3, false, true, "renewed, while batch 2 is on its way"},
+	{incarnation + 3, false, true, "renewed while batch 2 is in flight"},
 	{incarnation + 2, true, true, "batch 2 arrives out of order"},
-	{2*incarnation + 1, true, true, "of another incarnation"},
+	{2*incarnation + 1, true, true, "release by another incarnation"},
 	{incarnation + 4, true, false, "released"},
-	{incarnation + 3, false, false, "batch 3 once more"},
-	{incarnation + 4, true, false, "batch 4 once more"},
+	{incarnation + 3, false, false, "duplicate of batch 3"},
+	{incarnation + 4, true, false, "duplicate of batch 4"},
 	{2*incarnation + 2, false, true, "granted to a new incarnation"},
-	{2*incarnation + 3, true, false, "released by it"},
+	{2*incarnation + 3, true, false, "released by the new incarnation"},
 }
 
 const incarnation = 7 * batchesPerIncarnation
@@ -95,9 +95,9 @@
 		"all leases":                     {replicas: []*replica{{inSync: true, leaseExpires: valid}, {connected: true, leaseExpires: valid}}, want: true},
 		"one lease has ended":            {replicas: []*replica{{inSync: true, leaseExpires: valid}, {inSync: true, leaseExpires: ended}}},
 		"one lease is about to end":      {replicas: []*replica{{inSync: true, leaseExpires: valid}, {inSync: true, leaseExpires: ending}}},
-		"it may be in sync by now":       {replicas: []*replica{{connected: true, leaseExpires: ended}}},
-		"it can take what it lacks":      {replicas: []*replica{{leaseExpires: ended}}},
-		"in sync, and it never answered": {replicas: []*replica{{inSync: true}}},
+		"connected, may be in sync":      {replicas: []*replica{{connected: true, leaseExpires: ended}}},
+		"not in sync, may still recover": {replicas: []*replica{{leaseExpires: ended}}},
+		"in sync, never connected":       {replicas: []*replica{{inSync: true}}},
 	} {
 		p := &partition{replicas: c.replicas}
 		p.handover.deliveriesStopped = c.stopped
--- a/internal/partition/partition_bench_test.go
+++ b/internal/partition/partition_bench_test.go
@@ -15,7 +15,8 @@
 		Type: "application/json", Revision: 7, Due: 1, Expires: 1 << 50, Length: 1500, Body: bytes.Repeat([]byte("x"), 1500)}
 }
 
-// BenchmarkRecord encodes and decodes one message of 1,500 bytes for the disk.
+// BenchmarkRecord encodes and decodes one message with a body of 1,500 bytes for the
+// disk.
 func BenchmarkRecord(b *testing.B) {
 	r := message(1)
 	raw := r.encode()
@@ -36,8 +37,7 @@
 	})
 }
 
-// BenchmarkMemory measures the memory of a pending message, without and with its
-// body.
+// BenchmarkMemory measures the memory of a pending message, without and with its body.
 func BenchmarkMemory(b *testing.B) {
 	const n = 100000
 	for _, size := range []int{0, 1500} {
@@ -61,8 +61,8 @@
 	}
 }
 
-// BenchmarkHandleBatch applies batches of messages as a backup, each on disk
-// before the answer, and measures how large the file is then.
+// BenchmarkHandleBatch applies batches of messages as a backup, each synced to disk
+// before the response, and reports the resulting file size for each message.
 func BenchmarkHandleBatch(b *testing.B) {
 	for _, n := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("messages=%d", n), func(b *testing.B) {
@@ -89,8 +89,8 @@
 	}
 }
 
-// BenchmarkReplicate makes a batch of 100 messages, in 10 of 64 partitions, and
-// handles the response: what a primary does for one call to a backup.
+// BenchmarkReplicate creates a batch of 100 messages in 10 of 64 partitions and handles
+// the response, which is the work of a primary for one call to a backup.
 func BenchmarkReplicate(b *testing.B) {
 	m := startBackup(b)
 	assignments := make([]placement.Partition, 64)
--- a/internal/partition/pipeline_test.go
+++ b/internal/partition/pipeline_test.go
@@ -16,7 +16,7 @@
 	"saltreel/internal/rpc"
 )
 
-func TestWhenTheNextBatchMayBeSent(t *testing.T) {
+func TestReplicatorSendDelay(t *testing.T) {
 	now := time.Now()
 	m := &Manager{timing: timing{6 * time.Second}}
 	spacing, backoff := m.timing.batchSpacing(), m.timing.replicationBackoff()
@@ -24,27 +24,27 @@
 		replicator replicator
 		want       time.Duration
 	}{
-		"nothing is wanted":             {replicator{}, waitForEvent},
-		"none is under way":             {replicator{sendRequested: true}, 0},
-		"one just left":                 {replicator{sendRequested: true, inOrder: true, inFlight: 1, lastSentAt: now}, spacing},
-		"one left a while ago":          {replicator{sendRequested: true, inOrder: true, inFlight: 1, lastSentAt: now.Add(-spacing)}, 0},
-		"the backup knows no order":     {replicator{sendRequested: true, inFlight: 1, lastSentAt: now.Add(-spacing)}, waitForEvent},
-		"enough are under way":          {replicator{sendRequested: true, inOrder: true, inFlight: maxInFlightBatches, lastSentAt: now.Add(-spacing)}, waitForEvent},
-		"one has failed":                {replicator{sendRequested: true, lastFailedAt: now}, backoff},
+		"no send requested":             {replicator{}, waitForEvent},
+		"none in flight":                {replicator{sendRequested: true}, 0},
+		"one just sent":                 {replicator{sendRequested: true, inOrder: true, inFlight: 1, lastSentAt: now}, spacing},
+		"one sent a while ago":          {replicator{sendRequested: true, inOrder: true, inFlight: 1, lastSentAt: now.Add(-spacing)}, 0},
+		"the backup ignores After":      {replicator{sendRequested: true, inFlight: 1, lastSentAt: now.Add(-spacing)}, waitForEvent},
+		"maximum in flight":             {replicator{sendRequested: true, inOrder: true, inFlight: maxInFlightBatches, lastSentAt: now.Add(-spacing)}, waitForEvent},
+		"one just failed":               {replicator{sendRequested: true, lastFailedAt: now}, backoff},
 		"one failed a while ago":        {replicator{sendRequested: true, lastFailedAt: now.Add(-backoff)}, 0},
-		"one has failed, others go on":  {replicator{sendRequested: true, inOrder: true, inFlight: 1, lastSentAt: now.Add(-spacing), lastFailedAt: now.Add(-backoff)}, waitForEvent},
-		"the first one after a failure": {replicator{sendRequested: true, inOrder: true, inFlight: 1, lastSentAt: now.Add(-spacing), lastFailedAt: now.Add(-2 * backoff)}, waitForEvent},
+		"one failed, another in flight": {replicator{sendRequested: true, inOrder: true, inFlight: 1, lastSentAt: now.Add(-spacing), lastFailedAt: now.Add(-backoff)}, waitForEvent},
+		"first batch after a failure":   {replicator{sendRequested: true, inOrder: true, inFlight: 1, lastSentAt: now.Add(-spacing), lastFailedAt: now.Add(-2 * backoff)}, waitForEvent},
 	} {
 		c.replicator.manager = m
 		if got := c.replicator.sendDelay(now); got != c.want {
-			t.Errorf("%s: %v, not %v", name, got, c.want)
+			t.Errorf("%s: got %v, want %v", name, got, c.want)
 		}
 	}
 }
 
-// A batch waits for the one that it names, and is refused without it: no record
-// overtakes another.
-func TestBatchIsAppliedAfterTheOneThatItNames(t *testing.T) {
+// A batch must wait for the one that it names, and be rejected without it, so that no
+// record overtakes another.
+func TestBatchIsAppliedAfterItsPredecessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startBackup(t)
 		handle := func(number, after int64, id string) <-chan error {
@@ -66,24 +66,25 @@
 		first, second, third := incarnation+1, incarnation+2, incarnation+3
 		waiting := handle(second, first, "second")
 		if holds("second") {
-			t.Error("a batch is applied before the one that it follows")
+			t.Error("a batch was applied before its predecessor")
 		}
 		if err := errors.Join(<-handle(first, 0, "first"), <-waiting); err != nil || !holds("first") || !holds("second") {
 			t.Errorf("in order: %v", err)
 		}
 		if err := <-handle(third, second, "third"); err != nil || !holds("third") {
-			t.Errorf("after one that was applied: %v", err)
+			t.Errorf("predecessor already applied: %v", err)
 		}
 		if err := <-handle(third+2, third+1, "fifth"); !errors.Is(err, ErrOutOfOrder) || holds("fifth") {
-			t.Errorf("after one that never comes: %v", err)
+			t.Errorf("predecessor never arrives: %v", err)
 		}
 		if err := <-handle(2*incarnation+2, 2*incarnation+1, "another"); !errors.Is(err, ErrOutOfOrder) || holds("another") {
-			t.Errorf("after one of another incarnation: %v", err)
+			t.Errorf("predecessor of another incarnation: %v", err)
 		}
 	})
 }
 
-// What a lease is worth follows the batches, in whatever order their responses come.
+// The batch with the highest number decides about the lease, regardless of the order in
+// which the responses arrive.
 func TestLeaseFollowsTheNewestBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startPrimary(t, placement.Backup{Store: "other", InSync: true})
@@ -96,7 +97,7 @@
 		first := nextBatch(t, m, 1)
 		sentFirst := time.Now()
 		if concurrent := m.makeBatch("other", 2); len(concurrent.sent) > 0 {
-			t.Errorf("without new messages there is a second batch: %+v", concurrent.request)
+			t.Errorf("a second batch was created without new messages: %+v", concurrent.request)
 		}
 		m.mu.Lock()
 		m.commitLocked(m.partitions[0], &Record{ID: "new"}, nil)
@@ -105,7 +106,7 @@
 		release := nextBatch(t, m, 2)
 		m.handleResponse(to, sentFirst, 1, first.sent, responseTo(first))
 		if !lease().IsZero() {
-			t.Error("a lease counts that a later batch gives back")
+			t.Error("a lease that a later batch releases is still valid")
 		}
 		m.mu.Lock()
 		m.partitions[0].resume()
@@ -120,18 +121,18 @@
 		m.handleResponse(to, sentThird, 3, third.sent, responseTo(third))
 		m.handleResponse(to, sentFirst, 2, release.sent, responseTo(release))
 		if want := sentThird.Add(m.timing.lease()); !lease().Equal(want) {
-			t.Errorf("the lease runs until %v, not %v: a response of an earlier batch came later", lease(), want)
+			t.Errorf("the lease expires at %v, want %v: the response to an earlier batch arrived later", lease(), want)
 		}
 	})
 }
 
-// slowBackup is a backup whose disk is slow. It answers each batch after a while.
+// slowBackup simulates a backup with a slow disk: it answers each batch after a delay.
 type slowBackup struct {
 	delay       time.Duration
 	mu          sync.Mutex
-	calls       [][2]int64 // number and the one before it, in the order of their arrival
+	calls       [][2]int64 // Number and After of each batch, in the order of arrival
 	ids         []string
-	maxInFlight int // how many were under way at once
+	maxInFlight int // maximum number of concurrent calls
 	inFlight    int
 }
 
@@ -153,7 +154,7 @@
 	return response, nil
 }
 
-// pipeTo makes a client whose calls all reach a server in this process.
+// pipeTo returns a client whose calls all reach a server in this process.
 func pipeTo(ctx context.Context, server *httpwire.Server) *rpc.Client {
 	return rpc.NewClient(&httpwire.Pool{Network: httpwire.Network{Dial: func(context.Context, string) (net.Conn, error) {
 		clientConn, serverConn := net.Pipe()
@@ -162,9 +163,9 @@
 	}}})
 }
 
-// Where a batch takes long, new messages do not wait for its end; each goes once, in
-// order, and each batch names the one before it. Where it does not, one batch at a time
-// gathers them.
+// If batches take long, new messages must not wait for the batch in flight. Each message
+// is sent once and in order, and each batch names its predecessor. If batches are fast,
+// one batch at a time collects the messages.
 func TestNewMessagesDoNotWaitForASlowBatch(t *testing.T) {
 	for name, c := range map[string]struct {
 		delay       time.Duration
@@ -185,7 +186,7 @@
 				Stores:     map[string]placement.Store{"me": {Disk: m.DiskID()}, "other": {Address: "other:1"}},
 				Partitions: []placement.Partition{{Epoch: 6, Primary: "me", Backups: []placement.Backup{{Store: "other", InSync: true}}}},
 			})
-			time.Sleep(time.Second) // until a first batch has been answered
+			time.Sleep(time.Second) // until the first batch has been answered
 			var accepts sync.WaitGroup
 			var maxLatency time.Duration
 			var mu sync.Mutex
@@ -208,10 +209,10 @@
 			backup.mu.Lock()
 			defer backup.mu.Unlock()
 			if !slices.Equal(backup.ids, want) || backup.maxInFlight != c.maxInFlight {
-				t.Errorf("%s: %d batches at once, with %v", name, backup.maxInFlight, backup.ids)
+				t.Errorf("%s: %d batches in flight, with %v", name, backup.maxInFlight, backup.ids)
 			}
 			if limit := c.delay + m.timing.batchSpacing() + c.delay/maxInFlightBatches; maxLatency > limit {
-				t.Errorf("%s: a message took %v, more than %v", name, maxLatency, limit)
+				t.Errorf("%s: a message took %v, limit %v", name, maxLatency, limit)
 			}
 			for i, call := range backup.calls[1:] {
 				if call[0] != backup.calls[i][0]+1 || call[1] != 0 && call[1] != backup.calls[i][0] {
--- a/internal/partition/power_loss_test.go
+++ b/internal/partition/power_loss_test.go
@@ -15,10 +15,10 @@
 	"saltreel/internal/boltstore"
 )
 
-// faultyDisk is the disk under a storage. While it refuses, a write fails before
-// anything is written, or after everything is: then the operating system reads
-// what was written from its cache, but has marked it as clean, so that no later
-// sync brings it to the disk.
+// faultyDisk simulates the disk under a storage. While it is failing, a write fails
+// either before anything is written or after everything is. In the latter case, the
+// operating system still returns the written pages from its cache but has marked them as
+// clean, so that no later sync writes them to the disk.
 type faultyDisk struct {
 	t    *testing.T
 	path string
@@ -26,14 +26,14 @@
 	mu           sync.Mutex
 	rng          *rand.Rand
 	failing      bool
-	durable      []byte   // what a loss of power leaves
-	syncedFile   *os.File // that had this content; open, so that no other file gets its inode
-	falselyClean []byte   // what is in the cache and may never reach the disk
+	durable      []byte   // file content that would survive a loss of power
+	syncedFile   *os.File // the file with the durable content; kept open so that its inode is not reused
+	falselyClean []byte   // cached content that may never reach the disk
 }
 
 const pageSize = 4096
 
-// fault decides what becomes of one step of a write.
+// fault decides whether one step of a write fails.
 func (d *faultyDisk) fault(step string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -46,7 +46,7 @@
 	return syscall.ENOSPC
 }
 
-// readLocked reads the file, and reports whether it is the one of the last sync.
+// readLocked reads the file, and reports whether it is the file of the last sync.
 func (d *faultyDisk) readLocked() (raw []byte, same bool) {
 	raw, err := os.ReadFile(d.path)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return raw, os.SameFile(before, now)
 }
 
-// keepOpenLocked keeps the file open that is there now.
+// keepOpenLocked replaces syncedFile with the current file, and keeps it open.
 func (d *faultyDisk) keepOpenLocked() {
 	if d.syncedFile != nil {
 		_ = d.syncedFile.Close() // only read
@@ -83,9 +83,9 @@
 	d.failing = failing
 }
 
-// recordSync is called when the storage says that what was written is on disk. Of
-// a file that is the same as before, pages that were clean and did not change
-// since are not.
+// recordSync is called when the storage reports that its writes are on disk. If the file
+// is the same as before, the pages that are unchanged since they were falsely marked as
+// clean are not.
 func (d *faultyDisk) recordSync() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -106,7 +106,8 @@
 	d.durable = raw
 }
 
-// afterPowerLoss opens what the disk holds after a loss of power now.
+// afterPowerLoss opens the content that survives a loss of power and returns the
+// identifiers of its records.
 func (d *faultyDisk) afterPowerLoss() map[string]bool {
 	d.mu.Lock()
 	image := d.durable
@@ -127,8 +128,8 @@
 	return recovered
 }
 
-// Whatever step of a write the disk refuses, and however often, a record that was
-// said to be on disk is there after a loss of power.
+// A record that was reported to be on disk must survive a loss of power, whichever step
+// of a write failed before and however often.
 func TestAcknowledgedRecordsOutliveRefusedWritesAndPowerLoss(t *testing.T) {
 	for seed := range uint64(4) {
 		dir := t.TempDir()
@@ -152,12 +153,12 @@
 			})
 			select {
 			case <-onDisk:
-			case <-time.After(50 * time.Millisecond): // the disk refuses it, for as long as it does
+			case <-time.After(50 * time.Millisecond): // the write fails until the disk has recovered
 				disk.setFailing(false)
 				select {
 				case <-onDisk:
 				case err := <-stopped:
-					t.Fatalf("seed %d: the writer ended: %v", seed, err)
+					t.Fatalf("seed %d: the writer stopped: %v", seed, err)
 				}
 			}
 		}
@@ -166,7 +167,7 @@
 		recovered := disk.afterPowerLoss()
 		for n := range 60 {
 			if !recovered[fmt.Sprint(n)] {
-				t.Errorf("seed %d: record %d was said to be on disk, and is lost", seed, n)
+				t.Errorf("seed %d: record %d was reported to be on disk, but is lost", seed, n)
 			}
 		}
 	}
--- a/internal/partition/record_test.go
+++ b/internal/partition/record_test.go
@@ -9,7 +9,7 @@
 	pending := &Record{State: Pending, Epoch: 9, Sequence: 9}
 	complete := &Record{State: Complete, Epoch: 1, Sequence: 1}
 	if pending.supersedes(complete) || !complete.supersedes(pending) || !pending.supersedes(nil) {
-		t.Error("an ended message becomes pending again")
+		t.Error("a pending record supersedes an outcome")
 	}
 	if !(&Record{Epoch: 2, Sequence: 1}).supersedes(&Record{Epoch: 1, Sequence: 5}) || pending.supersedes(pending) {
 		t.Error("the newer epoch does not supersede")
@@ -51,18 +51,18 @@
 	}
 }
 
-func TestDecodeRecordRefusesDamage(t *testing.T) {
+func TestDecodeRecordRejectsDamage(t *testing.T) {
 	r := &Record{ID: "a", Partition: 3, Length: 2, Body: []byte("xy")}
 	key, value := recordKey(3, "a"), r.encode()
 	if got, err := decodeRecord(key, value); err != nil || got.ID != "a" || got.Partition != 3 || string(got.Body) != "xy" {
 		t.Errorf("%+v %v", got, err)
 	}
 	for name, c := range map[string]struct{ key, value []byte }{
-		"key too short": {key[:2], value},
-		"other id":      {recordKey(3, "b"), value},
-		"body cut off":  {key, value[:len(value)-1]},
-		"no body line":  {key, bytes.TrimSuffix(value, []byte("\nxy"))},
-		"not JSON":      {key, []byte("{\nxy")},
+		"key too short":  {key[:2], value},
+		"other id":       {recordKey(3, "b"), value},
+		"truncated body": {key, value[:len(value)-1]},
+		"no body line":   {key, bytes.TrimSuffix(value, []byte("\nxy"))},
+		"not JSON":       {key, []byte("{\nxy")},
 	} {
 		if got, err := decodeRecord(c.key, c.value); err == nil {
 			t.Errorf("%s: %+v", name, got)
--- a/internal/partition/recovery_test.go
+++ b/internal/partition/recovery_test.go
@@ -10,8 +10,8 @@
 	"saltreel/internal/placement"
 )
 
-// An entry that one store held and no later primary had is not in the log: its publisher
-// sent the number again, and subscribers have passed the place.
+// An entry that one store held and no later primary had is not part of the log: its
+// publisher has sent the number again, and subscribers have passed its position.
 func TestForksAreNotInTheLog(t *testing.T) {
 	entry := func(epoch, order int64, previous Position) *Record {
 		at := Position{epoch, order}
@@ -24,18 +24,19 @@
 	last := entry(3, 9, next.Position())
 	for name, c := range map[string]struct{ entries, want []*Record }{
 		"all in one log":                     {[]*Record{first, confirmed, next, last}, nil},
-		"the next primary had not the third": {[]*Record{first, confirmed, unconfirmed, next, last}, []*Record{unconfirmed}},
+		"the next primary lacked the third":  {[]*Record{first, confirmed, unconfirmed, next, last}, []*Record{unconfirmed}},
 		"an entry between them is deleted":   {[]*Record{unconfirmed, last, first}, nil},
 		"nothing was accepted later":         {[]*Record{unconfirmed, confirmed, first}, nil},
 		"no entry precedes the one of epoch": {[]*Record{first, unconfirmed, entry(2, 4, Position{})}, []*Record{unconfirmed, first}},
 	} {
 		if got := divergentEntries(slices.Clone(c.entries)); !slices.Equal(got, c.want) {
-			t.Errorf("%s: %d entries are outside of the log, not %d: %+v", name, len(got), len(c.want), got)
+			t.Errorf("%s: %d divergent entries, want %d: %+v", name, len(got), len(c.want), got)
 		}
 	}
 }
 
-// While a primary takes what it lacks from its sources it acts in no way as the primary.
+// While a primary is still fetching records from its sources, it must not act as the
+// primary in any way.
 func TestRecoveringPrimaryDoesNotAct(t *testing.T) {
 	m := startBackup(t)
 	assign(m, 2, placement.Partition{Epoch: 6, Primary: "me", Sources: []string{"unreachable"}})
@@ -49,31 +50,31 @@
 		t.Errorf("find: %v", err)
 	}
 	if m.MayDeliver(0) {
-		t.Error("it delivers")
+		t.Error("the recovering primary may deliver")
 	}
 	if events, _ := m.Events(); len(events) > 0 {
 		t.Errorf("events: %+v", events)
 	}
-	// Without sources in a later epoch it acts.
+	// In a later epoch without sources it acts.
 	assign(m, 3, placement.Partition{Epoch: 7, Primary: "me"})
 	if err := m.Accept(t.Context(), 0, &Record{ID: "new"}); err != nil {
 		t.Errorf("accept in the next epoch: %v", err)
 	}
 }
 
-// A store that lost its disk is no source: it must not be read as one that lacks everything.
+// A store that lost its disk must not be read as a source that holds no records.
 func TestDigestOfAnotherDiskIsRefused(t *testing.T) {
 	m := startBackup(t)
 	if _, err := m.HandleDigest(t.Context(), &DigestRequest{From: "other", Epoch: 5, Disk: "lost"}, nil); !errors.Is(err, ErrOtherDisk) {
 		t.Errorf("another disk: %v", err)
 	}
 	if _, err := m.HandleDigest(t.Context(), &DigestRequest{From: "other", Epoch: 5, Disk: m.DiskID()}, nil); err != nil {
-		t.Errorf("its disk: %v", err)
+		t.Errorf("the current disk: %v", err)
 	}
 }
 
-// What has ended at one of the stores has ended, and what an outdated replica holds as
-// pending comes too: nobody else may have it.
+// A message that has ended at one of the stores has ended. Pending messages of an
+// outdated replica are fetched as well, since no other store may have them.
 func TestRecoveryMergesByState(t *testing.T) {
 	m := startBackup(t)
 	m.mu.Lock()
@@ -88,15 +89,15 @@
 	m.mu.Unlock()
 	slices.Sort(missing)
 	if want := []string{entryID(Position{1, 1}), "ended there", "only there"}; !slices.Equal(missing, want) {
-		t.Errorf("it takes %q, not %q", missing, want)
+		t.Errorf("to fetch: %q, want %q", missing, want)
 	}
 	for _, c := range []struct {
-		outdatedToo bool
-		want        int
+		includeOutdated bool
+		want            int
 	}{{false, 1}, {true, 2}} {
-		batch, _, err := m.HandleFetch(t.Context(), &FetchRequest{IDs: []string{"ended here", "ended there"}, IncludeOutdated: c.outdatedToo}, nil)
+		batch, _, err := m.HandleFetch(t.Context(), &FetchRequest{IDs: []string{"ended here", "ended there"}, IncludeOutdated: c.includeOutdated}, nil)
 		if err != nil || len(batch.Records) != c.want {
-			t.Errorf("outdated too %v: %d records, %v", c.outdatedToo, len(batch.Records), err)
+			t.Errorf("include outdated %v: %d records, %v", c.includeOutdated, len(batch.Records), err)
 		}
 	}
 }
--- a/internal/partition/replica_test.go
+++ b/internal/partition/replica_test.go
@@ -29,13 +29,13 @@
 		complete bool
 		left     []string
 	}{
-		"nothing":                    {complete: true},
-		"by sequence":                {records: []*Record{first, second, old}, changed: []*Record{second, first}, missing: []string{"old"}, want: []string{"first", "second", "old"}, complete: true},
-		"at least one changed":       {records: []*Record{first}, changed: []*Record{first}, size: 2 * maxBatchBytes, want: []string{"first"}, complete: true},
-		"the batch is full":          {records: []*Record{firstLarge, second}, changed: []*Record{firstLarge, second}, missing: []string{"old"}, want: []string{"first"}, left: []string{"old"}},
-		"full of changed records":    {records: []*Record{firstLarge, old}, changed: []*Record{firstLarge}, missing: []string{"old"}, want: []string{"first"}, left: []string{"old"}},
-		"full of missing records":    {records: []*Record{oldLarge, second}, missing: []string{"old", "second"}, want: []string{"old"}, left: []string{"second"}},
-		"deleted or changed, and so": {records: []*Record{first}, changed: []*Record{first}, missing: []string{"first", "deleted"}, want: []string{"first"}, complete: true},
+		"nothing":                  {complete: true},
+		"by sequence":              {records: []*Record{first, second, old}, changed: []*Record{second, first}, missing: []string{"old"}, want: []string{"first", "second", "old"}, complete: true},
+		"at least one changed":     {records: []*Record{first}, changed: []*Record{first}, size: 2 * maxBatchBytes, want: []string{"first"}, complete: true},
+		"the batch is full":        {records: []*Record{firstLarge, second}, changed: []*Record{firstLarge, second}, missing: []string{"old"}, want: []string{"first"}, left: []string{"old"}},
+		"full of changed records":  {records: []*Record{firstLarge, old}, changed: []*Record{firstLarge}, missing: []string{"old"}, want: []string{"first"}, left: []string{"old"}},
+		"full of missing records":  {records: []*Record{oldLarge, second}, missing: []string{"old", "second"}, want: []string{"old"}, left: []string{"second"}},
+		"deleted or changed since": {records: []*Record{first}, changed: []*Record{first}, missing: []string{"first", "deleted"}, want: []string{"first"}, complete: true},
 	} {
 		r := &replica{unreplicated: map[string]*Record{}, missing: c.missing}
 		for _, record := range c.changed {
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestReconciliationQueuesWhatTheReplicaLacks(t *testing.T) {
+func TestReconciliationQueuesMissingRecords(t *testing.T) {
 	records := recordsOf(
 		&Record{ID: "complete", State: Complete},
 		&Record{ID: "pending"},
@@ -94,7 +94,7 @@
 	remote := map[string]State{"same": Pending, "ended there": Complete, "only there": Pending}
 	r := &replica{missing: []string{"queued"}, unreplicated: map[string]*Record{"changed": {}}}
 	if n := r.queueMissing(records, remote); n != 2 || !slices.Equal(r.missing, []string{"queued", "pending", "complete"}) {
-		t.Errorf("%d: %v", n, r.missing)
+		t.Errorf("queued %d: %v", n, r.missing)
 	}
 	missing := records.missingOrOlder(remote)
 	slices.Sort(missing)
--- a/internal/partition/replicator_test.go
+++ b/internal/partition/replicator_test.go
@@ -9,7 +9,8 @@
 	"saltreel/internal/placement"
 )
 
-// responseTo is the response of a backup that holds what is here.
+// responseTo returns the response of a backup that holds the same records as the primary
+// did when it made the batch.
 func responseTo(batch outgoingBatch) BatchResponse {
 	var response BatchResponse
 	for _, sent := range batch.sent {
@@ -22,8 +23,8 @@
 	return response
 }
 
-// nextBatch makes the next batch for the backup named other. The replicator's own, which
-// fails at once, may be under way.
+// nextBatch creates the next batch for the backup named "other". It retries, since a
+// batch of the replicator itself, which fails at once, may be in flight.
 func nextBatch(t *testing.T, m *Manager, number int64) outgoingBatch {
 	t.Helper()
 	for range 1000 {
@@ -36,8 +37,8 @@
 	return outgoingBatch{}
 }
 
-// exchange sends the next batch to the backup named other, which answers as
-// change says, and returns what the primary knows of it then.
+// exchange simulates an exchange of the next batch with the backup named "other". change
+// may modify the response. It returns the resulting state of the replica.
 func exchange(t *testing.T, m *Manager, change func(result *PartitionResult)) replica {
 	t.Helper()
 	batch := nextBatch(t, m, 0)
@@ -76,11 +77,11 @@
 		}
 		time.Sleep(m.timing.lease() - m.timing.deliveryMargin() - time.Nanosecond)
 		if !m.MayDeliver(0) {
-			t.Error("does not deliver ahead of the margin of its lease")
+			t.Error("does not deliver before the margin of its lease")
 		}
 		time.Sleep(time.Nanosecond)
 		if m.MayDeliver(0) {
-			t.Error("delivers so late that its lease may have ended when the delivery is sent")
+			t.Error("starts a delivery within the margin of its lease")
 		}
 	})
 }
@@ -161,13 +162,13 @@
 		assign(m, 3, placement.Partition{Epoch: 6, Primary: "me", Backups: []placement.Backup{{Store: "other", InSync: true}}})
 		time.Sleep(m.timing.lease())
 		if n := report(nil); n != 2 {
-			t.Errorf("the placement says so already: %d reports", n)
+			t.Errorf("already in sync in the placement: %d reports", n)
 		}
 	})
 }
 
-// A handover may be called off while the batch that gives the lease back is under
-// way: the backup has granted none then, and may become primary at any moment.
+// A handover may be cancelled while the batch that releases the lease is in flight. The
+// backup then has granted no lease and may become primary at any moment.
 func TestLeaseThatIsGivenBackDoesNotCount(t *testing.T) {
 	for name, response := range map[string]bool{"the response arrives": true, "the response is lost": false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -184,14 +185,14 @@
 			m.mu.Unlock()
 			batch := nextBatch(t, m, 0)
 			if len(batch.request.Partitions) != 1 || !batch.request.Partitions[0].ReleaseLease {
-				t.Fatalf("%s: the batch does not give the lease back: %+v", name, batch.request)
+				t.Fatalf("%s: the batch does not release the lease: %+v", name, batch.request)
 			}
 			sentAt := time.Now()
 			m.mu.Lock()
 			p.resume()
 			m.mu.Unlock()
 			if m.MayDeliver(0) {
-				t.Errorf("%s: delivers while the lease is on its way back", name)
+				t.Errorf("%s: delivers while the batch that releases the lease is in flight", name)
 			}
 			if response {
 				m.handleResponse(&replicator{manager: m, peer: "other", wakeup: make(chan struct{}, 1)}, sentAt, 0, batch.sent, responseTo(batch))
@@ -199,7 +200,7 @@
 				m.handleFailedBatch(batch.sent)
 			}
 			if m.MayDeliver(0) {
-				t.Errorf("%s: delivers under a lease that it gave back", name)
+				t.Errorf("%s: delivers under a released lease", name)
 			}
 			if exchange(t, m, nil); !m.MayDeliver(0) {
 				t.Errorf("%s: the next batch grants no lease", name)
--- a/internal/partition/storage_test.go
+++ b/internal/partition/storage_test.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := 2 * os.Getpagesize(); i < len(raw); i++ { // all but the first two pages
+	for i := 2 * os.Getpagesize(); i < len(raw); i++ { // all pages but the first two
 		raw[i] = byte(i * 7)
 	}
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
@@ -57,14 +57,14 @@
 	}
 }
 
-// What the disk cannot read may be undamaged: it is not moved aside.
+// A file that the disk cannot read may be undamaged, so it must not be moved aside.
 func TestUnreadableFileIsNotMovedAside(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.Mkdir(filepath.Join(dir, "store.db"), 0o755); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := openStorage(dir, t.Logf); err == nil {
-		t.Error("opened a folder")
+		t.Error("opened a directory")
 	}
 	if quarantined, _ := filepath.Glob(filepath.Join(dir, "*.damaged-*")); len(quarantined) != 0 {
 		t.Errorf("moved aside: %v", quarantined)
@@ -121,9 +121,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeDB(t, s) // refuses every write from now on
+	closeDB(t, s) // every further write fails
 	if err := s.commit([]change{{key: []byte("k")}}); err == nil {
-		t.Error("a refused write is not reported")
+		t.Error("the failed write was not reported")
 	}
 }
 
@@ -137,7 +137,7 @@
 	}
 }
 
-// A store measures its file while the writer grows it or closes it.
+// The file size is measured while the writer grows the file and closes it.
 func TestUsedBytesWhileTheFileGrowsAndCloses(t *testing.T) {
 	s, _, err := openStorage(t.TempDir(), t.Logf)
 	if err != nil {
@@ -161,13 +161,13 @@
 	}
 	tasks.Wait()
 	if maxUsed < 1<<20 || s.usedBytes() != 0 {
-		t.Errorf("at most %d bytes were seen in use, %d after the end", maxUsed, s.usedBytes())
+		t.Errorf("at most %d bytes in use while writing, %d after closing", maxUsed, s.usedBytes())
 	}
 }
 
-// A commit that failed may be on disk or not, and a sync that failed once may have
-// lost what a later one says is there. So the file is written anew before it is
-// told that a change is on disk.
+// A failed commit may or may not have reached the disk, and after a failed sync a later
+// successful one may report pages as written that were lost. The file must therefore be
+// rewritten before a change is reported to be on disk.
 func TestFileIsWrittenAnewAfterAFailedCommit(t *testing.T) {
 	for _, step := range []string{boltstore.StepCommit, boltstore.StepSync} {
 		dir := t.TempDir()
@@ -207,7 +207,7 @@
 		cancel()
 		running.Wait()
 		if os.SameFile(before, after) || !failed[boltstore.StepOpen] {
-			t.Errorf("%s: the same file is written again", step)
+			t.Errorf("%s: the file was not rewritten", step)
 		}
 		s, saved, err := openStorage(dir, t.Logf)
 		if err != nil {
@@ -220,7 +220,7 @@
 	}
 }
 
-func TestDamageEndsTheWriter(t *testing.T) {
+func TestDamagedFileStopsTheWriter(t *testing.T) {
 	s, _, err := openStorage(t.TempDir(), t.Logf)
 	if err != nil {
 		t.Fatal(err)
@@ -228,6 +228,6 @@
 	s.file.Fault = func(string) error { return boltstore.ErrDamaged }
 	s.putMeta(keyProbe, []byte{})
 	if err := s.run(t.Context(), time.Millisecond, t.Logf); !errors.Is(err, boltstore.ErrDamaged) {
-		t.Errorf("the writer ended with %v", err)
+		t.Errorf("the writer returned %v", err)
 	}
 }
--- a/internal/partition/topiclog_test.go
+++ b/internal/partition/topiclog_test.go
@@ -20,23 +20,23 @@
 			}
 		}
 		if read, err := ParsePosition(p.String()); err != nil || read != p {
-			t.Errorf("%v is read as %v, %v", p, read, err)
+			t.Errorf("%v is parsed as %v, %v", p, read, err)
 		}
 	}
 	for _, text := range []string{"", "-", "1", "1-", "-1", "1--1", "1-2-3", "x y-1", "-1-5", "zzzzzzzzzzzzzzzzzzzzz-1"} {
 		if p, err := ParsePosition(text); err == nil {
-			t.Errorf("%q is read as %v", text, p)
+			t.Errorf("%q is parsed as %v", text, p)
 		}
 	}
 }
 
-// entry is a log entry as a replica holds it.
+// entry returns a log entry as a replica holds it.
 func entry(epoch, order int64, publisher string, number int64) *Record {
 	at := Position{epoch, order}
 	return &Record{ID: entryID(at), Epoch: epoch, Sequence: order, Order: order, Topic: "t", Publisher: publisher, Number: number}
 }
 
-func TestLogOfANewPrimaryHasNoRepeatedNumbers(t *testing.T) {
+func TestNewTopicLogReturnsDuplicates(t *testing.T) {
 	// The first primary of epoch 2 lost entries 4 and 5, restarted, and accepted
 	// the same messages again behind one of another publisher.
 	records := recordsOf(
@@ -71,7 +71,7 @@
 		t.Errorf("released %v", ids(got))
 	}
 	if got := log.release(isUnconfirmed); len(got) != 0 {
-		t.Errorf("released %v behind one that waits", ids(got))
+		t.Errorf("released %v after an unconfirmed entry", ids(got))
 	}
 	clear(unconfirmed)
 	if got := log.release(isUnconfirmed); len(got) != 2 || got[0].Order != 2 || got[1].Order != 3 {
@@ -90,8 +90,8 @@
 	}
 }
 
-// publish accepts entries at the primary of partition 0 and returns how they ended,
-// once they have.
+// publish starts accepting entries at the primary of partition 0. The returned channel
+// receives the results.
 func publish(t *testing.T, m *Manager, numbers ...int64) <-chan []error {
 	t.Helper()
 	var records []*Record
@@ -108,8 +108,7 @@
 	return results
 }
 
-// released returns the numbers of the entries that were released since the last
-// call.
+// released returns the numbers of the entries released since the last call.
 func released(m *Manager) (numbers []int64) {
 	synctest.Wait()
 	events, _ := m.Events()
@@ -126,7 +125,7 @@
 		m := startPrimary(t, placement.Backup{Store: "other", InSync: true})
 		first := publish(t, m, 5, 6)
 		if got := released(m); got != nil {
-			t.Errorf("released %v that no backup holds", got)
+			t.Errorf("released %v although no backup holds them", got)
 		}
 		exchange(t, m, nil)
 		if got := released(m); !slices.Equal(got, []int64{5, 6}) {
@@ -135,7 +134,7 @@
 		republished := publish(t, m, 5, 4, 6, 7)
 		exchange(t, m, nil)
 		if got := released(m); !slices.Equal(got, []int64{7}) {
-			t.Errorf("released %v, and 5 and 6 were before", got)
+			t.Errorf("released %v, want only 7: 5 and 6 were released before", got)
 		}
 		for _, err := range <-first {
 			if err != nil {
@@ -161,9 +160,9 @@
 		if got := released(m); got != nil {
 			t.Errorf("released %v before the replica answered", got)
 		}
-		exchange(t, m, func(result *PartitionResult) { result.Count = 1 }) // it lacks what was found
+		exchange(t, m, func(result *PartitionResult) { result.Count = 1 }) // it lacks entries found by the new primary
 		if got := released(m); got != nil {
-			t.Errorf("released %v that the replica lacks", got)
+			t.Errorf("released %v although the replica lacks entries", got)
 		}
 		m.wakeReplicatorLocked("other")
 		m.mu.Lock()
@@ -177,8 +176,9 @@
 	})
 }
 
-// What a former primary released is released at once; what it accepted behind that
-// waits for the disks of all replicas, and for no repair of a new one.
+// Entries that a former primary released are released at once. Entries that it accepted
+// after them must wait for the disks of all replicas, but not until a new replica is
+// filled.
 func TestTailOfTheLogIsAcceptedAnewByANewPrimary(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startBackup(t)
@@ -192,14 +192,14 @@
 		if got := released(m); !slices.Equal(got, []int64{1}) {
 			t.Errorf("released %v before any answer", got)
 		}
-		exchange(t, m, func(result *PartitionResult) { result.Count = 1 }) // it has the tail, not the rest
+		exchange(t, m, func(result *PartitionResult) { result.Count = 1 }) // it has only the tail
 		if got := released(m); !slices.Equal(got, []int64{2}) {
 			t.Errorf("released %v when the new replica had the tail", got)
 		}
 	})
 }
 
-func TestReleasedPositionGoesWithABatchUntilItIsKnown(t *testing.T) {
+func TestReleasedPositionIsSentUntilAcknowledged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startPrimary(t, placement.Backup{Store: "other", InSync: true})
 		publish(t, m, 1)
@@ -210,7 +210,7 @@
 		for i, want := range []Position{{6, 1}, {6, 1}, {}} {
 			batch := nextBatch(t, m, 0)
 			if got := batch.request.Partitions[0].Released; got != want {
-				t.Errorf("batch %d names %v, not %v", i, got, want)
+				t.Errorf("batch %d names %v, want %v", i, got, want)
 			}
 			if i == 1 {
 				m.handleResponse(&replicator{manager: m, peer: "other", wakeup: make(chan struct{}, 1)}, time.Time{}, 0, batch.sent, responseTo(batch))
@@ -232,7 +232,7 @@
 			t.Errorf("%d to send, %q to fetch", toSend, toFetch)
 		}
 		if r := p.replicas[0].unreplicated[unknownEntry]; r == nil || r.State != Deleted {
-			t.Errorf("sent is %+v", r)
+			t.Errorf("record sent to the replica: %+v", r)
 		}
 		if toSend, toFetch := m.compare(p, 6, "a former primary", digest); toSend != 0 || len(toFetch) != 1 {
 			t.Errorf("%d to send to a store that is no replica, %q to fetch", toSend, toFetch)
@@ -240,9 +240,9 @@
 	})
 }
 
-// A primary that restarts in its epoch may have given a position to an entry that
-// its own disk lacks: it gives that one to no other.
-func TestRestartedPrimaryGivesNoPositionTwice(t *testing.T) {
+// A primary that restarts in its epoch may have assigned a position to an entry that its
+// own disk lacks, so it must not assign that position again.
+func TestRestartedPrimaryDoesNotReusePositions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		config := testConfig(t.TempDir())
 		for run, want := range []int64{1, sequenceGap + 2} {
@@ -261,7 +261,7 @@
 				t.Fatal(errs[0])
 			}
 			if r := m.partitions[0].log.entries[run]; r.Order != want {
-				t.Errorf("run %d: the order is %d, not %d", run, r.Order, want)
+				t.Errorf("run %d: the order is %d, want %d", run, r.Order, want)
 			}
 			cancel()
 			<-done
