--- a/internal/partition/handover_test.go
+++ b/internal/partition/handover_test.go
@@ -42,8 +42,8 @@
 	m.mu.Lock()
 	m.partitions[0].replicas[0].connected = true
 	m.mu.Unlock()
-	if out := m.Freeze(ctx, map[int]int64{0: 6}, idle); len(out) != 0 {
-		t.Errorf("handed over without an answer: %v", out)
+	if out := m.PrepareHandover(ctx, map[int]int64{0: 6}, idle); len(out) != 0 {
+		t.Errorf("ready for a handover without an answer from the backup: %v", out)
 	}
 }
 
@@ -75,18 +75,18 @@
 			handover := m.partitions[0].handover
 			return handover.deliveriesStopped && handover.acceptsStopped
 		}
-		for _, which := range []string{"first", "second"} {
-			if out := m.Freeze(t.Context(), map[int]int64{0: 6}, func(int) bool { return true }); len(out) != 1 {
-				t.Fatalf("the %s call: %v", which, out)
+		for _, call := range []string{"first", "second"} {
+			if out := m.PrepareHandover(t.Context(), map[int]int64{0: 6}, func(int) bool { return true }); len(out) != 1 {
+				t.Fatalf("the %s call: %v", call, out)
 			}
 			time.Sleep(m.config.ContactTimeout * 3 / 16)
 		}
-		if !stopped() { // a quarter of the contact timeout after the first
-			t.Error("the first lets the partition go on while the second is relied on")
+		if !stopped() { // 3/8 of the contact timeout after the first call, which is valid for a quarter
+			t.Error("the first call resumed the partition while the second is still valid")
 		}
 		time.Sleep(m.config.ContactTimeout / 8)
 		if stopped() {
-			t.Error("no new placement came, and the partition does not go on")
+			t.Error("the partition did not resume although no new placement arrived")
 		}
 	})
 }
@@ -99,7 +99,7 @@
 		"a newer epoch":        {0: 7},
 		"an unknown partition": {1: 6},
 	} {
-		if out := m.Freeze(t.Context(), wanted, idle); len(out) != 0 || len(wanted) != 0 {
+		if out := m.PrepareHandover(t.Context(), wanted, idle); len(out) != 0 || len(wanted) != 0 {
 			t.Errorf("%s: %v, %v left", name, out, wanted)
 		}
 	}
--- a/internal/partition/replicator.go
+++ b/internal/partition/replicator.go
@@ -8,45 +8,46 @@
 	"saltreel/internal/httpwire"
 )
 
-// replicator sends to one backup what it lacks of all partitions, and so renews the
-// leases that the backup grants. It is woken for new messages. Outcomes, for which
-// nobody waits, go with the next of them or with the next renewal: a call for each
-// would be most of the calls in a large fleet.
+// replicator sends one backup the records that it lacks of all partitions, and thereby
+// renews the leases that the backup grants. New messages wake it. Outcomes, which nobody
+// waits for, are sent with the next message or lease renewal: a call for each outcome
+// would make up most of the calls in a large fleet.
 //
-// One batch is under way at a time, unless it takes long, as on slow disks: then further
-// ones follow, of a partition that is in one with new messages only. Each of those names
-// the batch before it, which the backup applies first, so no record overtakes another.
-// After a failure a single one goes until the backup has answered again.
+// Normally one batch is in flight. If it takes long, as on slow disks, further batches
+// follow; for a partition that is already in a batch in flight they carry only new
+// messages. Each of them names its predecessor, which the backup applies first, so that
+// no record overtakes another. After a failure, a single batch is sent until the backup
+// has answered again.
 //
-// Its fields belong to the goroutine of run, except for the channels.
+// The fields belong to the goroutine of run, except for the channels.
 type replicator struct {
-	manager   *Manager
-	peer      string // name of the backup
-	wakeup    chan struct{}
-	finished  chan batchOutcome
-	wanted    bool // it was woken since the last batch
-	underWay  int  // batches
-	lastBatch int64
-	sentAt    time.Time // of the last batch
-	failedAt  time.Time // of the last batch that ended, if it failed; else zero
-	inOrder   bool      // the backup applies batches in the order that they name
-
-	// Of the batches under way: it has ended once one of them has failed, without which
-	// the backup does not apply those behind it.
-	batches context.Context
-	cancel  context.CancelFunc
+	manager       *Manager
+	peer          string // name of the backup
+	wakeup        chan struct{}
+	finished      chan batchOutcome
+	sendRequested bool // woken since the last batch
+	inFlight      int  // number of batches in flight
+	lastBatch     int64
+	lastSentAt    time.Time // when the last batch was sent
+	lastFailedAt  time.Time // when the last batch ended, if it failed; otherwise zero
+	inOrder       bool      // the backup honours BatchRequest.After
+
+	// The context of the batches in flight. It is cancelled once one of them fails, since
+	// the backup does not apply the batches that follow a missing one.
+	pipeline       context.Context
+	cancelPipeline context.CancelFunc
 }
 
-// batchOutcome is how a batch ended.
+// batchOutcome is the result of a batch.
 type batchOutcome struct {
 	err     error
 	inOrder bool
 }
 
-// maxBatchesUnderWay bounds the batches to one backup.
-const maxBatchesUnderWay = 4
+// maxInFlightBatches limits the number of batches in flight to one backup.
+const maxInFlightBatches = 4
 
-// wake makes the replicator look for work.
+// wake requests a check for records to send.
 func (r *replicator) wake() {
 	select {
 	case r.wakeup <- struct{}{}:
@@ -60,8 +61,8 @@
 	}
 }
 
-// startReplicatorLocked wakes the replicator to a peer, and starts it if there is
-// none yet. It runs until the Manager ends.
+// startReplicatorLocked wakes the replicator of a peer, and starts it if there is none
+// yet. A replicator runs until the Manager ends.
 func (m *Manager) startReplicatorLocked(peer string) {
 	if r := m.replicators[peer]; r != nil {
 		r.wake()
@@ -71,7 +72,7 @@
 		manager:   m,
 		peer:      peer,
 		wakeup:    make(chan struct{}, 1),
-		finished:  make(chan batchOutcome, maxBatchesUnderWay),
+		finished:  make(chan batchOutcome, maxInFlightBatches),
 		lastBatch: rand.Int64N(1<<20) * batchesPerIncarnation,
 	}
 	m.replicators[peer] = r
@@ -84,69 +85,70 @@
 	defer ticker.Stop()
 	for {
 		var timer <-chan time.Time
-		if wait := r.untilSend(time.Now()); wait > 0 {
+		if wait := r.sendDelay(time.Now()); wait > 0 {
 			timer = time.After(wait)
 		}
 		select {
 		case <-ctx.Done():
-			if r.cancel != nil {
-				r.cancel()
+			if r.cancelPipeline != nil {
+				r.cancelPipeline()
 			}
 			return
 		case <-r.wakeup:
-			r.wanted = true
+			r.sendRequested = true
 		case <-ticker.C:
-			r.wanted = true
+			r.sendRequested = true
 		case outcome := <-r.finished:
-			r.noteOutcome(ctx, outcome)
+			r.handleOutcome(ctx, outcome)
 		case <-timer:
 		}
-		if r.untilSend(time.Now()) == 0 {
+		if r.sendDelay(time.Now()) == 0 {
 			r.sendNext(ctx)
 		}
 	}
 }
 
-// never is a wait that an event ends.
-const never = time.Duration(-1)
+// waitForEvent is the delay of a replicator that has to wait for an event.
+const waitForEvent = time.Duration(-1)
 
-// untilSend is how long to wait until the next batch may be sent; 0 if it may now.
-func (r *replicator) untilSend(now time.Time) time.Duration {
+// sendDelay returns how long to wait before the next batch may be sent, 0 if it may be
+// sent now, or waitForEvent.
+func (r *replicator) sendDelay(now time.Time) time.Duration {
 	timing := r.manager.timing
 	switch {
-	case !r.wanted:
-		return never
-	case r.underWay == 0 && r.failedAt.IsZero():
+	case !r.sendRequested:
+		return waitForEvent
+	case r.inFlight == 0 && r.lastFailedAt.IsZero():
 		return 0
-	case r.underWay == 0:
-		return max(0, timing.replicationBackoff()-now.Sub(r.failedAt))
-	case !r.failedAt.IsZero() || !r.inOrder || r.underWay >= maxBatchesUnderWay:
-		return never
+	case r.inFlight == 0:
+		return max(0, timing.replicationBackoff()-now.Sub(r.lastFailedAt))
+	case !r.lastFailedAt.IsZero() || !r.inOrder || r.inFlight >= maxInFlightBatches:
+		return waitForEvent
 	}
-	return max(0, timing.batchSpacing()-now.Sub(r.sentAt))
+	return max(0, timing.batchSpacing()-now.Sub(r.lastSentAt))
 }
 
 // sendNext sends the next batch, unless there is nothing to send.
 func (r *replicator) sendNext(ctx context.Context) {
 	m := r.manager
-	r.wanted = false
+	r.sendRequested = false
 	number := r.lastBatch + 1
 	batch := m.makeBatch(r.peer, number)
 	if len(batch.sent) == 0 {
 		return
 	}
-	if r.underWay > 0 {
+	if r.inFlight > 0 {
 		batch.request.After = r.lastBatch
 	} else {
-		r.beginBatches(ctx)
+		r.resetPipeline(ctx)
 	}
 	r.lastBatch = number
-	r.underWay++
-	r.sentAt = time.Now() // the lease counts from before the call: the backup grants it later
-	batches, sentAt := r.batches, r.sentAt
+	r.inFlight++
+	r.lastSentAt = time.Now() // before the call: the lease must not outlast the one that the backup grants
+	pipeline, sentAt := r.pipeline, r.lastSentAt
 	m.background.tasks.Go(func() {
 		var response BatchResponse
-		err := r.call(batches, &batch, &response)
+		err := r.call(pipeline, &batch, &response)
 		if err == nil {
 			m.handleResponse(r, sentAt, number, batch.sent, response)
 		} else {
@@ -156,25 +158,25 @@
 	})
 }
 
-// beginBatches begins a sequence of batches, while none is under way.
-func (r *replicator) beginBatches(ctx context.Context) {
-	if r.cancel != nil {
-		r.cancel()
+// resetPipeline starts a new sequence of batches. No batch may be in flight.
+func (r *replicator) resetPipeline(ctx context.Context) {
+	if r.cancelPipeline != nil {
+		r.cancelPipeline()
 	}
-	r.batches, r.cancel = context.WithCancel(ctx)
+	r.pipeline, r.cancelPipeline = context.WithCancel(ctx)
 }
 
-// noteOutcome notes how a batch ended. With the first that fails, the others end too:
-// those behind it would wait for it at the backup.
-func (r *replicator) noteOutcome(ctx context.Context, outcome batchOutcome) {
-	r.underWay--
+// handleOutcome handles the result of a batch. The first failure cancels the other
+// batches in flight, which would otherwise wait at the backup for the failed one.
+func (r *replicator) handleOutcome(ctx context.Context, outcome batchOutcome) {
+	r.inFlight--
 	switch {
-	case r.batches.Err() != nil:
+	case r.pipeline.Err() != nil:
 	case outcome.err != nil:
-		r.cancel()
+		r.cancelPipeline()
 		r.handleFailure(ctx, outcome.err)
 	default:
-		r.failedAt = time.Time{}
+		r.lastFailedAt = time.Time{}
 		r.inOrder = outcome.inOrder
 	}
 }
@@ -183,19 +185,18 @@
 	m := r.manager
 	ctx, cancel := context.WithTimeout(ctx, m.timing.lease())
 	defer cancel()
-	early := time.AfterFunc(m.timing.slowBackup(), func() { m.config.ReportFailure(r.peer, false) })
-	defer early.Stop()
+	slowTimer := time.AfterFunc(m.timing.slowBackup(), func() { m.config.ReportFailure(r.peer, false) })
+	defer slowTimer.Stop()
 	return m.config.Client.Call(ctx, batch.address, "/copy", batch.request, batch.bodies, response)
 }
 
-// handleFailure reports a backup that did not answer, and makes the replicator
-// try again.
+// handleFailure reports a backup that did not answer, and requests a retry.
 func (r *replicator) handleFailure(ctx context.Context, err error) {
 	m := r.manager
-	if r.failedAt.IsZero() && ctx.Err() == nil {
+	if r.lastFailedAt.IsZero() && ctx.Err() == nil {
 		m.config.Log.Printf("copy: %s: %v", r.peer, err)
 	}
-	r.failedAt = time.Now()
-	r.wanted = true
+	r.lastFailedAt = time.Now()
+	r.sendRequested = true
 	m.config.ReportFailure(r.peer, httpwire.ConnectionRefused(err))
 }
--- a/internal/partition/storage_test.go
+++ b/internal/partition/storage_test.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := 2 * os.Getpagesize(); i < len(raw); i++ { // all but the first two pages
+	for i := 2 * os.Getpagesize(); i < len(raw); i++ { // all pages but the first two
 		raw[i] = byte(i * 7)
 	}
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
@@ -52,22 +52,22 @@
 		t.Errorf("damaged file: %v, warned %q", err, warned)
 	}
 	closeDB(t, s)
-	if left, _ := filepath.Glob(filepath.Join(dir, "*.damaged-*")); len(left) != 1 {
-		t.Errorf("moved aside: %v", left)
+	if quarantined, _ := filepath.Glob(filepath.Join(dir, "*.damaged-*")); len(quarantined) != 1 {
+		t.Errorf("moved aside: %v", quarantined)
 	}
 }
 
-// What the disk cannot read may be undamaged: it is not moved aside.
+// A file that the disk cannot read may be undamaged, so it must not be moved aside.
 func TestUnreadableFileIsNotMovedAside(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.Mkdir(filepath.Join(dir, "store.db"), 0o755); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := openStorage(dir, t.Logf); err == nil {
-		t.Error("opened a folder")
+		t.Error("opened a directory")
 	}
-	if left, _ := filepath.Glob(filepath.Join(dir, "*.damaged-*")); len(left) != 0 {
-		t.Errorf("moved aside: %v", left)
+	if quarantined, _ := filepath.Glob(filepath.Join(dir, "*.damaged-*")); len(quarantined) != 0 {
+		t.Errorf("moved aside: %v", quarantined)
 	}
 }
 
@@ -107,10 +107,10 @@
 		unhealthy bool
 	}{
 		"idle":    {writeHealth{}, false},
-		"writing": {writeHealth{started: now, average: time.Millisecond}, false},
-		"stalled": {writeHealth{started: now.Add(-time.Second), average: time.Millisecond}, true},
-		"slow":    {writeHealth{average: 200 * time.Millisecond}, true},
-		"refuses": {writeHealth{refused: os.ErrClosed}, true},
+		"writing": {writeHealth{writeStarted: now, averageWrite: time.Millisecond}, false},
+		"stalled": {writeHealth{writeStarted: now.Add(-time.Second), averageWrite: time.Millisecond}, true},
+		"slow":    {writeHealth{averageWrite: 200 * time.Millisecond}, true},
+		"refuses": {writeHealth{lastError: os.ErrClosed}, true},
 	} {
 		s := &storage{health: c.health}
 		if err := s.check(250*time.Millisecond, 80*time.Millisecond); (err != nil) != c.unhealthy {
@@ -121,23 +121,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeDB(t, s) // refuses every write from now on
+	closeDB(t, s) // every further write fails
 	if err := s.commit([]change{{key: []byte("k")}}); err == nil {
-		t.Error("a refused write is not reported")
+		t.Error("the failed write was not reported")
 	}
 }
 
 func TestAverageWriteTimeMovesByAQuarter(t *testing.T) {
-	h := writeHealth{started: time.Now()}
+	h := writeHealth{writeStarted: time.Now()}
 	for _, want := range []time.Duration{100, 175} {
-		h.finish(400 * time.Millisecond)
-		if h.average != want*time.Millisecond || !h.started.IsZero() {
+		h.recordWrite(400 * time.Millisecond)
+		if h.averageWrite != want*time.Millisecond || !h.writeStarted.IsZero() {
 			t.Errorf("%+v, want %v", h, want*time.Millisecond)
 		}
 	}
 }
 
-// A store measures its file while the writer grows it or closes it.
+// The file size is measured while the writer grows the file and closes it.
 func TestUsedBytesWhileTheFileGrowsAndCloses(t *testing.T) {
 	s, _, err := openStorage(t.TempDir(), t.Logf)
 	if err != nil {
@@ -155,19 +155,19 @@
 		cancel()
 		_ = s.run(ctx, time.Millisecond, t.Logf)
 	})
-	most := int64(0)
+	maxUsed := int64(0)
 	for ctx.Err() == nil {
-		most = max(most, s.usedBytes())
+		maxUsed = max(maxUsed, s.usedBytes())
 	}
 	tasks.Wait()
-	if most < 1<<20 || s.usedBytes() != 0 {
-		t.Errorf("at most %d bytes were seen in use, %d after the end", most, s.usedBytes())
+	if maxUsed < 1<<20 || s.usedBytes() != 0 {
+		t.Errorf("at most %d bytes in use while writing, %d after closing", maxUsed, s.usedBytes())
 	}
 }
 
-// A commit that failed may be on disk or not, and a sync that failed once may have
-// lost what a later one says is there. So the file is written anew before it is
-// told that a change is on disk.
+// A failed commit may or may not have reached the disk, and after a failed sync a later
+// successful one may report pages as written that were lost. The file must therefore be
+// rewritten before a change is reported to be on disk.
 func TestFileIsWrittenAnewAfterAFailedCommit(t *testing.T) {
 	for _, step := range []string{boltstore.StepCommit, boltstore.StepSync} {
 		dir := t.TempDir()
@@ -207,7 +207,7 @@
 		cancel()
 		running.Wait()
 		if os.SameFile(before, after) || !failed[boltstore.StepOpen] {
-			t.Errorf("%s: the same file is written again", step)
+			t.Errorf("%s: the file was not rewritten", step)
 		}
 		s, saved, err := openStorage(dir, t.Logf)
 		if err != nil {
@@ -220,7 +220,7 @@
 	}
 }
 
-func TestDamageEndsTheWriter(t *testing.T) {
+func TestDamagedFileStopsTheWriter(t *testing.T) {
 	s, _, err := openStorage(t.TempDir(), t.Logf)
 	if err != nil {
 		t.Fatal(err)
@@ -228,6 +228,6 @@
 	s.file.Fault = func(string) error { return boltstore.ErrDamaged }
 	s.putMeta(keyProbe, []byte{})
 	if err := s.run(t.Context(), time.Millisecond, t.Logf); !errors.Is(err, boltstore.ErrDamaged) {
-		t.Errorf("the writer ended with %v", err)
+		t.Errorf("the writer returned %v", err)
 	}
 }
--- a/internal/partition/topiclog_test.go
+++ b/internal/partition/topiclog_test.go
@@ -20,23 +20,23 @@
 			}
 		}
 		if read, err := ParsePosition(p.String()); err != nil || read != p {
-			t.Errorf("%v is read as %v, %v", p, read, err)
+			t.Errorf("%v is parsed as %v, %v", p, read, err)
 		}
 	}
 	for _, text := range []string{"", "-", "1", "1-", "-1", "1--1", "1-2-3", "x y-1", "-1-5", "zzzzzzzzzzzzzzzzzzzzz-1"} {
 		if p, err := ParsePosition(text); err == nil {
-			t.Errorf("%q is read as %v", text, p)
+			t.Errorf("%q is parsed as %v", text, p)
 		}
 	}
 }
 
-// entry is a log entry as a replica holds it.
+// entry returns a log entry as a replica holds it.
 func entry(epoch, order int64, publisher string, number int64) *Record {
 	at := Position{epoch, order}
 	return &Record{ID: entryID(at), Epoch: epoch, Sequence: order, Order: order, Topic: "t", Publisher: publisher, Number: number}
 }
 
-func TestLogOfANewPrimaryHasNoRepeatedNumbers(t *testing.T) {
+func TestNewTopicLogReturnsDuplicates(t *testing.T) {
 	// The first primary of epoch 2 lost entries 4 and 5, restarted, and accepted
 	// the same messages again behind one of another publisher.
 	records := recordsOf(
@@ -65,16 +65,16 @@
 func TestLogReleasesInOrder(t *testing.T) {
 	records := recordsOf(entry(1, 1, "a", 1), entry(1, 2, "a", 2), entry(1, 3, "b", 1))
 	log, _ := newTopicLog(records)
-	waiting := map[string]bool{entryID(Position{1, 2}): true}
-	isWaiting := func(id string) bool { return waiting[id] }
-	if got := log.release(isWaiting); len(got) != 1 || got[0].Order != 1 {
+	unconfirmed := map[string]bool{entryID(Position{1, 2}): true}
+	isUnconfirmed := func(id string) bool { return unconfirmed[id] }
+	if got := log.release(isUnconfirmed); len(got) != 1 || got[0].Order != 1 {
 		t.Errorf("released %v", ids(got))
 	}
-	if got := log.release(isWaiting); len(got) != 0 {
-		t.Errorf("released %v behind one that waits", ids(got))
+	if got := log.release(isUnconfirmed); len(got) != 0 {
+		t.Errorf("released %v after an unconfirmed entry", ids(got))
 	}
-	clear(waiting)
-	if got := log.release(isWaiting); len(got) != 2 || got[0].Order != 2 || got[1].Order != 3 {
+	clear(unconfirmed)
+	if got := log.release(isUnconfirmed); len(got) != 2 || got[0].Order != 2 || got[1].Order != 3 {
 		t.Errorf("released %v", ids(got))
 	}
 	for _, r := range []*Record{entry(1, 1, "a", 1), entry(1, 2, "a", 2)} {
@@ -82,34 +82,33 @@
 	}
 	log.removeDeleted(records)
 	log.append(entry(1, 4, "a", 3))
-	if got := log.release(isWaiting); len(got) != 1 || got[0].Order != 4 {
+	if got := log.release(isUnconfirmed); len(got) != 1 || got[0].Order != 4 {
 		t.Errorf("released %v after a deletion", ids(got))
 	}
-	if log.find(entry(0, 0, "a", 2)) != nil || log.last["t"] != (Position{1, 4}) {
-		t.Errorf("a deleted entry is found, or the last one is %v", log.last["t"])
+	if log.find(entry(0, 0, "a", 2)) != nil || log.lastPosition["t"] != (Position{1, 4}) {
+		t.Errorf("a deleted entry is found, or the last one is %v", log.lastPosition["t"])
 	}
 }
 
-// publish accepts entries at the primary of partition 0 and returns how they ended,
-// once they have.
+// publish starts accepting entries at the primary of partition 0. The returned channel
+// receives the results.
 func publish(t *testing.T, m *Manager, numbers ...int64) <-chan []error {
 	t.Helper()
 	var records []*Record
 	for _, n := range numbers {
 		records = append(records, &Record{Topic: "t", Publisher: "p", Number: n, Expires: m.Now() + time.Hour.Milliseconds(), Body: []byte("x")})
 	}
-	ended := make(chan []error, 1)
+	results := make(chan []error, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		ended <- m.AcceptAll(ctx, 0, records)
+		results <- m.AcceptAll(ctx, 0, records)
 	}()
 	synctest.Wait()
-	return ended
+	return results
 }
 
-// released returns the numbers of the entries that were released since the last
-// call.
+// released returns the numbers of the entries released since the last call.
 func released(m *Manager) (numbers []int64) {
 	synctest.Wait()
 	events, _ := m.Events()
@@ -126,23 +125,23 @@
 		m := startPrimary(t, placement.Backup{Store: "other", InSync: true})
 		first := publish(t, m, 5, 6)
 		if got := released(m); got != nil {
-			t.Errorf("released %v that no backup holds", got)
+			t.Errorf("released %v although no backup holds them", got)
 		}
 		exchange(t, m, nil)
 		if got := released(m); !slices.Equal(got, []int64{5, 6}) {
 			t.Errorf("released %v", got)
 		}
-		again := publish(t, m, 5, 4, 6, 7)
+		republished := publish(t, m, 5, 4, 6, 7)
 		exchange(t, m, nil)
 		if got := released(m); !slices.Equal(got, []int64{7}) {
-			t.Errorf("released %v, and 5 and 6 were before", got)
+			t.Errorf("released %v, want only 7: 5 and 6 were released before", got)
 		}
 		for _, err := range <-first {
 			if err != nil {
 				t.Error(err)
 			}
 		}
-		errs := <-again
+		errs := <-republished
 		if errs[0] != nil || !errors.Is(errs[1], ErrSuperseded) || errs[2] != nil || errs[3] != nil {
 			t.Errorf("accepted again: %v", errs)
 		}
@@ -161,9 +160,9 @@
 		if got := released(m); got != nil {
 			t.Errorf("released %v before the replica answered", got)
 		}
-		exchange(t, m, func(result *PartitionResult) { result.Count = 1 }) // it lacks what was found
+		exchange(t, m, func(result *PartitionResult) { result.Count = 1 }) // it lacks entries found by the new primary
 		if got := released(m); got != nil {
-			t.Errorf("released %v that the replica lacks", got)
+			t.Errorf("released %v although the replica lacks entries", got)
 		}
 		m.wakeReplicatorLocked("other")
 		m.mu.Lock()
@@ -177,8 +176,9 @@
 	})
 }
 
-// What a former primary released is released at once; what it accepted behind that
-// waits for the disks of all replicas, and for no repair of a new one.
+// Entries that a former primary released are released at once. Entries that it accepted
+// after them must wait for the disks of all replicas, but not until a new replica is
+// filled.
 func TestTailOfTheLogIsAcceptedAnewByANewPrimary(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startBackup(t)
@@ -192,14 +192,14 @@
 		if got := released(m); !slices.Equal(got, []int64{1}) {
 			t.Errorf("released %v before any answer", got)
 		}
-		exchange(t, m, func(result *PartitionResult) { result.Count = 1 }) // it has the tail, not the rest
+		exchange(t, m, func(result *PartitionResult) { result.Count = 1 }) // it has only the tail
 		if got := released(m); !slices.Equal(got, []int64{2}) {
 			t.Errorf("released %v when the new replica had the tail", got)
 		}
 	})
 }
 
-func TestReleasedPositionGoesWithABatchUntilItIsKnown(t *testing.T) {
+func TestReleasedPositionIsSentUntilAcknowledged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startPrimary(t, placement.Backup{Store: "other", InSync: true})
 		publish(t, m, 1)
@@ -210,7 +210,7 @@
 		for i, want := range []Position{{6, 1}, {6, 1}, {}} {
 			batch := nextBatch(t, m, 0)
 			if got := batch.request.Partitions[0].Released; got != want {
-				t.Errorf("batch %d names %v, not %v", i, got, want)
+				t.Errorf("batch %d names %v, want %v", i, got, want)
 			}
 			if i == 1 {
 				m.handleResponse(&replicator{manager: m, peer: "other", wakeup: make(chan struct{}, 1)}, time.Time{}, 0, batch.sent, responseTo(batch))
@@ -224,15 +224,15 @@
 func TestEntriesThatThePrimaryLacksAreDeletedAtTheReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startPrimary(t, placement.Backup{Store: "other", InSync: true})
-		extra := entryID(Position{5, 9})
+		unknownEntry := entryID(Position{5, 9})
 		p := m.partitions[0]
-		digest := DigestResponse{IDs: map[State][]string{Pending: {extra, "deferred"}}}
+		digest := DigestResponse{IDs: map[State][]string{Pending: {unknownEntry, "deferred"}}}
 		toSend, toFetch := m.compare(p, 6, "other", digest)
 		if toSend != 1 || !slices.Equal(toFetch, []string{"deferred"}) {
 			t.Errorf("%d to send, %q to fetch", toSend, toFetch)
 		}
-		if r := p.replicas[0].unreplicated[extra]; r == nil || r.State != Deleted {
-			t.Errorf("sent is %+v", r)
+		if r := p.replicas[0].unreplicated[unknownEntry]; r == nil || r.State != Deleted {
+			t.Errorf("record sent to the replica: %+v", r)
 		}
 		if toSend, toFetch := m.compare(p, 6, "a former primary", digest); toSend != 0 || len(toFetch) != 1 {
 			t.Errorf("%d to send to a store that is no replica, %q to fetch", toSend, toFetch)
@@ -240,12 +240,12 @@
 	})
 }
 
-// A primary that restarts in its epoch may have given a position to an entry that
-// its own disk lacks: it gives that one to no other.
-func TestRestartedPrimaryGivesNoPositionTwice(t *testing.T) {
+// A primary that restarts in its epoch may have assigned a position to an entry that its
+// own disk lacks, so it must not assign that position again.
+func TestRestartedPrimaryDoesNotReusePositions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		config := testConfig(t.TempDir())
-		for life, want := range []int64{1, sequenceGap + 2} {
+		for run, want := range []int64{1, sequenceGap + 2} {
 			m, err := New(config)
 			if err != nil {
 				t.Fatal(err)
@@ -257,11 +257,11 @@
 				_ = m.Run(ctx)
 			}()
 			assign(m, 1, placement.Partition{Epoch: 6, Primary: "me"})
-			if errs := <-publish(t, m, int64(life+1)); errs[0] != nil {
+			if errs := <-publish(t, m, int64(run+1)); errs[0] != nil {
 				t.Fatal(errs[0])
 			}
-			if r := m.partitions[0].log.entries[life]; r.Order != want {
-				t.Errorf("life %d: the order is %d, not %d", life, r.Order, want)
+			if r := m.partitions[0].log.entries[run]; r.Order != want {
+				t.Errorf("run %d: the order is %d, want %d", run, r.Order, want)
 			}
 			cancel()
 			<-done
--- a/internal/partition/writer.go
+++ b/internal/partition/writer.go
@@ -12,10 +12,10 @@
 	"saltreel/internal/boltstore"
 )
 
-// run writes until ctx ends and nothing is left to write, and closes the file.
-// What the disk refuses is tried again, once the file has been written anew (see
-// boltstore.File): the messages wait, unconfirmed. It ends early only if the file
-// is found damaged.
+// run writes until ctx ends and nothing is left to write, then closes the file. Failed
+// writes are retried once the file has been rewritten (see boltstore.File); the messages
+// remain unconfirmed until then. run returns early only if the file is found to be
+// damaged.
 func (s *storage) run(ctx context.Context, retry time.Duration, warn func(format string, args ...any)) error {
 	recovering, stop := context.WithCancel(ctx)
 	var tasks sync.WaitGroup
@@ -45,7 +45,7 @@
 	}
 }
 
-// dequeue returns all changes that wait.
+// dequeue removes and returns all queued changes.
 func (s *storage) dequeue() []change {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,9 +55,10 @@
 	return batch
 }
 
-// commitWithRetry writes a batch. A batch may be written twice, since a commit
-// that failed may be on disk: its changes only set and delete values. It returns an
-// error only if ctx ends while the disk refuses the batch, or the file is damaged.
+// commitWithRetry writes a batch, retrying on failure. A batch may be written twice,
+// since a failed commit may have reached the disk; this is safe because changes only set
+// and delete values. An error is returned only if ctx ends while writes fail, or if the
+// file is damaged.
 func (s *storage) commitWithRetry(ctx context.Context, batch []change, retry time.Duration, warn func(format string, args ...any)) error {
 	for {
 		err := s.commit(batch)
@@ -65,10 +66,10 @@
 			return nil
 		}
 		s.mu.Lock()
-		if s.health.refused == nil {
-			warn("disk: %d changes are not written: %v", len(batch), err)
+		if s.health.lastError == nil {
+			warn("disk: write of %d changes failed: %v", len(batch), err)
 		}
-		s.health.refused = err
+		s.health.lastError = err
 		s.mu.Unlock()
 		if errors.Is(err, boltstore.ErrDamaged) {
 			return err
@@ -81,16 +82,16 @@
 	}
 }
 
-// reportWritten calls those who wait for a batch that is on disk.
+// reportWritten calls the callbacks that wait for a batch that is now on disk.
 func (s *storage) reportWritten(batch []change, warn func(format string, args ...any)) {
 	s.mu.Lock()
-	if s.health.refused != nil {
-		warn("disk: writes again")
+	if s.health.lastError != nil {
+		warn("disk: writes succeed again")
 	}
 	afterWrite := s.afterWrite
 	s.afterWrite = nil
 	s.writing = false
-	s.health.refused = nil
+	s.health.lastError = nil
 	s.mu.Unlock()
 	for _, c := range batch {
 		if c.done != nil {
@@ -106,11 +107,11 @@
 func (s *storage) commit(batch []change) error {
 	started := time.Now()
 	s.mu.Lock()
-	s.health.started = started
+	s.health.writeStarted = started
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
-		s.health.finish(time.Since(started))
+		s.health.recordWrite(time.Since(started))
 		s.mu.Unlock()
 	}()
 	return s.file.Update(func(tx *bbolt.Tx) error {
