--- a/internal/admission/quotas.go
+++ b/internal/admission/quotas.go
@@ -13,9 +13,9 @@
 
 // Quotas are the quotas that a node measures requests against.
 type Quotas struct {
-	RequestBytes *quota.Manager
-	RequestTime  *quota.Manager
-	Accepted     *quota.Manager // messages; the limit over all edges is enforced elsewhere
+	RequestBytes     *quota.Manager
+	RequestTime      *quota.Manager
+	AcceptedMessages *quota.Manager // messages; the limit over all edges is enforced elsewhere
 
 	mu     sync.Mutex
 	limits *configuration.Table // whose limits are applied
@@ -25,9 +25,9 @@
 // half of what it can do.
 func NewQuotas(processorShare float64) *Quotas {
 	q := &Quotas{
-		RequestBytes: quota.NewManager(quota.RequestBytes),
-		RequestTime:  quota.NewManager(quota.RequestTime),
-		Accepted:     quota.NewManager(quota.Accepted),
+		RequestBytes:     quota.NewManager(quota.RequestBytes),
+		RequestTime:      quota.NewManager(quota.RequestTime),
+		AcceptedMessages: quota.NewManager(quota.AcceptedMessages),
 	}
 	q.RequestTime.SetLimit(quota.Entity{Tenant: quota.Default}, processorShare/2)
 	return q
@@ -36,7 +36,7 @@
 // Reap removes sensors without use and releases what was held, until ctx ends.
 func (q *Quotas) Reap(ctx context.Context) {
 	var tasks sync.WaitGroup
-	for _, m := range []*quota.Manager{q.RequestBytes, q.RequestTime, q.Accepted} {
+	for _, m := range []*quota.Manager{q.RequestBytes, q.RequestTime, q.AcceptedMessages} {
 		tasks.Go(func() { m.Reap(ctx) })
 	}
 	tasks.Wait()
@@ -58,7 +58,7 @@
 			rates[quota.Entity{Tenant: tenant.Name}] = tenant.RatePerS
 		}
 	}
-	q.Accepted.SetLimits(rates)
+	q.AcceptedMessages.SetLimits(rates)
 	return true
 }
 
@@ -71,7 +71,7 @@
 		throttle, by = x, q.RequestTime
 	}
 	if acceptedThrottle > throttle {
-		throttle, by = acceptedThrottle, q.Accepted
+		throttle, by = acceptedThrottle, q.AcceptedMessages
 	}
 	return throttle, by
 }
--- a/internal/admission/quotas_test.go
+++ b/internal/admission/quotas_test.go
@@ -39,8 +39,8 @@
 		{"within all limits", 1, time.Millisecond, 0, func(q *Quotas) *quota.Manager { return q.RequestBytes }, false},
 		{"bytes", 1 << 20, time.Millisecond, 0, func(q *Quotas) *quota.Manager { return q.RequestBytes }, true},
 		{"time", 1, time.Hour, 0, func(q *Quotas) *quota.Manager { return q.RequestTime }, true},
-		{"accepted messages", 1, time.Millisecond, time.Second, func(q *Quotas) *quota.Manager { return q.Accepted }, true},
-		{"the longest of several", 1 << 20, time.Millisecond, time.Hour, func(q *Quotas) *quota.Manager { return q.Accepted }, true},
+		{"accepted messages", 1, time.Millisecond, time.Second, func(q *Quotas) *quota.Manager { return q.AcceptedMessages }, true},
+		{"the longest of several", 1 << 20, time.Millisecond, time.Hour, func(q *Quotas) *quota.Manager { return q.AcceptedMessages }, true},
 		{"negative time counts as none", 1, -time.Hour, 0, func(q *Quotas) *quota.Manager { return q.RequestBytes }, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -67,13 +67,13 @@
 	}
 	for _, rate := range []float64{10, 20} {
 		q.ApplyLimits(table(rate))
-		reference := quota.NewManager(quota.Accepted)
+		reference := quota.NewManager(quota.AcceptedMessages)
 		reference.SetLimit(quota.Entity{Tenant: "one"}, rate)
 		want, _ := reference.MaxInWindow("one", "route")
-		if got, limited := q.Accepted.MaxInWindow("one", "route"); !limited || got != want {
+		if got, limited := q.AcceptedMessages.MaxInWindow("one", "route"); !limited || got != want {
 			t.Errorf("rate %v: most in a window %v, limited %v; want %v", rate, got, limited, want)
 		}
-		if _, limited := q.Accepted.MaxInWindow("two", "route"); limited {
+		if _, limited := q.AcceptedMessages.MaxInWindow("two", "route"); limited {
 			t.Error("a tenant without rate is limited")
 		}
 	}
--- a/internal/edge/admission.go
+++ b/internal/edge/admission.go
@@ -85,11 +85,11 @@
 // tenant is over it, else nil. What is asked is recorded, then checked. The limit
 // binds over all nodes, so here a lease decides, and X follows from what was granted.
 func (e *Edge) checkRate(ctx context.Context, tenant *configuration.Tenant, m *client.Message, route *configuration.Route) *httpwire.Response {
-	m.Throttle = e.quotas.Accepted.Record(m.Tenant, route.Name, 1)
+	m.Throttle = e.quotas.AcceptedMessages.Record(m.Tenant, route.Name, 1)
 	if wait := e.leases.Acquire(ctx, tenant); wait > 0 {
 		// The connection is held until the next lease only: the tenant is
 		// still owed its limit, also on the connections it has.
-		x := max(wait, e.leases.ThrottleTime(tenant, e.quotas.Accepted.Rate(m.Tenant, route.Name)))
+		x := max(wait, e.leases.ThrottleTime(tenant, e.quotas.AcceptedMessages.Rate(m.Tenant, route.Name)))
 		m.Throttle = min(wait, x)
 		return withRetryAfter(httpwire.Problem(429, "tenant "+m.Tenant+" is over its limit"), x)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -245,7 +245,7 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	g.quotas.Accepted.Record(tenant.Name, space, 1)
+	g.quotas.AcceptedMessages.Record(tenant.Name, space, 1)
 	return g.leases.Acquire(ctx, tenant)
 }
 
--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -12,10 +12,10 @@
 
 // The types of quota.
 const (
-	RequestBytes  Type = "request-bytes"  // bytes of requests
-	DeliveryBytes Type = "delivery-bytes" // bytes sent to handlers
-	RequestTime   Type = "request-time"   // seconds of processing
-	Accepted      Type = "accepted"       // accepted messages
+	RequestBytes     Type = "request-bytes"  // bytes of requests
+	DeliveryBytes    Type = "delivery-bytes" // bytes sent to handlers
+	RequestTime      Type = "request-time"   // seconds of processing
+	AcceptedMessages Type = "accepted"       // accepted messages
 )
 
 // Default stands for any tenant or route in the key of a limit.
@@ -25,11 +25,11 @@
 // routes together.
 type Entity struct{ Tenant, Route string }
 
-// Idle is the time without use after which a sensor is removed.
-const Idle = time.Hour
+// SensorExpiration is the time without use after which a sensor is removed.
+const SensorExpiration = time.Hour
 
 // sweepInterval is the time between two searches for idle sensors.
-const sweepInterval = Idle / 60
+const sweepInterval = SensorExpiration / 60
 
 // Manager owns the limits, the sensors and the delay queue of one type. Its
 // methods may be called by any goroutine.
@@ -106,7 +106,7 @@
 	}
 	if now.Sub(m.swept) > sweepInterval {
 		m.swept = now
-		maps.DeleteFunc(m.sensors, func(_ Entity, s *Sensor) bool { return s.idle(now, Idle) })
+		maps.DeleteFunc(m.sensors, func(_ Entity, s *Sensor) bool { return s.idle(now, SensorExpiration) })
 	}
 	s := m.sensors[entity]
 	if s == nil {
@@ -152,7 +152,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	_, bound, ok := m.resolve(tenant, route)
-	return bound * (Samples - 1) * Window.Seconds(), ok
+	return bound * (NumSamples - 1) * Window.Seconds(), ok
 }
 
 // Hold adds a hold and returns a channel that the reaper closes after d, or
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -92,7 +92,7 @@
 
 func TestNewLimitDoesNotResetSensor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := NewManager(Accepted)
+		m := NewManager(AcceptedMessages)
 		m.SetLimit(Entity{Tenant: "a"}, 1000)
 		m.Record("a", "r", 200)
 		m.SetLimits(map[Entity]float64{{Tenant: "a"}: 10})
@@ -163,9 +163,9 @@
 		m := NewManager(RequestBytes)
 		m.SetLimit(Entity{Tenant: Default}, 1)
 		m.Record("a", "r", 1)
-		time.Sleep(Idle / 2)
+		time.Sleep(SensorExpiration / 2)
 		m.Record("b", "r", 1)
-		time.Sleep(Idle*2/3 + time.Second)
+		time.Sleep(SensorExpiration*2/3 + time.Second)
 		m.Record("c", "r", 1)
 		if len(m.sensors) != 2 || m.sensors[Entity{"a", ""}] != nil {
 			t.Errorf("sensors: %v", m.sensors)
--- a/internal/quota/sensor.go
+++ b/internal/quota/sensor.go
@@ -12,20 +12,20 @@
 	"time"
 )
 
-// A sensor has Samples windows of the length Window: ten complete ones and the
+// A sensor has NumSamples windows of the length Window: ten complete ones and the
 // current one.
 const (
-	Samples = 11
-	Window  = time.Second
+	NumSamples = 11
+	Window     = time.Second
 )
 
 // Sensor measures a rate: the sum of the samples that have not expired divided
 // by the time that they span.
 type Sensor struct {
 	mu       sync.Mutex
-	samples  [Samples]sample // a ring
-	current  int             // index of the newest sample
-	started  bool            // a value was recorded
+	samples  [NumSamples]sample // a ring
+	current  int                // index of the newest sample
+	started  bool               // a value was recorded
 	lastUsed time.Time
 }
 
@@ -47,7 +47,7 @@
 	}
 	current := &s.samples[s.current]
 	if !current.active || now.Sub(current.start) >= Window {
-		s.current = (s.current + 1) % Samples
+		s.current = (s.current + 1) % NumSamples
 		current = &s.samples[s.current]
 		*current = sample{start: now, active: true}
 	}
@@ -63,7 +63,7 @@
 	oldest := now
 	for i := range s.samples {
 		sample := &s.samples[i]
-		if sample.active && now.Sub(sample.start) >= Samples*Window {
+		if sample.active && now.Sub(sample.start) >= NumSamples*Window {
 			sample.active = false
 		}
 		if !sample.active {
@@ -75,8 +75,8 @@
 		}
 	}
 	span := now.Sub(oldest)
-	if complete := int(span / Window); complete < Samples-1 {
-		span += time.Duration(Samples-1-complete) * Window
+	if complete := int(span / Window); complete < NumSamples-1 {
+		span += time.Duration(NumSamples-1-complete) * Window
 	}
 	return sum / span.Seconds()
 }
@@ -93,7 +93,7 @@
 
 // MaxThrottleTime is the longest throttle time: after it a sensor has forgotten what it
 // observed, so nothing asks for a longer one.
-const MaxThrottleTime = Samples * Window
+const MaxThrottleTime = NumSamples * Window
 
 // ThrottleTime returns the time X that brings an observed rate O back to its bound T
 // over a window W: O·W/(W+X) = T. It is 0 within the bound, and at most MaxThrottleTime.
