--- a/internal/edge/admission.go
+++ b/internal/edge/admission.go
@@ -57,7 +57,7 @@
 	}
 	response.Header = append(response.Header, "Saltreel-Throttle-Ms", strconv.FormatInt(min(x, quota.Window).Milliseconds(), 10))
 	if !shared { // a hold would make other tenants wait
-		r.Conn.Hold(by.Hold(x))
+		r.Conn.Hold(by.Throttle(x))
 	}
 }
 
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -230,7 +230,7 @@
 	timer := time.NewTimer(c.gateway.timing.maxHold())
 	defer timer.Stop()
 	select {
-	case <-by.Hold(x):
+	case <-by.Throttle(x):
 	case <-timer.C:
 	case <-c.released:
 	}
--- a/internal/quota/delayqueue.go
+++ b/internal/quota/delayqueue.go
@@ -7,29 +7,31 @@
 	"time"
 )
 
-// hold is a request that waits on a delay queue.
-type hold struct {
-	until    time.Time
-	released chan struct{} // closed by the reaper
+// throttledRequest is a request that waits in the delay queue for the end of its
+// throttle time.
+type throttledRequest struct {
+	releaseAt time.Time
+	released  chan struct{} // closed by Manager.Reap
 }
 
-// delayQueue hands out holds when they are due, the earliest first.
+// delayQueue returns throttled requests when their throttle time is over, ordered by
+// release time.
 type delayQueue struct {
-	mu    sync.Mutex
-	holds holdHeap
-	wake  chan struct{} // has a value once the earliest hold has changed
+	mu       sync.Mutex
+	requests releaseHeap
+	wake     chan struct{} // has capacity 1; signaled when the earliest release time changes
 }
 
 func (q *delayQueue) len() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return len(q.holds)
+	return len(q.requests)
 }
 
-func (q *delayQueue) add(h *hold) {
+func (q *delayQueue) add(r *throttledRequest) {
 	q.mu.Lock()
-	heap.Push(&q.holds, h)
-	earliest := q.holds[0] == h
+	heap.Push(&q.requests, r)
+	earliest := q.requests[0] == r
 	q.mu.Unlock()
 	if !earliest {
 		return
@@ -40,18 +42,18 @@
 	}
 }
 
-// removeAll empties the queue.
-func (q *delayQueue) removeAll() []*hold {
+// removeAll empties the queue and returns what it held.
+func (q *delayQueue) removeAll() []*throttledRequest {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	holds := q.holds
-	q.holds = nil
-	return holds
+	requests := q.requests
+	q.requests = nil
+	return requests
 }
 
-// poll waits until a hold is due and removes it. It returns nil after the
-// timeout, or when ctx ends.
-func (q *delayQueue) poll(ctx context.Context, timeout time.Duration) *hold {
+// poll waits for a request to become due, and removes and returns it. It returns nil
+// on timeout or when ctx is done.
+func (q *delayQueue) poll(ctx context.Context, timeout time.Duration) *throttledRequest {
 	deadline := time.Now().Add(timeout)
 	for {
 		now := time.Now()
@@ -77,32 +79,33 @@
 	}
 }
 
-// pop removes the earliest hold if it is due. Otherwise it returns when it will
-// be, or the zero time if there is none.
-func (q *delayQueue) pop(now time.Time) (due *hold, next time.Time) {
+// pop removes and returns the earliest request if it is due. Otherwise it returns the
+// earliest release time, or the zero time if the queue is empty.
+func (q *delayQueue) pop(now time.Time) (due *throttledRequest, next time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.holds) == 0 {
+	if len(q.requests) == 0 {
 		return nil, time.Time{}
 	}
-	if earliest := q.holds[0].until; earliest.After(now) {
+	if earliest := q.requests[0].releaseAt; earliest.After(now) {
 		return nil, earliest
 	}
-	return heap.Pop(&q.holds).(*hold), time.Time{}
+	return heap.Pop(&q.requests).(*throttledRequest), time.Time{}
 }
 
-// holdHeap is a heap.Interface with the earliest hold first.
-type holdHeap []*hold
+// releaseHeap is a min-heap of throttled requests by release time; it implements
+// heap.Interface.
+type releaseHeap []*throttledRequest
 
-func (h holdHeap) Len() int           { return len(h) }
-func (h holdHeap) Less(i, j int) bool { return h[i].until.Before(h[j].until) }
-func (h holdHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h releaseHeap) Len() int           { return len(h) }
+func (h releaseHeap) Less(i, j int) bool { return h[i].releaseAt.Before(h[j].releaseAt) }
+func (h releaseHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push adds a hold at the end.
-func (h *holdHeap) Push(x any) { *h = append(*h, x.(*hold)) }
+// Push implements heap.Interface.
+func (h *releaseHeap) Push(x any) { *h = append(*h, x.(*throttledRequest)) }
 
-// Pop removes the last hold.
-func (h *holdHeap) Pop() any {
+// Pop implements heap.Interface.
+func (h *releaseHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// Type says what a quota counts.
+// Type is the resource that a quota limits.
 type Type string
 
-// The types of quota.
+// Quota types.
 const (
-	RequestBytes     Type = "request-bytes"  // bytes of requests
+	RequestBytes     Type = "request-bytes"  // bytes of client requests
 	DeliveryBytes    Type = "delivery-bytes" // bytes sent to handlers
-	RequestTime      Type = "request-time"   // seconds of processing
-	AcceptedMessages Type = "accepted"       // accepted messages
+	RequestTime      Type = "request-time"   // seconds of request processing
+	AcceptedMessages Type = "accepted"       // number of accepted messages
 )
 
-// Default stands for any tenant or route in the key of a limit.
+// Default is the wildcard for the tenant or the route of an Entity that has a limit.
 const Default = "*"
 
-// Entity is what a limit or a sensor is for. An empty route stands for all
-// routes together.
+// Entity identifies what a limit applies to or a sensor measures. An empty route means
+// all routes of the tenant together.
 type Entity struct{ Tenant, Route string }
 
-// SensorExpiration is the time without use after which a sensor is removed.
+// SensorExpiration is how long a sensor may be unused before it is removed.
 const SensorExpiration = time.Hour
 
-// sweepInterval is the time between two searches for idle sensors.
+// sweepInterval is the minimum time between two scans for expired sensors.
 const sweepInterval = SensorExpiration / 60
 
-// Manager owns the limits, the sensors and the delay queue of one type. Its
-// methods may be called by any goroutine.
+// Manager holds the limits, the sensors and the delay queue of one quota type. It is
+// safe for concurrent use.
 type Manager struct {
 	Type Type
 
-	mu      sync.Mutex
-	limits  map[Entity]float64
-	sensors map[Entity]*Sensor
-	swept   time.Time // when idle sensors were last removed
+	mu        sync.Mutex
+	limits    map[Entity]float64
+	sensors   map[Entity]*Sensor
+	lastSweep time.Time // last scan for expired sensors
 
 	queue delayQueue // has its own lock
 }
@@ -54,58 +54,58 @@
 	}
 }
 
-// SetLimit sets the limit of an entity, a second. Its sensor is unaffected.
+// SetLimit sets the limit of an entity in units per second. Its sensor keeps its
+// samples.
 func (m *Manager) SetLimit(e Entity, perSecond float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.limits[e] = perSecond
 }
 
-// RemoveLimit removes the limit of an entity.
 func (m *Manager) RemoveLimit(e Entity) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.limits, e)
 }
 
-// SetLimits sets all limits at once; the manager owns the map from then on. The
-// sensors are unaffected.
+// SetLimits replaces all limits; the manager takes ownership of the map. The sensors
+// keep their samples.
 func (m *Manager) SetLimits(limits map[Entity]float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.limits = limits
 }
 
-// resolve returns the most specific limit of a tenant on a route, and the
-// entity whose sensor measures it.
+// resolve returns the most specific limit that applies to a tenant on a route, and the
+// entity whose sensor it is checked against.
 func (m *Manager) resolve(tenant, route string) (Entity, float64, bool) {
-	for _, try := range [...]struct{ limit, sensor Entity }{
+	for _, candidate := range [...]struct{ limit, sensor Entity }{
 		{Entity{tenant, route}, Entity{tenant, route}},
 		{Entity{tenant, Default}, Entity{tenant, route}},
 		{Entity{tenant, ""}, Entity{tenant, ""}},
 		{Entity{Default, ""}, Entity{tenant, ""}},
 	} {
-		if bound, ok := m.limits[try.limit]; ok {
-			return try.sensor, bound, true
+		if limit, ok := m.limits[candidate.limit]; ok {
+			return candidate.sensor, limit, true
 		}
 	}
 	return Entity{}, 0, false
 }
 
-// sensor returns the sensor of a tenant on a route with its limit, and adds it
-// if there is none; nil if there is no limit.
+// sensor returns the sensor and the limit that apply to a tenant on a route, and creates
+// the sensor if necessary. It returns nil if there is no limit.
 func (m *Manager) sensor(tenant, route string, now time.Time) (*Sensor, float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.limits) == 0 {
 		return nil, 0
 	}
-	entity, bound, ok := m.resolve(tenant, route)
+	entity, limit, ok := m.resolve(tenant, route)
 	if !ok {
 		return nil, 0
 	}
-	if now.Sub(m.swept) > sweepInterval {
-		m.swept = now
+	if now.Sub(m.lastSweep) > sweepInterval {
+		m.lastSweep = now
 		maps.DeleteFunc(m.sensors, func(_ Entity, s *Sensor) bool { return s.idle(now, SensorExpiration) })
 	}
 	s := m.sensors[entity]
@@ -113,22 +113,22 @@
 		s = &Sensor{}
 		m.sensors[entity] = s
 	}
-	return s, bound
+	return s, limit
 }
 
-// Record records a use and then checks the limit: it returns the throttle time,
-// 0 within the limit.
+// Record adds a value to the sensor of a tenant on a route, then checks the limit. It
+// returns the throttle time, which is 0 if the rate is within the limit.
 func (m *Manager) Record(tenant, route string, value float64) time.Duration {
 	now := time.Now()
-	s, bound := m.sensor(tenant, route, now)
+	s, limit := m.sensor(tenant, route, now)
 	if s == nil {
 		return 0
 	}
 	s.record(value, now)
-	return ThrottleTime(s.Rate(now), bound)
+	return ThrottleTime(s.Rate(now), limit)
 }
 
-// Rate returns the measured rate a second; 0 if there is no limit.
+// Rate returns the measured rate per second, or 0 if there is no limit.
 func (m *Manager) Rate(tenant, route string) float64 {
 	now := time.Now()
 	s, _ := m.sensor(tenant, route, now)
@@ -138,7 +138,7 @@
 	return s.Rate(now)
 }
 
-// Unrecord cancels the record of something that did not happen.
+// Unrecord reverts a Record call for an operation that did not take place.
 func (m *Manager) Unrecord(tenant, route string, value float64) {
 	now := time.Now()
 	if s, _ := m.sensor(tenant, route, now); s != nil {
@@ -146,35 +146,35 @@
 	}
 }
 
-// MaxInWindow returns the most that an idle tenant may use at once without being
-// throttled; false if there is no limit.
+// MaxInWindow returns how much a tenant without recent use may use at once without being
+// throttled, and false if there is no limit.
 func (m *Manager) MaxInWindow(tenant, route string) (float64, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	_, bound, ok := m.resolve(tenant, route)
-	return bound * (NumSamples - 1) * Window.Seconds(), ok
+	_, limit, ok := m.resolve(tenant, route)
+	return limit * (NumSamples - 1) * Window.Seconds(), ok
 }
 
-// Hold adds a hold and returns a channel that the reaper closes after d, or
-// after a window if d is longer.
-func (m *Manager) Hold(d time.Duration) <-chan struct{} {
-	h := &hold{until: time.Now().Add(min(d, Window)), released: make(chan struct{})}
-	m.queue.add(h)
-	return h.released
+// Throttle queues a request for the throttle time d, at most Window, and returns a
+// channel that Reap closes when that time is over.
+func (m *Manager) Throttle(d time.Duration) <-chan struct{} {
+	r := &throttledRequest{releaseAt: time.Now().Add(min(d, Window)), released: make(chan struct{})}
+	m.queue.add(r)
+	return r.released
 }
 
-// Held returns the number of holds.
-func (m *Manager) Held() int { return m.queue.len() }
+// NumThrottled returns the number of requests in the delay queue.
+func (m *Manager) NumThrottled() int { return m.queue.len() }
 
-// Reap releases the holds when they are due; only it does. It runs until ctx
-// ends and then releases all.
+// Reap releases throttled requests when they are due, until ctx is done; it then
+// releases all that remain. Each channel is closed once, since only Reap closes them.
 func (m *Manager) Reap(ctx context.Context) {
 	for ctx.Err() == nil {
-		if h := m.queue.poll(ctx, Window); h != nil {
-			close(h.released)
+		if r := m.queue.poll(ctx, Window); r != nil {
+			close(r.released)
 		}
 	}
-	for _, h := range m.queue.removeAll() {
-		close(h.released)
+	for _, r := range m.queue.removeAll() {
+		close(r.released)
 	}
 }
--- a/internal/quota/quota_bench_test.go
+++ b/internal/quota/quota_bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// BenchmarkRecord counts and checks one request where n tenants have a sensor.
+// BenchmarkRecord records one request and checks its limit, with n sensors in the manager.
 func BenchmarkRecord(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprintf("tenants=%d", n), func(b *testing.B) {
--- a/internal/quota/sensor.go
+++ b/internal/quota/sensor.go
@@ -1,10 +1,10 @@
-// Package quota limits what each tenant uses on this node: sensors measure its
-// rate, the throttle time brings the rate back to the limit, and a delay queue
-// holds requests for so long.
+// Package quota enforces the quotas of tenants on one node. Sensors measure the rate of
+// each tenant, the throttle time brings the rate back to its limit, and a delay queue
+// holds throttled requests for that time.
 //
-// The design is that of Apache Kafka's client quotas; the source is "Kafka
-// Internals 19 · Quotas, Throttling & Client Metrics". docs/design.md says what
-// is taken from it and what differs.
+// The design follows the client quotas of Apache Kafka as described in "Kafka Internals
+// 19 · Quotas, Throttling & Client Metrics". docs/design.md lists what is adopted and
+// what differs.
 package quota
 
 import (
@@ -12,31 +12,31 @@
 	"time"
 )
 
-// A sensor has NumSamples windows of the length Window: ten complete ones and the
-// current one.
+// A sensor has NumSamples windows of length Window: ten complete windows and the current
+// one.
 const (
 	NumSamples = 11
 	Window     = time.Second
 )
 
-// Sensor measures a rate: the sum of the samples that have not expired divided
-// by the time that they span.
+// Sensor measures a rate over a sliding window: the sum of the unexpired samples divided
+// by the time span that they cover.
 type Sensor struct {
 	mu       sync.Mutex
-	samples  [NumSamples]sample // a ring
+	samples  [NumSamples]sample // ring buffer
 	current  int                // index of the newest sample
-	started  bool               // a value was recorded
+	started  bool               // at least one value was recorded
 	lastUsed time.Time
 }
 
-// sample is the sum of the values of one window.
+// sample is the sum of the values recorded in one window.
 type sample struct {
 	start  time.Time
 	sum    float64
-	active bool // it has begun and has not expired
+	active bool // started and not expired
 }
 
-// record adds a value, which is negative to cancel an earlier one.
+// record adds a value; a negative value reverts an earlier one.
 func (s *Sensor) record(value float64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,8 +54,8 @@
 	current.sum += value
 }
 
-// Rate returns the rate a second. The span counts as at least Samples-1
-// windows, so that a new sensor does not show an absurd rate.
+// Rate returns the rate per second. The span is padded to at least NumSamples-1 windows:
+// otherwise the first values of a new sensor would give an excessive rate.
 func (s *Sensor) Rate(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,26 +81,28 @@
 	return sum / span.Seconds()
 }
 
-// idle reports whether a sensor that was used has not been for longer than d.
+// idle reports whether the last value was recorded longer than d ago. A sensor without
+// any value is not idle.
 func (s *Sensor) idle(now time.Time, d time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.started && now.Sub(s.lastUsed) > d
 }
 
-// minBound avoids a division by zero for a limit of 0.
-const minBound = 1e-3
+// minLimit avoids a division by zero when the limit is 0.
+const minLimit = 1e-3
 
-// MaxThrottleTime is the longest throttle time: after it a sensor has forgotten what it
-// observed, so nothing asks for a longer one.
+// MaxThrottleTime is the upper bound of the throttle time: by then all samples of the
+// sensor have expired, so a longer delay has no use.
 const MaxThrottleTime = NumSamples * Window
 
-// ThrottleTime returns the time X that brings an observed rate O back to its bound T
-// over a window W: O·W/(W+X) = T. It is 0 within the bound, and at most MaxThrottleTime.
-func ThrottleTime(observed, bound float64) time.Duration {
-	if observed <= bound {
+// ThrottleTime returns the delay X that brings an observed rate O back to the limit T
+// over a window W: O·W/(W+X) = T. It is 0 if the rate is within the limit, and at most
+// MaxThrottleTime.
+func ThrottleTime(observed, limit float64) time.Duration {
+	if observed <= limit {
 		return 0
 	}
-	x := (observed - bound) / max(bound, minBound) * float64(Window)
+	x := (observed - limit) / max(limit, minLimit) * float64(Window)
 	return time.Duration(min(x, float64(MaxThrottleTime)))
 }
