--- a/internal/ratelimit/lease.go
+++ b/internal/ratelimit/lease.go
@@ -137,9 +137,9 @@
 		l.tokens = 0
 	}
 	if l.allowance.unreported > 0 {
-		request.Spent[tenant] = l.allowance.unreported
+		request.AdmittedUnleased[tenant] = l.allowance.unreported
 	}
-	request.Wanted[tenant] = max(1, float64(l.waiting), l.target(round)-l.tokens)
+	request.Requested[tenant] = max(1, float64(l.waiting), l.target(round)-l.tokens)
 }
 
 // leaseGrant is the owner's answer for one tenant.
--- a/internal/ratelimit/leases.go
+++ b/internal/ratelimit/leases.go
@@ -205,7 +205,7 @@
 		owner := p.Partitions[LimiterPartition(name, len(p.Partitions))].Primary
 		in, ok := requests[owner]
 		if !ok {
-			in = QuotaLeaseRequest{Partitions: len(p.Partitions), Wanted: map[string]float64{}, Returned: map[string]float64{}, Spent: map[string]float64{}}
+			in = QuotaLeaseRequest{Partitions: len(p.Partitions), Requested: map[string]float64{}, Returned: map[string]float64{}, AdmittedUnleased: map[string]float64{}}
 			requests[owner] = in
 		}
 		x.addTo(&in, name, time.Now(), l.timing.round())
@@ -217,11 +217,11 @@
 func (l *Leases) exchange(ctx context.Context, address string, in QuotaLeaseRequest) {
 	sent := time.Now()
 	var out QuotaLeaseResponse
-	err := l.client.Call(ctx, address, Path, in, nil, &out)
+	err := l.client.Call(ctx, address, LeasePath, in, nil, &out)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	for name, wanted := range in.Wanted {
+	for name, wanted := range in.Requested {
 		x := l.tenants[name]
 		if x == nil {
 			continue
@@ -233,8 +233,8 @@
 		grant := leaseGrant{
 			wanted:  wanted,
 			granted: out.Granted[name],
-			spent:   in.Spent[name],
-			retry:   time.Duration(out.WaitMs[name]) * time.Millisecond,
+			spent:   in.AdmittedUnleased[name],
+			retry:   time.Duration(out.RetryAfterMs[name]) * time.Millisecond,
 		}
 		x.renew(grant, sent, now, l.timing.round())
 	}
--- a/internal/ratelimit/leases_test.go
+++ b/internal/ratelimit/leases_test.go
@@ -55,11 +55,11 @@
 }
 
 func (o *owner) Call(ctx context.Context, address, path string, in any, _ []byte, out any) error {
-	if address != "store:1" || path != Path {
+	if address != "store:1" || path != LeasePath {
 		return errors.New("unexpected call of " + address + path)
 	}
 	request := in.(QuotaLeaseRequest)
-	request.Wanted = maps.Clone(request.Wanted)
+	request.Requested = maps.Clone(request.Requested)
 	o.requests = append(o.requests, request)
 	response, err := o.answer(ctx)
 	*out.(*QuotaLeaseResponse) = response
@@ -95,7 +95,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			o := &owner{answer: func(context.Context) (QuotaLeaseResponse, error) {
 				time.Sleep(c.delay)
-				return QuotaLeaseResponse{Granted: map[string]float64{"a": c.granted}, WaitMs: map[string]int64{"a": c.waitMs}}, c.err
+				return QuotaLeaseResponse{Granted: map[string]float64{"a": c.granted}, RetryAfterMs: map[string]int64{"a": c.waitMs}}, c.err
 			}}
 			l := leasesFrom(o)
 			ctx, cancel := context.WithTimeout(t.Context(), 3*second)
@@ -105,7 +105,7 @@
 			if got != c.want {
 				t.Errorf("%s: wait %v, not %v", name, got, c.want)
 			}
-			if o.requests[0].Wanted["a"] != 1 || o.requests[0].Partitions != 1 {
+			if o.requests[0].Requested["a"] != 1 || o.requests[0].Partitions != 1 {
 				t.Errorf("%s: requested %+v", name, o.requests[0])
 			}
 			if (c.err != nil) != (ctx.Err() != nil) {
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -15,9 +15,9 @@
 	// bucket may lease at once, and what the bucket of a slow tenant holds
 	// beyond its burst.
 	Allowance float64
-	// Interval is how often the buckets that belong here are created and the
+	// ReconcileInterval is how often the buckets that belong here are created and the
 	// others are dropped.
-	Interval time.Duration
+	ReconcileInterval time.Duration
 	// Table returns the newest configuration; nil before the first.
 	Table func() *configuration.Table
 	// Partitions returns how many partitions there are; 0 before a placement
@@ -34,7 +34,7 @@
 }
 
 func (c *LimiterConfig) check() error {
-	if c.Interval <= 0 {
+	if c.ReconcileInterval <= 0 {
 		return errors.New("ratelimit: the interval of a limiter must be above 0")
 	}
 	if c.Table == nil || c.Partitions == nil || c.IsOwner == nil || c.Downtime == nil || c.RecordActivity == nil {
@@ -68,14 +68,14 @@
 	if table == nil || in.Partitions <= 0 {
 		return nil, ErrNoConfiguration
 	}
-	out := &QuotaLeaseResponse{Granted: map[string]float64{}, WaitMs: map[string]int64{}}
+	out := &QuotaLeaseResponse{Granted: map[string]float64{}, RetryAfterMs: map[string]int64{}}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if ctx.Err() != nil {
 		return nil, ErrCallerTimedOut
 	}
 	now := time.Now()
-	for name, wanted := range in.Wanted {
+	for name, wanted := range in.Requested {
 		tenant := table.Tenant(name)
 		if tenant == nil {
 			continue
@@ -98,11 +98,11 @@
 	b := l.bucketLocked(tenant, in.Partitions, now)
 	l.active = true
 	b.refill(tenant.RatePerS, bucketCapacity(tenant, l.config.Allowance), in.Returned[tenant.Name], now)
-	b.deduct(in.Spent[tenant.Name], tenant.RatePerS, now)
+	b.deduct(in.AdmittedUnleased[tenant.Name], tenant.RatePerS, now)
 	granted := b.take(wanted)
 	out.Granted[tenant.Name] = granted
 	if granted < wanted {
-		out.WaitMs[tenant.Name] = b.retryMs(tenant.RatePerS)
+		out.RetryAfterMs[tenant.Name] = b.retryMs(tenant.RatePerS)
 	}
 }
 
@@ -120,7 +120,7 @@
 // Run creates the buckets that belong here before anyone asks, so that they
 // have filled by then, and drops those that do not, until ctx ends.
 func (l *Limiter) Run(ctx context.Context) {
-	tick := time.NewTicker(l.config.Interval)
+	tick := time.NewTicker(l.config.ReconcileInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/ratelimit/limiter_bench_test.go
+++ b/internal/ratelimit/limiter_bench_test.go
@@ -12,12 +12,12 @@
 	for _, n := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("tenants=%d", n), func(b *testing.B) {
 			c := &configuration.Configuration{}
-			in := &QuotaLeaseRequest{Partitions: 520, Wanted: map[string]float64{}}
+			in := &QuotaLeaseRequest{Partitions: 520, Requested: map[string]float64{}}
 			for i := range 1000 {
 				name := fmt.Sprintf("tenant-%d", i)
 				c.TenantTable = append(c.TenantTable, &configuration.Tenant{Name: name, RatePerS: 1e9, BurstSize: 1e9})
 				if i < n {
-					in.Wanted[name] = 20
+					in.Requested[name] = 20
 				}
 			}
 			l := limiterOf(b, configuration.NewTable(c), 0)
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -25,13 +25,13 @@
 func limiterOf(tb testing.TB, table *configuration.Table, downtime time.Duration) *Limiter {
 	tb.Helper()
 	l, err := NewLimiter(LimiterConfig{
-		Allowance:      10,
-		Interval:       time.Second,
-		Table:          func() *configuration.Table { return table },
-		Partitions:     func() int { return 4 },
-		IsOwner:        func(int) bool { return true },
-		Downtime:       func(int) time.Duration { return downtime },
-		RecordActivity: func() {},
+		Allowance:         10,
+		ReconcileInterval: time.Second,
+		Table:             func() *configuration.Table { return table },
+		Partitions:        func() int { return 4 },
+		IsOwner:           func(int) bool { return true },
+		Downtime:          func(int) time.Duration { return downtime },
+		RecordActivity:    func() {},
 	})
 	if err != nil {
 		tb.Fatal(err)
@@ -42,7 +42,7 @@
 // acquire requests quota of tenant "a" and returns what was granted.
 func acquire(t *testing.T, l *Limiter, wanted, spent float64) float64 {
 	t.Helper()
-	out, err := l.Handle(t.Context(), &QuotaLeaseRequest{Partitions: 4, Wanted: map[string]float64{"a": wanted}, Spent: map[string]float64{"a": spent}}, nil)
+	out, err := l.Handle(t.Context(), &QuotaLeaseRequest{Partitions: 4, Requested: map[string]float64{"a": wanted}, AdmittedUnleased: map[string]float64{"a": spent}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,7 +141,7 @@
 	} {
 		l := limiterOf(t, c.table, 0)
 		l.config.IsOwner = func(int) bool { return c.owner }
-		_, err := l.Handle(c.ctx, &QuotaLeaseRequest{Partitions: c.partitions, Wanted: map[string]float64{"a": 1}}, nil)
+		_, err := l.Handle(c.ctx, &QuotaLeaseRequest{Partitions: c.partitions, Requested: map[string]float64{"a": 1}}, nil)
 		var notOwner, want *NotOwnerError
 		if errors.As(c.want, &want) {
 			if !errors.As(err, &notOwner) || *notOwner != *want {
@@ -172,7 +172,7 @@
 func TestIncompleteLimiterConfigIsRejected(t *testing.T) {
 	complete := limiterOf(t, tableOf(1, 1), 0).config
 	for name, change := range map[string]func(*LimiterConfig){
-		"interval":       func(c *LimiterConfig) { c.Interval = 0 },
+		"interval":       func(c *LimiterConfig) { c.ReconcileInterval = 0 },
 		"table":          func(c *LimiterConfig) { c.Table = nil },
 		"partitions":     func(c *LimiterConfig) { c.Partitions = nil },
 		"owner":          func(c *LimiterConfig) { c.IsOwner = nil },
--- a/internal/ratelimit/messages.go
+++ b/internal/ratelimit/messages.go
@@ -12,26 +12,26 @@
 	"saltreel/internal/ring"
 )
 
-// Path is the path of the call by which edges lease quota. It is not
+// LeasePath is the path of the call by which edges lease quota. It is not
 // idempotent: each request that is answered takes tokens out of the bucket.
-const Path = "/grant"
+const LeasePath = "/grant"
 
 // QuotaLeaseRequest asks the owner of some tenants for quota, in messages by
 // the tenant's name.
 type QuotaLeaseRequest struct {
 	Partitions int                `json:"partitions"` // of the placement that the edge goes by
-	Wanted     map[string]float64 `json:"want"`
+	Requested  map[string]float64 `json:"want"`
 	Returned   map[string]float64 `json:"back,omitempty"` // leased earlier, expired and not used
-	// Spent is what the edge admitted without a lease while the owner did not
+	// AdmittedUnleased is what the edge admitted without a lease while the owner did not
 	// answer.
-	Spent map[string]float64 `json:"spent,omitempty"`
+	AdmittedUnleased map[string]float64 `json:"spent,omitempty"`
 }
 
 // QuotaLeaseResponse leases quota, in messages by the tenant's name. Where it
 // is less than was wanted, it says in how many milliseconds to ask again.
 type QuotaLeaseResponse struct {
-	Granted map[string]float64 `json:"given"`
-	WaitMs  map[string]int64   `json:"wait,omitempty"`
+	Granted      map[string]float64 `json:"given"`
+	RetryAfterMs map[string]int64   `json:"wait,omitempty"`
 }
 
 // Errors of the owner's side.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -144,13 +144,13 @@
 
 func (s *Store) newLimiter() error {
 	limiter, err := ratelimit.NewLimiter(ratelimit.LimiterConfig{
-		Allowance:      s.settings.Timers.QuotaAllowance / 2,
-		Interval:       s.timing.limiterInterval(),
-		Table:          s.node.Table,
-		Partitions:     s.partitionCount,
-		IsOwner:        s.partitions.MayDeliver,
-		Downtime:       s.partitions.DowntimeOf,
-		RecordActivity: s.partitions.RecordActivity,
+		Allowance:         s.settings.Timers.QuotaAllowance / 2,
+		ReconcileInterval: s.timing.limiterInterval(),
+		Table:             s.node.Table,
+		Partitions:        s.partitionCount,
+		IsOwner:           s.partitions.MayDeliver,
+		Downtime:          s.partitions.DowntimeOf,
+		RecordActivity:    s.partitions.RecordActivity,
 	})
 	s.limiter = limiter
 	return err
