--- a/internal/delivery/dispatch.go
+++ b/internal/delivery/dispatch.go
@@ -151,10 +151,10 @@
 // accepted, so it is owed, whatever the limit is by now.
 func (s *Scheduler) recordBytes(m *message, route *configuration.Route, now time.Time) time.Duration {
 	size := float64(len(m.record.Body))
-	throttle := s.config.Bytes.Record(m.record.Tenant, route.Name, size)
+	throttle := s.config.DeliveryBytes.Record(m.record.Tenant, route.Name, size)
 	throttle = min(throttle, m.eligibleSince.Add(quota.Window).Sub(now))
 	if throttle > 0 {
-		s.config.Bytes.Unrecord(m.record.Tenant, route.Name, size)
+		s.config.DeliveryBytes.Unrecord(m.record.Tenant, route.Name, size)
 	}
 	return throttle
 }
--- a/internal/delivery/ending_test.go
+++ b/internal/delivery/ending_test.go
@@ -30,7 +30,7 @@
 			p := newFakePartitions(partition.Event{BecamePrimary: true, Records: []*partition.Record{r}})
 			h := &fakeHandler{work: c.work}
 			s := schedulerOf(t, p, h)
-			s.EndBy(time.Now().Add(time.Second))
+			s.SetShutdownDeadline(time.Now().Add(time.Second))
 			runScheduler(t, s, 3*time.Second)
 			if len(h.attempts) != c.attempts || len(p.outcomes()) != c.finished {
 				t.Errorf("%s: %d attempts, %q", name, len(h.attempts), p.outcomes())
@@ -45,7 +45,7 @@
 		h := &fakeHandler{work: 400 * time.Millisecond}
 		s := schedulerOf(t, p, h)
 		began := time.Now()
-		time.AfterFunc(100*time.Millisecond, func() { s.EndBy(began.Add(200 * time.Millisecond)) })
+		time.AfterFunc(100*time.Millisecond, func() { s.SetShutdownDeadline(began.Add(200 * time.Millisecond)) })
 		runScheduler(t, s, 150*time.Millisecond)
 		if took := time.Since(began); took > 210*time.Millisecond {
 			t.Errorf("the scheduler ended after %v", took)
--- a/internal/delivery/quota_test.go
+++ b/internal/delivery/quota_test.go
@@ -50,10 +50,10 @@
 			s := schedulerOf(t, p, h)
 			for at, limit := range c.limits {
 				if at == 0 {
-					s.config.Bytes.SetLimits(map[quota.Entity]float64{{Tenant: "one"}: limit})
+					s.config.DeliveryBytes.SetLimits(map[quota.Entity]float64{{Tenant: "one"}: limit})
 					continue
 				}
-				time.AfterFunc(at, func() { s.config.Bytes.SetLimits(map[quota.Entity]float64{{Tenant: "one"}: limit}) })
+				time.AfterFunc(at, func() { s.config.DeliveryBytes.SetLimits(map[quota.Entity]float64{{Tenant: "one"}: limit}) })
 			}
 			runScheduler(t, s, time.Minute)
 			if n := len(p.outcomes()); n != 400 {
--- a/internal/delivery/scheduler.go
+++ b/internal/delivery/scheduler.go
@@ -35,16 +35,16 @@
 
 // Config is what a Scheduler needs; all fields must be set.
 type Config struct {
-	Partitions Partitions
-	Pool       *httpwire.Pool // to the endpoints
-	Settings   *settings.Settings
-	Log        *log.Logger
-	Table      func() *configuration.Table // the newest configuration; nil before the first
-	Bytes      *quota.Manager              // delivery bytes
+	Partitions    Partitions
+	Pool          *httpwire.Pool // to the endpoints
+	Settings      *settings.Settings
+	Log           *log.Logger
+	Table         func() *configuration.Table // the newest configuration; nil before the first
+	DeliveryBytes *quota.Manager              // delivery bytes
 }
 
 func (c *Config) check() error {
-	if c.Partitions == nil || c.Pool == nil || c.Settings == nil || c.Log == nil || c.Table == nil || c.Bytes == nil {
+	if c.Partitions == nil || c.Pool == nil || c.Settings == nil || c.Log == nil || c.Table == nil || c.DeliveryBytes == nil {
 		return errors.New("delivery: the configuration of the scheduler is incomplete")
 	}
 	if c.Settings.Contact() <= 0 {
@@ -98,9 +98,9 @@
 	}
 }
 
-// EndBy says when the process is to end: deliveries that may take longer begin no more,
+// SetShutdownDeadline says when the process is to end: deliveries that may take longer begin no more,
 // and those in flight then are broken off, so that no answer is read any more.
-func (s *Scheduler) EndBy(end time.Time) {
+func (s *Scheduler) SetShutdownDeadline(end time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.endBy = end
--- a/internal/delivery/scheduler_test.go
+++ b/internal/delivery/scheduler_test.go
@@ -34,12 +34,12 @@
 	}
 	table := configuration.NewTable(c)
 	s, err := New(Config{
-		Partitions: &partition.Manager{},
-		Pool:       &httpwire.Pool{},
-		Settings:   &settings.Settings{Timers: &settings.Timers{ContactMs: 4000, OriginOvershoot: 1.1}, Zone: "zone-0", Region: "region-0"},
-		Log:        log.New(io.Discard, "", 0),
-		Table:      func() *configuration.Table { return table },
-		Bytes:      quota.NewManager(quota.DeliveryBytes),
+		Partitions:    &partition.Manager{},
+		Pool:          &httpwire.Pool{},
+		Settings:      &settings.Settings{Timers: &settings.Timers{ContactMs: 4000, OriginOvershoot: 1.1}, Zone: "zone-0", Region: "region-0"},
+		Log:           log.New(io.Discard, "", 0),
+		Table:         func() *configuration.Table { return table },
+		DeliveryBytes: quota.NewManager(quota.DeliveryBytes),
 	})
 	if err != nil {
 		tb.Fatal(err)
@@ -249,7 +249,7 @@
 		"settings":   func(c *Config) { c.Settings = nil },
 		"log":        func(c *Config) { c.Log = nil },
 		"table":      func(c *Config) { c.Table = nil },
-		"bytes":      func(c *Config) { c.Bytes = nil },
+		"bytes":      func(c *Config) { c.DeliveryBytes = nil },
 		"contact":    func(c *Config) { c.Settings = &settings.Settings{Timers: &settings.Timers{}} },
 	} {
 		config := complete
--- a/internal/store/messages.go
+++ b/internal/store/messages.go
@@ -61,12 +61,12 @@
 		deliveryBytes: quota.NewManager(quota.DeliveryBytes),
 	}
 	scheduler, err := delivery.New(delivery.Config{
-		Partitions: host.Partitions,
-		Pool:       &httpwire.Pool{Network: host.Network, DialTimeout: m.timing.dial()},
-		Settings:   host.Settings,
-		Log:        host.Log,
-		Table:      host.Node.Table,
-		Bytes:      m.deliveryBytes,
+		Partitions:    host.Partitions,
+		Pool:          &httpwire.Pool{Network: host.Network, DialTimeout: m.timing.dial()},
+		Settings:      host.Settings,
+		Log:           host.Log,
+		Table:         host.Node.Table,
+		DeliveryBytes: m.deliveryBytes,
 	})
 	m.scheduler = scheduler
 	return m, err
@@ -90,7 +90,7 @@
 }
 
 // EndBy implements Workload.
-func (m *messages) EndBy(end time.Time) { m.scheduler.EndBy(end) }
+func (m *messages) EndBy(end time.Time) { m.scheduler.SetShutdownDeadline(end) }
 
 // ApplyEvent implements Workload.
 func (m *messages) ApplyEvent(e journal.Event) {
