--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -10,9 +10,9 @@
 // bucket is the token bucket of one tenant; a token admits one message. It has
 // no lock: the limiter's guards it.
 type bucket struct {
-	tokens  float64
-	filled  time.Time // when tokens was last computed
-	created time.Time
+	tokens     float64
+	lastRefill time.Time // when tokens was last computed
+	created    time.Time
 }
 
 // newBucket makes a bucket that starts almost without burst, since an earlier
@@ -21,7 +21,7 @@
 func newBucket(tenant *configuration.Tenant, allowance float64, downtime time.Duration, now time.Time) *bucket {
 	full := math.Max(tenant.BurstSize, allowance)
 	tokens := min(full, allowance+tenant.RatePerS*downtime.Seconds())
-	return &bucket{tokens: tokens, filled: now, created: now}
+	return &bucket{tokens: tokens, lastRefill: now, created: now}
 }
 
 // bucketCapacity is how many tokens the bucket of a tenant holds: its burst,
@@ -35,8 +35,8 @@
 // refill adds the tokens for the time since the last refill, and those of
 // leases that were not used.
 func (b *bucket) refill(ratePerS, capacity, returned float64, now time.Time) {
-	b.tokens = min(capacity, b.tokens+ratePerS*now.Sub(b.filled).Seconds()+returned)
-	b.filled = now
+	b.tokens = min(capacity, b.tokens+ratePerS*now.Sub(b.lastRefill).Seconds()+returned)
+	b.lastRefill = now
 }
 
 // deduct takes off what edges admitted without a lease: at most what this
@@ -47,14 +47,14 @@
 }
 
 // take removes up to wanted tokens, a whole number of them, and returns how many.
-func (b *bucket) take(wanted float64) float64 {
-	removed := max(0, min(math.Floor(b.tokens), math.Ceil(wanted)))
+func (b *bucket) take(requested float64) float64 {
+	removed := max(0, min(math.Floor(b.tokens), math.Ceil(requested)))
 	b.tokens -= removed
 	return removed
 }
 
-// retryMs is in how many milliseconds the bucket holds two tokens again, so that
+// retryAfterMs is in how many milliseconds the bucket holds two tokens again, so that
 // one of them is left when the edge asks.
-func (b *bucket) retryMs(ratePerS float64) int64 {
+func (b *bucket) retryAfterMs(ratePerS float64) int64 {
 	return int64(1000 * (1 - b.tokens + 1) / ratePerS)
 }
--- a/internal/ratelimit/bucket_test.go
+++ b/internal/ratelimit/bucket_test.go
@@ -50,10 +50,10 @@
 		{-5, 0, time.Second, 5},
 		{15, 50, time.Second, 20},
 	} {
-		b := &bucket{tokens: c.tokens, filled: now}
+		b := &bucket{tokens: c.tokens, lastRefill: now}
 		later := now.Add(c.elapsed)
 		b.refill(10, 20, c.returned, later)
-		if b.tokens != c.want || !b.filled.Equal(later) {
+		if b.tokens != c.want || !b.lastRefill.Equal(later) {
 			t.Errorf("%+v: %v", c, b.tokens)
 		}
 	}
@@ -102,7 +102,7 @@
 		{0.5, 10, 150},
 		{-2, 100, 40},
 	} {
-		if got := (&bucket{tokens: c.tokens}).retryMs(c.rate); got != c.want {
+		if got := (&bucket{tokens: c.tokens}).retryAfterMs(c.rate); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
--- a/internal/ratelimit/leases.go
+++ b/internal/ratelimit/leases.go
@@ -22,33 +22,33 @@
 	placement func() *placement.Placement
 	timing    timing
 
-	mu      sync.Mutex
-	tenants map[string]*lease
-	running context.Context // of Run: no request outlives it; nil before
+	mu     sync.Mutex
+	leases map[string]*lease
+	runCtx context.Context // of Run: no request outlives it; nil before
 }
 
 // NewLeases makes the edge's side without any lease. Placement returns the newest
 // placement, nil before the first.
 func NewLeases(client Caller, placement func() *placement.Placement, contactTimeout time.Duration) *Leases {
-	return &Leases{client: client, placement: placement, timing: timing{contactTimeout}, tenants: map[string]*lease{}}
+	return &Leases{client: client, placement: placement, timing: timing{contactTimeout}, leases: map[string]*lease{}}
 }
 
 // timing derives the times of the leases from the contact timeout.
 type timing struct{ contactTimeout time.Duration }
 
-// round is how often demand is measured and leases are renewed: leases of a few
-// rounds follow the demand, at one call in a round to each owner.
-func (t timing) round() time.Duration { return t.contactTimeout / 16 }
+// renewalInterval is how often demand is measured and leases are renewed: leases of a few
+// rounds follow the demand, at one call in a renewalInterval to each owner.
+func (t timing) renewalInterval() time.Duration { return t.contactTimeout / 16 }
 
-// request is how long a request to an owner may take: one round.
-func (t timing) request() time.Duration { return t.round() }
+// requestTimeout is how long a requestTimeout to an owner may take: one round.
+func (t timing) requestTimeout() time.Duration { return t.renewalInterval() }
 
-// suspect is how long a message waits for an owner's answer until it may be
+// suspicionTimeout is how long a message waits for an owner's answer until it may be
 // admitted without.
-func (t timing) suspect() time.Duration { return t.contactTimeout / 40 }
+func (t timing) suspicionTimeout() time.Duration { return t.contactTimeout / 40 }
 
-// retry is the time between two requests to an owner that does not answer.
-func (t timing) retry() time.Duration { return t.contactTimeout / 80 }
+// retryInterval is the time between two requests to an owner that does not answer.
+func (t timing) retryInterval() time.Duration { return t.contactTimeout / 80 }
 
 // ThrottleTime is how long to throttle a tenant that was refused: what this edge
 // observed of it, in messages a second, against what it was granted here, or
@@ -57,7 +57,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	bound := tenant.RatePerS
-	if x := l.tenants[tenant.Name]; x != nil && x.grantRate > 0 {
+	if x := l.leases[tenant.Name]; x != nil && x.grantRate > 0 {
 		bound = min(bound, x.grantRate)
 	}
 	return quota.ThrottleTime(observed, bound)
@@ -70,23 +70,23 @@
 func (l *Leases) Acquire(ctx context.Context, tenant *configuration.Tenant) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	x := l.tenants[tenant.Name]
+	x := l.leases[tenant.Name]
 	if x == nil {
 		x = &lease{}
-		l.tenants[tenant.Name] = x
+		l.leases[tenant.Name] = x
 	}
 	x.demand++
 	x.waiting++
 	defer func() { x.waiting-- }()
 	for ctx.Err() == nil {
 		now := time.Now()
-		switch x.admit(now, l.timing.retry()) {
+		switch x.admit(now, l.timing.retryInterval()) {
 		case admitted:
 			return 0
 		case overLimit:
 			return x.refusedUntil.Sub(now)
 		case retryLater:
-			l.waitReleasingLock(ctx, nil, l.timing.retry())
+			l.waitReleasingLock(ctx, nil, l.timing.retryInterval())
 		case awaitResponse:
 			l.awaitResponse(ctx, x, tenant.Name, now)
 		}
@@ -99,11 +99,11 @@
 func (l *Leases) awaitResponse(ctx context.Context, x *lease, tenant string, now time.Time) {
 	if x.pending == nil {
 		x.pending = make(chan struct{})
-		x.requested = now
-		go l.request(context.WithoutCancel(ctx), []string{tenant})
+		x.requestedAt = now
+		go l.requestLeases(context.WithoutCancel(ctx), []string{tenant})
 	}
 	pending := x.pending
-	l.waitReleasingLock(ctx, pending, l.timing.suspect())
+	l.waitReleasingLock(ctx, pending, l.timing.suspicionTimeout())
 	if x.pending == pending {
 		x.unreachable = true
 	}
@@ -126,9 +126,9 @@
 // Run renews the leases ahead of demand, round by round, until ctx ends.
 func (l *Leases) Run(ctx context.Context) {
 	l.mu.Lock()
-	l.running = ctx
+	l.runCtx = ctx
 	l.mu.Unlock()
-	tick := time.NewTicker(l.timing.round())
+	tick := time.NewTicker(l.timing.renewalInterval())
 	defer tick.Stop()
 	for {
 		select {
@@ -136,54 +136,54 @@
 			return
 		case <-tick.C:
 		}
-		if tenants := l.endRound(time.Now()); len(tenants) > 0 {
-			go l.request(ctx, tenants)
+		if tenants := l.startRound(time.Now()); len(tenants) > 0 {
+			go l.requestLeases(ctx, tenants)
 		}
 	}
 }
 
-// endRound measures demand, drops the leases of idle tenants, and returns the
+// startRound measures demand, drops the leases of idle tenants, and returns the
 // tenants whose leases are to be renewed.
-func (l *Leases) endRound(now time.Time) []string {
+func (l *Leases) startRound(now time.Time) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	round := l.timing.round()
+	round := l.timing.renewalInterval()
 	var tenants []string
-	for name, x := range l.tenants {
-		x.endRound(now, round)
-		if x.forgettable(now) {
-			delete(l.tenants, name)
+	for name, x := range l.leases {
+		x.updateRates(now, round)
+		if x.evictable(now) {
+			delete(l.leases, name)
 		}
 		if x.needsRenewal(now, round) {
 			x.pending = make(chan struct{})
-			x.requested = now
+			x.requestedAt = now
 			tenants = append(tenants, name)
 		}
 	}
 	return tenants
 }
 
-// request leases quota of tenants from their owners, and ends their pending
+// requestLeases leases quota of tenants from their owners, and ends their pending
 // requests.
-func (l *Leases) request(ctx context.Context, tenants []string) {
-	ctx, cancel := context.WithTimeout(ctx, l.timing.request())
+func (l *Leases) requestLeases(ctx context.Context, tenants []string) {
+	ctx, cancel := context.WithTimeout(ctx, l.timing.requestTimeout())
 	defer cancel()
 	p := l.placement()
 	l.mu.Lock()
-	if l.running != nil {
-		defer context.AfterFunc(l.running, cancel)()
+	if l.runCtx != nil {
+		defer context.AfterFunc(l.runCtx, cancel)()
 	}
 	requests := l.requestsLocked(p, tenants)
 	l.mu.Unlock()
 	var calls sync.WaitGroup
 	for owner, in := range requests {
-		calls.Go(func() { l.exchange(ctx, p.Stores[owner].Address, in) })
+		calls.Go(func() { l.sendRequest(ctx, p.Stores[owner].Address, in) })
 	}
 	calls.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, name := range tenants {
-		if x := l.tenants[name]; x != nil && x.pending != nil {
+		if x := l.leases[name]; x != nil && x.pending != nil {
 			close(x.pending)
 			x.pending = nil
 		}
@@ -198,7 +198,7 @@
 		return requests
 	}
 	for _, name := range tenants {
-		x := l.tenants[name]
+		x := l.leases[name]
 		if x == nil {
 			continue
 		}
@@ -208,21 +208,21 @@
 			in = QuotaLeaseRequest{Partitions: len(p.Partitions), Requested: map[string]float64{}, Returned: map[string]float64{}, AdmittedUnleased: map[string]float64{}}
 			requests[owner] = in
 		}
-		x.addTo(&in, name, time.Now(), l.timing.round())
+		x.addToRequest(&in, name, time.Now(), l.timing.renewalInterval())
 	}
 	return requests
 }
 
-// exchange sends a request to one owner and takes over what it grants.
-func (l *Leases) exchange(ctx context.Context, address string, in QuotaLeaseRequest) {
+// sendRequest sends a request to one owner and takes over what it grants.
+func (l *Leases) sendRequest(ctx context.Context, address string, in QuotaLeaseRequest) {
 	sent := time.Now()
 	var out QuotaLeaseResponse
 	err := l.client.Call(ctx, address, LeasePath, in, nil, &out)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	for name, wanted := range in.Requested {
-		x := l.tenants[name]
+	for name, requested := range in.Requested {
+		x := l.leases[name]
 		if x == nil {
 			continue
 		}
@@ -231,11 +231,11 @@
 			continue
 		}
 		grant := leaseGrant{
-			wanted:  wanted,
-			granted: out.Granted[name],
-			spent:   in.AdmittedUnleased[name],
-			retry:   time.Duration(out.RetryAfterMs[name]) * time.Millisecond,
+			requested:        requested,
+			granted:          out.Granted[name],
+			admittedUnleased: in.AdmittedUnleased[name],
+			retryAfter:       time.Duration(out.RetryAfterMs[name]) * time.Millisecond,
 		}
-		x.renew(grant, sent, now, l.timing.round())
+		x.applyGrant(grant, sent, now, l.timing.renewalInterval())
 	}
 }
--- a/internal/ratelimit/leases_bench_test.go
+++ b/internal/ratelimit/leases_bench_test.go
@@ -11,7 +11,7 @@
 func BenchmarkAcquire(b *testing.B) {
 	tenant := &configuration.Tenant{Name: "one", RatePerS: 1e9}
 	l := NewLeases(nil, nil, 4*time.Second)
-	l.tenants["one"] = &lease{tokens: 1e18, expires: time.Now().Add(time.Hour)}
+	l.leases["one"] = &lease{tokens: 1e18, expiresAt: time.Now().Add(time.Hour)}
 	b.ReportAllocs()
 	for b.Loop() {
 		if l.Acquire(b.Context(), tenant) != 0 {
--- a/internal/ratelimit/leases_test.go
+++ b/internal/ratelimit/leases_test.go
@@ -33,7 +33,7 @@
 			x := &lease{demandRate: 500, grantRate: 100}
 			admitted, total := 0, time.Duration(0)
 			for range 8 {
-				x.answered = time.Now()
+				x.lastResponse = time.Now()
 				admitted += admitUnleasedFor(x, outage)
 				total += outage
 				time.Sleep(200 * time.Millisecond) // within reach
@@ -41,8 +41,8 @@
 			if most := x.grantRate * total.Seconds(); float64(admitted) > most || float64(admitted) < most*3/4-8 {
 				t.Errorf("8 times %v: %d admitted, %v at the most", outage, admitted, most)
 			}
-			if float64(admitted) != x.allowance.unreported {
-				t.Errorf("%d admitted, %v are to be reported to the owner", admitted, x.allowance.unreported)
+			if float64(admitted) != x.fallback.unreported {
+				t.Errorf("%d admitted, %v are to be reported to the owner", admitted, x.fallback.unreported)
 			}
 		})
 	}
@@ -128,7 +128,7 @@
 		if len(o.requests) != 2 || o.requests[0].Returned["a"] != 0 || o.requests[1].Returned["a"] != 4 {
 			t.Errorf("requests %+v", o.requests)
 		}
-		if x := l.tenants["a"]; x.tokens != 4 {
+		if x := l.leases["a"]; x.tokens != 4 {
 			t.Errorf("%v tokens, the expired ones are returned and used too", x.tokens)
 		}
 	})
@@ -139,18 +139,18 @@
 	later, before := now.Add(time.Second), now.Add(-time.Second)
 	for name, c := range map[string]struct {
 		lease lease
-		want  admission
+		want  admitDecision
 	}{
-		"leased":                    {lease{tokens: 1, expires: later}, admitted},
-		"less than one":             {lease{tokens: 0.9, expires: later}, awaitResponse},
-		"expired":                   {lease{tokens: 5, expires: before}, awaitResponse},
+		"leased":                    {lease{tokens: 1, expiresAt: later}, admitted},
+		"less than one":             {lease{tokens: 0.9, expiresAt: later}, awaitResponse},
+		"expired":                   {lease{tokens: 5, expiresAt: before}, awaitResponse},
 		"refused":                   {lease{refusedUntil: later}, overLimit},
-		"leased and refused":        {lease{tokens: 1, expires: later, refusedUntil: later}, admitted},
+		"leased and refused":        {lease{tokens: 1, expiresAt: later, refusedUntil: later}, admitted},
 		"refused long ago":          {lease{refusedUntil: before}, awaitResponse},
-		"unreachable":               {lease{unreachable: true, requested: before}, awaitResponse},
-		"unreachable just now":      {lease{unreachable: true, requested: now}, retryLater},
-		"unreachable, under way":    {lease{unreachable: true, requested: now, pending: make(chan struct{})}, awaitResponse},
-		"unreachable, with history": {lease{unreachable: true, answered: before, demandRate: 9, grantRate: 9}, admitted},
+		"unreachable":               {lease{unreachable: true, requestedAt: before}, awaitResponse},
+		"unreachable just now":      {lease{unreachable: true, requestedAt: now}, retryLater},
+		"unreachable, under way":    {lease{unreachable: true, requestedAt: now, pending: make(chan struct{})}, awaitResponse},
+		"unreachable, with history": {lease{unreachable: true, lastResponse: before, demandRate: 9, grantRate: 9}, admitted},
 	} {
 		if got := c.lease.admit(now, 50*time.Millisecond); got != c.want {
 			t.Errorf("%s: %v, not %v", name, got, c.want)
@@ -165,10 +165,10 @@
 		lease lease
 		want  bool
 	}{
-		"empty":                 {lease{demandRate: 100, expires: now.Add(time.Second)}, true},
-		"half full":             {lease{demandRate: 100, tokens: 38, expires: now.Add(time.Second)}, false},
-		"less than half":        {lease{demandRate: 100, tokens: 37, expires: now.Add(time.Second)}, true},
-		"expired":               {lease{demandRate: 100, tokens: 100, expires: now.Add(-1)}, true},
+		"empty":                 {lease{demandRate: 100, expiresAt: now.Add(time.Second)}, true},
+		"half full":             {lease{demandRate: 100, tokens: 38, expiresAt: now.Add(time.Second)}, false},
+		"less than half":        {lease{demandRate: 100, tokens: 37, expiresAt: now.Add(time.Second)}, true},
+		"expired":               {lease{demandRate: 100, tokens: 100, expiresAt: now.Add(-1)}, true},
 		"under way":             {lease{demandRate: 100, pending: make(chan struct{})}, false},
 		"refused":               {lease{demandRate: 100, refusedUntil: now.Add(1)}, false},
 		"less than one a round": {lease{demandRate: 3.9}, false},
@@ -187,15 +187,15 @@
 		lease lease
 		want  bool
 	}{
-		"idle":                {lease{answered: now.Add(-2 * time.Minute)}, true},
-		"fading":              {lease{answered: now.Add(-2 * time.Minute), demandRate: 0.0133}, true},
-		"not quite idle":      {lease{answered: now.Add(-2 * time.Minute), demandRate: 0.0134}, false},
-		"one message":         {lease{answered: now.Add(-2 * time.Minute), demand: 1}, false},
-		"answered lately":     {lease{answered: now.Add(-time.Second)}, false},
-		"a request under way": {lease{answered: now.Add(-2 * time.Minute), pending: make(chan struct{})}, false},
+		"idle":                {lease{lastResponse: now.Add(-2 * time.Minute)}, true},
+		"fading":              {lease{lastResponse: now.Add(-2 * time.Minute), demandRate: 0.0133}, true},
+		"not quite idle":      {lease{lastResponse: now.Add(-2 * time.Minute), demandRate: 0.0134}, false},
+		"one message":         {lease{lastResponse: now.Add(-2 * time.Minute), demand: 1}, false},
+		"answered lately":     {lease{lastResponse: now.Add(-time.Second)}, false},
+		"a request under way": {lease{lastResponse: now.Add(-2 * time.Minute), pending: make(chan struct{})}, false},
 	} {
-		c.lease.endRound(now, round)
-		if got := c.lease.forgettable(now); got != c.want {
+		c.lease.updateRates(now, round)
+		if got := c.lease.evictable(now); got != c.want {
 			t.Errorf("%s: %v, demand %v", name, got, c.lease.demandRate)
 		}
 	}
@@ -208,11 +208,11 @@
 		lease lease
 		want  float64
 	}{
-		"answered":    {lease{grantRate: 80, answered: now}, 70},
-		"granted":     {lease{grantRate: 80, granted: 20, answered: now.Add(-time.Second)}, 80},
-		"unreachable": {lease{grantRate: 80, answered: now.Add(-time.Second)}, 80},
+		"answered":    {lease{grantRate: 80, lastResponse: now}, 70},
+		"granted":     {lease{grantRate: 80, granted: 20, lastResponse: now.Add(-time.Second)}, 80},
+		"unreachable": {lease{grantRate: 80, lastResponse: now.Add(-time.Second)}, 80},
 	} {
-		if c.lease.endRound(now, round); c.lease.grantRate != c.want || c.lease.granted != 0 {
+		if c.lease.updateRates(now, round); c.lease.grantRate != c.want || c.lease.granted != 0 {
 			t.Errorf("%s: %v", name, c.lease.grantRate)
 		}
 	}
@@ -222,7 +222,7 @@
 	tenant := &configuration.Tenant{Name: "a", RatePerS: 100}
 	l := NewLeases(nil, nil, 4*time.Second)
 	everywhere := l.ThrottleTime(tenant, 150)
-	l.tenants["a"] = &lease{grantRate: 50}
+	l.leases["a"] = &lease{grantRate: 50}
 	if here := l.ThrottleTime(tenant, 150); everywhere <= 0 || here <= everywhere {
 		t.Errorf("throttled for %v, and for %v where less was granted", everywhere, here)
 	}
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -75,7 +75,7 @@
 		return nil, ErrCallerTimedOut
 	}
 	now := time.Now()
-	for name, wanted := range in.Requested {
+	for name, requested := range in.Requested {
 		tenant := table.Tenant(name)
 		if tenant == nil {
 			continue
@@ -85,24 +85,24 @@
 			return nil, &NotOwnerError{Tenant: name}
 		}
 		if tenant.RatePerS <= 0 {
-			out.Granted[name] = wanted
+			out.Granted[name] = requested
 			continue
 		}
-		l.grantLocked(tenant, wanted, in, out, now)
+		l.grantLocked(tenant, requested, in, out, now)
 	}
 	return out, nil
 }
 
 // grantLocked leases what the bucket of one tenant has.
-func (l *Limiter) grantLocked(tenant *configuration.Tenant, wanted float64, in *QuotaLeaseRequest, out *QuotaLeaseResponse, now time.Time) {
+func (l *Limiter) grantLocked(tenant *configuration.Tenant, requested float64, in *QuotaLeaseRequest, out *QuotaLeaseResponse, now time.Time) {
 	b := l.bucketLocked(tenant, in.Partitions, now)
 	l.active = true
 	b.refill(tenant.RatePerS, bucketCapacity(tenant, l.config.Allowance), in.Returned[tenant.Name], now)
 	b.deduct(in.AdmittedUnleased[tenant.Name], tenant.RatePerS, now)
-	granted := b.take(wanted)
+	granted := b.take(requested)
 	out.Granted[tenant.Name] = granted
-	if granted < wanted {
-		out.RetryAfterMs[tenant.Name] = b.retryMs(tenant.RatePerS)
+	if granted < requested {
+		out.RetryAfterMs[tenant.Name] = b.retryAfterMs(tenant.RatePerS)
 	}
 }
 
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -10,9 +10,9 @@
 	"saltreel/internal/configuration"
 )
 
-// mostInFiveSeconds is what the rules allow a tenant with rate and burst 100 in
+// maxInFiveSeconds is what the rules allow a tenant with rate and burst 100 in
 // five seconds, with quota-overshoot 0.1 and quota-allowance 20.
-const mostInFiveSeconds = (100*5+100)*1.1 + 20
+const maxInFiveSeconds = (100*5+100)*1.1 + 20
 
 // tableOf is a configuration whose only tenant, "a", has this rate and burst.
 func tableOf(ratePerS, burst float64) *configuration.Table {
@@ -65,8 +65,8 @@
 	return all
 }
 
-// mostGranted is the most that was granted in any five seconds.
-func mostGranted(all []timedGrant) float64 {
+// maxGranted is the most that was granted in any five seconds.
+func maxGranted(all []timedGrant) float64 {
 	most := 0.0
 	for i, from := range all {
 		sum := 0.0
@@ -91,8 +91,8 @@
 			time.Sleep(downtime)
 			before := len(all)
 			all = append(all, acquireFor(t, limiterOf(t, table, downtime), 3*time.Second)...)
-			if sum := mostGranted(all); sum > mostInFiveSeconds {
-				t.Fatalf("downtime %v: %v granted in five seconds, %v are allowed", downtime, sum, mostInFiveSeconds)
+			if sum := maxGranted(all); sum > maxInFiveSeconds {
+				t.Fatalf("downtime %v: %v granted in five seconds, %v are allowed", downtime, sum, maxInFiveSeconds)
 			}
 			if want := min(100, 10+100*downtime.Seconds()); all[before].granted < want-1 || all[before].granted > want+1 {
 				t.Errorf("downtime %v: the restarted limiter begins with %v, not %v", downtime, all[before].granted, want)
