--- a/internal/ratelimit/bucket_test.go
+++ b/internal/ratelimit/bucket_test.go
@@ -16,7 +16,7 @@
 		{100, 100, 10, 0, 10},
 		{100, 100, 10, 300 * time.Millisecond, 40},
 		{100, 100, 10, time.Hour, 100},
-		{100, 5, 10, time.Hour, 10}, // the allowance even above the burst
+		{100, 5, 10, time.Hour, 10}, // the allowance may exceed the burst size
 	} {
 		tenant := &configuration.Tenant{RatePerS: c.rate, BurstSize: c.burst}
 		if got := newBucket(tenant, c.allowance, c.downtime, time.Now()).tokens; got != c.want {
@@ -59,12 +59,12 @@
 	}
 }
 
-func TestBucketDeductsAtMostWhatItGathered(t *testing.T) {
+func TestBucketDeductsAtMostAccumulatedTokens(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
-		spent float64
-		age   time.Duration
-		want  float64
+		admitted float64
+		age      time.Duration
+		want     float64
 	}{
 		{0, time.Second, 20},
 		{5, time.Second, 15},
@@ -72,14 +72,14 @@
 		{50, 0, 20},
 	} {
 		b := &bucket{tokens: 20, created: now.Add(-c.age)}
-		if b.deduct(c.spent, 10, now); b.tokens != c.want {
+		if b.deduct(c.admitted, 10, now); b.tokens != c.want {
 			t.Errorf("%+v: %v", c, b.tokens)
 		}
 	}
 }
 
-func TestBucketGrantsIntegralTokens(t *testing.T) {
-	for _, c := range []struct{ tokens, wanted, got float64 }{
+func TestBucketGrantsWholeTokens(t *testing.T) {
+	for _, c := range []struct{ tokens, requested, want float64 }{
 		{10.5, 3, 3},
 		{10.5, 2.2, 3},
 		{10.5, 20, 10},
@@ -87,7 +87,7 @@
 		{-3, 1, 0},
 	} {
 		b := &bucket{tokens: c.tokens}
-		if got := b.take(c.wanted); got != c.got || b.tokens != c.tokens-c.got {
+		if got := b.take(c.requested); got != c.want || b.tokens != c.tokens-c.want {
 			t.Errorf("%+v: %v, %v left", c, got, b.tokens)
 		}
 	}
--- a/internal/ratelimit/lease.go
+++ b/internal/ratelimit/lease.go
@@ -7,46 +7,46 @@
 	"saltreel/internal/quota"
 )
 
-// lease is the quota that this edge holds of one tenant, and what it knows of
-// the tenant's demand. It has no lock: that of Leases guards it.
+// lease holds the tokens that this edge has leased for one tenant, and the measured
+// demand of the tenant. It is guarded by the mutex of Leases.
 type lease struct {
 	tokens       float64
 	expiresAt    time.Time
-	demand       float64       // messages since the last round
-	demandRate   float64       // smoothed, messages a second
-	granted      float64       // messages leased since the last round
-	grantRate    float64       // smoothed, messages a second
-	pending      chan struct{} // closed when the request under way ends; nil if none is
-	requestedAt  time.Time     // when it was sent
-	waiting      int           // messages that wait for a lease
-	refusedUntil time.Time     // the owner has nothing before then
-
-	unreachable  bool      // the owner did not answer the last request
-	lastResponse time.Time // when it last answered
+	demand       float64       // messages since the last update of demandRate
+	demandRate   float64       // moving average, messages per second
+	granted      float64       // tokens leased since the last update of grantRate
+	grantRate    float64       // moving average, messages per second
+	pending      chan struct{} // closed when the request in flight ends; nil if there is none
+	requestedAt  time.Time     // when the last request was sent
+	waiting      int           // messages waiting for tokens
+	refusedUntil time.Time     // the owner has no tokens before then
+
+	unreachable  bool      // the last request failed, or was not answered in time
+	lastResponse time.Time // when the owner last responded
 	fallback     fallbackBucket
 }
 
-// fallbackBucket is what an edge may admit without a lease while the owner is
-// unreachable.
+// fallbackBucket is the token bucket from which an edge admits messages without a lease
+// while the owner is unreachable.
 type fallbackBucket struct {
 	tokens     float64
-	lastRefill time.Time // when tokens was last computed
-	unreported float64   // admitted so, and not yet reported to the owner
+	lastRefill time.Time // when tokens was last updated
+	unreported float64   // messages admitted from it and not yet reported to the owner
 }
 
-// admitDecision is what a lease allows for one message now.
+// admitDecision is the outcome of the admission check of one message.
 type admitDecision int
 
 const (
 	admitted      admitDecision = iota
-	overLimit                   // refused until lease.refusedUntil
-	retryLater                  // the owner is unreachable: wait before the next request
-	awaitResponse               // a request to the owner decides
+	overLimit                   // reject until lease.refusedUntil
+	retryLater                  // the owner is unreachable: wait before sending another request
+	awaitResponse               // send a request to the owner, or wait for the one in flight
 )
 
-// admit decides on one message. Retry is the time between two requests to an
-// owner that does not answer.
-func (l *lease) admit(now time.Time, retry time.Duration) admitDecision {
+// admit checks whether one message may be admitted now. retryInterval is the minimum time
+// between two requests to an unreachable owner.
+func (l *lease) admit(now time.Time, retryInterval time.Duration) admitDecision {
 	switch {
 	case l.tokens >= 1 && now.Before(l.expiresAt):
 		l.tokens--
@@ -55,45 +55,45 @@
 		return overLimit
 	case l.unreachable && l.admitUnleased(now):
 		return admitted
-	case l.unreachable && l.pending == nil && now.Sub(l.requestedAt) < retry:
+	case l.unreachable && l.pending == nil && now.Sub(l.requestedAt) < retryInterval:
 		return retryLater
 	}
 	return awaitResponse
 }
 
-// admitUnleased admits a little while the owner is unreachable, for two windows
-// at most: no more than the owner leased to this edge before, for the time since
-// it last answered. An owner that moves is unreachable again and again for a
-// moment, so nothing may be saved up for that in between. The next request
-// reports it to the owner.
+// admitUnleased admits messages without a lease for up to two quota windows after the last
+// response of the owner. The rate is at most the one at which the owner granted tokens to
+// this edge, and the bucket is emptied after each response: an owner that is being moved
+// is unreachable repeatedly for short times, and tokens saved up in between would exceed
+// the limit. The next request reports the admitted messages to the owner.
 func (l *lease) admitUnleased(now time.Time) bool {
 	if now.Sub(l.lastResponse) > quota.Window*2 {
 		return false
 	}
 	rate := min(l.demandRate, l.grantRate)
-	a := &l.fallback
-	if a.lastRefill.Before(l.lastResponse) {
-		a.tokens = 0
-		a.lastRefill = l.lastResponse
+	b := &l.fallback
+	if b.lastRefill.Before(l.lastResponse) {
+		b.tokens = 0
+		b.lastRefill = l.lastResponse
 	}
-	most := max(1, rate/4) // a quarter of a second's
-	a.tokens = min(most, a.tokens+rate*now.Sub(a.lastRefill).Seconds())
-	a.lastRefill = now
-	if a.tokens < 1 {
+	burst := max(1, rate/4) // tokens of 250 ms
+	b.tokens = min(burst, b.tokens+rate*now.Sub(b.lastRefill).Seconds())
+	b.lastRefill = now
+	if b.tokens < 1 {
 		return false
 	}
-	a.tokens--
-	a.unreported++
+	b.tokens--
+	b.unreported++
 	return true
 }
 
-// updateRates smooths the rates after a round. The grant rate stands still while
-// the owner does not answer.
-func (l *lease) updateRates(now time.Time, round time.Duration) {
-	l.demandRate = l.demandRate*3/4 + l.demand/round.Seconds()/4
+// updateRates updates the moving averages after one renewal interval. The grant rate is
+// kept unchanged while the owner does not respond.
+func (l *lease) updateRates(now time.Time, interval time.Duration) {
+	l.demandRate = l.demandRate*3/4 + l.demand/interval.Seconds()/4
 	l.demand = 0
-	if l.granted > 0 || now.Sub(l.lastResponse) < round*2 {
-		l.grantRate = l.grantRate*7/8 + l.granted/round.Seconds()/8
+	if l.granted > 0 || now.Sub(l.lastResponse) < interval*2 {
+		l.grantRate = l.grantRate*7/8 + l.granted/interval.Seconds()/8
 		l.granted = 0
 	}
 	if l.demandRate < idleRate {
@@ -102,36 +102,36 @@
 }
 
 const (
-	idleRate         = 0.01 // messages a second; below it a tenant counts as idle here
+	idleRate         = 0.01 // messages per second; below it a tenant is idle at this edge
 	idleLeaseTimeout = time.Minute
 )
 
-// evictable reports whether the lease of an idle tenant may be dropped.
+// evictable reports whether the tenant is idle and its lease may be deleted.
 func (l *lease) evictable(now time.Time) bool {
 	return l.demandRate == 0 && l.pending == nil && now.Sub(l.lastResponse) > idleLeaseTimeout
 }
 
-// needsRenewal reports whether to request quota ahead of demand. Where messages
-// are few, what is leased ahead would be unused here while other edges lack it:
-// their quota is requested one by one.
-func (l *lease) needsRenewal(now time.Time, round time.Duration) bool {
-	if l.demandRate == 0 || l.demandRate*round.Seconds() < 1 {
+// needsRenewal reports whether to request tokens ahead of demand. For tenants with less
+// than one message per renewal interval it returns false: tokens leased ahead would stay
+// unused here while other edges lack them, so they are requested per message.
+func (l *lease) needsRenewal(now time.Time, interval time.Duration) bool {
+	if l.demandRate == 0 || l.demandRate*interval.Seconds() < 1 {
 		return false
 	}
 	if l.pending != nil || now.Before(l.refusedUntil) {
 		return false
 	}
-	return l.tokens < l.targetTokens(round)/2 || now.After(l.expiresAt)
+	return l.tokens < l.targetTokens(interval)/2 || now.After(l.expiresAt)
 }
 
-// targetTokens is how many tokens to hold ahead: the demand of three rounds.
-func (l *lease) targetTokens(round time.Duration) float64 {
-	return math.Floor(l.demandRate*3*round.Seconds()) + 1
+// targetTokens is the number of tokens to hold: the demand of three renewal intervals.
+func (l *lease) targetTokens(interval time.Duration) float64 {
+	return math.Floor(l.demandRate*3*interval.Seconds()) + 1
 }
 
-// addToRequest adds what this edge wants of a tenant to the request to its owner. What
-// was not used in time returns to the bucket.
-func (l *lease) addToRequest(request *QuotaLeaseRequest, tenant string, now time.Time, round time.Duration) {
+// addToRequest adds the tokens needed for a tenant to the request to its owner, and
+// returns expired tokens to the bucket of the owner.
+func (l *lease) addToRequest(request *QuotaLeaseRequest, tenant string, now time.Time, interval time.Duration) {
 	if l.tokens > 0 && now.After(l.expiresAt) {
 		request.Returned[tenant] = l.tokens
 		l.tokens = 0
@@ -139,20 +139,20 @@
 	if l.fallback.unreported > 0 {
 		request.AdmittedUnleased[tenant] = l.fallback.unreported
 	}
-	request.Requested[tenant] = max(1, float64(l.waiting), l.targetTokens(round)-l.tokens)
+	request.Requested[tenant] = max(1, float64(l.waiting), l.targetTokens(interval)-l.tokens)
 }
 
-// leaseGrant is the owner's answer for one tenant.
+// leaseGrant is the response of the owner for one tenant.
 type leaseGrant struct {
 	requested        float64
 	granted          float64
-	admittedUnleased float64       // reported with the request
-	retryAfter       time.Duration // if less was granted than wanted
+	admittedUnleased float64       // messages reported with the request
+	retryAfter       time.Duration // set if less was granted than requested
 }
 
-// applyGrant takes over what the owner has granted. A lease ends one window after
-// its request was sent, so that it ends no later than the owner reckons.
-func (l *lease) applyGrant(g leaseGrant, sent, now time.Time, round time.Duration) {
+// applyGrant adds the granted tokens to the lease. The lease expires one window after the
+// request was sent, so that it never outlasts the window that the owner assumes.
+func (l *lease) applyGrant(g leaseGrant, sent, now time.Time, interval time.Duration) {
 	if now.After(l.expiresAt) {
 		l.tokens = 0
 	}
@@ -163,6 +163,6 @@
 	l.lastResponse = now
 	l.unreachable = false
 	if g.granted < g.requested {
-		l.refusedUntil = now.Add(min(round/2, g.retryAfter))
+		l.refusedUntil = now.Add(min(interval/2, g.retryAfter))
 	}
 }
--- a/internal/ratelimit/leases.go
+++ b/internal/ratelimit/leases.go
@@ -10,13 +10,13 @@
 	"saltreel/internal/quota"
 )
 
-// Caller makes calls to the system's own processes, as *rpc.Client does.
+// Caller sends RPCs to other processes of the system; *rpc.Client implements it.
 type Caller interface {
 	Call(ctx context.Context, address, path string, in any, raw []byte, out any) error
 }
 
-// Leases is the edge's side: it leases quota from the owners of the tenants
-// ahead of demand, and admits messages out of it.
+// Leases is the edge side of rate limiting: it leases tokens from the owners of the
+// tenants ahead of demand, and admits messages with them.
 type Leases struct {
 	client    Caller
 	placement func() *placement.Placement
@@ -24,93 +24,92 @@
 
 	mu     sync.Mutex
 	leases map[string]*lease
-	runCtx context.Context // of Run: no request outlives it; nil before
+	runCtx context.Context // context of Run, which bounds all requests; nil before Run
 }
 
-// NewLeases makes the edge's side without any lease. Placement returns the newest
-// placement, nil before the first.
+// NewLeases returns a Leases without any lease. The placement function returns the newest
+// placement, or nil before the first one is known.
 func NewLeases(client Caller, placement func() *placement.Placement, contactTimeout time.Duration) *Leases {
 	return &Leases{client: client, placement: placement, timing: timing{contactTimeout}, leases: map[string]*lease{}}
 }
 
-// timing derives the times of the leases from the contact timeout.
+// timing derives all durations from the contact timeout.
 type timing struct{ contactTimeout time.Duration }
 
-// renewalInterval is how often demand is measured and leases are renewed: leases of a few
-// rounds follow the demand, at one call in a renewalInterval to each owner.
+// renewalInterval is how often demand is measured and leases are renewed. Leases cover a
+// few intervals, so that they follow the demand at one call per interval and owner.
 func (t timing) renewalInterval() time.Duration { return t.contactTimeout / 16 }
 
-// requestTimeout is how long a requestTimeout to an owner may take: one round.
+// requestTimeout bounds a request to an owner.
 func (t timing) requestTimeout() time.Duration { return t.renewalInterval() }
 
-// suspicionTimeout is how long a message waits for an owner's answer until it may be
-// admitted without.
+// suspicionTimeout is how long a message waits for the response of an owner before the
+// owner is considered unreachable and the message may be admitted without a lease.
 func (t timing) suspicionTimeout() time.Duration { return t.contactTimeout / 40 }
 
-// retryInterval is the time between two requests to an owner that does not answer.
+// retryInterval is the minimum time between two requests to an unreachable owner.
 func (t timing) retryInterval() time.Duration { return t.contactTimeout / 80 }
 
-// ThrottleTime is how long to throttle a tenant that was refused: what this edge
-// observed of it, in messages a second, against what it was granted here, or
-// against its whole limit where nothing was.
+// ThrottleTime returns how long to throttle a tenant whose message was refused. It compares
+// the observed rate at this edge, in messages per second, with the rate granted to this
+// edge, or with the whole limit of the tenant if nothing was granted here.
 func (l *Leases) ThrottleTime(tenant *configuration.Tenant, observed float64) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	bound := tenant.RatePerS
-	if x := l.leases[tenant.Name]; x != nil && x.grantRate > 0 {
-		bound = min(bound, x.grantRate)
+	limit := tenant.RatePerS
+	if ls := l.leases[tenant.Name]; ls != nil && ls.grantRate > 0 {
+		limit = min(limit, ls.grantRate)
 	}
-	return quota.ThrottleTime(observed, bound)
+	return quota.ThrottleTime(observed, limit)
 }
 
-// Acquire admits one message of a tenant and returns 0; if the tenant is over
-// its limit, it returns how long to wait. While the owner is unreachable nobody
-// knows whether it is, so the message waits for it, as it would for its store,
-// until ctx ends.
+// Acquire admits one message of a tenant and returns 0, or returns how long to wait if the
+// tenant is over its limit. While the owner is unreachable this is not known, so the
+// message waits for the owner until ctx is done, as it would wait for its store.
 func (l *Leases) Acquire(ctx context.Context, tenant *configuration.Tenant) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	x := l.leases[tenant.Name]
-	if x == nil {
-		x = &lease{}
-		l.leases[tenant.Name] = x
+	ls := l.leases[tenant.Name]
+	if ls == nil {
+		ls = &lease{}
+		l.leases[tenant.Name] = ls
 	}
-	x.demand++
-	x.waiting++
-	defer func() { x.waiting-- }()
+	ls.demand++
+	ls.waiting++
+	defer func() { ls.waiting-- }()
 	for ctx.Err() == nil {
 		now := time.Now()
-		switch x.admit(now, l.timing.retryInterval()) {
+		switch ls.admit(now, l.timing.retryInterval()) {
 		case admitted:
 			return 0
 		case overLimit:
-			return x.refusedUntil.Sub(now)
+			return ls.refusedUntil.Sub(now)
 		case retryLater:
 			l.waitReleasingLock(ctx, nil, l.timing.retryInterval())
 		case awaitResponse:
-			l.awaitResponse(ctx, x, tenant.Name, now)
+			l.awaitResponse(ctx, ls, tenant.Name, now)
 		}
 	}
 	return quota.Window / 2
 }
 
-// awaitResponse waits for the answer to the request under way, or to a new one,
-// and notes if it does not come soon. It is called and returns with the lock.
-func (l *Leases) awaitResponse(ctx context.Context, x *lease, tenant string, now time.Time) {
-	if x.pending == nil {
-		x.pending = make(chan struct{})
-		x.requestedAt = now
+// awaitResponse waits for the response to the request in flight, or to a new one, and marks
+// the owner as unreachable if it takes too long. The caller holds l.mu.
+func (l *Leases) awaitResponse(ctx context.Context, ls *lease, tenant string, now time.Time) {
+	if ls.pending == nil {
+		ls.pending = make(chan struct{})
+		ls.requestedAt = now
 		go l.requestLeases(context.WithoutCancel(ctx), []string{tenant})
 	}
-	pending := x.pending
+	pending := ls.pending
 	l.waitReleasingLock(ctx, pending, l.timing.suspicionTimeout())
-	if x.pending == pending {
-		x.unreachable = true
+	if ls.pending == pending {
+		ls.unreachable = true
 	}
 }
 
-// waitReleasingLock waits without the lock until done is closed, d is over or ctx
-// ends, and returns with the lock.
+// waitReleasingLock releases l.mu, waits until done is closed, d has elapsed or ctx is done,
+// and locks l.mu again.
 func (l *Leases) waitReleasingLock(ctx context.Context, done <-chan struct{}, d time.Duration) {
 	l.mu.Unlock()
 	defer l.mu.Lock()
@@ -123,7 +122,7 @@
 	}
 }
 
-// Run renews the leases ahead of demand, round by round, until ctx ends.
+// Run renews the leases ahead of demand once per renewal interval, until ctx is done.
 func (l *Leases) Run(ctx context.Context) {
 	l.mu.Lock()
 	l.runCtx = ctx
@@ -136,35 +135,35 @@
 			return
 		case <-tick.C:
 		}
-		if tenants := l.startRound(time.Now()); len(tenants) > 0 {
+		if tenants := l.startRenewal(time.Now()); len(tenants) > 0 {
 			go l.requestLeases(ctx, tenants)
 		}
 	}
 }
 
-// startRound measures demand, drops the leases of idle tenants, and returns the
-// tenants whose leases are to be renewed.
-func (l *Leases) startRound(now time.Time) []string {
+// startRenewal updates the measured rates, deletes the leases of idle tenants, and returns
+// the tenants whose leases must be renewed; it marks their requests as in flight.
+func (l *Leases) startRenewal(now time.Time) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	round := l.timing.renewalInterval()
+	interval := l.timing.renewalInterval()
 	var tenants []string
-	for name, x := range l.leases {
-		x.updateRates(now, round)
-		if x.evictable(now) {
+	for name, ls := range l.leases {
+		ls.updateRates(now, interval)
+		if ls.evictable(now) {
 			delete(l.leases, name)
 		}
-		if x.needsRenewal(now, round) {
-			x.pending = make(chan struct{})
-			x.requestedAt = now
+		if ls.needsRenewal(now, interval) {
+			ls.pending = make(chan struct{})
+			ls.requestedAt = now
 			tenants = append(tenants, name)
 		}
 	}
 	return tenants
 }
 
-// requestLeases leases quota of tenants from their owners, and ends their pending
-// requests.
+// requestLeases requests tokens for tenants from their owners, waits for the responses, and
+// wakes up the messages that wait for them.
 func (l *Leases) requestLeases(ctx context.Context, tenants []string) {
 	ctx, cancel := context.WithTimeout(ctx, l.timing.requestTimeout())
 	defer cancel()
@@ -183,23 +182,23 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, name := range tenants {
-		if x := l.leases[name]; x != nil && x.pending != nil {
-			close(x.pending)
-			x.pending = nil
+		if ls := l.leases[name]; ls != nil && ls.pending != nil {
+			close(ls.pending)
+			ls.pending = nil
 		}
 	}
 }
 
-// requestsLocked makes one request for each owner of some of the tenants, by
-// the owner's name.
+// requestsLocked builds one request for each owner of the tenants, keyed by the name of the
+// owner.
 func (l *Leases) requestsLocked(p *placement.Placement, tenants []string) map[string]QuotaLeaseRequest {
 	requests := map[string]QuotaLeaseRequest{}
 	if p == nil || len(p.Partitions) == 0 {
 		return requests
 	}
 	for _, name := range tenants {
-		x := l.leases[name]
-		if x == nil {
+		ls := l.leases[name]
+		if ls == nil {
 			continue
 		}
 		owner := p.Partitions[LimiterPartition(name, len(p.Partitions))].Primary
@@ -208,12 +207,12 @@
 			in = QuotaLeaseRequest{Partitions: len(p.Partitions), Requested: map[string]float64{}, Returned: map[string]float64{}, AdmittedUnleased: map[string]float64{}}
 			requests[owner] = in
 		}
-		x.addToRequest(&in, name, time.Now(), l.timing.renewalInterval())
+		ls.addToRequest(&in, name, time.Now(), l.timing.renewalInterval())
 	}
 	return requests
 }
 
-// sendRequest sends a request to one owner and takes over what it grants.
+// sendRequest sends a request to one owner and applies the grants of its response.
 func (l *Leases) sendRequest(ctx context.Context, address string, in QuotaLeaseRequest) {
 	sent := time.Now()
 	var out QuotaLeaseResponse
@@ -222,12 +221,12 @@
 	defer l.mu.Unlock()
 	now := time.Now()
 	for name, requested := range in.Requested {
-		x := l.leases[name]
-		if x == nil {
+		ls := l.leases[name]
+		if ls == nil {
 			continue
 		}
 		if err != nil {
-			x.unreachable = true
+			ls.unreachable = true
 			continue
 		}
 		grant := leaseGrant{
@@ -236,6 +235,6 @@
 			admittedUnleased: in.AdmittedUnleased[name],
 			retryAfter:       time.Duration(out.RetryAfterMs[name]) * time.Millisecond,
 		}
-		x.applyGrant(grant, sent, now, l.timing.renewalInterval())
+		ls.applyGrant(grant, sent, now, l.timing.renewalInterval())
 	}
 }
--- a/internal/ratelimit/leases_bench_test.go
+++ b/internal/ratelimit/leases_bench_test.go
@@ -7,7 +7,7 @@
 	"saltreel/internal/configuration"
 )
 
-// BenchmarkAcquire admits one message out of a lease that holds enough.
+// BenchmarkAcquire admits one message with a lease that holds enough tokens.
 func BenchmarkAcquire(b *testing.B) {
 	tenant := &configuration.Tenant{Name: "one", RatePerS: 1e9}
 	l := NewLeases(nil, nil, 4*time.Second)
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -9,51 +9,48 @@
 	"saltreel/internal/configuration"
 )
 
-// LimiterConfig is what a Limiter needs of the store that it runs on.
+// LimiterConfig configures a Limiter. All functions must be set.
 type LimiterConfig struct {
-	// Allowance is half of the setting quota-allowance, in messages: what a new
-	// bucket may lease at once, and what the bucket of a slow tenant holds
-	// beyond its burst.
+	// Allowance is half of the setting quota-allowance, in messages: the initial tokens
+	// of a new bucket, and the capacity beyond the burst size for tenants with a low rate.
 	Allowance float64
-	// ReconcileInterval is how often the buckets that belong here are created and the
-	// others are dropped.
+	// ReconcileInterval is how often buckets are created for the tenants that this store
+	// owns and deleted for all others.
 	ReconcileInterval time.Duration
-	// Table returns the newest configuration; nil before the first.
+	// Table returns the newest configuration, or nil before the first one is known.
 	Table func() *configuration.Table
-	// Partitions returns how many partitions there are; 0 before a placement
-	// is known.
+	// Partitions returns the number of partitions, or 0 before a placement is known.
 	Partitions func() int
-	// IsOwner reports whether the buckets of a partition's tenants are here.
+	// IsOwner reports whether this store owns the token buckets of a partition.
 	IsOwner func(partition int) bool
-	// Downtime returns for how long this store did not run before its last
-	// start, if it owned the partition then and nobody has owned it since; else 0.
+	// Downtime returns how long this store was not running before its last start, if it
+	// owned the partition before and no other store has owned it since; otherwise 0.
 	Downtime func(partition int) time.Duration
-	// RecordActivity stores that the limiter runs now, for Downtime after the
-	// next start.
+	// RecordActivity stores the current time as the last time that the limiter was
+	// running; Downtime uses it after the next start.
 	RecordActivity func()
 }
 
 func (c *LimiterConfig) check() error {
 	if c.ReconcileInterval <= 0 {
-		return errors.New("ratelimit: the interval of a limiter must be above 0")
+		return errors.New("ratelimit: the reconcile interval must be positive")
 	}
 	if c.Table == nil || c.Partitions == nil || c.IsOwner == nil || c.Downtime == nil || c.RecordActivity == nil {
-		return errors.New("ratelimit: the configuration of a limiter is incomplete")
+		return errors.New("ratelimit: incomplete limiter configuration")
 	}
 	return nil
 }
 
-// Limiter is the owner's side: it runs the token buckets of the tenants whose
-// partitions this store is primary of.
+// Limiter is the owner side of rate limiting: it runs the token buckets of the tenants that
+// this store owns.
 type Limiter struct {
 	config LimiterConfig
 
 	mu      sync.Mutex
 	buckets map[string]*bucket // by tenant
-	active  bool               // quota was leased since the activity was last recorded
+	active  bool               // tokens were granted since the last reconcile
 }
 
-// NewLimiter makes a limiter without buckets.
 func NewLimiter(config LimiterConfig) (*Limiter, error) {
 	if err := config.check(); err != nil {
 		return nil, err
@@ -61,8 +58,8 @@
 	return &Limiter{config: config, buckets: map[string]*bucket{}}, nil
 }
 
-// Handle answers one edge's request for leases. It fails with
-// ErrNoConfiguration, ErrCallerTimedOut or a *NotOwnerError.
+// Handle grants tokens for the request of one edge. It returns ErrNoConfiguration,
+// ErrCallerTimedOut or a *NotOwnerError on failure.
 func (l *Limiter) Handle(ctx context.Context, in *QuotaLeaseRequest, _ []byte) (*QuotaLeaseResponse, error) {
 	table := l.config.Table()
 	if table == nil || in.Partitions <= 0 {
@@ -93,7 +90,7 @@
 	return out, nil
 }
 
-// grantLocked leases what the bucket of one tenant has.
+// grantLocked refills the bucket of one tenant and grants up to the requested tokens.
 func (l *Limiter) grantLocked(tenant *configuration.Tenant, requested float64, in *QuotaLeaseRequest, out *QuotaLeaseResponse, now time.Time) {
 	b := l.bucketLocked(tenant, in.Partitions, now)
 	l.active = true
@@ -106,7 +103,7 @@
 	}
 }
 
-// bucketLocked finds a tenant's bucket, or creates it.
+// bucketLocked returns the bucket of a tenant, and creates it if necessary.
 func (l *Limiter) bucketLocked(tenant *configuration.Tenant, partitions int, now time.Time) *bucket {
 	b := l.buckets[tenant.Name]
 	if b == nil {
@@ -117,8 +114,9 @@
 	return b
 }
 
-// Run creates the buckets that belong here before anyone asks, so that they
-// have filled by then, and drops those that do not, until ctx ends.
+// Run reconciles the buckets with the configuration and the placement at regular intervals
+// until ctx is done. Buckets are created before the first request so that they have been
+// refilled by the time it arrives.
 func (l *Limiter) Run(ctx context.Context) {
 	tick := time.NewTicker(l.config.ReconcileInterval)
 	defer tick.Stop()
@@ -138,8 +136,8 @@
 	}
 }
 
-// reconcile makes the buckets those of the tenants that are owned here. It
-// reports whether quota was leased since the last time.
+// reconcile creates the buckets of the tenants that this store owns and deletes all others.
+// It reports whether tokens were granted since the last call.
 func (l *Limiter) reconcile(table *configuration.Table, partitions int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/ratelimit/limiter_bench_test.go
+++ b/internal/ratelimit/limiter_bench_test.go
@@ -7,7 +7,7 @@
 	"saltreel/internal/configuration"
 )
 
-// BenchmarkGrant answers one edge's request for leases of n tenants.
+// BenchmarkGrant handles one request of an edge for tokens of n tenants.
 func BenchmarkGrant(b *testing.B) {
 	for _, n := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("tenants=%d", n), func(b *testing.B) {
@@ -20,7 +20,7 @@
 					in.Requested[name] = 20
 				}
 			}
-			l := limiterOf(b, configuration.NewTable(c), 0)
+			l := newTestLimiter(b, configuration.NewTable(c), 0)
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, err := l.Handle(b.Context(), in, nil); err != nil {
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -10,19 +10,19 @@
 	"saltreel/internal/configuration"
 )
 
-// maxInFiveSeconds is what the rules allow a tenant with rate and burst 100 in
-// five seconds, with quota-overshoot 0.1 and quota-allowance 20.
+// maxInFiveSeconds is the limit for a tenant with rate and burst size 100 over five seconds,
+// with quota-overshoot 0.1 and quota-allowance 20.
 const maxInFiveSeconds = (100*5+100)*1.1 + 20
 
-// tableOf is a configuration whose only tenant, "a", has this rate and burst.
-func tableOf(ratePerS, burst float64) *configuration.Table {
+// newTable returns a configuration whose only tenant, "a", has this rate and burst size.
+func newTable(ratePerS, burst float64) *configuration.Table {
 	tenant := &configuration.Tenant{Name: "a", RatePerS: ratePerS, BurstSize: burst}
 	return configuration.NewTable(&configuration.Configuration{TenantTable: []*configuration.Tenant{tenant}})
 }
 
-// limiterOf makes a limiter that owns all partitions and whose store did not run
-// for the downtime before.
-func limiterOf(tb testing.TB, table *configuration.Table, downtime time.Duration) *Limiter {
+// newTestLimiter returns a limiter that owns all partitions, on a store that was not running
+// for the given downtime before.
+func newTestLimiter(tb testing.TB, table *configuration.Table, downtime time.Duration) *Limiter {
 	tb.Helper()
 	l, err := NewLimiter(LimiterConfig{
 		Allowance:         10,
@@ -39,23 +39,24 @@
 	return l
 }
 
-// acquire requests quota of tenant "a" and returns what was granted.
-func acquire(t *testing.T, l *Limiter, wanted, spent float64) float64 {
+// acquire requests tokens of tenant "a", reports messages admitted without a lease, and
+// returns the granted tokens.
+func acquire(t *testing.T, l *Limiter, requested, admitted float64) float64 {
 	t.Helper()
-	out, err := l.Handle(t.Context(), &QuotaLeaseRequest{Partitions: 4, Requested: map[string]float64{"a": wanted}, AdmittedUnleased: map[string]float64{"a": spent}}, nil)
+	out, err := l.Handle(t.Context(), &QuotaLeaseRequest{Partitions: 4, Requested: map[string]float64{"a": requested}, AdmittedUnleased: map[string]float64{"a": admitted}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return out.Granted["a"]
 }
 
-// timedGrant is a grant with the time at which it was given.
+// timedGrant is a grant with its time.
 type timedGrant struct {
 	at      time.Time
 	granted float64
 }
 
-// acquireFor requests more than the bucket has, again and again for a while.
+// acquireFor repeatedly requests more tokens than the bucket has, for the duration d.
 func acquireFor(t *testing.T, l *Limiter, d time.Duration) []timedGrant {
 	t.Helper()
 	var all []timedGrant
@@ -65,9 +66,9 @@
 	return all
 }
 
-// maxGranted is the most that was granted in any five seconds.
+// maxGranted returns the maximum number of tokens granted in any five seconds.
 func maxGranted(all []timedGrant) float64 {
-	most := 0.0
+	largest := 0.0
 	for i, from := range all {
 		sum := 0.0
 		for _, g := range all[i:] {
@@ -75,53 +76,54 @@
 				sum += g.granted
 			}
 		}
-		most = max(most, sum)
+		largest = max(largest, sum)
 	}
-	return most
+	return largest
 }
 
-func TestRestartedLimiterStaysWithinTheLimit(t *testing.T) {
+func TestRestartedLimiterStaysWithinLimit(t *testing.T) {
 	for _, downtime := range []time.Duration{0, 300 * time.Millisecond, 1500 * time.Millisecond, time.Hour} {
 		synctest.Test(t, func(t *testing.T) {
-			table := tableOf(100, 100)
-			first := limiterOf(t, table, 0)
+			table := newTable(100, 100)
+			first := newTestLimiter(t, table, 0)
 			first.bucketLocked(table.Tenant("a"), 4, time.Now())
-			time.Sleep(3 * time.Second) // the bucket is full when the demand begins
+			time.Sleep(3 * time.Second) // the bucket is full when the requests start
 			all := acquireFor(t, first, 3*time.Second)
 			time.Sleep(downtime)
 			before := len(all)
-			all = append(all, acquireFor(t, limiterOf(t, table, downtime), 3*time.Second)...)
+			all = append(all, acquireFor(t, newTestLimiter(t, table, downtime), 3*time.Second)...)
 			if sum := maxGranted(all); sum > maxInFiveSeconds {
-				t.Fatalf("downtime %v: %v granted in five seconds, %v are allowed", downtime, sum, maxInFiveSeconds)
+				t.Fatalf("downtime %v: %v granted in five seconds, limit %v", downtime, sum, maxInFiveSeconds)
 			}
 			if want := min(100, 10+100*downtime.Seconds()); all[before].granted < want-1 || all[before].granted > want+1 {
-				t.Errorf("downtime %v: the restarted limiter begins with %v, not %v", downtime, all[before].granted, want)
+				t.Errorf("downtime %v: first grant after the restart is %v, want %v", downtime, all[before].granted, want)
 			}
 		})
 	}
 }
 
-// What edges admitted while the limiter did not answer is taken off what the
-// bucket has gathered meanwhile, but a new bucket does not answer for the one before.
+// Messages that edges admitted while the limiter was unreachable are deducted from the tokens
+// that the bucket has accumulated, but a new bucket is not charged for messages of the
+// previous bucket.
 func TestUnleasedAdmissionsAreDeductedFromTheBucket(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := limiterOf(t, tableOf(100, 100), 0)
+		l := newTestLimiter(t, newTable(100, 100), 0)
 		if got := acquire(t, l, 1000, 80); got != 10 {
-			t.Errorf("a new bucket grants %v, not 10", got)
+			t.Errorf("a new bucket granted %v, want 10", got)
 		}
-		time.Sleep(2 * time.Second) // unreachable for an edge that admits 150
+		time.Sleep(2 * time.Second) // unreachable for an edge that admits 150 messages
 		if got := acquire(t, l, 1000, 150); got != 0 {
-			t.Errorf("%v granted, 100 are gathered and 150 spent", got)
+			t.Errorf("%v granted, want 0: 100 tokens accumulated, 150 messages admitted", got)
 		}
 		time.Sleep(600 * time.Millisecond)
 		if got := acquire(t, l, 1000, 0); got != 10 {
-			t.Errorf("%v granted, not 10", got)
+			t.Errorf("%v granted, want 10", got)
 		}
 	})
 }
 
-func TestLimiterRefusesWhatItCannotGrant(t *testing.T) {
-	table := tableOf(100, 100)
+func TestLimiterErrors(t *testing.T) {
+	table := newTable(100, 100)
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	for name, c := range map[string]struct {
@@ -139,7 +141,7 @@
 		"timed out, not owner": {ended, table, 4, false, ErrCallerTimedOut},
 		"unknown and unowned":  {t.Context(), nil, 4, false, ErrNoConfiguration},
 	} {
-		l := limiterOf(t, c.table, 0)
+		l := newTestLimiter(t, c.table, 0)
 		l.config.IsOwner = func(int) bool { return c.owner }
 		_, err := l.Handle(c.ctx, &QuotaLeaseRequest{Partitions: c.partitions, Requested: map[string]float64{"a": 1}}, nil)
 		var notOwner, want *NotOwnerError
@@ -148,29 +150,29 @@
 				t.Errorf("%s: %v", name, err)
 			}
 		} else if !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, not %v", name, err, c.want)
+			t.Errorf("%s: error %v, want %v", name, err, c.want)
 		}
 	}
 }
 
-func TestReconcileRetainsOnlyOwnedBuckets(t *testing.T) {
-	table := tableOf(100, 100)
-	l := limiterOf(t, table, 0)
+func TestReconcileKeepsOnlyOwnedBuckets(t *testing.T) {
+	table := newTable(100, 100)
+	l := newTestLimiter(t, table, 0)
 	if l.reconcile(table, 4) || l.buckets["a"] == nil {
-		t.Errorf("active without a lease, or no bucket: %v", l.buckets)
+		t.Errorf("active without a grant, or bucket missing: %v", l.buckets)
 	}
 	acquire(t, l, 1, 0)
 	if !l.reconcile(table, 4) || l.reconcile(table, 4) {
-		t.Error("activity is not reported exactly once after a lease")
+		t.Error("activity was not reported exactly once after a grant")
 	}
 	l.config.IsOwner = func(int) bool { return false }
 	if l.reconcile(table, 4); len(l.buckets) != 0 {
-		t.Errorf("buckets of another owner's tenants: %v", l.buckets)
+		t.Errorf("buckets of tenants with another owner remain: %v", l.buckets)
 	}
 }
 
 func TestIncompleteLimiterConfigIsRejected(t *testing.T) {
-	complete := limiterOf(t, tableOf(1, 1), 0).config
+	complete := newTestLimiter(t, newTable(1, 1), 0).config
 	for name, change := range map[string]func(*LimiterConfig){
 		"interval":       func(c *LimiterConfig) { c.ReconcileInterval = 0 },
 		"table":          func(c *LimiterConfig) { c.Table = nil },
@@ -182,7 +184,7 @@
 		config := complete
 		change(&config)
 		if _, err := NewLimiter(config); err == nil {
-			t.Errorf("a limiter without %s was made", name)
+			t.Errorf("configuration without %s was accepted", name)
 		}
 	}
 }
--- a/internal/ratelimit/messages.go
+++ b/internal/ratelimit/messages.go
@@ -1,8 +1,8 @@
-// Package ratelimit bounds how many messages of a tenant the system accepts,
-// over all edges together. It has two sides. The owner of a tenant, the store
-// that is primary of the partition of the tenant's name, runs its token bucket
-// (Limiter). The edges lease tokens from it ahead of demand (Leases), so that
-// most messages are admitted without a call; a lease that is not used returns
+// Package ratelimit limits the rate at which the system accepts messages of a tenant, over
+// all edges together. The owner of a tenant is the store that is primary of the partition
+// that the name of the tenant hashes to; it runs the token bucket of the tenant (Limiter).
+// The edges lease tokens from it ahead of demand (Leases), so that most messages are
+// admitted without a call. Tokens that are not used before the lease expires are returned
 // to the bucket.
 package ratelimit
 
@@ -12,43 +12,45 @@
 	"saltreel/internal/ring"
 )
 
-// LeasePath is the path of the call by which edges lease quota. It is not
-// idempotent: each request that is answered takes tokens out of the bucket.
+// LeasePath is the path of the call with which edges lease tokens. The call is not
+// idempotent: each answered request takes tokens out of the bucket.
 const LeasePath = "/grant"
 
-// QuotaLeaseRequest asks the owner of some tenants for quota, in messages by
-// the tenant's name.
+// QuotaLeaseRequest requests tokens from the owner of some tenants. The maps are keyed by
+// the name of the tenant; one token admits one message.
 type QuotaLeaseRequest struct {
-	Partitions int                `json:"partitions"` // of the placement that the edge goes by
+	Partitions int                `json:"partitions"` // number of partitions in the placement of the edge
 	Requested  map[string]float64 `json:"want"`
-	Returned   map[string]float64 `json:"back,omitempty"` // leased earlier, expired and not used
-	// AdmittedUnleased is what the edge admitted without a lease while the owner did not
-	// answer.
+	Returned   map[string]float64 `json:"back,omitempty"` // leased earlier, unused and expired
+	// AdmittedUnleased counts the messages that the edge admitted without a lease while
+	// the owner was unreachable.
 	AdmittedUnleased map[string]float64 `json:"spent,omitempty"`
 }
 
-// QuotaLeaseResponse leases quota, in messages by the tenant's name. Where it
-// is less than was wanted, it says in how many milliseconds to ask again.
+// QuotaLeaseResponse grants tokens by the name of the tenant. Where fewer than requested
+// were granted, RetryAfterMs is the time in milliseconds until the next request.
 type QuotaLeaseResponse struct {
 	Granted      map[string]float64 `json:"given"`
 	RetryAfterMs map[string]int64   `json:"wait,omitempty"`
 }
 
-// Errors of the owner's side.
+// Errors of Limiter.Handle.
 var (
-	// ErrNoConfiguration means that the tenants' limits are not known yet.
+	// ErrNoConfiguration means that the limits of the tenants are not known yet.
 	ErrNoConfiguration = errors.New("no configuration is known here")
-	// ErrCallerTimedOut means that the edge waits no longer. Nothing was leased:
-	// what is leased to nobody is lost to the tenant.
-	ErrCallerTimedOut = errors.New("the caller waits no longer")
+	// ErrCallerTimedOut means that the request was cancelled before it was processed. No
+	// tokens are granted then, since the tenant would lose them.
+	ErrCallerTimedOut = errors.New("the caller timed out; no tokens were granted")
 )
 
-// NotOwnerError means that another store owns the tenant's token bucket.
+// NotOwnerError means that another store owns the token bucket of the tenant.
 type NotOwnerError struct{ Tenant string }
 
-func (e *NotOwnerError) Error() string { return "the limiter of " + e.Tenant + " is not here" }
+func (e *NotOwnerError) Error() string {
+	return "the token bucket of tenant " + e.Tenant + " is owned by another store"
+}
 
-// LimiterPartition is the partition whose primary owns a tenant's token bucket.
+// LimiterPartition returns the partition whose primary owns the token bucket of a tenant.
 func LimiterPartition(tenant string, partitions int) int {
 	return int(ring.Hash("meter", tenant) % uint64(partitions))
 }
