--- a/internal/admission/quotas.go
+++ b/internal/admission/quotas.go
@@ -1,5 +1,5 @@
-// Package admission measures what clients ask of a node that admits them against
-// the quotas of their tenants (package quota), and says how long to hold them.
+// Package admission checks client requests against the quotas of their tenants (package
+// quota) on the node that admits them, and returns how long to throttle the client.
 package admission
 
 import (
@@ -11,18 +11,18 @@
 	"saltreel/internal/quota"
 )
 
-// Quotas are the quotas that a node measures requests against.
+// Quotas holds the quotas that a node enforces on client requests.
 type Quotas struct {
 	RequestBytes     *quota.Manager
 	RequestTime      *quota.Manager
-	AcceptedMessages *quota.Manager // messages; the limit over all edges is enforced elsewhere
+	AcceptedMessages *quota.Manager // at this node; package ratelimit enforces the limit over all edges
 
-	mu     sync.Mutex
-	limits *configuration.Table // whose limits are applied
+	mu           sync.Mutex
+	appliedTable *configuration.Table // configuration whose limits are in force
 }
 
-// NewQuotas makes quotas for a node with so much of a processor. One tenant may have
-// half of what it can do.
+// NewQuotas returns the quotas for a node with the given share of processor cores. One tenant may
+// use half of that processing time.
 func NewQuotas(processorShare float64) *Quotas {
 	q := &Quotas{
 		RequestBytes:     quota.NewManager(quota.RequestBytes),
@@ -33,7 +33,7 @@
 	return q
 }
 
-// Reap removes sensors without use and releases what was held, until ctx ends.
+// Reap releases throttled requests of all quotas when they are due, until ctx is done.
 func (q *Quotas) Reap(ctx context.Context) {
 	var tasks sync.WaitGroup
 	for _, m := range []*quota.Manager{q.RequestBytes, q.RequestTime, q.AcceptedMessages} {
@@ -42,15 +42,15 @@
 	tasks.Wait()
 }
 
-// ApplyLimits applies the limits of a configuration, once. It reports whether this
-// was the first time.
+// ApplyLimits applies the limits of a configuration. It returns false if this configuration
+// is already in force.
 func (q *Quotas) ApplyLimits(t *configuration.Table) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.limits == t {
+	if q.appliedTable == t {
 		return false
 	}
-	q.limits = t
+	q.appliedTable = t
 	q.RequestBytes.SetLimits(ByteLimits(t))
 	rates := map[quota.Entity]float64{}
 	for _, tenant := range t.TenantTable {
@@ -62,22 +62,22 @@
 	return true
 }
 
-// RecordRequest records the bytes of a request and the time that it was worked
-// on. It gives the longest throttle time X, that of the accepted messages
-// included, and the quota that asks for it.
-func (q *Quotas) RecordRequest(tenant, route string, bytes int, worked, acceptedThrottle time.Duration) (time.Duration, *quota.Manager) {
-	throttle, by := q.RequestBytes.Record(tenant, route, float64(bytes)), q.RequestBytes
-	if x := q.RequestTime.Record(tenant, route, max(0, worked.Seconds())); x > throttle {
-		throttle, by = x, q.RequestTime
+// RecordRequest records the size and the processing time of a request. It returns the longest
+// throttle time of all quotas, including the given one for accepted messages, and the quota
+// that requires it.
+func (q *Quotas) RecordRequest(tenant, route string, bytes int, processingTime, acceptedThrottle time.Duration) (time.Duration, *quota.Manager) {
+	throttle, limiting := q.RequestBytes.Record(tenant, route, float64(bytes)), q.RequestBytes
+	if x := q.RequestTime.Record(tenant, route, max(0, processingTime.Seconds())); x > throttle {
+		throttle, limiting = x, q.RequestTime
 	}
 	if acceptedThrottle > throttle {
-		throttle, by = acceptedThrottle, q.AcceptedMessages
+		throttle, limiting = acceptedThrottle, q.AcceptedMessages
 	}
-	return throttle, by
+	return throttle, limiting
 }
 
-// ByteLimits returns the limits of tenants in bytes a second: what their rates
-// allow in messages of the largest size.
+// ByteLimits returns the limits of the tenants in bytes per second: the message rate of the
+// tenant times the maximum body size.
 func ByteLimits(t *configuration.Table) map[quota.Entity]float64 {
 	out := map[quota.Entity]float64{}
 	for _, tenant := range t.TenantTable {
--- a/internal/admission/quotas_test.go
+++ b/internal/admission/quotas_test.go
@@ -21,20 +21,20 @@
 	} {
 		table := configuration.NewTable(&configuration.Configuration{TenantTable: tenants, Limits: c.limits})
 		if got := ByteLimits(table); !maps.Equal(got, c.want) {
-			t.Errorf("%v: %v", c.limits, got)
+			t.Errorf("limits %v: got %v", c.limits, got)
 		}
 	}
 }
 
-// X is the longest that any quota asks for, and the hold is on that quota.
-func TestLongestThrottleTimeDecides(t *testing.T) {
+// RecordRequest returns the longest throttle time and the quota that requires it.
+func TestRecordRequestReturnsLongestThrottleTime(t *testing.T) {
 	for _, test := range []struct {
-		name     string
-		bytes    int
-		worked   time.Duration
-		accepted time.Duration
-		by       func(*Quotas) *quota.Manager
-		throttle bool
+		name           string
+		bytes          int
+		processingTime time.Duration
+		accepted       time.Duration
+		quota          func(*Quotas) *quota.Manager
+		throttle       bool
 	}{
 		{"within all limits", 1, time.Millisecond, 0, func(q *Quotas) *quota.Manager { return q.RequestBytes }, false},
 		{"bytes", 1 << 20, time.Millisecond, 0, func(q *Quotas) *quota.Manager { return q.RequestBytes }, true},
@@ -47,18 +47,18 @@
 			q := NewQuotas(1)
 			q.RequestBytes.SetLimit(quota.Entity{Tenant: quota.Default}, 1000)
 			q.RequestTime.SetLimit(quota.Entity{Tenant: quota.Default}, 0.5)
-			x, by := q.RecordRequest("one", "route", test.bytes, test.worked, test.accepted)
+			x, limiting := q.RecordRequest("one", "route", test.bytes, test.processingTime, test.accepted)
 			if (x > 0) != test.throttle {
-				t.Errorf("throttle time %v, want one: %v", x, test.throttle)
+				t.Errorf("throttle time %v, want throttled: %v", x, test.throttle)
 			}
-			if by != test.by(q) {
-				t.Error("another quota asks for it")
+			if limiting != test.quota(q) {
+				t.Error("wrong quota returned")
 			}
 		})
 	}
 }
 
-func TestLimitsFollowConfiguration(t *testing.T) {
+func TestApplyLimits(t *testing.T) {
 	q := NewQuotas(1)
 	table := func(rate float64) *configuration.Table {
 		return configuration.NewTable(&configuration.Configuration{
@@ -71,10 +71,10 @@
 		reference.SetLimit(quota.Entity{Tenant: "one"}, rate)
 		want, _ := reference.MaxInWindow("one", "route")
 		if got, limited := q.AcceptedMessages.MaxInWindow("one", "route"); !limited || got != want {
-			t.Errorf("rate %v: most in a window %v, limited %v; want %v", rate, got, limited, want)
+			t.Errorf("rate %v: MaxInWindow %v, limited %v; want %v", rate, got, limited, want)
 		}
 		if _, limited := q.AcceptedMessages.MaxInWindow("two", "route"); limited {
-			t.Error("a tenant without rate is limited")
+			t.Error("a tenant without a rate is limited")
 		}
 	}
 }
