--- a/internal/delivery/attempt.go
+++ b/internal/delivery/attempt.go
@@ -13,7 +13,7 @@
 // the endpoint as it was at the start: an event may replace it meanwhile.
 func (s *Scheduler) attempt(m *message, e *endpoint, instance handler.Instance, route *configuration.Route) {
 	result := s.deliver(m, instance, route)
-	dead := isDead(result.Outcome, m.failedAttempts, int(route.MaxAttempts))
+	dead := isDeadLetter(result.Outcome, m.failedAttempts, int(route.MaxAttempts))
 	switch {
 	case dead:
 		s.config.Partitions.Finish(m.record.Partition, m.record.ID, partition.Dead, "")
@@ -25,16 +25,16 @@
 	defer s.wakeUp()
 	defer s.endDelivery(m)
 	now := time.Now()
-	s.endDeliveryLocked(e)
+	s.releaseEndpointLocked(e)
 	m.running = false
 	if !result.IdleConnectionBroke {
 		s.recordOutcomeLocked(e, m.queue, result.Outcome, now)
 	}
-	if m.ended {
+	if m.finished {
 		return
 	}
 	if result.Outcome == handler.Done || dead {
-		s.endLocked(m)
+		s.finishLocked(m)
 		return
 	}
 	if result.Outcome == handler.Failed {
@@ -54,7 +54,7 @@
 func (s *Scheduler) deliver(m *message, instance handler.Instance, route *configuration.Route) handler.Result {
 	r := m.record
 	began := time.Now()
-	result := handler.Deliver(s.answering, s.config.Pool, handler.Delivery{
+	result := handler.Deliver(s.attemptCtx, s.config.Pool, handler.Delivery{
 		Address:  instance.Address,
 		Instance: instance.ID,
 		ID:       r.ID,
@@ -75,9 +75,9 @@
 	return result
 }
 
-// isDead reports whether an outcome makes a message a dead letter: its handler
+// isDeadLetter reports whether an outcome makes a message a dead letter: its handler
 // has refused it for good, or this was the last attempt that its route allows.
-func isDead(o handler.Outcome, failedBefore, maxAttempts int) bool {
+func isDeadLetter(o handler.Outcome, failedBefore, maxAttempts int) bool {
 	switch o {
 	case handler.Refused:
 		return true
@@ -92,7 +92,7 @@
 // service.
 func (s *Scheduler) recordOutcomeLocked(e *endpoint, q *serviceQueue, o handler.Outcome, now time.Time) {
 	if o != handler.NotExecuted {
-		q.failureRate = smooth(q.failureRate, o, 16)
+		q.failureRate = updateFailureRate(q.failureRate, o, 16)
 	}
 	e.health.recordOutcome(o, now, s.timing)
 	switch o {
@@ -113,13 +113,13 @@
 // where the attempt may have run, and jitter of one half in any case. The last
 // attempt of a message is not spent on a service that fails just now.
 func (s *Scheduler) retryDelay(m *message, o handler.Outcome, route *configuration.Route) time.Duration {
-	mean := s.timing.baseRetry()
+	mean := s.timing.baseRetryDelay()
 	lastAttempt := m.failedAttempts+1 >= int(route.MaxAttempts)
 	switch {
-	case o == handler.Failed && lastAttempt && m.queue.failureRate > 2*ordinaryFailureRate:
-		mean = s.timing.lastRetry()
+	case o == handler.Failed && lastAttempt && m.queue.failureRate > 2*baselineFailureRate:
+		mean = s.timing.finalRetryDelay()
 	case o == handler.Failed, o == handler.Indeterminate, o == handler.NoResponse:
-		mean <<= min(m.tries-1, maxRetryDoublings)
+		mean <<= min(m.attempts-1, maxRetryDoublings)
 	}
 	return mean/2 + rand.N(mean)
 }
--- a/internal/delivery/attempt_test.go
+++ b/internal/delivery/attempt_test.go
@@ -25,7 +25,7 @@
 		{handler.Indeterminate, 9, false},
 		{handler.NoResponse, 9, false},
 	} {
-		if got := isDead(c.o, c.failedBefore, 3); got != c.want {
+		if got := isDeadLetter(c.o, c.failedBefore, 3); got != c.want {
 			t.Errorf("%v after %d failures: %v", c.o, c.failedBefore, got)
 		}
 	}
@@ -53,7 +53,7 @@
 		"no answer before the last":    {handler.NoResponse, 3, 2, 0.9, 80},
 		"declined before the last one": {handler.NotExecuted, 3, 2, 0.9, 20},
 	} {
-		m := &message{tries: c.tries, failedAttempts: c.failed, queue: &serviceQueue{failureRate: c.failureRate}}
+		m := &message{attempts: c.tries, failedAttempts: c.failed, queue: &serviceQueue{failureRate: c.failureRate}}
 		mean := c.mean * time.Millisecond
 		for range 50 {
 			if got := s.retryDelay(m, c.o, &configuration.Route{MaxAttempts: 3}); got < mean/2 || got >= mean*3/2 {
--- a/internal/delivery/dispatch.go
+++ b/internal/delivery/dispatch.go
@@ -8,24 +8,24 @@
 	"saltreel/internal/quota"
 )
 
-// maxWithoutEndpoint is after how many messages without a free endpoint the
+// maxEndpointMisses is after how many messages without a free endpoint the
 // others of their service are not tried: there is hardly one for them either.
-const maxWithoutEndpoint = 4
+const maxEndpointMisses = 4
 
 // dispatchRound is one look at the queue of a service.
 type dispatchRound struct {
-	now             time.Time
-	table           *configuration.Table
-	service         *configuration.Service
-	queue           *serviceQueue
-	next            time.Duration // when to look again
-	setAside        []*message    // due, but not startable now
-	withoutEndpoint int
+	now            time.Time
+	table          *configuration.Table
+	service        *configuration.Service
+	queue          *serviceQueue
+	next           time.Duration // when to look again
+	deferred       []*message    // due, but not startable now
+	endpointMisses int
 }
 
-// retryIn sets a message aside for another look.
-func (r *dispatchRound) retryIn(m *message, d time.Duration) {
-	r.setAside = append(r.setAside, m)
+// deferMessage sets a message aside for another look.
+func (r *dispatchRound) deferMessage(m *message, d time.Duration) {
+	r.deferred = append(r.deferred, m)
 	r.next = min(r.next, d)
 }
 
@@ -33,7 +33,7 @@
 // returns when to look again.
 func (s *Scheduler) dispatchLocked(q *serviceQueue, now time.Time) time.Duration {
 	q.releaseDue(now)
-	next := q.untilNextDue(now, s.timing.idle())
+	next := q.timeUntilNextDue(now, s.timing.maxPollInterval())
 	if q.dueCount() == 0 {
 		return next
 	}
@@ -47,8 +47,8 @@
 			break
 		}
 	}
-	for _, m := range r.setAside {
-		q.putBack(m)
+	for _, m := range r.deferred {
+		q.requeue(m)
 	}
 	return r.next
 }
@@ -56,7 +56,7 @@
 // dispatchMessageLocked starts the delivery of a message, ends it, or puts it off,
 // and reports whether the round goes on.
 func (s *Scheduler) dispatchMessageLocked(r *dispatchRound, m *message) (more bool) {
-	if m.ended {
+	if m.finished {
 		return true
 	}
 	if !m.isFirstOfKey() { // an earlier message of its key came later: it waits for that one
@@ -64,19 +64,19 @@
 		return true
 	}
 	if r.table.Revision < m.record.Revision || !s.beginDelivery(m) {
-		r.retryIn(m, s.timing.leaseRecheck())
+		r.deferMessage(m, s.timing.leaseRecheck())
 		return true
 	}
 	if !s.config.Partitions.IsPending(m.record.Partition, m.record.ID) { // another replica knew how it ended
 		s.endDelivery(m)
-		s.endLocked(m)
+		s.finishLocked(m)
 		return true
 	}
 	route := r.table.Route(m.record.Host, m.record.Target)
 	if route == nil || m.expired(s.config.Partitions.Now()) {
 		s.endDelivery(m)
 		s.config.Partitions.Finish(m.record.Partition, m.record.ID, partition.Dead, "")
-		s.endLocked(m)
+		s.finishLocked(m)
 		return true
 	}
 	if route.Service != r.queue.service { // the configuration has changed
@@ -86,9 +86,9 @@
 		r.next = 0
 		return true
 	}
-	if !s.mayEndInTimeLocked(route, r.now) { // the next primary makes it
+	if !s.fitsBeforeShutdownLocked(route, r.now) { // the next primary makes it
 		s.endDelivery(m)
-		r.retryIn(m, s.timing.endpointRecheck())
+		r.deferMessage(m, s.timing.endpointRecheck())
 		return true
 	}
 	return s.startLocked(r, m, route)
@@ -98,22 +98,22 @@
 // endpoint and the tenant's quota of bytes allow it, and reports whether the
 // round goes on.
 func (s *Scheduler) startLocked(r *dispatchRound, m *message, route *configuration.Route) (more bool) {
-	if !s.takeToken(r) {
+	if !s.takePacingToken(r) {
 		s.endDelivery(m)
-		r.retryIn(m, r.queue.pacer.untilToken(r.service.RatePerS))
+		r.deferMessage(m, r.queue.pacer.timeUntilToken(r.service.RatePerS))
 		return false
 	}
 	e, wait := s.pickEndpointLocked(r.service, m, r.now)
 	if e == nil {
 		s.endDelivery(m)
-		r.returnToken()
-		r.retryIn(m, wait)
-		r.withoutEndpoint++
-		return r.withoutEndpoint <= maxWithoutEndpoint
+		r.returnPacingToken()
+		r.deferMessage(m, wait)
+		r.endpointMisses++
+		return r.endpointMisses <= maxEndpointMisses
 	}
-	if throttle := s.recordBytes(m, route, r.now); throttle > 0 {
+	if throttle := s.checkByteQuota(m, route, r.now); throttle > 0 {
 		s.endDelivery(m)
-		r.returnToken()
+		r.returnPacingToken()
 		m.due = r.now.Add(throttle)
 		r.queue.schedule(m)
 		r.next = min(r.next, throttle)
@@ -122,34 +122,34 @@
 	m.queued = false
 	m.running = true
 	m.lastEndpoint = e.ID
-	m.tries++
+	m.attempts++
 	e.inFlight++
 	instance := e.Instance
-	s.attempts.Go(func() { s.attempt(m, e, instance, route) })
+	s.attemptTasks.Go(func() { s.attempt(m, e, instance, route) })
 	return true
 }
 
-// takeToken takes a token of the service's pace, if it has one, and reports
+// takePacingToken takes a token of the service's pace, if it has one, and reports
 // whether a delivery may start.
-func (s *Scheduler) takeToken(r *dispatchRound) bool {
+func (s *Scheduler) takePacingToken(r *dispatchRound) bool {
 	if r.service.RatePerS <= 0 {
 		return true
 	}
 	return r.queue.pacer.take(r.service.RatePerS, s.config.Settings.Timers.OriginOvershoot, r.now)
 }
 
-// returnToken undoes takeToken.
-func (r *dispatchRound) returnToken() {
+// returnPacingToken undoes takeToken.
+func (r *dispatchRound) returnPacingToken() {
 	if r.service.RatePerS > 0 {
-		r.queue.pacer.putBack()
+		r.queue.pacer.returnToken()
 	}
 }
 
-// recordBytes records the size of a delivery with the quota of its tenant. If it
+// checkByteQuota records the size of a delivery with the quota of its tenant. If it
 // is over its limit, nothing goes out: the size is taken back, and the throttle
 // time is returned. It ends one window after the message was due: the message was
 // accepted, so it is owed, whatever the limit is by now.
-func (s *Scheduler) recordBytes(m *message, route *configuration.Route, now time.Time) time.Duration {
+func (s *Scheduler) checkByteQuota(m *message, route *configuration.Route, now time.Time) time.Duration {
 	size := float64(len(m.record.Body))
 	throttle := s.config.DeliveryBytes.Record(m.record.Tenant, route.Name, size)
 	throttle = min(throttle, m.eligibleSince.Add(quota.Window).Sub(now))
--- a/internal/delivery/endpoint.go
+++ b/internal/delivery/endpoint.go
@@ -47,13 +47,13 @@
 // one, by address. It has no lock: the scheduler's guards it.
 type endpointTable map[string]map[string]*endpoint
 
-// ofService returns the endpoints of a service, with its static one, as the configuration
+// forService returns the endpoints of a service, with its static one, as the configuration
 // has it, if it has one.
-func (t endpointTable) ofService(service *configuration.Service) map[string]*endpoint {
+func (t endpointTable) forService(service *configuration.Service) map[string]*endpoint {
 	if service.StaticEndpoint == "" {
 		return t[service.Name]
 	}
-	list := t.create(service.Name)
+	list := t.getOrCreate(service.Name)
 	e := list[service.StaticEndpoint]
 	switch {
 	case e == nil:
@@ -67,8 +67,8 @@
 	return list
 }
 
-// create returns the endpoints of a service for a change.
-func (t endpointTable) create(service string) map[string]*endpoint {
+// getOrCreate returns the endpoints of a service for a change.
+func (t endpointTable) getOrCreate(service string) map[string]*endpoint {
 	list := t[service]
 	if list == nil {
 		list = map[string]*endpoint{}
@@ -79,7 +79,7 @@
 
 // update adds an instance, or renews what it says of itself.
 func (t endpointTable) update(id string, in handler.Instance, now time.Time) {
-	list := t.create(in.Service)
+	list := t.getOrCreate(in.Service)
 	if e := list[id]; e != nil {
 		e.Instance = in
 		return
--- a/internal/delivery/health.go
+++ b/internal/delivery/health.go
@@ -29,14 +29,14 @@
 // available reports whether deliveries may start.
 func (s endpointState) available() bool { return s != backingOff && s != ejected }
 
-// maxDoublings bounds the exponent of an ejection time.
-const maxDoublings = 6
+// maxEjectionDoublings bounds the exponent of an ejection time.
+const maxEjectionDoublings = 6
 
 // endpointHealth holds what becomes of the deliveries to an endpoint, which
 // decides its state; what the endpoint says of itself does not.
 type endpointHealth struct {
 	consecutiveFailures int
-	unproven            bool      // ejected, and no delivery was answered since
+	needsProbe          bool      // ejected, and no delivery was answered since
 	blockedUntil        time.Time // ejected or backing off until then
 	slowStartUntil      time.Time
 	failureRate         float64 // smoothed part of the attempts that failed
@@ -44,11 +44,11 @@
 
 func (h *endpointHealth) state(now time.Time) endpointState {
 	switch {
-	case now.Before(h.blockedUntil) && h.unproven:
+	case now.Before(h.blockedUntil) && h.needsProbe:
 		return ejected
 	case now.Before(h.blockedUntil):
 		return backingOff
-	case h.unproven:
+	case h.needsProbe:
 		return probing
 	case now.Before(h.slowStartUntil):
 		return slowStart
@@ -59,22 +59,22 @@
 // recordOutcome takes the outcome of one attempt into account.
 func (h *endpointHealth) recordOutcome(o handler.Outcome, now time.Time, t timing) {
 	if o != handler.NotExecuted {
-		h.failureRate = smooth(h.failureRate, o, 8)
+		h.failureRate = updateFailureRate(h.failureRate, o, 8)
 	}
 	switch o {
 	case handler.Done, handler.Refused, handler.Failed: // it answers
 		h.consecutiveFailures = 0
-		h.unproven = false
+		h.needsProbe = false
 	case handler.NotExecuted:
 		h.blockedUntil = now.Add(t.declineBackoff() + rand.N(t.declineBackoff()))
 	case handler.NoResponse:
 		h.consecutiveFailures++
-		h.eject(t.baseEjection(), now, t)
+		h.eject(t.baseEjectionTime(), now, t)
 	case handler.Indeterminate:
 		h.consecutiveFailures++
 		if h.consecutiveFailures > 1 {
 			h.consecutiveFailures++ // after another failure it counts twice
-			h.eject(t.baseUnclearEjection(), now, t)
+			h.eject(t.baseIndeterminateEjectionTime(), now, t)
 		}
 	case handler.WrongInstance: // another endpoint has its address: the caller removes it
 	}
@@ -83,14 +83,14 @@
 // eject blocks the endpoint for base, doubled with each consecutive failure, give
 // or take a quarter, so that endpoints do not come back all at once.
 func (h *endpointHealth) eject(base time.Duration, now time.Time, t timing) {
-	doublings := min(h.consecutiveFailures-1, maxDoublings)
-	d := min(t.maxEjection(), base<<doublings)
+	doublings := min(h.consecutiveFailures-1, maxEjectionDoublings)
+	d := min(t.maxEjectionTime(), base<<doublings)
 	h.blockedUntil = now.Add(d*3/4 + rand.N(d/2))
-	h.unproven = true
+	h.needsProbe = true
 }
 
-// smooth updates the smoothed part of attempts that failed, over about n of them.
-func smooth(rate float64, o handler.Outcome, n float64) float64 {
+// updateFailureRate updates the smoothed part of attempts that failed, over about n of them.
+func updateFailureRate(rate float64, o handler.Outcome, n float64) float64 {
 	failed := 0.0
 	if o != handler.Done && o != handler.Refused {
 		failed = 1
@@ -98,5 +98,5 @@
 	return rate + (failed-rate)/n
 }
 
-// ordinaryFailureRate is the part of attempts that fail without an outage.
-const ordinaryFailureRate = 0.1
+// baselineFailureRate is the part of attempts that fail without an outage.
+const baselineFailureRate = 0.1
--- a/internal/delivery/message.go
+++ b/internal/delivery/message.go
@@ -12,15 +12,15 @@
 type message struct {
 	record         *partition.Record
 	partition      *partitionMessages
-	key            *keyQueue     // nil without an order key
-	queue          *serviceQueue // that it is or was on
-	due            time.Time     // no attempt before then, by the monotonic clock
-	eligibleSince  time.Time     // when it could first have started
-	failedAttempts int           // that count against the route's limit
-	tries          int           // attempts of any outcome
-	running        bool          // an attempt is in flight
-	queued         bool          // on the queue of its service
-	ended          bool
+	key            *orderKeyQueue // nil without an order key
+	queue          *serviceQueue  // that it is or was on
+	due            time.Time      // no attempt before then, by the monotonic clock
+	eligibleSince  time.Time      // when it could first have started
+	failedAttempts int            // that count against the route's limit
+	attempts       int            // attempts of any outcome
+	running        bool           // an attempt is in flight
+	queued         bool           // on the queue of its service
+	finished       bool
 	priority       int32
 	lastEndpoint   string    // the instance of the last attempt
 	startBy        time.Time // the latest start that is in time
@@ -44,11 +44,11 @@
 // partitionMessages are the pending messages of one partition.
 type partitionMessages struct {
 	byID  map[string]*message
-	byKey map[string]*keyQueue // by tenant and order key
+	byKey map[string]*orderKeyQueue // by tenant and order key
 }
 
 func newPartitionMessages() *partitionMessages {
-	return &partitionMessages{byID: map[string]*message{}, byKey: map[string]*keyQueue{}}
+	return &partitionMessages{byID: map[string]*message{}, byKey: map[string]*orderKeyQueue{}}
 }
 
 // add takes over a message and reports whether it may be queued: only the first
@@ -58,10 +58,10 @@
 	if m.record.OrderKey == "" {
 		return true
 	}
-	name := keyQueueName(m.record)
+	name := orderKeyID(m.record)
 	q := p.byKey[name]
 	if q == nil {
-		q = &keyQueue{}
+		q = &orderKeyQueue{}
 		p.byKey[name] = q
 	}
 	m.key = q
@@ -77,27 +77,27 @@
 	}
 	next := m.key.remove(m)
 	if next == nil {
-		delete(p.byKey, keyQueueName(m.record))
+		delete(p.byKey, orderKeyID(m.record))
 	}
 	return next
 }
 
-// endAll marks all messages as ended, so that the queues drop them.
-func (p *partitionMessages) endAll() {
+// finishAll marks all messages as ended, so that the queues drop them.
+func (p *partitionMessages) finishAll() {
 	for _, m := range p.byID {
-		m.ended = true
+		m.finished = true
 	}
 }
 
-func keyQueueName(r *partition.Record) string { return r.Tenant + "\x00" + r.OrderKey }
+func orderKeyID(r *partition.Record) string { return r.Tenant + "\x00" + r.OrderKey }
 
-// keyQueue is the messages that share a tenant and an order key, in the order of
+// orderKeyQueue is the messages that share a tenant and an order key, in the order of
 // their acceptance: only the first may run.
-type keyQueue struct{ messages []*message }
+type orderKeyQueue struct{ messages []*message }
 
 // insert puts a message in its place, but never before one whose attempt is in
 // flight, and reports whether it is the first.
-func (q *keyQueue) insert(m *message) bool {
+func (q *orderKeyQueue) insert(m *message) bool {
 	at := len(q.messages)
 	for at > 0 && q.messages[at-1].record.Order > m.record.Order && !q.messages[at-1].running {
 		at--
@@ -109,7 +109,7 @@
 }
 
 // remove takes a message out and returns the first that remains, if any.
-func (q *keyQueue) remove(m *message) *message {
+func (q *orderKeyQueue) remove(m *message) *message {
 	for i, other := range q.messages {
 		if other == m {
 			q.messages = append(q.messages[:i], q.messages[i+1:]...)
--- a/internal/delivery/message_test.go
+++ b/internal/delivery/message_test.go
@@ -34,7 +34,7 @@
 		"first, but too late": {true, []int64{2, 3, 1}, "acb", false},
 		"equal":               {false, []int64{2, 2, 2}, "abc", false},
 	} {
-		q := &keyQueue{}
+		q := &orderKeyQueue{}
 		first := false
 		for i, order := range c.orders {
 			m := keyed(string(rune('a'+i)), order)
--- a/internal/delivery/pacing_test.go
+++ b/internal/delivery/pacing_test.go
@@ -11,7 +11,7 @@
 	if b.take(100, 1.1, now) {
 		t.Error("a token at once")
 	}
-	if got := b.untilToken(100); got != 10*time.Millisecond {
+	if got := b.timeUntilToken(100); got != 10*time.Millisecond {
 		t.Errorf("a token in %v", got)
 	}
 	if !b.take(100, 1.1, now.Add(10*time.Millisecond)) {
@@ -22,7 +22,7 @@
 func TestTokenBucketHoldsFiftyMilliseconds(t *testing.T) {
 	now := time.Now()
 	for rate, want := range map[float64]int{1: 1, 20: 1, 100: 5, 1000: 50} {
-		b := tokenBucket{filled: now.Add(-time.Hour)}
+		b := tokenBucket{lastRefill: now.Add(-time.Hour)}
 		got := 0
 		for b.take(rate, 1, now) {
 			got++
@@ -39,7 +39,7 @@
 		{100, 2, 125},
 		{40, 3, 60},
 	} {
-		if got := pacedRate(c.rate, c.overshoot); got != c.want {
+		if got := refillRate(c.rate, c.overshoot); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
@@ -47,11 +47,11 @@
 
 func TestReturnedTokenIsUsedAgain(t *testing.T) {
 	now := time.Now()
-	b := tokenBucket{tokens: 1, filled: now}
+	b := tokenBucket{tokens: 1, lastRefill: now}
 	if !b.take(1, 1, now) || b.take(1, 1, now) {
 		t.Fatal("not exactly one token")
 	}
-	if b.putBack(); !b.take(1, 1, now) {
+	if b.returnToken(); !b.take(1, 1, now) {
 		t.Error("the token that was put back is lost")
 	}
 }
--- a/internal/delivery/pick.go
+++ b/internal/delivery/pick.go
@@ -11,23 +11,23 @@
 // What counts against an endpoint, as a multiple of its own full load: the one
 // with the lowest sum is picked.
 const (
-	costOtherZone   = 2.0
-	costOtherRegion = 1.0 // beside that of another zone
-	costLastAttempt = 4.0 // rather another than the one that failed
-	costSlowStart   = 0.5
-	costProbing     = 1.0
-	costFailureRate = 4.0       // for each failure above the ordinary rate
-	costJitter      = 1.0 / 8.0 // at most; so that stores do not all pick the same
+	costOtherZone        = 2.0
+	costOtherRegion      = 1.0 // beside that of another zone
+	costPreviousEndpoint = 4.0 // rather another than the one that failed
+	costSlowStart        = 0.5
+	costProbing          = 1.0
+	costFailureRate      = 4.0       // for each failure above the ordinary rate
+	costJitter           = 1.0 / 8.0 // at most; so that stores do not all pick the same
 )
 
 // pickEndpointLocked finds the endpoint for a message: the one with the least
 // load, own zone first. If none is free now, it returns nil and when to look
 // again.
 func (s *Scheduler) pickEndpointLocked(service *configuration.Service, m *message, now time.Time) (*endpoint, time.Duration) {
-	endpoints := s.endpoints.ofService(service)
+	endpoints := s.endpoints.forService(service)
 	static := service.StaticEndpoint != ""
 	pick := picker{settings: s.config.Settings, timing: s.timing, now: now, message: m}
-	pick.localAvailable = pick.hasLocal(endpoints)
+	pick.localUsable = pick.hasUsableLocal(endpoints)
 	var best *endpoint
 	bestCost := 0.0
 	wait := s.timing.endpointRecheck()
@@ -50,15 +50,15 @@
 
 // picker compares the endpoints for one message.
 type picker struct {
-	settings       *settings.Settings
-	timing         timing
-	now            time.Time
-	message        *message
-	localAvailable bool // an endpoint of this zone is healthy or in slow start
+	settings    *settings.Settings
+	timing      timing
+	now         time.Time
+	message     *message
+	localUsable bool // an endpoint of this zone is healthy or in slow start
 }
 
-// hasLocal reports whether an endpoint of this zone can be relied on.
-func (p *picker) hasLocal(endpoints map[string]*endpoint) bool {
+// hasUsableLocal reports whether an endpoint of this zone can be relied on.
+func (p *picker) hasUsableLocal(endpoints map[string]*endpoint) bool {
 	for _, e := range endpoints {
 		if e.static || e.Zone != p.settings.Zone {
 			continue
@@ -82,15 +82,15 @@
 	if e.inFlight >= limit {
 		return 0, p.timing.endpointRecheck(), false
 	}
-	if remote && p.localAvailable && p.now.Sub(p.message.eligibleSince) < p.timing.localPreference() {
+	if remote && p.localUsable && p.now.Sub(p.message.eligibleSince) < p.timing.localityDelay() {
 		return 0, p.timing.localRecheck(), false
 	}
 	cost = float64(e.inFlight) / float64(limit)
 	if remote {
-		cost += p.distance(e)
+		cost += p.localityCost(e)
 	}
 	if e.ID != "" && e.ID == p.message.lastEndpoint {
-		cost += costLastAttempt
+		cost += costPreviousEndpoint
 	}
 	cost += e.health.cost(p.now)
 	return cost + rand.Float64()*costJitter, 0, true
@@ -102,14 +102,14 @@
 	switch {
 	case state == probing:
 		return 1
-	case remote && p.localAvailable:
+	case remote && p.localUsable:
 		return max(1, e.capacity()/2)
 	}
 	return e.capacity()
 }
 
-// distance is the cost of an endpoint of another zone.
-func (p *picker) distance(e *endpoint) float64 {
+// localityCost is the cost of an endpoint of another zone.
+func (p *picker) localityCost(e *endpoint) float64 {
 	if p.settings.Zones[e.Zone] != p.settings.Region {
 		return costOtherZone + costOtherRegion
 	}
@@ -120,11 +120,11 @@
 // is for the messages for which there is no other. One that was ejected within
 // its slow start counts for both.
 func (h *endpointHealth) cost(now time.Time) float64 {
-	cost := costFailureRate * max(0, h.failureRate-ordinaryFailureRate)
+	cost := costFailureRate * max(0, h.failureRate-baselineFailureRate)
 	if now.Before(h.slowStartUntil) {
 		cost += costSlowStart
 	}
-	if h.unproven {
+	if h.needsProbe {
 		cost += costProbing
 	}
 	return cost
--- a/internal/delivery/pick_test.go
+++ b/internal/delivery/pick_test.go
@@ -14,8 +14,8 @@
 	at := func(zone string, inFlight int, health endpointHealth) *endpoint {
 		return &endpoint{Instance: handler.Instance{Zone: zone, Slots: 4}, inFlight: inFlight, health: health}
 	}
-	blocked := endpointHealth{blockedUntil: now.Add(50 * time.Millisecond), unproven: true}
-	unproven := endpointHealth{unproven: true}
+	blocked := endpointHealth{blockedUntil: now.Add(50 * time.Millisecond), needsProbe: true}
+	unproven := endpointHealth{needsProbe: true}
 	const fresh, waited = time.Duration(0), time.Second
 	for name, c := range map[string]struct {
 		endpoints map[string]*endpoint
--- a/internal/delivery/queue.go
+++ b/internal/delivery/queue.go
@@ -17,27 +17,27 @@
 }
 
 func newServiceQueue(service string, now time.Time) *serviceQueue {
-	return &serviceQueue{service: service, pacer: tokenBucket{filled: now}}
+	return &serviceQueue{service: service, pacer: tokenBucket{lastRefill: now}}
 }
 
 // schedule queues a message until it is due.
 func (q *serviceQueue) schedule(m *message) { heap.Push(&q.scheduled, m) }
 
-// putBack queues a message that is due and could not start.
-func (q *serviceQueue) putBack(m *message) { heap.Push(&q.ready, m) }
+// requeue queues a message that is due and could not start.
+func (q *serviceQueue) requeue(m *message) { heap.Push(&q.ready, m) }
 
 // releaseDue makes the scheduled messages that are due ready.
 func (q *serviceQueue) releaseDue(now time.Time) {
 	for len(q.scheduled) > 0 && !q.scheduled[0].due.After(now) {
-		if m := heap.Pop(&q.scheduled).(*message); !m.ended {
+		if m := heap.Pop(&q.scheduled).(*message); !m.finished {
 			heap.Push(&q.ready, m)
 		}
 	}
 }
 
-// untilNextDue is how long the next scheduled message is not due yet, at most
+// timeUntilNextDue is how long the next scheduled message is not due yet, at most
 // most.
-func (q *serviceQueue) untilNextDue(now time.Time, most time.Duration) time.Duration {
+func (q *serviceQueue) timeUntilNextDue(now time.Time, most time.Duration) time.Duration {
 	if len(q.scheduled) == 0 {
 		return most
 	}
@@ -60,7 +60,7 @@
 	}
 	for len(q.ready) > 0 {
 		m := heap.Pop(&q.ready).(*message)
-		if m.ended || !now.After(m.startBy) {
+		if m.finished || !now.After(m.startBy) {
 			return m
 		}
 		heap.Push(&q.late, m)
--- a/internal/delivery/queue_test.go
+++ b/internal/delivery/queue_test.go
@@ -42,12 +42,12 @@
 	now := time.Now()
 	q := &serviceQueue{}
 	late := &message{record: &partition.Record{ID: "late"}, startBy: now.Add(-time.Second), overdueAt: now.Add(time.Second)}
-	q.putBack(late)
-	q.putBack(&message{record: &partition.Record{ID: "fresh"}, startBy: now.Add(time.Hour)})
+	q.requeue(late)
+	q.requeue(&message{record: &partition.Record{ID: "fresh"}, startBy: now.Add(time.Hour)})
 	if m := q.pop(now); m.record.ID != "fresh" {
 		t.Fatalf("%s goes first", m.record.ID)
 	}
-	q.putBack(&message{record: &partition.Record{ID: "fresh"}, startBy: now.Add(time.Hour)})
+	q.requeue(&message{record: &partition.Record{ID: "fresh"}, startBy: now.Add(time.Hour)})
 	if m := q.pop(now.Add(2 * time.Second)); m != late {
 		t.Errorf("%s goes before the overdue one", m.record.ID)
 	}
@@ -55,7 +55,7 @@
 
 func TestEndedMessagesAreDropped(t *testing.T) {
 	q := &serviceQueue{}
-	q.schedule(&message{ended: true})
+	q.schedule(&message{finished: true})
 	if q.releaseDue(time.Now()); q.dueCount() != 0 || len(q.scheduled) != 0 {
 		t.Errorf("%d due, %d scheduled", q.dueCount(), len(q.scheduled))
 	}
@@ -64,12 +64,12 @@
 func TestTimeUntilNextDue(t *testing.T) {
 	now := time.Now()
 	q := &serviceQueue{}
-	if got := q.untilNextDue(now, time.Second); got != time.Second {
+	if got := q.timeUntilNextDue(now, time.Second); got != time.Second {
 		t.Errorf("an empty queue: %v", got)
 	}
 	q.schedule(&message{due: now.Add(time.Minute)})
 	q.schedule(&message{due: now.Add(time.Millisecond)})
-	if got := q.untilNextDue(now, time.Second); got != time.Millisecond {
+	if got := q.timeUntilNextDue(now, time.Second); got != time.Millisecond {
 		t.Errorf("%v", got)
 	}
 }
--- a/internal/delivery/reconcile.go
+++ b/internal/delivery/reconcile.go
@@ -10,10 +10,10 @@
 // reconcileLocked applies the configuration in force, once.
 func (s *Scheduler) reconcileLocked() {
 	table := s.config.Table()
-	if table == nil || table == s.reconciled {
+	if table == nil || table == s.appliedTable {
 		return
 	}
-	s.reconciled = table
+	s.appliedTable = table
 	for _, removed := range s.endpoints.reconcile(table) {
 		s.closeIdleLocked(removed)
 	}
@@ -47,23 +47,23 @@
 func (t endpointTable) remove(e *endpoint) {
 	e.removed = true
 	if !e.static || e.inFlight == 0 {
-		t.forget(e)
+		t.delete(e)
 	}
 }
 
-// forget deletes an endpoint, unless another one has its name by now.
-func (t endpointTable) forget(e *endpoint) {
+// delete deletes an endpoint, unless another one has its name by now.
+func (t endpointTable) delete(e *endpoint) {
 	if list := t[e.Service]; list[e.key()] == e {
 		delete(list, e.key())
 	}
 }
 
-// endDeliveryLocked notes that a delivery to an endpoint has ended. The last one to an
+// releaseEndpointLocked notes that a delivery to an endpoint has ended. The last one to an
 // endpoint that was removed leaves nothing of it.
-func (s *Scheduler) endDeliveryLocked(e *endpoint) {
+func (s *Scheduler) releaseEndpointLocked(e *endpoint) {
 	e.inFlight--
 	if e.removed && e.inFlight == 0 {
-		s.endpoints.forget(e)
+		s.endpoints.delete(e)
 		s.closeIdleLocked(e)
 	}
 }
--- a/internal/delivery/reconcile_test.go
+++ b/internal/delivery/reconcile_test.go
@@ -27,7 +27,7 @@
 }
 
 func TestReconcileFollowsTheConfiguration(t *testing.T) {
-	ejected := endpointHealth{unproven: true, blockedUntil: time.Now().Add(time.Hour)}
+	ejected := endpointHealth{needsProbe: true, blockedUntil: time.Now().Add(time.Hour)}
 	for name, c := range map[string]struct {
 		inFlight int
 		next     *configuration.Service // nil: the service is gone
@@ -42,7 +42,7 @@
 		"another service has the address": {0, staticService("y", "former", 30), nil, 1},
 	} {
 		table := endpointTable{}
-		former := table.ofService(staticService("x", "former", 30))["former"]
+		former := table.forService(staticService("x", "former", 30))["former"]
 		former.inFlight, former.health = c.inFlight, ejected
 		var services []*configuration.Service
 		if c.next != nil {
@@ -62,10 +62,10 @@
 // still count against its connections.
 func TestStaticEndpointThatComesBack(t *testing.T) {
 	table := endpointTable{}
-	e := table.ofService(staticService("x", "a", 30))["a"]
-	e.inFlight, e.health.unproven = 7, true
+	e := table.forService(staticService("x", "a", 30))["a"]
+	e.inFlight, e.health.needsProbe = 7, true
 	table.reconcile(tableOf(2, staticService("x", "b", 30)))
-	if back := table.ofService(staticService("x", "a", 12))["a"]; back.inFlight != 7 || back.health.unproven || back.removed || back.capacity() != 8 {
+	if back := table.forService(staticService("x", "a", 12))["a"]; back.inFlight != 7 || back.health.needsProbe || back.removed || back.capacity() != 8 {
 		t.Errorf("%+v with room for %d", back, back.capacity())
 	}
 }
@@ -74,7 +74,7 @@
 func TestStaticEndpointFollowsItsConnections(t *testing.T) {
 	table := endpointTable{}
 	for connections, want := range map[int32]int{30: 20, 3: 2, 1: 1} {
-		if got := table.ofService(staticService("x", "a", connections))["a"].capacity(); got != want {
+		if got := table.forService(staticService("x", "a", connections))["a"].capacity(); got != want {
 			t.Errorf("%d connections: %d deliveries at once, not %d", connections, got, want)
 		}
 	}
@@ -168,7 +168,7 @@
 		t.Errorf("%+v is in use", e)
 	}
 	s.endpoints.update("j", in("j"), time.Now())
-	s.endDeliveryLocked(e)
+	s.releaseEndpointLocked(e)
 	if s.endpoints["x"]["j"] == nil || e.inFlight != 0 {
 		t.Errorf("%+v", s.endpoints["x"])
 	}
--- a/internal/delivery/scheduler.go
+++ b/internal/delivery/scheduler.go
@@ -55,21 +55,21 @@
 
 // Scheduler delivers the messages of the partitions that this store is primary of.
 type Scheduler struct {
-	config   Config
-	timing   timing
-	inFlight inFlightCounter
-	wake     chan struct{}
-	attempts sync.WaitGroup
-	breakOff context.CancelFunc // ends answering
-	// answering is the context of all attempts: it ends when no answer is to be read any more.
-	answering context.Context
-
-	mu         sync.Mutex
-	endBy      time.Time                // when the process is to end; zero while it is not
-	queues     map[string]*serviceQueue // by service
-	endpoints  endpointTable
-	reconciled *configuration.Table // the configuration that the queues and endpoints follow
-	partitions map[int]*partitionMessages
+	config         Config
+	timing         timing
+	inFlight       inFlightCounter
+	wake           chan struct{}
+	attemptTasks   sync.WaitGroup
+	cancelAttempts context.CancelFunc // ends answering
+	// attemptCtx is the context of all attempts: it ends when no answer is to be read any more.
+	attemptCtx context.Context
+
+	mu               sync.Mutex
+	shutdownDeadline time.Time                // when the process is to end; zero while it is not
+	queues           map[string]*serviceQueue // by service
+	endpoints        endpointTable
+	appliedTable     *configuration.Table // the configuration that the queues and endpoints follow
+	partitions       map[int]*partitionMessages
 }
 
 // New makes a scheduler without messages.
@@ -79,14 +79,14 @@
 	}
 	answering, breakOff := context.WithCancel(context.Background())
 	return &Scheduler{
-		answering:  answering,
-		breakOff:   breakOff,
-		config:     config,
-		timing:     timing{config.Settings.Contact()},
-		wake:       make(chan struct{}, 1),
-		queues:     map[string]*serviceQueue{},
-		endpoints:  endpointTable{},
-		partitions: map[int]*partitionMessages{},
+		attemptCtx:     answering,
+		cancelAttempts: breakOff,
+		config:         config,
+		timing:         timing{config.Settings.Contact()},
+		wake:           make(chan struct{}, 1),
+		queues:         map[string]*serviceQueue{},
+		endpoints:      endpointTable{},
+		partitions:     map[int]*partitionMessages{},
 	}, nil
 }
 
@@ -103,13 +103,13 @@
 func (s *Scheduler) SetShutdownDeadline(end time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.endBy = end
-	time.AfterFunc(time.Until(end), s.breakOff)
+	s.shutdownDeadline = end
+	time.AfterFunc(time.Until(end), s.cancelAttempts)
 }
 
-// mayEndInTimeLocked reports whether a delivery that begins now ends before the process.
-func (s *Scheduler) mayEndInTimeLocked(route *configuration.Route, now time.Time) bool {
-	return s.endBy.IsZero() || !now.Add(routeTimeout(route)).After(s.endBy)
+// fitsBeforeShutdownLocked reports whether a delivery that begins now ends before the process.
+func (s *Scheduler) fitsBeforeShutdownLocked(route *configuration.Route, now time.Time) bool {
+	return s.shutdownDeadline.IsZero() || !now.Add(routeTimeout(route)).After(s.shutdownDeadline)
 }
 
 // Idle reports whether no delivery of a partition is in flight.
@@ -125,7 +125,7 @@
 		timer.Reset(s.step(ctx, events))
 		select {
 		case <-ctx.Done():
-			s.attempts.Wait()
+			s.attemptTasks.Wait()
 			return
 		case <-more:
 		case <-s.wake:
@@ -143,7 +143,7 @@
 	for _, e := range events {
 		s.applyPartitionEventLocked(e, now)
 	}
-	next := s.timing.idle()
+	next := s.timing.maxPollInterval()
 	if ctx.Err() == nil {
 		for _, q := range s.queues {
 			next = min(next, s.dispatchLocked(q, now))
@@ -157,7 +157,7 @@
 func (s *Scheduler) applyPartitionEventLocked(e partition.Event, now time.Time) {
 	if e.BecamePrimary || e.LostPrimary {
 		if p := s.partitions[e.Partition]; p != nil {
-			p.endAll()
+			p.finishAll()
 		}
 		delete(s.partitions, e.Partition)
 	}
@@ -191,7 +191,7 @@
 
 // enqueueLocked puts a message on the queue of its service.
 func (s *Scheduler) enqueueLocked(m *message) {
-	if m.ended || m.running || m.queued {
+	if m.finished || m.running || m.queued {
 		return
 	}
 	service := ""
@@ -211,9 +211,9 @@
 	q.schedule(m)
 }
 
-// endLocked removes a message and lets the next of its order key go.
-func (s *Scheduler) endLocked(m *message) {
-	m.ended = true
+// finishLocked removes a message and lets the next of its order key go.
+func (s *Scheduler) finishLocked(m *message) {
+	m.finished = true
 	if next := m.partition.remove(m); next != nil {
 		s.enqueueLocked(next)
 	}
--- a/internal/delivery/scheduler_bench_test.go
+++ b/internal/delivery/scheduler_bench_test.go
@@ -28,11 +28,11 @@
 	q := &serviceQueue{}
 	now := time.Now()
 	for i := range n {
-		q.putBack(&message{record: &partition.Record{}, priority: int32(i % 3), startBy: now.Add(time.Hour + time.Duration(i*7919%n)*time.Millisecond)})
+		q.requeue(&message{record: &partition.Record{}, priority: int32(i % 3), startBy: now.Add(time.Hour + time.Duration(i*7919%n)*time.Millisecond)})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		q.putBack(q.pop(now))
+		q.requeue(q.pop(now))
 	}
 }
 
--- a/internal/delivery/timing.go
+++ b/internal/delivery/timing.go
@@ -6,9 +6,9 @@
 // the system notices and replaces a failed node.
 type timing struct{ contactTimeout time.Duration }
 
-// idle is the longest time between two looks at the queues: what changes without
+// maxPollInterval is the longest time between two looks at the queues: what changes without
 // an event is noticed by then.
-func (t timing) idle() time.Duration { return t.contactTimeout / 4 }
+func (t timing) maxPollInterval() time.Duration { return t.contactTimeout / 4 }
 
 // configurationRecheck is when to look again while no configuration is known.
 func (t timing) configurationRecheck() time.Duration { return t.contactTimeout / 200 }
@@ -21,30 +21,30 @@
 // that ends wakes the scheduler earlier.
 func (t timing) endpointRecheck() time.Duration { return t.contactTimeout / 16 }
 
-// localPreference is how long a message waits for an endpoint of this zone
+// localityDelay is how long a message waits for an endpoint of this zone
 // before it goes to another.
-func (t timing) localPreference() time.Duration { return t.contactTimeout / 40 }
+func (t timing) localityDelay() time.Duration { return t.contactTimeout / 40 }
 
 // localRecheck is when to look again for an endpoint of this zone.
 func (t timing) localRecheck() time.Duration { return t.contactTimeout / 100 }
 
-// baseEjection is how long an endpoint is ejected first when it does not answer;
+// baseEjectionTime is how long an endpoint is ejected first when it does not answer;
 // the time doubles with each further failure.
-func (t timing) baseEjection() time.Duration { return t.contactTimeout / 40 }
+func (t timing) baseEjectionTime() time.Duration { return t.contactTimeout / 40 }
 
-// baseUnclearEjection is that of an endpoint whose attempts may have run.
-func (t timing) baseUnclearEjection() time.Duration { return t.contactTimeout / 80 }
+// baseIndeterminateEjectionTime is that of an endpoint whose attempts may have run.
+func (t timing) baseIndeterminateEjectionTime() time.Duration { return t.contactTimeout / 80 }
 
-// maxEjection is the longest ejection: an endpoint that works again is noticed
+// maxEjectionTime is the longest ejection: an endpoint that works again is noticed
 // well within the contact timeout.
-func (t timing) maxEjection() time.Duration { return t.contactTimeout / 8 }
+func (t timing) maxEjectionTime() time.Duration { return t.contactTimeout / 8 }
 
 // declineBackoff is how long, at least, an endpoint that declined gets nothing:
 // it is full for a moment.
 func (t timing) declineBackoff() time.Duration { return t.contactTimeout / 200 }
 
-// baseRetry is the mean time before a message is tried again first.
-func (t timing) baseRetry() time.Duration { return t.contactTimeout / 200 }
+// baseRetryDelay is the mean time before a message is tried again first.
+func (t timing) baseRetryDelay() time.Duration { return t.contactTimeout / 200 }
 
-// lastRetry is the mean time before the last attempt at a service that fails.
-func (t timing) lastRetry() time.Duration { return t.contactTimeout / 2 }
+// finalRetryDelay is the mean time before the last attempt at a service that fails.
+func (t timing) finalRetryDelay() time.Duration { return t.contactTimeout / 2 }
