--- a/internal/delivery/attempt.go
+++ b/internal/delivery/attempt.go
@@ -9,13 +9,13 @@
 	"saltreel/internal/partition"
 )
 
-// attempt makes one delivery and draws the consequences. The instance is that of
-// the endpoint as it was at the start: an event may replace it meanwhile.
+// attempt makes one delivery attempt and applies its outcome. The instance is a copy from the
+// start of the attempt, since an event may replace the one of the endpoint meanwhile.
 func (s *Scheduler) attempt(m *message, e *endpoint, instance handler.Instance, route *configuration.Route) {
 	result := s.deliver(m, instance, route)
-	dead := isDeadLetter(result.Outcome, m.failedAttempts, int(route.MaxAttempts))
+	deadLetter := isDeadLetter(result.Outcome, m.failedAttempts, int(route.MaxAttempts))
 	switch {
-	case dead:
+	case deadLetter:
 		s.config.Partitions.Finish(m.record.Partition, m.record.ID, partition.Dead, "")
 	case result.Outcome == handler.Done:
 		s.config.Partitions.Finish(m.record.Partition, m.record.ID, partition.Complete, result.Seal)
@@ -33,7 +33,7 @@
 	if m.finished {
 		return
 	}
-	if result.Outcome == handler.Done || dead {
+	if result.Outcome == handler.Done || deadLetter {
 		s.finishLocked(m)
 		return
 	}
@@ -44,13 +44,12 @@
 	s.enqueueLocked(m)
 }
 
-// routeTimeout is how long one attempt of a message may take.
 func routeTimeout(route *configuration.Route) time.Duration {
 	return time.Duration(route.TimeoutMs) * time.Millisecond
 }
 
-// deliver hands a message to an endpoint. A delivery in flight ends in its own
-// time, also when the process stops, but for what EndBy says.
+// deliver sends a message to an instance and returns the result. The attempt continues
+// while the process shuts down, until the deadline of SetShutdownDeadline.
 func (s *Scheduler) deliver(m *message, instance handler.Instance, route *configuration.Route) handler.Result {
 	r := m.record
 	began := time.Now()
@@ -68,15 +67,15 @@
 		Timeout:  routeTimeout(route),
 	})
 	switch result.Outcome {
-	case handler.Done, handler.Refused, handler.Failed: // the handler's word
+	case handler.Done, handler.Refused, handler.Failed: // the handler responded
 	default:
 		s.config.Log.Printf("delivery: %s to %s: %v %d after %v: %v", r.ID, instance.Address, result.Outcome, result.Status, time.Since(began).Round(time.Millisecond), result.Err)
 	}
 	return result
 }
 
-// isDeadLetter reports whether an outcome makes a message a dead letter: its handler
-// has refused it for good, or this was the last attempt that its route allows.
+// isDeadLetter reports whether an outcome makes a message a dead letter: the handler has
+// refused it permanently, or this was the last attempt that the route allows.
 func isDeadLetter(o handler.Outcome, failedBefore, maxAttempts int) bool {
 	switch o {
 	case handler.Refused:
@@ -88,30 +87,29 @@
 	}
 }
 
-// recordOutcomeLocked takes an outcome into account for the endpoint and its
-// service.
+// recordOutcomeLocked updates the health of the endpoint and the failure rate of the service.
 func (s *Scheduler) recordOutcomeLocked(e *endpoint, q *serviceQueue, o handler.Outcome, now time.Time) {
 	if o != handler.NotExecuted {
 		q.failureRate = updateFailureRate(q.failureRate, o, 16)
 	}
 	e.health.recordOutcome(o, now, s.timing)
 	switch o {
-	case handler.WrongInstance: // another endpoint has its address: it does not run any more
+	case handler.WrongInstance: // another instance has the address: this one is no longer running
 		if !e.static {
 			s.endpoints.remove(e)
 		}
 	case handler.NoResponse:
-		s.config.Pool.Forget(e.Address) // its connections may be stalled
+		s.config.Pool.Forget(e.Address) // its idle connections may be stalled
 	default:
 	}
 }
 
-// maxRetryDoublings bounds the backoff of a message.
+// maxRetryDoublings bounds the exponential backoff of a message.
 const maxRetryDoublings = 4
 
-// retryDelay is the time before a message is tried again: exponential backoff
-// where the attempt may have run, and jitter of one half in any case. The last
-// attempt of a message is not spent on a service that fails just now.
+// retryDelay returns the time until the next attempt of a message: exponential backoff if the
+// last one may have been executed, and jitter of ±50% in any case. The last attempt is
+// delayed by longer while the service is failing, so that an outage does not use it up.
 func (s *Scheduler) retryDelay(m *message, o handler.Outcome, route *configuration.Route) time.Duration {
 	mean := s.timing.baseRetryDelay()
 	lastAttempt := m.failedAttempts+1 >= int(route.MaxAttempts)
--- a/internal/delivery/dispatch.go
+++ b/internal/delivery/dispatch.go
@@ -8,29 +8,29 @@
 	"saltreel/internal/quota"
 )
 
-// maxEndpointMisses is after how many messages without a free endpoint the
-// others of their service are not tried: there is hardly one for them either.
+// maxEndpointMisses is how many messages may find no free endpoint before a dispatch round
+// stops: the remaining messages of the service are unlikely to find one either.
 const maxEndpointMisses = 4
 
-// dispatchRound is one look at the queue of a service.
+// dispatchRound is the state of one pass over the due messages of a service.
 type dispatchRound struct {
 	now            time.Time
 	table          *configuration.Table
 	service        *configuration.Service
 	queue          *serviceQueue
-	next           time.Duration // when to look again
-	deferred       []*message    // due, but not startable now
+	next           time.Duration // time until the next round
+	deferred       []*message    // due, but cannot start in this round
 	endpointMisses int
 }
 
-// deferMessage sets a message aside for another look.
+// deferMessage keeps a due message for a later round, after d at the latest.
 func (r *dispatchRound) deferMessage(m *message, d time.Duration) {
 	r.deferred = append(r.deferred, m)
 	r.next = min(r.next, d)
 }
 
-// dispatchLocked starts the deliveries of one service that can start now, and
-// returns when to look again.
+// dispatchLocked starts the deliveries of one service that can start now, and returns the
+// time until the next round.
 func (s *Scheduler) dispatchLocked(q *serviceQueue, now time.Time) time.Duration {
 	q.releaseDue(now)
 	next := q.timeUntilNextDue(now, s.timing.maxPollInterval())
@@ -53,13 +53,13 @@
 	return r.next
 }
 
-// dispatchMessageLocked starts the delivery of a message, ends it, or puts it off,
-// and reports whether the round goes on.
+// dispatchMessageLocked starts the delivery of a message, finishes it or defers it, and
+// reports whether the round continues.
 func (s *Scheduler) dispatchMessageLocked(r *dispatchRound, m *message) (more bool) {
 	if m.finished {
 		return true
 	}
-	if !m.isFirstOfKey() { // an earlier message of its key came later: it waits for that one
+	if !m.isFirstOfKey() { // an earlier message of its order key arrived after it and must run first
 		m.queued = false
 		return true
 	}
@@ -67,7 +67,7 @@
 		r.deferMessage(m, s.timing.leaseRecheck())
 		return true
 	}
-	if !s.config.Partitions.IsPending(m.record.Partition, m.record.ID) { // another replica knew how it ended
+	if !s.config.Partitions.IsPending(m.record.Partition, m.record.ID) { // it was finished at another replica
 		s.endDelivery(m)
 		s.finishLocked(m)
 		return true
@@ -79,14 +79,14 @@
 		s.finishLocked(m)
 		return true
 	}
-	if route.Service != r.queue.service { // the configuration has changed
+	if route.Service != r.queue.service { // the configuration has changed: move it to the queue of the new service
 		s.endDelivery(m)
 		m.queued = false
 		s.enqueueLocked(m)
 		r.next = 0
 		return true
 	}
-	if !s.fitsBeforeShutdownLocked(route, r.now) { // the next primary makes it
+	if !s.fitsBeforeShutdownLocked(route, r.now) { // the next primary delivers it
 		s.endDelivery(m)
 		r.deferMessage(m, s.timing.endpointRecheck())
 		return true
@@ -94,9 +94,9 @@
 	return s.startLocked(r, m, route)
 }
 
-// startLocked starts the delivery of a message if its service's pace, an
-// endpoint and the tenant's quota of bytes allow it, and reports whether the
-// round goes on.
+// startLocked starts the delivery of a message if the rate limit of the service and the byte
+// quota of the tenant allow it and an endpoint is free. It reports whether the round
+// continues.
 func (s *Scheduler) startLocked(r *dispatchRound, m *message, route *configuration.Route) (more bool) {
 	if !s.takePacingToken(r) {
 		s.endDelivery(m)
@@ -129,7 +129,7 @@
 	return true
 }
 
-// takePacingToken takes a token of the service's pace, if it has one, and reports
+// takePacingToken takes a token from the pacer if the service has a rate limit, and reports
 // whether a delivery may start.
 func (s *Scheduler) takePacingToken(r *dispatchRound) bool {
 	if r.service.RatePerS <= 0 {
@@ -138,17 +138,17 @@
 	return r.queue.pacer.take(r.service.RatePerS, s.config.Settings.Timers.OriginOvershoot, r.now)
 }
 
-// returnPacingToken undoes takeToken.
+// returnPacingToken reverts takePacingToken.
 func (r *dispatchRound) returnPacingToken() {
 	if r.service.RatePerS > 0 {
 		r.queue.pacer.returnToken()
 	}
 }
 
-// checkByteQuota records the size of a delivery with the quota of its tenant. If it
-// is over its limit, nothing goes out: the size is taken back, and the throttle
-// time is returned. It ends one window after the message was due: the message was
-// accepted, so it is owed, whatever the limit is by now.
+// checkByteQuota records the size of a delivery with the byte quota of the tenant. If the
+// tenant is over its limit, it reverts the record and returns the throttle time. A message
+// is throttled until one quota window after it was due at the latest: it was accepted, so it
+// must be delivered even if the limit has been lowered since.
 func (s *Scheduler) checkByteQuota(m *message, route *configuration.Route, now time.Time) time.Duration {
 	size := float64(len(m.record.Body))
 	throttle := s.config.DeliveryBytes.Record(m.record.Tenant, route.Name, size)
@@ -159,9 +159,9 @@
 	return throttle
 }
 
-// beginDelivery counts a delivery as in flight if it may start. It is counted
-// before the check: a handover that finds none in flight after the partition is
-// frozen can rely on it.
+// beginDelivery counts a delivery as in flight if it may start. It counts before the check, so
+// that a handover that finds no delivery in flight after it has frozen the partition can rely
+// on that.
 func (s *Scheduler) beginDelivery(m *message) bool {
 	s.inFlight.add(m.record.Partition, 1)
 	if s.config.Partitions.MayDeliver(m.record.Partition) {
@@ -171,5 +171,5 @@
 	return false
 }
 
-// endDelivery counts a delivery as not in flight any more.
+// endDelivery reverts beginDelivery.
 func (s *Scheduler) endDelivery(m *message) { s.inFlight.add(m.record.Partition, -1) }
--- a/internal/delivery/endpoint.go
+++ b/internal/delivery/endpoint.go
@@ -11,17 +11,17 @@
 	"saltreel/internal/journal"
 )
 
-// endpoint is where deliveries go: a handler's instance, or the static endpoint
-// of a service.
+// endpoint is a target of deliveries: a registered handler instance, or the static endpoint of
+// a service.
 type endpoint struct {
 	handler.Instance
 	static   bool
-	removed  bool // the configuration or the registry has it no more; see endpointTable.remove
+	removed  bool // no longer in the configuration or the registry; see endpointTable.remove
 	inFlight int
 	health   endpointHealth
 }
 
-// key is the name of the endpoint in the table.
+// key returns the key of the endpoint in its endpointTable.
 func (e *endpoint) key() string {
 	if e.static {
 		return e.Address
@@ -29,26 +29,25 @@
 	return e.ID
 }
 
-// capacity is how many deliveries the endpoint takes at once.
+// capacity returns the maximum number of concurrent deliveries.
 func (e *endpoint) capacity() int { return max(1, e.Slots) }
 
-// newStaticEndpoint makes the endpoint of a service that has no instances.
 func newStaticEndpoint(service *configuration.Service) *endpoint {
 	return &endpoint{static: true, Instance: handler.Instance{Address: service.StaticEndpoint, Service: service.Name}}
 }
 
-// staticSlots are the slots of the static endpoint of a service: two thirds of the
-// connections that the service takes.
+// staticSlots returns the number of slots of the static endpoint of a service: two thirds of
+// its maximum number of connections.
 func staticSlots(service *configuration.Service) int {
 	return max(1, int(service.MaxConnections)*2/3)
 }
 
-// endpointTable holds the endpoints by service, then by instance or, for a static
-// one, by address. It has no lock: the scheduler's guards it.
+// endpointTable holds the endpoints by service, then by instance ID or, for static endpoints,
+// by address. It is guarded by the mutex of Scheduler.
 type endpointTable map[string]map[string]*endpoint
 
-// forService returns the endpoints of a service, with its static one, as the configuration
-// has it, if it has one.
+// forService returns the endpoints of a service. If the service has a static endpoint in the
+// configuration, it is added or updated.
 func (t endpointTable) forService(service *configuration.Service) map[string]*endpoint {
 	if service.StaticEndpoint == "" {
 		return t[service.Name]
@@ -59,7 +58,7 @@
 	case e == nil:
 		e = newStaticEndpoint(service)
 		list[service.StaticEndpoint] = e
-	case e.removed: // its address is back
+	case e.removed: // configured again after its removal
 		e.removed = false
 		e.health = endpointHealth{}
 	}
@@ -67,7 +66,7 @@
 	return list
 }
 
-// getOrCreate returns the endpoints of a service for a change.
+// getOrCreate returns the endpoints of a service, and adds an empty map if there is none.
 func (t endpointTable) getOrCreate(service string) map[string]*endpoint {
 	list := t[service]
 	if list == nil {
@@ -77,7 +76,7 @@
 	return list
 }
 
-// update adds an instance, or renews what it says of itself.
+// update adds an instance as an endpoint of its service, or updates its data.
 func (t endpointTable) update(id string, in handler.Instance, now time.Time) {
 	list := t.getOrCreate(in.Service)
 	if e := list[id]; e != nil {
@@ -88,9 +87,9 @@
 	list[id] = &endpoint{Instance: in, health: endpointHealth{slowStartUntil: now.Add(warmUp)}}
 }
 
-// ApplyEvent follows what the control plane distributes: about handlers, whose
-// ready instances become endpoints; any other event makes the scheduler look at
-// its queues.
+// ApplyEvent applies an event that the control plane distributes. Events of handler instances
+// update the endpoints: ready instances become endpoints. All other events only wake up the
+// scheduler.
 func (s *Scheduler) ApplyEvent(e journal.Event) {
 	id, ok := strings.CutPrefix(e.Key, distribution.PrefixInstance)
 	if !ok {
@@ -107,8 +106,8 @@
 	s.wakeUp()
 }
 
-// applyInstanceLocked makes an instance an endpoint of its service if it is ready,
-// and of no other service.
+// applyInstanceLocked makes an instance an endpoint of its service if it is ready, and removes
+// it from all other services.
 func (s *Scheduler) applyInstanceLocked(id string, in handler.Instance, ready bool) {
 	for service, list := range s.endpoints {
 		e := list[id]
--- a/internal/delivery/health.go
+++ b/internal/delivery/health.go
@@ -7,39 +7,38 @@
 	"saltreel/internal/handler"
 )
 
-// endpointState is what an endpoint is trusted with. It follows the outlier
-// detection and the slow start of Envoy: an endpoint is ejected after consecutive
-// failures, for a time that doubles up to a bound. Unlike there, an endpoint that
-// comes back from its ejection is probed first: it gets one delivery at a time
-// until one is answered.
+// endpointState is the health state of an endpoint. It follows the outlier detection and slow
+// start of Envoy: an endpoint is ejected after consecutive failures, for a time that doubles
+// up to a maximum. Unlike in Envoy, an endpoint is probed after its ejection: it gets one
+// delivery at a time until one is answered.
 type endpointState int
 
 const (
 	healthy    endpointState = iota
-	slowStart                // new: chosen less often until its warm-up is over
+	slowStart                // new: picked less often until its warm-up is over
 	probing                  // one delivery at a time until one is answered
-	backingOff               // declined: no deliveries for a moment
-	ejected                  // failed: no deliveries for a while, then probing
+	backingOff               // declined a delivery: gets none for a short time
+	ejected                  // failed: gets no deliveries for the ejection time, then probing
 )
 
 func (s endpointState) String() string {
 	return [...]string{"healthy", "slow start", "probing", "backing off", "ejected"}[s]
 }
 
-// available reports whether deliveries may start.
+// available reports whether deliveries to the endpoint may start.
 func (s endpointState) available() bool { return s != backingOff && s != ejected }
 
-// maxEjectionDoublings bounds the exponent of an ejection time.
+// maxEjectionDoublings bounds the exponent of the ejection time.
 const maxEjectionDoublings = 6
 
-// endpointHealth holds what becomes of the deliveries to an endpoint, which
-// decides its state; what the endpoint says of itself does not.
+// endpointHealth derives the state of an endpoint from the outcomes of its deliveries. What
+// the instance reports about itself is not used.
 type endpointHealth struct {
 	consecutiveFailures int
-	needsProbe          bool      // ejected, and no delivery was answered since
-	blockedUntil        time.Time // ejected or backing off until then
+	needsProbe          bool      // ejected, and no delivery has been answered since
+	blockedUntil        time.Time // end of the ejection or backoff
 	slowStartUntil      time.Time
-	failureRate         float64 // smoothed part of the attempts that failed
+	failureRate         float64 // moving average of the fraction of failed attempts
 }
 
 func (h *endpointHealth) state(now time.Time) endpointState {
@@ -56,13 +55,13 @@
 	return healthy
 }
 
-// recordOutcome takes the outcome of one attempt into account.
+// recordOutcome updates the health with the outcome of one attempt.
 func (h *endpointHealth) recordOutcome(o handler.Outcome, now time.Time, t timing) {
 	if o != handler.NotExecuted {
 		h.failureRate = updateFailureRate(h.failureRate, o, 8)
 	}
 	switch o {
-	case handler.Done, handler.Refused, handler.Failed: // it answers
+	case handler.Done, handler.Refused, handler.Failed: // the endpoint responds
 		h.consecutiveFailures = 0
 		h.needsProbe = false
 	case handler.NotExecuted:
@@ -73,15 +72,15 @@
 	case handler.Indeterminate:
 		h.consecutiveFailures++
 		if h.consecutiveFailures > 1 {
-			h.consecutiveFailures++ // after another failure it counts twice
+			h.consecutiveFailures++ // counts twice after another failure
 			h.eject(t.baseIndeterminateEjectionTime(), now, t)
 		}
-	case handler.WrongInstance: // another endpoint has its address: the caller removes it
+	case handler.WrongInstance: // another instance has the address: the caller removes this endpoint
 	}
 }
 
-// eject blocks the endpoint for base, doubled with each consecutive failure, give
-// or take a quarter, so that endpoints do not come back all at once.
+// eject blocks the endpoint for base, doubled with each consecutive failure, with a jitter of
+// ±25% so that endpoints do not come back all at once.
 func (h *endpointHealth) eject(base time.Duration, now time.Time, t timing) {
 	doublings := min(h.consecutiveFailures-1, maxEjectionDoublings)
 	d := min(t.maxEjectionTime(), base<<doublings)
@@ -89,7 +88,8 @@
 	h.needsProbe = true
 }
 
-// updateFailureRate updates the smoothed part of attempts that failed, over about n of them.
+// updateFailureRate updates the exponential moving average of the fraction of failed attempts,
+// with a weight of 1/n for the new outcome.
 func updateFailureRate(rate float64, o handler.Outcome, n float64) float64 {
 	failed := 0.0
 	if o != handler.Done && o != handler.Refused {
@@ -98,5 +98,5 @@
 	return rate + (failed-rate)/n
 }
 
-// baselineFailureRate is the part of attempts that fail without an outage.
+// baselineFailureRate is the fraction of attempts that fail in normal operation.
 const baselineFailureRate = 0.1
--- a/internal/delivery/inflight.go
+++ b/internal/delivery/inflight.go
@@ -2,9 +2,8 @@
 
 import "sync"
 
-// inFlightCounter counts the deliveries in flight by partition. It has a lock of
-// its own, so that a handover can watch it while the scheduler works. The zero
-// value is ready for use.
+// inFlightCounter counts the deliveries in flight by partition. It has its own mutex so that a
+// handover can poll it while the scheduler is busy. The zero value is ready to use.
 type inFlightCounter struct {
 	mu          sync.Mutex
 	byPartition map[int]int
--- a/internal/delivery/message.go
+++ b/internal/delivery/message.go
@@ -8,40 +8,40 @@
 	"saltreel/internal/settings"
 )
 
-// message is a message to deliver. There are many, so its size counts.
+// message is a pending message. There may be many, so its size matters.
 type message struct {
 	record         *partition.Record
 	partition      *partitionMessages
 	key            *orderKeyQueue // nil without an order key
-	queue          *serviceQueue  // that it is or was on
-	due            time.Time      // no attempt before then, by the monotonic clock
-	eligibleSince  time.Time      // when it could first have started
-	failedAttempts int            // that count against the route's limit
-	attempts       int            // attempts of any outcome
+	queue          *serviceQueue  // current or last queue
+	due            time.Time      // earliest time of the next attempt, by the monotonic clock
+	eligibleSince  time.Time      // when the first attempt was due
+	failedAttempts int            // attempts that count towards the limit of the route
+	attempts       int            // number of attempts with any outcome
 	running        bool           // an attempt is in flight
-	queued         bool           // on the queue of its service
+	queued         bool           // in the queue of its service
 	finished       bool
 	priority       int32
-	lastEndpoint   string    // the instance of the last attempt
-	startBy        time.Time // the latest start that is in time
-	overdueAt      time.Time // from then on it goes before all others
+	lastEndpoint   string    // ID of the instance of the last attempt
+	startBy        time.Time // latest start time that meets the start target
+	overdueAt      time.Time // from then on it precedes all other messages
 }
 
-// applyRoute sets what the route of the message says of its order in the queue.
+// applyRoute sets the fields that order the message in its queue, as its route configures them.
 func (m *message) applyRoute(route *configuration.Route) {
 	m.priority = route.Priority
 	m.startBy = m.eligibleSince.Add(time.Duration(route.StartTargetMs) * time.Millisecond)
 	m.overdueAt = m.eligibleSince.Add(settings.Seconds(route.RetentionS / 2))
 }
 
-// isFirstOfKey reports whether no message of its order key is to run before it.
+// isFirstOfKey reports whether no other message of its order key must run before it.
 func (m *message) isFirstOfKey() bool { return m.key == nil || m.key.messages[0] == m }
 
-// expired reports whether the retention of the message is over; now is the wall
-// clock in milliseconds.
+// expired reports whether the retention time of the message is over; now is wall-clock time in
+// milliseconds.
 func (m *message) expired(now int64) bool { return m.record.Expires > 0 && m.record.Expires < now }
 
-// partitionMessages are the pending messages of one partition.
+// partitionMessages holds the pending messages of one partition.
 type partitionMessages struct {
 	byID  map[string]*message
 	byKey map[string]*orderKeyQueue // by tenant and order key
@@ -51,8 +51,8 @@
 	return &partitionMessages{byID: map[string]*message{}, byKey: map[string]*orderKeyQueue{}}
 }
 
-// add takes over a message and reports whether it may be queued: only the first
-// of its order key may.
+// add adds a message and reports whether it may be queued: only the first message of an order
+// key may.
 func (p *partitionMessages) add(m *message) bool {
 	p.byID[m.record.ID] = m
 	if m.record.OrderKey == "" {
@@ -68,8 +68,7 @@
 	return q.insert(m)
 }
 
-// remove takes a message out and returns the one of its order key that is first
-// now, if any.
+// remove removes a message and returns the message of its order key that is first now, if any.
 func (p *partitionMessages) remove(m *message) *message {
 	delete(p.byID, m.record.ID)
 	if m.key == nil {
@@ -82,7 +81,7 @@
 	return next
 }
 
-// finishAll marks all messages as ended, so that the queues drop them.
+// finishAll marks all messages as finished, so that the queues drop them.
 func (p *partitionMessages) finishAll() {
 	for _, m := range p.byID {
 		m.finished = true
@@ -91,12 +90,12 @@
 
 func orderKeyID(r *partition.Record) string { return r.Tenant + "\x00" + r.OrderKey }
 
-// orderKeyQueue is the messages that share a tenant and an order key, in the order of
-// their acceptance: only the first may run.
+// orderKeyQueue holds the messages that share a tenant and an order key, in the order of their
+// acceptance. Only the first may run.
 type orderKeyQueue struct{ messages []*message }
 
-// insert puts a message in its place, but never before one whose attempt is in
-// flight, and reports whether it is the first.
+// insert adds a message in order, but never before one with an attempt in flight, and reports
+// whether it is the first.
 func (q *orderKeyQueue) insert(m *message) bool {
 	at := len(q.messages)
 	for at > 0 && q.messages[at-1].record.Order > m.record.Order && !q.messages[at-1].running {
@@ -108,7 +107,7 @@
 	return at == 0
 }
 
-// remove takes a message out and returns the first that remains, if any.
+// remove removes a message and returns the first remaining one, if any.
 func (q *orderKeyQueue) remove(m *message) *message {
 	for i, other := range q.messages {
 		if other == m {
--- a/internal/delivery/pacing.go
+++ b/internal/delivery/pacing.go
@@ -2,18 +2,17 @@
 
 import "time"
 
-// tokenBucket paces the deliveries of a service; a token starts one. A new one
-// is empty.
+// tokenBucket paces the deliveries of a service; each delivery takes one token. A new bucket is
+// empty.
 type tokenBucket struct {
 	tokens     float64
-	lastRefill time.Time // when tokens was last computed
+	lastRefill time.Time // when tokens was last updated
 }
 
-// take removes a token and reports whether there was one. RatePerS is the limit
-// of the service, overshoot the factor by which the setting origin-overshoot lets
-// it be exceeded.
+// take removes a token and reports whether there was one. ratePerS is the limit of the service;
+// overshoot is the setting origin-overshoot, the factor by which the limit may be exceeded.
 func (b *tokenBucket) take(ratePerS, overshoot float64, now time.Time) bool {
-	burst := max(1, ratePerS/20) // that of 50 ms
+	burst := max(1, ratePerS/20) // tokens of 50 ms
 	b.tokens = min(burst, b.tokens+refillRate(ratePerS, overshoot)*now.Sub(b.lastRefill).Seconds())
 	b.lastRefill = now
 	if b.tokens < 1 {
@@ -23,14 +22,14 @@
 	return true
 }
 
-// refillRate is the rate at which a bucket fills: a quarter of the overshoot above
-// the limit. The rest is for arrivals that bunch on the way.
+// refillRate returns the rate at which a bucket is refilled: the limit plus a quarter of the
+// overshoot. The rest of the overshoot is reserved for deliveries that bunch up on the way.
 func refillRate(ratePerS, overshoot float64) float64 { return ratePerS * (1 + (overshoot-1)/4) }
 
-// timeUntilToken is how long the bucket takes to hold a token again.
+// timeUntilToken returns the time until the bucket holds a whole token.
 func (b *tokenBucket) timeUntilToken(ratePerS float64) time.Duration {
 	return time.Duration((1 - b.tokens) / ratePerS * float64(time.Second))
 }
 
-// returnToken returns a token whose delivery did not start.
+// returnToken puts back the token of a delivery that was not started.
 func (b *tokenBucket) returnToken() { b.tokens++ }
--- a/internal/delivery/pick.go
+++ b/internal/delivery/pick.go
@@ -8,21 +8,20 @@
 	"saltreel/internal/settings"
 )
 
-// What counts against an endpoint, as a multiple of its own full load: the one
-// with the lowest sum is picked.
+// Weights of the cost function, as multiples of the full load of an endpoint. The endpoint with
+// the lowest total cost is picked.
 const (
 	costOtherZone        = 2.0
-	costOtherRegion      = 1.0 // beside that of another zone
-	costPreviousEndpoint = 4.0 // rather another than the one that failed
+	costOtherRegion      = 1.0 // in addition to costOtherZone
+	costPreviousEndpoint = 4.0 // prefers another endpoint over the one that failed
 	costSlowStart        = 0.5
 	costProbing          = 1.0
-	costFailureRate      = 4.0       // for each failure above the ordinary rate
-	costJitter           = 1.0 / 8.0 // at most; so that stores do not all pick the same
+	costFailureRate      = 4.0       // per unit of failure rate above baselineFailureRate
+	costJitter           = 1.0 / 8.0 // maximum; keeps stores from all picking the same endpoint
 )
 
-// pickEndpointLocked finds the endpoint for a message: the one with the least
-// load, own zone first. If none is free now, it returns nil and when to look
-// again.
+// pickEndpointLocked picks the endpoint for a message: the least loaded one, with a preference
+// for the local zone. If none is free, it returns nil and the time until the next check.
 func (s *Scheduler) pickEndpointLocked(service *configuration.Service, m *message, now time.Time) (*endpoint, time.Duration) {
 	endpoints := s.endpoints.forService(service)
 	static := service.StaticEndpoint != ""
@@ -48,16 +47,16 @@
 	return best, wait
 }
 
-// picker compares the endpoints for one message.
+// picker computes the costs of endpoints for one message.
 type picker struct {
 	settings    *settings.Settings
 	timing      timing
 	now         time.Time
 	message     *message
-	localUsable bool // an endpoint of this zone is healthy or in slow start
+	localUsable bool // an endpoint in the local zone is healthy or in slow start
 }
 
-// hasUsableLocal reports whether an endpoint of this zone can be relied on.
+// hasUsableLocal reports whether an endpoint in the local zone is healthy or in slow start.
 func (p *picker) hasUsableLocal(endpoints map[string]*endpoint) bool {
 	for _, e := range endpoints {
 		if e.static || e.Zone != p.settings.Zone {
@@ -70,8 +69,8 @@
 	return false
 }
 
-// cost is what counts against an endpoint, or when to look again if it is not
-// free for the message.
+// cost returns the cost of an endpoint, or the time until the next check if it is not free for
+// the message.
 func (p *picker) cost(e *endpoint) (cost float64, recheck time.Duration, free bool) {
 	state := e.health.state(p.now)
 	if !state.available() {
@@ -96,8 +95,8 @@
 	return cost + rand.Float64()*costJitter, 0, true
 }
 
-// limit is how many deliveries may be in flight to an endpoint. While this zone
-// has endpoints of its own, half of the others is left to the stores there.
+// limit returns the maximum number of deliveries in flight to an endpoint. While the local zone
+// has usable endpoints, half of the capacity of remote ones is left to the stores there.
 func (p *picker) limit(e *endpoint, state endpointState, remote bool) int {
 	switch {
 	case state == probing:
@@ -108,7 +107,7 @@
 	return e.capacity()
 }
 
-// localityCost is the cost of an endpoint of another zone.
+// localityCost returns the cost of an endpoint in another zone.
 func (p *picker) localityCost(e *endpoint) float64 {
 	if p.settings.Zones[e.Zone] != p.settings.Region {
 		return costOtherZone + costOtherRegion
@@ -116,9 +115,9 @@
 	return costOtherZone
 }
 
-// cost is what the health of an endpoint counts against it. One that often fails
-// is for the messages for which there is no other. One that was ejected within
-// its slow start counts for both.
+// cost returns the cost that the health of an endpoint adds. An endpoint that often fails is
+// picked only if no other is free. An endpoint that was ejected during its slow start pays
+// for both.
 func (h *endpointHealth) cost(now time.Time) float64 {
 	cost := costFailureRate * max(0, h.failureRate-baselineFailureRate)
 	if now.Before(h.slowStartUntil) {
--- a/internal/delivery/queue.go
+++ b/internal/delivery/queue.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// serviceQueue is the queue of one service, with what is known of the service as
-// a whole.
+// serviceQueue holds the messages of one service that wait for a delivery, and the pacing and
+// failure rate of the service.
 type serviceQueue struct {
 	service     string
-	scheduled   dueHeap   // not due yet
-	ready       readyHeap // may still start in time
-	late        lateHeap  // cannot any more
+	scheduled   dueHeap   // not yet due
+	ready       readyHeap // due, and can still meet the start target
+	late        lateHeap  // due, and past the start target
 	pacer       tokenBucket
-	failureRate float64 // smoothed part of the attempts that failed
+	failureRate float64 // moving average of the fraction of failed attempts
 }
 
 func newServiceQueue(service string, now time.Time) *serviceQueue {
 	return &serviceQueue{service: service, pacer: tokenBucket{lastRefill: now}}
 }
 
-// schedule queues a message until it is due.
+// schedule adds a message that becomes ready when it is due.
 func (q *serviceQueue) schedule(m *message) { heap.Push(&q.scheduled, m) }
 
-// requeue queues a message that is due and could not start.
+// requeue puts back a due message that could not start.
 func (q *serviceQueue) requeue(m *message) { heap.Push(&q.ready, m) }
 
-// releaseDue makes the scheduled messages that are due ready.
+// releaseDue moves the scheduled messages that are due to the ready heap.
 func (q *serviceQueue) releaseDue(now time.Time) {
 	for len(q.scheduled) > 0 && !q.scheduled[0].due.After(now) {
 		if m := heap.Pop(&q.scheduled).(*message); !m.finished {
@@ -35,25 +35,23 @@
 	}
 }
 
-// timeUntilNextDue is how long the next scheduled message is not due yet, at most
-// most.
-func (q *serviceQueue) timeUntilNextDue(now time.Time, most time.Duration) time.Duration {
+// timeUntilNextDue returns the time until the next scheduled message is due, at most limit.
+func (q *serviceQueue) timeUntilNextDue(now time.Time, limit time.Duration) time.Duration {
 	if len(q.scheduled) == 0 {
-		return most
+		return limit
 	}
-	return min(most, q.scheduled[0].due.Sub(now))
+	return min(limit, q.scheduled[0].due.Sub(now))
 }
 
-// isEmpty reports whether no message waits.
+// isEmpty reports whether the queue has no messages, due or not.
 func (q *serviceQueue) isEmpty() bool { return len(q.scheduled) == 0 && q.dueCount() == 0 }
 
-// dueCount is how many messages are due.
+// dueCount returns the number of messages that are due.
 func (q *serviceQueue) dueCount() int { return len(q.ready) + len(q.late) }
 
-// pop takes the message that is to start first; nil if none is due. Messages
-// that are late in any case go after those that can still start in time, oldest
-// first, so that a backlog does not make the fresh ones late too, unless one is
-// overdue.
+// pop removes and returns the message to start first, or nil if none is due. Late messages come
+// after those that can still meet their start target, oldest first, so that a backlog does
+// not make new messages late as well. An overdue message comes before all others.
 func (q *serviceQueue) pop(now time.Time) *message {
 	if len(q.late) > 0 && now.After(q.late[0].overdueAt) {
 		return heap.Pop(&q.late).(*message)
@@ -71,7 +69,7 @@
 	return nil
 }
 
-// dueHeap orders messages by when they are due.
+// dueHeap is a min-heap of messages by due time.
 type dueHeap []*message
 
 func (h dueHeap) Len() int { return len(h) }
@@ -84,7 +82,7 @@
 
 func (h *dueHeap) Pop() any { return popLast((*[]*message)(h)) }
 
-// readyHeap orders messages by priority, then by the latest start in time.
+// readyHeap is a min-heap of messages by priority, then by startBy.
 type readyHeap []*message
 
 func (h readyHeap) Len() int { return len(h) }
@@ -102,7 +100,7 @@
 
 func (h *readyHeap) Pop() any { return popLast((*[]*message)(h)) }
 
-// lateHeap orders messages by how long they could have started.
+// lateHeap is a min-heap of messages by eligibleSince.
 type lateHeap []*message
 
 func (h lateHeap) Len() int { return len(h) }
--- a/internal/delivery/reconcile.go
+++ b/internal/delivery/reconcile.go
@@ -2,12 +2,11 @@
 
 import "saltreel/internal/configuration"
 
-// What is known of endpoints and services follows from the configuration in force and from
-// the instances that are registered. Each new configuration is reconciled with what is
-// here: what it does not have any more goes, with its health and its idle connections, and
-// what it leaves as it was stays.
+// The endpoints and queues follow the current configuration and the registered instances. Each
+// new configuration is reconciled with them: endpoints and services that it no longer has are
+// removed, together with their health and idle connections; the others are kept unchanged.
 
-// reconcileLocked applies the configuration in force, once.
+// reconcileLocked applies the current configuration unless it is already applied.
 func (s *Scheduler) reconcileLocked() {
 	table := s.config.Table()
 	if table == nil || table == s.appliedTable {
@@ -19,13 +18,12 @@
 	}
 	for name, q := range s.queues {
 		if table.Service(name) == nil && q.isEmpty() {
-			delete(s.queues, name) // a service that gets its name later begins anew
+			delete(s.queues, name) // a later service of this name starts with a new queue
 		}
 	}
 }
 
-// reconcile removes the static endpoints that a configuration does not have, and returns
-// them.
+// reconcile removes and returns the static endpoints that are not in a configuration.
 func (t endpointTable) reconcile(table *configuration.Table) (removed []*endpoint) {
 	for name, list := range t {
 		service := table.Service(name)
@@ -42,8 +40,9 @@
 	return removed
 }
 
-// remove takes an endpoint out of use. As long as deliveries to a static one are in flight
-// it stays in the table: if its address comes back, they count.
+// remove marks an endpoint as removed and deletes it from the table. A static endpoint stays in
+// the table while deliveries to it are in flight, so that they are counted if its address is
+// configured again.
 func (t endpointTable) remove(e *endpoint) {
 	e.removed = true
 	if !e.static || e.inFlight == 0 {
@@ -51,15 +50,15 @@
 	}
 }
 
-// delete deletes an endpoint, unless another one has its name by now.
+// delete deletes an endpoint from the table, unless another one has its key by now.
 func (t endpointTable) delete(e *endpoint) {
 	if list := t[e.Service]; list[e.key()] == e {
 		delete(list, e.key())
 	}
 }
 
-// releaseEndpointLocked notes that a delivery to an endpoint has ended. The last one to an
-// endpoint that was removed leaves nothing of it.
+// releaseEndpointLocked ends a delivery to an endpoint. After the last delivery to a removed
+// endpoint it deletes the endpoint and closes its idle connections.
 func (s *Scheduler) releaseEndpointLocked(e *endpoint) {
 	e.inFlight--
 	if e.removed && e.inFlight == 0 {
@@ -68,8 +67,8 @@
 	}
 }
 
-// closeIdleLocked closes the idle connections to an endpoint that is used no more, unless
-// another one has its address by now.
+// closeIdleLocked closes the idle connections to a removed endpoint, unless another endpoint has
+// its address by now.
 func (s *Scheduler) closeIdleLocked(removed *endpoint) {
 	for _, list := range s.endpoints {
 		for _, e := range list {
--- a/internal/delivery/scheduler.go
+++ b/internal/delivery/scheduler.go
@@ -1,7 +1,7 @@
-// Package delivery schedules the messages of the partitions that a store is
-// primary of: what is due, in which order, to which endpoint of its service, how
-// fast, and when again after a failure. Endpoints that fail are ejected for a
-// while, as the outlier detection of Envoy does it.
+// Package delivery schedules the deliveries of messages in the partitions that a store is
+// primary of: when and in which order messages are sent, to which endpoint of their service,
+// at which rate, and when they are retried after a failure. Failing endpoints are ejected
+// for a time, similar to the outlier detection of Envoy.
 package delivery
 
 import (
@@ -18,37 +18,37 @@
 	"saltreel/internal/settings"
 )
 
-// Partitions is what the scheduler needs of the partitions of its store.
+// Partitions is the interface of the scheduler to the partitions of its store.
 type Partitions interface {
 	// Events returns the changes since the last call, in order, and a channel
 	// that receives when there may be more.
 	Events() ([]partition.Event, <-chan struct{})
-	// Now is the wall clock in milliseconds, without its steps.
+	// Now returns wall-clock time in milliseconds, unaffected by clock steps.
 	Now() int64
-	// MayDeliver reports whether deliveries of a partition may start here now.
+	// MayDeliver reports whether this store may start deliveries of a partition now.
 	MayDeliver(partition int) bool
-	// IsPending reports whether a message has not ended, as far as is known here.
+	// IsPending reports whether a message is not finished, as far as this store knows.
 	IsPending(partition int, id string) bool
-	// Finish records how a message ended.
+	// Finish records the final state of a message.
 	Finish(partition int, id string, state partition.State, seal string)
 }
 
-// Config is what a Scheduler needs; all fields must be set.
+// Config configures a Scheduler. All fields must be set.
 type Config struct {
 	Partitions    Partitions
-	Pool          *httpwire.Pool // to the endpoints
+	Pool          *httpwire.Pool // connections to the endpoints
 	Settings      *settings.Settings
 	Log           *log.Logger
-	Table         func() *configuration.Table // the newest configuration; nil before the first
-	DeliveryBytes *quota.Manager              // delivery bytes
+	Table         func() *configuration.Table // returns the newest configuration, or nil before the first one is known
+	DeliveryBytes *quota.Manager              // quota of bytes sent to handlers
 }
 
 func (c *Config) check() error {
 	if c.Partitions == nil || c.Pool == nil || c.Settings == nil || c.Log == nil || c.Table == nil || c.DeliveryBytes == nil {
-		return errors.New("delivery: the configuration of the scheduler is incomplete")
+		return errors.New("delivery: incomplete scheduler configuration")
 	}
 	if c.Settings.Contact() <= 0 {
-		return errors.New("delivery: the contact timeout must be above 0")
+		return errors.New("delivery: the contact timeout must be positive")
 	}
 	return nil
 }
@@ -60,27 +60,27 @@
 	inFlight       inFlightCounter
 	wake           chan struct{}
 	attemptTasks   sync.WaitGroup
-	cancelAttempts context.CancelFunc // ends answering
-	// attemptCtx is the context of all attempts: it ends when no answer is to be read any more.
+	cancelAttempts context.CancelFunc // cancels attemptCtx
+	// attemptCtx is the context of all attempts. It is canceled at the shutdown deadline.
 	attemptCtx context.Context
 
 	mu               sync.Mutex
-	shutdownDeadline time.Time                // when the process is to end; zero while it is not
+	shutdownDeadline time.Time                // zero unless the process is shutting down
 	queues           map[string]*serviceQueue // by service
 	endpoints        endpointTable
-	appliedTable     *configuration.Table // the configuration that the queues and endpoints follow
+	appliedTable     *configuration.Table // configuration that queues and endpoints are reconciled with
 	partitions       map[int]*partitionMessages
 }
 
-// New makes a scheduler without messages.
+// New returns a scheduler without messages.
 func New(config Config) (*Scheduler, error) {
 	if err := config.check(); err != nil {
 		return nil, err
 	}
-	answering, breakOff := context.WithCancel(context.Background())
+	attemptCtx, cancelAttempts := context.WithCancel(context.Background())
 	return &Scheduler{
-		attemptCtx:     answering,
-		cancelAttempts: breakOff,
+		attemptCtx:     attemptCtx,
+		cancelAttempts: cancelAttempts,
 		config:         config,
 		timing:         timing{config.Settings.Contact()},
 		wake:           make(chan struct{}, 1),
@@ -90,7 +90,7 @@
 	}, nil
 }
 
-// wakeUp makes Run look at the queues soon.
+// wakeUp makes Run start another step.
 func (s *Scheduler) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
@@ -98,16 +98,18 @@
 	}
 }
 
-// SetShutdownDeadline says when the process is to end: deliveries that may take longer begin no more,
-// and those in flight then are broken off, so that no answer is read any more.
-func (s *Scheduler) SetShutdownDeadline(end time.Time) {
+// SetShutdownDeadline sets when the process ends. Deliveries that may take longer are not
+// started, and those in flight at the deadline are canceled, so that no response is read
+// after it: its outcome could not be recorded any more.
+func (s *Scheduler) SetShutdownDeadline(deadline time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.shutdownDeadline = end
-	time.AfterFunc(time.Until(end), s.cancelAttempts)
+	s.shutdownDeadline = deadline
+	time.AfterFunc(time.Until(deadline), s.cancelAttempts)
 }
 
-// fitsBeforeShutdownLocked reports whether a delivery that begins now ends before the process.
+// fitsBeforeShutdownLocked reports whether a delivery that starts now ends before the shutdown
+// deadline, even if it times out.
 func (s *Scheduler) fitsBeforeShutdownLocked(route *configuration.Route, now time.Time) bool {
 	return s.shutdownDeadline.IsZero() || !now.Add(routeTimeout(route)).After(s.shutdownDeadline)
 }
@@ -115,8 +117,8 @@
 // Idle reports whether no delivery of a partition is in flight.
 func (s *Scheduler) Idle(partition int) bool { return s.inFlight.count(partition) == 0 }
 
-// Run schedules until ctx ends, then waits for the deliveries in flight: until EndBy at
-// the longest.
+// Run schedules deliveries until ctx is done, then waits for those in flight, until the
+// shutdown deadline at the latest.
 func (s *Scheduler) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -134,7 +136,8 @@
 	}
 }
 
-// step applies events, starts what can be started, and returns when to look again.
+// step applies events, starts the deliveries that can start, and returns the time until the
+// next step.
 func (s *Scheduler) step(ctx context.Context, events []partition.Event) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,8 +155,8 @@
 	return max(next, time.Millisecond)
 }
 
-// applyPartitionEventLocked follows the role of this store in a partition, and
-// takes over new messages.
+// applyPartitionEventLocked applies a change of the role of this store in a partition, and adds
+// new messages.
 func (s *Scheduler) applyPartitionEventLocked(e partition.Event, now time.Time) {
 	if e.BecamePrimary || e.LostPrimary {
 		if p := s.partitions[e.Partition]; p != nil {
@@ -174,7 +177,7 @@
 	}
 }
 
-// addLocked takes over one message; one that is known already is ignored.
+// addLocked adds one message, unless it is already known.
 func (s *Scheduler) addLocked(p *partitionMessages, r *partition.Record, now time.Time) {
 	if p.byID[r.ID] != nil {
 		return
@@ -189,7 +192,7 @@
 	}
 }
 
-// enqueueLocked puts a message on the queue of its service.
+// enqueueLocked schedules a message in the queue of its service.
 func (s *Scheduler) enqueueLocked(m *message) {
 	if m.finished || m.running || m.queued {
 		return
@@ -211,7 +214,7 @@
 	q.schedule(m)
 }
 
-// finishLocked removes a message and lets the next of its order key go.
+// finishLocked removes a message and enqueues the next one of its order key.
 func (s *Scheduler) finishLocked(m *message) {
 	m.finished = true
 	if next := m.partition.remove(m); next != nil {
@@ -219,7 +222,7 @@
 	}
 }
 
-// Pending returns how many messages wait here.
+// Pending returns the number of messages that are not finished.
 func (s *Scheduler) Pending() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/delivery/timing.go
+++ b/internal/delivery/timing.go
@@ -2,49 +2,50 @@
 
 import "time"
 
-// timing derives the times of the scheduler from the contact timeout, in which
-// the system notices and replaces a failed node.
+// timing derives all durations from the contact timeout, the time within which the system
+// detects and replaces a failed node.
 type timing struct{ contactTimeout time.Duration }
 
-// maxPollInterval is the longest time between two looks at the queues: what changes without
-// an event is noticed by then.
+// maxPollInterval is the maximum time between two steps: it bounds how late changes are noticed
+// that cause no event.
 func (t timing) maxPollInterval() time.Duration { return t.contactTimeout / 4 }
 
-// configurationRecheck is when to look again while no configuration is known.
+// configurationRecheck is the time between two checks while no configuration is known.
 func (t timing) configurationRecheck() time.Duration { return t.contactTimeout / 200 }
 
-// leaseRecheck is when to look again at a message whose partition may not
-// deliver now, or whose configuration is not here yet: both come any moment.
+// leaseRecheck is the time between two checks of a message whose partition may not deliver yet,
+// or whose configuration revision has not arrived; both are expected within a short time.
 func (t timing) leaseRecheck() time.Duration { return t.contactTimeout / 400 }
 
-// endpointRecheck is when to look again where no endpoint is free; an attempt
-// that ends wakes the scheduler earlier.
+// endpointRecheck is the time between two checks while no endpoint is free. An attempt that ends
+// wakes up the scheduler earlier.
 func (t timing) endpointRecheck() time.Duration { return t.contactTimeout / 16 }
 
-// localityDelay is how long a message waits for an endpoint of this zone
-// before it goes to another.
+// localityDelay is how long a message waits for an endpoint in the local zone before it may be
+// sent to another zone.
 func (t timing) localityDelay() time.Duration { return t.contactTimeout / 40 }
 
-// localRecheck is when to look again for an endpoint of this zone.
+// localRecheck is the time between two checks for an endpoint in the local zone.
 func (t timing) localRecheck() time.Duration { return t.contactTimeout / 100 }
 
-// baseEjectionTime is how long an endpoint is ejected first when it does not answer;
-// the time doubles with each further failure.
+// baseEjectionTime is the ejection time after the first failure of an endpoint that does not
+// respond. It doubles with each further failure.
 func (t timing) baseEjectionTime() time.Duration { return t.contactTimeout / 40 }
 
-// baseIndeterminateEjectionTime is that of an endpoint whose attempts may have run.
+// baseIndeterminateEjectionTime is the base ejection time of an endpoint whose failed attempts
+// may have been executed.
 func (t timing) baseIndeterminateEjectionTime() time.Duration { return t.contactTimeout / 80 }
 
-// maxEjectionTime is the longest ejection: an endpoint that works again is noticed
-// well within the contact timeout.
+// maxEjectionTime is the maximum ejection time. It is well below the contact timeout, so that a
+// recovered endpoint is noticed in time.
 func (t timing) maxEjectionTime() time.Duration { return t.contactTimeout / 8 }
 
-// declineBackoff is how long, at least, an endpoint that declined gets nothing:
-// it is full for a moment.
+// declineBackoff is the minimum time without deliveries for an endpoint that declined one: it is
+// at capacity for a short time.
 func (t timing) declineBackoff() time.Duration { return t.contactTimeout / 200 }
 
-// baseRetryDelay is the mean time before a message is tried again first.
+// baseRetryDelay is the mean time until the first retry of a message.
 func (t timing) baseRetryDelay() time.Duration { return t.contactTimeout / 200 }
 
-// finalRetryDelay is the mean time before the last attempt at a service that fails.
+// finalRetryDelay is the mean time before the last attempt while the service is failing.
 func (t timing) finalRetryDelay() time.Duration { return t.contactTimeout / 2 }
