--- a/internal/admission/quotas_test.go
+++ b/internal/admission/quotas_test.go
@@ -33,7 +33,7 @@
 		bytes          int
 		processingTime time.Duration
 		accepted       time.Duration
-		quota          func(*Quotas) *quota.Manager
+		limiting       func(*Quotas) *quota.Manager
 		throttle       bool
 	}{
 		{"within all limits", 1, time.Millisecond, 0, func(q *Quotas) *quota.Manager { return q.RequestBytes }, false},
@@ -51,7 +51,7 @@
 			if (x > 0) != test.throttle {
 				t.Errorf("throttle time %v, want throttled: %v", x, test.throttle)
 			}
-			if limiting != test.quota(q) {
+			if limiting != test.limiting(q) {
 				t.Error("wrong quota returned")
 			}
 		})
--- a/internal/delivery/fakes_test.go
+++ b/internal/delivery/fakes_test.go
@@ -14,19 +14,19 @@
 	"saltreel/internal/partition"
 )
 
-// fakePartitions stands in for the partitions of a store.
+// fakePartitions is a Partitions with preset events that records the outcomes of messages.
 type fakePartitions struct {
 	more chan struct{}
 
 	mu       sync.Mutex
 	events   []partition.Event
 	frozen   bool
-	ended    map[string]bool // elsewhere
-	finished []string        // "id state seal", in order
+	remote   map[string]bool // messages finished at another store
+	finished []string        // "id state seal" in order
 }
 
 func newFakePartitions(events ...partition.Event) *fakePartitions {
-	return &fakePartitions{more: make(chan struct{}, 1), events: events, ended: map[string]bool{}}
+	return &fakePartitions{more: make(chan struct{}, 1), events: events, remote: map[string]bool{}}
 }
 
 func (f *fakePartitions) Events() ([]partition.Event, <-chan struct{}) {
@@ -48,7 +48,7 @@
 func (f *fakePartitions) IsPending(_ int, id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.ended[id]
+	return !f.remote[id]
 }
 
 func (f *fakePartitions) Finish(_ int, id string, state partition.State, seal string) {
@@ -69,16 +69,16 @@
 	return slices.Clone(f.finished)
 }
 
-// fakeHandler answers deliveries on every connection and lists them by id.
+// fakeHandler answers deliveries on every connection and records the IDs of their messages.
 type fakeHandler struct {
-	status func(id string, nth int) int // of the nth attempt of a message, from 1 on
-	work   time.Duration
-
-	mu       sync.Mutex
-	attempts []string
-	dialed   []string // addresses
-	running  int
-	most     int // at once
+	status func(id string, nth int) int // status of the nth attempt of a message, from 1
+	work   time.Duration                // processing time
+
+	mu         sync.Mutex
+	attempts   []string
+	dialed     []string // addresses
+	running    int
+	maxRunning int // maximum number of concurrent deliveries
 }
 
 func (h *fakeHandler) dial(_ context.Context, address string) (net.Conn, error) {
@@ -114,7 +114,7 @@
 	defer h.mu.Unlock()
 	h.attempts = append(h.attempts, id)
 	h.running++
-	h.most = max(h.most, h.running)
+	h.maxRunning = max(h.maxRunning, h.running)
 	nth := 0
 	for _, other := range h.attempts {
 		if other == id {
@@ -127,8 +127,8 @@
 	return h.status(id, nth)
 }
 
-// tried lists the attempts so far.
-func (h *fakeHandler) tried() []string {
+// attempted returns the IDs of all attempts so far.
+func (h *fakeHandler) attempted() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.attempts)
--- a/internal/delivery/message_test.go
+++ b/internal/delivery/message_test.go
@@ -21,18 +21,18 @@
 	return strings.Join(out, "")
 }
 
-func TestKeyQueueIsInOrderOfAcceptance(t *testing.T) {
+func TestOrderKeyQueueKeepsOrderOfAcceptance(t *testing.T) {
 	for name, c := range map[string]struct {
-		running bool // the first one
+		running bool // whether the first message has an attempt in flight
 		orders  []int64
 		want    string
-		first   bool // the last one inserted
+		first   bool // whether the last inserted message is the first
 	}{
-		"in order":            {false, []int64{1, 2, 3}, "abc", false},
-		"late":                {false, []int64{1, 3, 2}, "acb", false},
-		"first":               {false, []int64{2, 3, 1}, "cab", true},
-		"first, but too late": {true, []int64{2, 3, 1}, "acb", false},
-		"equal":               {false, []int64{2, 2, 2}, "abc", false},
+		"in order":                      {false, []int64{1, 2, 3}, "abc", false},
+		"inserted late":                 {false, []int64{1, 3, 2}, "acb", false},
+		"inserted first":                {false, []int64{2, 3, 1}, "cab", true},
+		"first, but another is running": {true, []int64{2, 3, 1}, "acb", false},
+		"equal order":                   {false, []int64{2, 2, 2}, "abc", false},
 	} {
 		q := &orderKeyQueue{}
 		first := false
@@ -47,28 +47,28 @@
 	}
 }
 
-func TestRemovedMessageLetsTheNextOfItsKeyGo(t *testing.T) {
+func TestRemoveReturnsNextMessageOfOrderKey(t *testing.T) {
 	p := newPartitionMessages()
 	a, b, c := keyed("a", 1), keyed("b", 2), keyed("c", 3)
 	if !p.add(a) || p.add(b) || p.add(c) {
-		t.Error("not only the first may be queued")
+		t.Error("add: not only the first message of an order key may be queued")
 	}
 	if next := p.remove(b); next != a {
-		t.Errorf("after b: %v", next)
+		t.Errorf("after removing b: next is %v", next)
 	}
 	if next := p.remove(a); next != c {
-		t.Errorf("after a: %v", next)
+		t.Errorf("after removing a: next is %v", next)
 	}
 	if next := p.remove(c); next != nil || len(p.byKey) != 0 || len(p.byID) != 0 {
-		t.Errorf("after all: %v, %v left", next, p)
+		t.Errorf("after removing all: next is %v, %v left", next, p)
 	}
-	free := &message{record: &partition.Record{ID: "d"}}
-	if !p.add(free) || p.remove(free) != nil || len(p.byKey) != 0 {
-		t.Error("a message without an order key has to do with others")
+	unkeyed := &message{record: &partition.Record{ID: "d"}}
+	if !p.add(unkeyed) || p.remove(unkeyed) != nil || len(p.byKey) != 0 {
+		t.Error("a message without an order key depends on others")
 	}
 }
 
-func TestRouteSetsTheOrderOfAMessage(t *testing.T) {
+func TestApplyRoute(t *testing.T) {
 	since := time.Now()
 	m := &message{eligibleSince: since}
 	m.applyRoute(&configuration.Route{Priority: 3, StartTargetMs: 600, RetentionS: 10})
@@ -77,10 +77,10 @@
 	}
 }
 
-func TestMessageExpires(t *testing.T) {
+func TestMessageExpired(t *testing.T) {
 	for expires, want := range map[int64]bool{0: false, 99: true, 100: false, 101: false} {
 		if got := (&message{record: &partition.Record{Expires: expires}}).expired(100); got != want {
-			t.Errorf("at %d: %v", expires, got)
+			t.Errorf("expires at %d: expired(100) = %v", expires, got)
 		}
 	}
 }
--- a/internal/delivery/pick_test.go
+++ b/internal/delivery/pick_test.go
@@ -15,34 +15,34 @@
 		return &endpoint{Instance: handler.Instance{Zone: zone, Slots: 4}, inFlight: inFlight, health: health}
 	}
 	blocked := endpointHealth{blockedUntil: now.Add(50 * time.Millisecond), needsProbe: true}
-	unproven := endpointHealth{needsProbe: true}
+	needsProbe := endpointHealth{needsProbe: true}
 	const fresh, waited = time.Duration(0), time.Second
 	for name, c := range map[string]struct {
 		endpoints map[string]*endpoint
-		age       time.Duration // of the message
-		last      string        // endpoint
+		age       time.Duration // time since the message was first due
+		last      string        // endpoint of the last attempt
 		want      string
-		wait      time.Duration // where none is picked
+		wait      time.Duration // if none is picked
 	}{
-		"none":                      {nil, fresh, "", "", 250 * time.Millisecond},
-		"the only one":              {map[string]*endpoint{"a": at("z0", 0, endpointHealth{})}, fresh, "", "a", 0},
-		"least load":                {map[string]*endpoint{"a": at("z0", 2, endpointHealth{}), "b": at("z0", 1, endpointHealth{})}, fresh, "", "b", 0},
-		"own zone":                  {map[string]*endpoint{"a": at("z0", 3, endpointHealth{}), "b": at("z1", 0, endpointHealth{})}, waited, "", "a", 0},
-		"own region":                {map[string]*endpoint{"a": at("z1", 3, endpointHealth{}), "b": at("z9", 0, endpointHealth{})}, fresh, "", "a", 0},
-		"own zone full":             {map[string]*endpoint{"a": at("z0", 4, endpointHealth{}), "b": at("z1", 1, endpointHealth{})}, waited, "", "b", 0},
-		"own zone full, fresh":      {map[string]*endpoint{"a": at("z0", 4, endpointHealth{}), "b": at("z1", 1, endpointHealth{})}, fresh, "", "", 40 * time.Millisecond},
-		"half of another zone":      {map[string]*endpoint{"a": at("z0", 4, endpointHealth{}), "b": at("z1", 2, endpointHealth{})}, waited, "", "", 250 * time.Millisecond},
-		"own zone ejected, fresh":   {map[string]*endpoint{"a": at("z0", 0, blocked), "b": at("z1", 3, endpointHealth{})}, fresh, "", "b", 0},
-		"own zone probing, full":    {map[string]*endpoint{"a": at("z0", 1, unproven), "b": at("z1", 3, endpointHealth{})}, fresh, "", "b", 0},
-		"ejected":                   {map[string]*endpoint{"a": at("z0", 0, blocked)}, fresh, "", "", 50 * time.Millisecond},
-		"probing":                   {map[string]*endpoint{"a": at("z0", 0, unproven)}, fresh, "", "a", 0},
-		"probing, one in flight":    {map[string]*endpoint{"a": at("z0", 1, unproven)}, fresh, "", "", 250 * time.Millisecond},
-		"probing or healthy":        {map[string]*endpoint{"a": at("z0", 0, unproven), "b": at("z0", 3, endpointHealth{})}, fresh, "", "b", 0},
-		"slow start or healthy":     {map[string]*endpoint{"a": at("z0", 0, endpointHealth{slowStartUntil: now.Add(1)}), "b": at("z0", 1, endpointHealth{})}, fresh, "", "b", 0},
-		"slow start or loaded":      {map[string]*endpoint{"a": at("z0", 0, endpointHealth{slowStartUntil: now.Add(1)}), "b": at("z0", 3, endpointHealth{})}, fresh, "", "a", 0},
-		"failed there, another one": {map[string]*endpoint{"a": at("z0", 0, endpointHealth{}), "b": at("z1", 1, endpointHealth{})}, waited, "a", "b", 0},
-		"failed there, no other":    {map[string]*endpoint{"a": at("z0", 0, endpointHealth{})}, fresh, "a", "a", 0},
-		"often fails":               {map[string]*endpoint{"a": at("z0", 0, endpointHealth{failureRate: 0.4}), "b": at("z0", 3, endpointHealth{failureRate: 0.1})}, fresh, "", "b", 0},
+		"no endpoints":                     {nil, fresh, "", "", 250 * time.Millisecond},
+		"single endpoint":                  {map[string]*endpoint{"a": at("z0", 0, endpointHealth{})}, fresh, "", "a", 0},
+		"least load":                       {map[string]*endpoint{"a": at("z0", 2, endpointHealth{}), "b": at("z0", 1, endpointHealth{})}, fresh, "", "b", 0},
+		"local zone":                       {map[string]*endpoint{"a": at("z0", 3, endpointHealth{}), "b": at("z1", 0, endpointHealth{})}, waited, "", "a", 0},
+		"local region":                     {map[string]*endpoint{"a": at("z1", 3, endpointHealth{}), "b": at("z9", 0, endpointHealth{})}, fresh, "", "a", 0},
+		"local zone full":                  {map[string]*endpoint{"a": at("z0", 4, endpointHealth{}), "b": at("z1", 1, endpointHealth{})}, waited, "", "b", 0},
+		"local zone full, fresh":           {map[string]*endpoint{"a": at("z0", 4, endpointHealth{}), "b": at("z1", 1, endpointHealth{})}, fresh, "", "", 40 * time.Millisecond},
+		"remote zone at half capacity":     {map[string]*endpoint{"a": at("z0", 4, endpointHealth{}), "b": at("z1", 2, endpointHealth{})}, waited, "", "", 250 * time.Millisecond},
+		"local zone ejected, fresh":        {map[string]*endpoint{"a": at("z0", 0, blocked), "b": at("z1", 3, endpointHealth{})}, fresh, "", "b", 0},
+		"local zone probing, full":         {map[string]*endpoint{"a": at("z0", 1, needsProbe), "b": at("z1", 3, endpointHealth{})}, fresh, "", "b", 0},
+		"ejected":                          {map[string]*endpoint{"a": at("z0", 0, blocked)}, fresh, "", "", 50 * time.Millisecond},
+		"probing":                          {map[string]*endpoint{"a": at("z0", 0, needsProbe)}, fresh, "", "a", 0},
+		"probing, one delivery in flight":  {map[string]*endpoint{"a": at("z0", 1, needsProbe)}, fresh, "", "", 250 * time.Millisecond},
+		"probing or healthy":               {map[string]*endpoint{"a": at("z0", 0, needsProbe), "b": at("z0", 3, endpointHealth{})}, fresh, "", "b", 0},
+		"slow start or healthy":            {map[string]*endpoint{"a": at("z0", 0, endpointHealth{slowStartUntil: now.Add(1)}), "b": at("z0", 1, endpointHealth{})}, fresh, "", "b", 0},
+		"slow start or loaded":             {map[string]*endpoint{"a": at("z0", 0, endpointHealth{slowStartUntil: now.Add(1)}), "b": at("z0", 3, endpointHealth{})}, fresh, "", "a", 0},
+		"failed there, another available":  {map[string]*endpoint{"a": at("z0", 0, endpointHealth{}), "b": at("z1", 1, endpointHealth{})}, waited, "a", "b", 0},
+		"failed there, no other available": {map[string]*endpoint{"a": at("z0", 0, endpointHealth{})}, fresh, "a", "a", 0},
+		"high failure rate":                {map[string]*endpoint{"a": at("z0", 0, endpointHealth{failureRate: 0.4}), "b": at("z0", 3, endpointHealth{failureRate: 0.1})}, fresh, "", "b", 0},
 	} {
 		s := newScheduler(t, 1)
 		s.config.Settings.Zone, s.config.Settings.Region = "z0", "r0"
@@ -52,14 +52,14 @@
 		}
 		s.endpoints["x"] = c.endpoints
 		m := &message{record: &partition.Record{}, eligibleSince: now.Add(-c.age), lastEndpoint: c.last}
-		for range 20 { // the jitter does not decide any of these
+		for range 20 { // the jitter must not change the result
 			e, wait := s.pickEndpointLocked(&configuration.Service{Name: "x"}, m, now)
 			got := ""
 			if e != nil {
 				got = e.ID
 			}
 			if got != c.want || got == "" && wait != c.wait {
-				t.Errorf("%s: picked %q, or wait %v", name, got, wait)
+				t.Errorf("%s: picked %q, wait %v", name, got, wait)
 				break
 			}
 		}
@@ -79,7 +79,7 @@
 		e.inFlight++
 	}
 	if e, _ := s.pickEndpointLocked(service, m, time.Now()); e != nil {
-		t.Errorf("picked %+v beyond its connections", e)
+		t.Errorf("picked %+v above its capacity", e)
 	}
 	service.StaticEndpoint = ""
 	if e, _ := s.pickEndpointLocked(service, m, time.Now()); e == nil || e.ID != "i" {
--- a/internal/delivery/queue_test.go
+++ b/internal/delivery/queue_test.go
@@ -11,15 +11,15 @@
 	now := time.Now()
 	at := func(d time.Duration) time.Time { return now.Add(d * time.Millisecond) }
 	for name, c := range map[string]struct {
-		messages []message // named a, b, c ...
+		messages []message // with the IDs a, b, c, ...
 		want     string
 	}{
-		"latest start first":  {[]message{{startBy: at(30)}, {startBy: at(10)}, {startBy: at(20)}}, "bca"},
-		"priority first":      {[]message{{priority: 2, startBy: at(10)}, {priority: 1, startBy: at(20)}}, "ba"},
-		"late ones last":      {[]message{{startBy: at(-10), overdueAt: at(10)}, {startBy: at(10)}}, "ba"},
-		"oldest late first":   {[]message{{startBy: at(-10), eligibleSince: at(-50), overdueAt: at(10)}, {startBy: at(-20), eligibleSince: at(-90), overdueAt: at(10)}}, "ba"},
-		"overdue before late": {[]message{{startBy: at(-10), eligibleSince: at(-50), overdueAt: at(10)}, {startBy: at(-20), eligibleSince: at(-90), overdueAt: at(-1)}}, "ba"},
-		"not due":             {[]message{{due: at(1)}, {startBy: at(10)}}, "b"},
+		"earliest startBy first": {[]message{{startBy: at(30)}, {startBy: at(10)}, {startBy: at(20)}}, "bca"},
+		"priority first":         {[]message{{priority: 2, startBy: at(10)}, {priority: 1, startBy: at(20)}}, "ba"},
+		"late last":              {[]message{{startBy: at(-10), overdueAt: at(10)}, {startBy: at(10)}}, "ba"},
+		"oldest late first":      {[]message{{startBy: at(-10), eligibleSince: at(-50), overdueAt: at(10)}, {startBy: at(-20), eligibleSince: at(-90), overdueAt: at(10)}}, "ba"},
+		"overdue before late":    {[]message{{startBy: at(-10), eligibleSince: at(-50), overdueAt: at(10)}, {startBy: at(-20), eligibleSince: at(-90), overdueAt: at(-1)}}, "ba"},
+		"not due":                {[]message{{due: at(1)}, {startBy: at(10)}}, "b"},
 	} {
 		q := &serviceQueue{}
 		for i := range c.messages {
@@ -33,27 +33,27 @@
 			got = append(got, m)
 		}
 		if ids(got) != c.want || q.dueCount() != 0 {
-			t.Errorf("%s: %s, %d left", name, ids(got), q.dueCount())
+			t.Errorf("%s: order %s, %d left", name, ids(got), q.dueCount())
 		}
 	}
 }
 
-func TestOverdueLateMessageGoesBeforeFreshOnes(t *testing.T) {
+func TestOverdueMessagePrecedesOthers(t *testing.T) {
 	now := time.Now()
 	q := &serviceQueue{}
 	late := &message{record: &partition.Record{ID: "late"}, startBy: now.Add(-time.Second), overdueAt: now.Add(time.Second)}
 	q.requeue(late)
 	q.requeue(&message{record: &partition.Record{ID: "fresh"}, startBy: now.Add(time.Hour)})
 	if m := q.pop(now); m.record.ID != "fresh" {
-		t.Fatalf("%s goes first", m.record.ID)
+		t.Fatalf("%s is first, want fresh", m.record.ID)
 	}
 	q.requeue(&message{record: &partition.Record{ID: "fresh"}, startBy: now.Add(time.Hour)})
 	if m := q.pop(now.Add(2 * time.Second)); m != late {
-		t.Errorf("%s goes before the overdue one", m.record.ID)
+		t.Errorf("%s precedes the overdue message", m.record.ID)
 	}
 }
 
-func TestEndedMessagesAreDropped(t *testing.T) {
+func TestReleaseDueDropsFinishedMessages(t *testing.T) {
 	q := &serviceQueue{}
 	q.schedule(&message{finished: true})
 	if q.releaseDue(time.Now()); q.dueCount() != 0 || len(q.scheduled) != 0 {
@@ -65,11 +65,11 @@
 	now := time.Now()
 	q := &serviceQueue{}
 	if got := q.timeUntilNextDue(now, time.Second); got != time.Second {
-		t.Errorf("an empty queue: %v", got)
+		t.Errorf("empty queue: %v, want 1s", got)
 	}
 	q.schedule(&message{due: now.Add(time.Minute)})
 	q.schedule(&message{due: now.Add(time.Millisecond)})
 	if got := q.timeUntilNextDue(now, time.Second); got != time.Millisecond {
-		t.Errorf("%v", got)
+		t.Errorf("next message due in %v, want 1ms", got)
 	}
 }
--- a/internal/delivery/reconcile.go
+++ b/internal/delivery/reconcile.go
@@ -46,12 +46,12 @@
 func (t endpointTable) remove(e *endpoint) {
 	e.removed = true
 	if !e.static || e.inFlight == 0 {
-		t.delete(e)
+		t.discard(e)
 	}
 }
 
-// delete deletes an endpoint from the table, unless another one has its key by now.
-func (t endpointTable) delete(e *endpoint) {
+// discard deletes an endpoint from the table, unless another one has its key by now.
+func (t endpointTable) discard(e *endpoint) {
 	if list := t[e.Service]; list[e.key()] == e {
 		delete(list, e.key())
 	}
@@ -62,7 +62,7 @@
 func (s *Scheduler) releaseEndpointLocked(e *endpoint) {
 	e.inFlight--
 	if e.removed && e.inFlight == 0 {
-		s.endpoints.delete(e)
+		s.endpoints.discard(e)
 		s.closeIdleLocked(e)
 	}
 }
--- a/internal/delivery/scheduler_bench_test.go
+++ b/internal/delivery/scheduler_bench_test.go
@@ -12,7 +12,7 @@
 	"saltreel/internal/partition"
 )
 
-// fill hands n messages in that are due in an hour, over all destinations.
+// fill adds n messages that are due in an hour, distributed over all destinations.
 func fill(s *Scheduler, n, destinations int) {
 	var records []*partition.Record
 	for i := range n {
@@ -22,7 +22,7 @@
 	s.step(context.Background(), []partition.Event{{Partition: 0, BecamePrimary: true, Records: records}})
 }
 
-// BenchmarkQueue takes the first of 100,000 waiting messages and puts it back.
+// BenchmarkQueue pops the first of 100,000 queued messages and requeues it.
 func BenchmarkQueue(b *testing.B) {
 	const n = 100000
 	q := &serviceQueue{}
@@ -36,7 +36,8 @@
 	}
 }
 
-// BenchmarkHeld is what the scheduler holds of a waiting message beside its record.
+// BenchmarkHeld measures the memory that the scheduler uses per pending message, without its
+// record.
 func BenchmarkHeld(b *testing.B) {
 	const n = 100000
 	var before, after runtime.MemStats
@@ -60,7 +61,7 @@
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/n, "held-B/message")
 }
 
-// BenchmarkStep is one look of the scheduler at its services when nothing is due.
+// BenchmarkStep measures one step of the scheduler when no message is due.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{10, 330, 1000, 44000} {
 		b.Run(fmt.Sprintf("destinations=%d", n), func(b *testing.B) {
@@ -74,7 +75,7 @@
 	}
 }
 
-// BenchmarkPickEndpoint picks among the endpoints of one service.
+// BenchmarkPickEndpoint picks one of n endpoints of a service.
 func BenchmarkPickEndpoint(b *testing.B) {
 	for _, n := range []int{3, 50} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
@@ -88,7 +89,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if e, _ := s.pickEndpointLocked(service, m, now); e == nil {
-					b.Fatal("none")
+					b.Fatal("no endpoint picked")
 				}
 			}
 		})
--- a/internal/delivery/scheduler_test.go
+++ b/internal/delivery/scheduler_test.go
@@ -22,8 +22,8 @@
 	"saltreel/internal/settings"
 )
 
-// newScheduler makes a scheduler whose configuration has a service with a static
-// endpoint for each destination.
+// newScheduler returns a scheduler whose configuration has one service with a static endpoint for
+// each destination.
 func newScheduler(tb testing.TB, destinations int) *Scheduler {
 	tb.Helper()
 	c := &configuration.Configuration{Revision: 1}
@@ -47,8 +47,7 @@
 	return s
 }
 
-// runScheduler runs a scheduler with one destination for a while of the test's
-// clock.
+// runScheduler runs a scheduler with one destination for the duration d of the fake clock.
 func runScheduler(t *testing.T, s *Scheduler, d time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -65,9 +64,8 @@
 	}
 }
 
-// schedulerOf makes a scheduler with one destination for these partitions and
-// this handler.
-func schedulerOf(t *testing.T, p *fakePartitions, h *fakeHandler) *Scheduler {
+// newSchedulerWith returns a scheduler with one destination, the given partitions and handler.
+func newSchedulerWith(t *testing.T, p *fakePartitions, h *fakeHandler) *Scheduler {
 	t.Helper()
 	s := newScheduler(t, 1)
 	s.config.Partitions = p
@@ -85,52 +83,52 @@
 		attempts int
 		finished []string
 	}{
-		"done at once":        {func(string, int) int { return 200 }, 1, []string{"m 2 seal-m"}},
-		"refused":             {func(string, int) int { return 422 }, 1, []string{"m 1 "}},
-		"failed once":         {func(_ string, nth int) int { return map[int]int{1: 500}[nth] + map[bool]int{true: 200}[nth > 1] }, 2, []string{"m 2 seal-m"}},
-		"failed always":       {func(string, int) int { return 500 }, 3, []string{"m 1 "}},
-		"declined, then done": {func(_ string, nth int) int { return map[bool]int{true: 503, false: 200}[nth < 5] }, 5, []string{"m 2 seal-m"}},
-		"in doubt, then done": {func(_ string, nth int) int { return map[bool]int{true: 502, false: 200}[nth < 3] }, 3, []string{"m 2 seal-m"}},
+		"done":                     {func(string, int) int { return 200 }, 1, []string{"m 2 seal-m"}},
+		"refused":                  {func(string, int) int { return 422 }, 1, []string{"m 1 "}},
+		"failed once":              {func(_ string, nth int) int { return map[int]int{1: 500}[nth] + map[bool]int{true: 200}[nth > 1] }, 2, []string{"m 2 seal-m"}},
+		"always failed":            {func(string, int) int { return 500 }, 3, []string{"m 1 "}},
+		"declined, then done":      {func(_ string, nth int) int { return map[bool]int{true: 503, false: 200}[nth < 5] }, 5, []string{"m 2 seal-m"}},
+		"indeterminate, then done": {func(_ string, nth int) int { return map[bool]int{true: 502, false: 200}[nth < 3] }, 3, []string{"m 2 seal-m"}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			p := newFakePartitions(partition.Event{BecamePrimary: true, Records: []*partition.Record{record("m", "", 1)}})
 			h := &fakeHandler{status: c.status}
-			s := schedulerOf(t, p, h)
+			s := newSchedulerWith(t, p, h)
 			runScheduler(t, s, time.Minute)
 			if len(h.attempts) != c.attempts || !reflect.DeepEqual(p.finished, c.finished) {
 				t.Errorf("%s: %d attempts, %q", name, len(h.attempts), p.finished)
 			}
 			if s.Pending() != 0 || !s.Idle(0) {
-				t.Errorf("%s: %d are pending, idle %v", name, s.Pending(), s.Idle(0))
+				t.Errorf("%s: %d pending, idle %v", name, s.Pending(), s.Idle(0))
 			}
 		})
 	}
 }
 
-func TestMessagesOfAnOrderKeyRunOneAfterAnother(t *testing.T) {
+func TestMessagesOfOrderKeyRunSequentially(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newFakePartitions(partition.Event{BecamePrimary: true, Records: []*partition.Record{
 			record("a", "k", 1), record("b", "k", 2), record("c", "k", 3),
 		}})
 		h := &fakeHandler{work: 10 * time.Millisecond, status: func(id string, nth int) int {
 			if id == "a" && nth == 1 {
-				return 500 // the others wait for its retry
+				return 500 // the other messages wait for the retry
 			}
 			return 200
 		}}
-		runScheduler(t, schedulerOf(t, p, h), time.Minute)
-		if want := []string{"a", "a", "b", "c"}; !slices.Equal(h.attempts, want) || h.most != 1 {
-			t.Errorf("attempts %q, %d at once", h.attempts, h.most)
+		runScheduler(t, newSchedulerWith(t, p, h), time.Minute)
+		if want := []string{"a", "a", "b", "c"}; !slices.Equal(h.attempts, want) || h.maxRunning != 1 {
+			t.Errorf("attempts %q, %d at once", h.attempts, h.maxRunning)
 		}
 	})
 }
 
-func TestNoDeliveryStartsWithoutTheLease(t *testing.T) {
+func TestNoDeliveryStartsWithoutLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newFakePartitions(partition.Event{BecamePrimary: true, Records: []*partition.Record{record("m", "", 1)}})
 		p.frozen = true
 		h := &fakeHandler{}
-		s := schedulerOf(t, p, h)
+		s := newSchedulerWith(t, p, h)
 		time.AfterFunc(10*time.Second, func() {
 			h.mu.Lock()
 			defer h.mu.Unlock()
@@ -146,30 +144,30 @@
 	})
 }
 
-func TestSchedulerDropsWhatItNeedNotDeliver(t *testing.T) {
+func TestSchedulerDropsUndeliverableMessages(t *testing.T) {
 	expired := record("expired", "", 1)
 	expired.Expires = 1
-	foreign := record("no route", "", 2)
-	foreign.Host = "elsewhere.example"
+	unrouted := record("no route", "", 2)
+	unrouted.Host = "elsewhere.example"
 	for name, c := range map[string]struct {
 		record   *partition.Record
-		ended    bool
+		remote   bool
 		lost     bool
 		finished []string
 	}{
-		"expired":           {record: expired, finished: []string{"expired 1 "}},
-		"no route":          {record: foreign, finished: []string{"no route 1 "}},
-		"ended elsewhere":   {record: record("m", "", 3), ended: true},
-		"primary elsewhere": {record: record("m", "", 4), lost: true},
+		"expired":                        {record: expired, finished: []string{"expired 1 "}},
+		"no route":                       {record: unrouted, finished: []string{"no route 1 "}},
+		"finished at another store":      {record: record("m", "", 3), remote: true},
+		"primary moved to another store": {record: record("m", "", 4), lost: true},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			p := newFakePartitions(partition.Event{BecamePrimary: true, Records: []*partition.Record{c.record}})
-			p.ended[c.record.ID] = c.ended
+			p.remote[c.record.ID] = c.remote
 			if c.lost {
 				p.events = append(p.events, partition.Event{LostPrimary: true})
 			}
 			h := &fakeHandler{}
-			s := schedulerOf(t, p, h)
+			s := newSchedulerWith(t, p, h)
 			runScheduler(t, s, time.Minute)
 			if len(h.attempts) != 0 || !reflect.DeepEqual(p.finished, c.finished) || s.Pending() != 0 || !s.Idle(0) {
 				t.Errorf("%s: %d attempts, finished %q, %d pending", name, len(h.attempts), p.finished, s.Pending())
@@ -184,7 +182,7 @@
 		r.Due = time.Now().Add(90 * time.Second).UnixMilli()
 		p := newFakePartitions(partition.Event{BecamePrimary: true, Records: []*partition.Record{r}})
 		h := &fakeHandler{}
-		s := schedulerOf(t, p, h)
+		s := newSchedulerWith(t, p, h)
 		time.AfterFunc(89*time.Second, func() {
 			if got := p.outcomes(); len(got) != 0 {
 				t.Errorf("finished early: %q", got)
@@ -197,18 +195,18 @@
 	})
 }
 
-func TestInstanceEventsDecideTheEndpoints(t *testing.T) {
+func TestInstanceEventsUpdateEndpoints(t *testing.T) {
 	const ready = `{"service":"a","address":"h:1","oper-state":"ready","slots":3,"instance-id":"i"}`
 	for name, c := range map[string]struct {
 		values []string // of the events of instance i, in order
-		want   string   // its service, if it has one
+		want   string   // service of the endpoint, or empty if there is none
 	}{
-		"ready":              {[]string{ready}, "a"},
-		"draining":           {[]string{ready, `{"service":"a","address":"h:1","oper-state":"draining","instance-id":"i"}`}, ""},
-		"never ready":        {[]string{`{"service":"a","address":"h:1","oper-state":"draining","instance-id":"i"}`}, ""},
-		"deleted":            {[]string{ready, `null`}, ""},
-		"of another service": {[]string{ready, `{"service":"b","address":"h:1","oper-state":"ready","instance-id":"i"}`}, "b"},
-		"unreadable":         {[]string{ready, `{"service":`}, "a"},
+		"ready":                    {[]string{ready}, "a"},
+		"draining":                 {[]string{ready, `{"service":"a","address":"h:1","oper-state":"draining","instance-id":"i"}`}, ""},
+		"never ready":              {[]string{`{"service":"a","address":"h:1","oper-state":"draining","instance-id":"i"}`}, ""},
+		"deleted":                  {[]string{ready, `null`}, ""},
+		"moved to another service": {[]string{ready, `{"service":"b","address":"h:1","oper-state":"ready","instance-id":"i"}`}, "b"},
+		"malformed":                {[]string{ready, `{"service":`}, "a"},
 	} {
 		s := newScheduler(t, 1)
 		for _, value := range c.values {
@@ -221,23 +219,23 @@
 			}
 		}
 		if got != c.want {
-			t.Errorf("%s: endpoint of %q, not of %q", name, got, c.want)
+			t.Errorf("%s: endpoint of service %q, want %q", name, got, c.want)
 		}
 	}
 }
 
-func TestRenewedInstanceRetainsItsHealth(t *testing.T) {
+func TestUpdatedInstanceKeepsHealth(t *testing.T) {
 	s := newScheduler(t, 1)
 	now := time.Now()
 	s.endpoints.update("i", handler.Instance{ID: "i", Service: "a", Slots: 3, WarmupMs: 1000}, now)
 	e := s.endpoints["a"]["i"]
 	if e.health.state(now) != slowStart || e.health.state(now.Add(time.Second)) != healthy {
-		t.Errorf("a new instance is %v, then %v", e.health.state(now), e.health.state(now.Add(time.Second)))
+		t.Errorf("state of a new instance: %v, after its warm-up: %v", e.health.state(now), e.health.state(now.Add(time.Second)))
 	}
 	e.health.recordOutcome(handler.NoResponse, now, s.timing)
 	s.endpoints.update("i", handler.Instance{ID: "i", Service: "a", Slots: 5}, now)
 	if got := s.endpoints["a"]["i"]; got != e || got.Slots != 5 || got.health.state(now) != ejected {
-		t.Errorf("after a renewal: %+v", got)
+		t.Errorf("after the update: %+v", got)
 	}
 }
 
@@ -255,40 +253,41 @@
 		config := complete
 		change(&config)
 		if _, err := New(config); err == nil {
-			t.Errorf("a scheduler without %s was made", name)
+			t.Errorf("configuration without %s was accepted", name)
 		}
 	}
 }
 
-// A new primary may learn of a message of an order key after a later one of that
-// key waits already: only the earlier one may run then.
-func TestEarlierMessageOfAnOrderKeyThatComesLaterRunsFirst(t *testing.T) {
+// Guards against messages of an order key that run in the wrong order, or concurrently, after a
+// change of the primary: the new primary may receive a message after a later one of its order
+// key is already queued.
+func TestEarlierMessageOfOrderKeyThatArrivesLateRunsFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newFakePartitions(partition.Event{BecamePrimary: true, Records: []*partition.Record{record("later", "k", 2)}})
 		p.setFrozen(true)
 		h := &fakeHandler{work: 100 * time.Millisecond}
-		s := schedulerOf(t, p, h)
+		s := newSchedulerWith(t, p, h)
 		time.AfterFunc(time.Second, func() {
 			p.mu.Lock()
 			p.events = append(p.events, partition.Event{Records: []*partition.Record{record("earlier", "k", 1)}})
 			p.mu.Unlock()
 			p.more <- struct{}{}
 		})
-		// A store compares its records for the last time some while before it may deliver.
+		// The last comparison of records with other stores precedes the permission to deliver.
 		time.AfterFunc(time.Second+s.timing.leaseRecheck()/2, func() { p.setFrozen(false) })
 		runScheduler(t, s, time.Minute)
-		if h.most != 1 || !slices.Equal(h.attempts, []string{"earlier", "later"}) {
-			t.Errorf("attempts %v, %d at once", h.attempts, h.most)
+		if h.maxRunning != 1 || !slices.Equal(h.attempts, []string{"earlier", "later"}) {
+			t.Errorf("attempts %v, %d at once", h.attempts, h.maxRunning)
 		}
 		if s.Pending() != 0 {
-			t.Errorf("%d are pending", s.Pending())
+			t.Errorf("%d pending", s.Pending())
 		}
 	})
 }
 
-// An event may replace an instance while deliveries to it are under way; the race
-// detector watches.
-func TestInstanceIsReplacedWhileDeliveriesAreUnderWay(t *testing.T) {
+// Guards against data races between deliveries and events that replace the instance of their
+// endpoint. The race detector reports them.
+func TestInstanceIsReplacedDuringDeliveries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var records []*partition.Record
 		for i := range 50 {
@@ -296,7 +295,7 @@
 		}
 		p := newFakePartitions(partition.Event{BecamePrimary: true, Records: records})
 		h := &fakeHandler{work: 20 * time.Millisecond}
-		s := schedulerOf(t, p, h)
+		s := newSchedulerWith(t, p, h)
 		table := configuration.NewTable(&configuration.Configuration{
 			Revision:     1,
 			RouteTable:   []*configuration.Route{{Name: "r", HostMatch: "h0.example", PathPrefix: "/", Service: "s", TimeoutMs: 500, MaxAttempts: 3, StartTargetMs: 600, RetentionS: 1e6}},
@@ -318,7 +317,7 @@
 			s.config.Pool.Forget(fmt.Sprintf("10.0.0.%d:80", i))
 		}
 		if len(p.outcomes()) != len(records) {
-			t.Errorf("%d of %d messages have ended", len(p.outcomes()), len(records))
+			t.Errorf("%d of %d messages finished", len(p.outcomes()), len(records))
 		}
 	})
 }
--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -85,8 +85,8 @@
 		{Entity{tenant, ""}, Entity{tenant, ""}},
 		{Entity{Default, ""}, Entity{tenant, ""}},
 	} {
-		if limit, ok := m.limits[candidate.limit]; ok {
-			return candidate.sensor, limit, true
+		if perSecond, ok := m.limits[candidate.limit]; ok {
+			return candidate.sensor, perSecond, true
 		}
 	}
 	return Entity{}, 0, false
--- a/internal/ratelimit/messages.go
+++ b/internal/ratelimit/messages.go
@@ -46,9 +46,7 @@
 // NotOwnerError means that another store owns the token bucket of the tenant.
 type NotOwnerError struct{ Tenant string }
 
-func (e *NotOwnerError) Error() string {
-	return "the token bucket of tenant " + e.Tenant + " is owned by another store"
-}
+func (e *NotOwnerError) Error() string { return "tenant " + e.Tenant + " is owned by another store" }
 
 // LimiterPartition returns the partition whose primary owns the token bucket of a tenant.
 func LimiterPartition(tenant string, partitions int) int {
