--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -62,6 +62,7 @@
 	m.limits[e] = perSecond
 }
 
+// RemoveLimit removes the limit of an entity.
 func (m *Manager) RemoveLimit(e Entity) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -51,6 +51,7 @@
 	active  bool               // tokens were granted since the last reconcile
 }
 
+// NewLimiter returns a limiter without buckets.
 func NewLimiter(config LimiterConfig) (*Limiter, error) {
 	if err := config.check(); err != nil {
 		return nil, err
--- a/internal/ratelimit/messages.go
+++ b/internal/ratelimit/messages.go
@@ -38,7 +38,7 @@
 var (
 	// ErrNoConfiguration means that the limits of the tenants are not known yet.
 	ErrNoConfiguration = errors.New("no configuration is known here")
-	// ErrCallerTimedOut means that the request was cancelled before it was processed. No
+	// ErrCallerTimedOut means that the request was canceled before it was processed. No
 	// tokens are granted then, since the tenant would lose them.
 	ErrCallerTimedOut = errors.New("the caller timed out; no tokens were granted")
 )
