--- a/internal/delivery/scheduler.go
+++ b/internal/delivery/scheduler.go
@@ -1,7 +1,7 @@
-// Package delivery schedules the messages of the partitions that a store is
-// primary of: what is due, in which order, to which endpoint of its service, how
-// fast, and when again after a failure. Endpoints that fail are ejected for a
-// while, as the outlier detection of Envoy does it.
+// Package delivery schedules the deliveries of messages in the partitions that a store is
+// primary of: when and in which order messages are sent, to which endpoint of their service,
+// at which rate, and when they are retried after a failure. Failing endpoints are ejected
+// for a time, similar to the outlier detection of Envoy.
 package delivery
 
 import (
@@ -18,79 +18,79 @@
 	"saltreel/internal/settings"
 )
 
-// Partitions is what the scheduler needs of the partitions of its store.
+// Partitions is the interface of the scheduler to the partitions of its store.
 type Partitions interface {
 	// Events returns the changes since the last call, in order, and a channel
 	// that receives when there may be more.
 	Events() ([]partition.Event, <-chan struct{})
-	// Now is the wall clock in milliseconds, without its steps.
+	// Now returns wall-clock time in milliseconds, unaffected by clock steps.
 	Now() int64
-	// MayDeliver reports whether deliveries of a partition may start here now.
+	// MayDeliver reports whether this store may start deliveries of a partition now.
 	MayDeliver(partition int) bool
-	// IsPending reports whether a message has not ended, as far as is known here.
+	// IsPending reports whether a message is not finished, as far as this store knows.
 	IsPending(partition int, id string) bool
-	// Finish records how a message ended.
+	// Finish records the final state of a message.
 	Finish(partition int, id string, state partition.State, seal string)
 }
 
-// Config is what a Scheduler needs; all fields must be set.
+// Config configures a Scheduler. All fields must be set.
 type Config struct {
-	Partitions Partitions
-	Pool       *httpwire.Pool // to the endpoints
-	Settings   *settings.Settings
-	Log        *log.Logger
-	Table      func() *configuration.Table // the newest configuration; nil before the first
-	Bytes      *quota.Manager              // delivery bytes
+	Partitions    Partitions
+	Pool          *httpwire.Pool // connections to the endpoints
+	Settings      *settings.Settings
+	Log           *log.Logger
+	Table         func() *configuration.Table // returns the newest configuration, or nil before the first one is known
+	DeliveryBytes *quota.Manager              // quota of bytes sent to handlers
 }
 
 func (c *Config) check() error {
-	if c.Partitions == nil || c.Pool == nil || c.Settings == nil || c.Log == nil || c.Table == nil || c.Bytes == nil {
-		return errors.New("delivery: the configuration of the scheduler is incomplete")
+	if c.Partitions == nil || c.Pool == nil || c.Settings == nil || c.Log == nil || c.Table == nil || c.DeliveryBytes == nil {
+		return errors.New("delivery: incomplete scheduler configuration")
 	}
 	if c.Settings.Contact() <= 0 {
-		return errors.New("delivery: the contact timeout must be above 0")
+		return errors.New("delivery: the contact timeout must be positive")
 	}
 	return nil
 }
 
 // Scheduler delivers the messages of the partitions that this store is primary of.
 type Scheduler struct {
-	config   Config
-	timing   timing
-	inFlight inFlightCounter
-	wake     chan struct{}
-	attempts sync.WaitGroup
-	breakOff context.CancelFunc // ends answering
-	// answering is the context of all attempts: it ends when no answer is to be read any more.
-	answering context.Context
-
-	mu         sync.Mutex
-	endBy      time.Time                // when the process is to end; zero while it is not
-	queues     map[string]*serviceQueue // by service
-	endpoints  endpointTable
-	reconciled *configuration.Table // the configuration that the queues and endpoints follow
-	partitions map[int]*partitionMessages
+	config         Config
+	timing         timing
+	inFlight       inFlightCounter
+	wake           chan struct{}
+	attemptTasks   sync.WaitGroup
+	cancelAttempts context.CancelFunc // cancels attemptCtx
+	// attemptCtx is the context of all attempts. It is canceled at the shutdown deadline.
+	attemptCtx context.Context
+
+	mu               sync.Mutex
+	shutdownDeadline time.Time                // zero unless the process is shutting down
+	queues           map[string]*serviceQueue // by service
+	endpoints        endpointTable
+	appliedTable     *configuration.Table // configuration that queues and endpoints are reconciled with
+	partitions       map[int]*partitionMessages
 }
 
-// New makes a scheduler without messages.
+// New returns a scheduler without messages.
 func New(config Config) (*Scheduler, error) {
 	if err := config.check(); err != nil {
 		return nil, err
 	}
-	answering, breakOff := context.WithCancel(context.Background())
+	attemptCtx, cancelAttempts := context.WithCancel(context.Background())
 	return &Scheduler{
-		answering:  answering,
-		breakOff:   breakOff,
-		config:     config,
-		timing:     timing{config.Settings.Contact()},
-		wake:       make(chan struct{}, 1),
-		queues:     map[string]*serviceQueue{},
-		endpoints:  endpointTable{},
-		partitions: map[int]*partitionMessages{},
+		attemptCtx:     attemptCtx,
+		cancelAttempts: cancelAttempts,
+		config:         config,
+		timing:         timing{config.Settings.Contact()},
+		wake:           make(chan struct{}, 1),
+		queues:         map[string]*serviceQueue{},
+		endpoints:      endpointTable{},
+		partitions:     map[int]*partitionMessages{},
 	}, nil
 }
 
-// wakeUp makes Run look at the queues soon.
+// wakeUp makes Run start another step.
 func (s *Scheduler) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
@@ -98,25 +98,27 @@
 	}
 }
 
-// EndBy says when the process is to end: deliveries that may take longer begin no more,
-// and those in flight then are broken off, so that no answer is read any more.
-func (s *Scheduler) EndBy(end time.Time) {
+// SetShutdownDeadline sets when the process ends. Deliveries that may take longer are not
+// started, and those in flight at the deadline are canceled, so that no response is read
+// after it: its outcome could not be recorded any more.
+func (s *Scheduler) SetShutdownDeadline(deadline time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.endBy = end
-	time.AfterFunc(time.Until(end), s.breakOff)
+	s.shutdownDeadline = deadline
+	time.AfterFunc(time.Until(deadline), s.cancelAttempts)
 }
 
-// mayEndInTimeLocked reports whether a delivery that begins now ends before the process.
-func (s *Scheduler) mayEndInTimeLocked(route *configuration.Route, now time.Time) bool {
-	return s.endBy.IsZero() || !now.Add(routeTimeout(route)).After(s.endBy)
+// fitsBeforeShutdownLocked reports whether a delivery that starts now ends before the shutdown
+// deadline, even if it times out.
+func (s *Scheduler) fitsBeforeShutdownLocked(route *configuration.Route, now time.Time) bool {
+	return s.shutdownDeadline.IsZero() || !now.Add(routeTimeout(route)).After(s.shutdownDeadline)
 }
 
 // Idle reports whether no delivery of a partition is in flight.
 func (s *Scheduler) Idle(partition int) bool { return s.inFlight.count(partition) == 0 }
 
-// Run schedules until ctx ends, then waits for the deliveries in flight: until EndBy at
-// the longest.
+// Run schedules deliveries until ctx is done, then waits for those in flight, until the
+// shutdown deadline at the latest.
 func (s *Scheduler) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -125,7 +127,7 @@
 		timer.Reset(s.step(ctx, events))
 		select {
 		case <-ctx.Done():
-			s.attempts.Wait()
+			s.attemptTasks.Wait()
 			return
 		case <-more:
 		case <-s.wake:
@@ -134,7 +136,8 @@
 	}
 }
 
-// step applies events, starts what can be started, and returns when to look again.
+// step applies events, starts the deliveries that can start, and returns the time until the
+// next step.
 func (s *Scheduler) step(ctx context.Context, events []partition.Event) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,7 +146,7 @@
 	for _, e := range events {
 		s.applyPartitionEventLocked(e, now)
 	}
-	next := s.timing.idle()
+	next := s.timing.maxPollInterval()
 	if ctx.Err() == nil {
 		for _, q := range s.queues {
 			next = min(next, s.dispatchLocked(q, now))
@@ -152,12 +155,12 @@
 	return max(next, time.Millisecond)
 }
 
-// applyPartitionEventLocked follows the role of this store in a partition, and
-// takes over new messages.
+// applyPartitionEventLocked applies a change of the role of this store in a partition, and adds
+// new messages.
 func (s *Scheduler) applyPartitionEventLocked(e partition.Event, now time.Time) {
 	if e.BecamePrimary || e.LostPrimary {
 		if p := s.partitions[e.Partition]; p != nil {
-			p.endAll()
+			p.finishAll()
 		}
 		delete(s.partitions, e.Partition)
 	}
@@ -174,7 +177,7 @@
 	}
 }
 
-// addLocked takes over one message; one that is known already is ignored.
+// addLocked adds one message, unless it is already known.
 func (s *Scheduler) addLocked(p *partitionMessages, r *partition.Record, now time.Time) {
 	if p.byID[r.ID] != nil {
 		return
@@ -189,9 +192,9 @@
 	}
 }
 
-// enqueueLocked puts a message on the queue of its service.
+// enqueueLocked schedules a message in the queue of its service.
 func (s *Scheduler) enqueueLocked(m *message) {
-	if m.ended || m.running || m.queued {
+	if m.finished || m.running || m.queued {
 		return
 	}
 	service := ""
@@ -211,15 +214,15 @@
 	q.schedule(m)
 }
 
-// endLocked removes a message and lets the next of its order key go.
-func (s *Scheduler) endLocked(m *message) {
-	m.ended = true
+// finishLocked removes a message and enqueues the next one of its order key.
+func (s *Scheduler) finishLocked(m *message) {
+	m.finished = true
 	if next := m.partition.remove(m); next != nil {
 		s.enqueueLocked(next)
 	}
 }
 
-// Pending returns how many messages wait here.
+// Pending returns the number of messages that are not finished.
 func (s *Scheduler) Pending() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/ratelimit/leases.go
+++ b/internal/ratelimit/leases.go
@@ -10,107 +10,106 @@
 	"saltreel/internal/quota"
 )
 
-// Caller makes calls to the system's own processes, as *rpc.Client does.
+// Caller sends RPCs to other processes of the system; *rpc.Client implements it.
 type Caller interface {
 	Call(ctx context.Context, address, path string, in any, raw []byte, out any) error
 }
 
-// Leases is the edge's side: it leases quota from the owners of the tenants
-// ahead of demand, and admits messages out of it.
+// Leases is the edge side of rate limiting: it leases tokens from the owners of the
+// tenants ahead of demand, and admits messages with them.
 type Leases struct {
 	client    Caller
 	placement func() *placement.Placement
 	timing    timing
 
-	mu      sync.Mutex
-	tenants map[string]*lease
-	running context.Context // of Run: no request outlives it; nil before
+	mu     sync.Mutex
+	leases map[string]*lease
+	runCtx context.Context // context of Run, which bounds all requests; nil before Run
 }
 
-// NewLeases makes the edge's side without any lease. Placement returns the newest
-// placement, nil before the first.
+// NewLeases returns a Leases without any lease. The placement function returns the newest
+// placement, or nil before the first one is known.
 func NewLeases(client Caller, placement func() *placement.Placement, contactTimeout time.Duration) *Leases {
-	return &Leases{client: client, placement: placement, timing: timing{contactTimeout}, tenants: map[string]*lease{}}
+	return &Leases{client: client, placement: placement, timing: timing{contactTimeout}, leases: map[string]*lease{}}
 }
 
-// timing derives the times of the leases from the contact timeout.
+// timing derives all durations from the contact timeout.
 type timing struct{ contactTimeout time.Duration }
 
-// round is how often demand is measured and leases are renewed: leases of a few
-// rounds follow the demand, at one call in a round to each owner.
-func (t timing) round() time.Duration { return t.contactTimeout / 16 }
+// renewalInterval is how often demand is measured and leases are renewed. Leases cover a
+// few intervals, so that they follow the demand at one call per interval and owner.
+func (t timing) renewalInterval() time.Duration { return t.contactTimeout / 16 }
 
-// request is how long a request to an owner may take: one round.
-func (t timing) request() time.Duration { return t.round() }
+// requestTimeout bounds a request to an owner.
+func (t timing) requestTimeout() time.Duration { return t.renewalInterval() }
 
-// suspect is how long a message waits for an owner's answer until it may be
-// admitted without.
-func (t timing) suspect() time.Duration { return t.contactTimeout / 40 }
+// suspicionTimeout is how long a message waits for the response of an owner before the
+// owner is considered unreachable and the message may be admitted without a lease.
+func (t timing) suspicionTimeout() time.Duration { return t.contactTimeout / 40 }
 
-// retry is the time between two requests to an owner that does not answer.
-func (t timing) retry() time.Duration { return t.contactTimeout / 80 }
+// retryInterval is the minimum time between two requests to an unreachable owner.
+func (t timing) retryInterval() time.Duration { return t.contactTimeout / 80 }
 
-// ThrottleTime is how long to throttle a tenant that was refused: what this edge
-// observed of it, in messages a second, against what it was granted here, or
-// against its whole limit where nothing was.
+// ThrottleTime returns how long to throttle a tenant whose message was refused. It compares
+// the observed rate at this edge, in messages per second, with the rate granted to this
+// edge, or with the whole limit of the tenant if nothing was granted here.
 func (l *Leases) ThrottleTime(tenant *configuration.Tenant, observed float64) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	bound := tenant.RatePerS
-	if x := l.tenants[tenant.Name]; x != nil && x.grantRate > 0 {
-		bound = min(bound, x.grantRate)
+	limit := tenant.RatePerS
+	if ls := l.leases[tenant.Name]; ls != nil && ls.grantRate > 0 {
+		limit = min(limit, ls.grantRate)
 	}
-	return quota.ThrottleTime(observed, bound)
+	return quota.ThrottleTime(observed, limit)
 }
 
-// Acquire admits one message of a tenant and returns 0; if the tenant is over
-// its limit, it returns how long to wait. While the owner is unreachable nobody
-// knows whether it is, so the message waits for it, as it would for its store,
-// until ctx ends.
+// Acquire admits one message of a tenant and returns 0, or returns how long to wait if the
+// tenant is over its limit. While the owner is unreachable this is not known, so the
+// message waits for the owner until ctx is done, as it would wait for its store.
 func (l *Leases) Acquire(ctx context.Context, tenant *configuration.Tenant) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	x := l.tenants[tenant.Name]
-	if x == nil {
-		x = &lease{}
-		l.tenants[tenant.Name] = x
+	ls := l.leases[tenant.Name]
+	if ls == nil {
+		ls = &lease{}
+		l.leases[tenant.Name] = ls
 	}
-	x.demand++
-	x.waiting++
-	defer func() { x.waiting-- }()
+	ls.demand++
+	ls.waiting++
+	defer func() { ls.waiting-- }()
 	for ctx.Err() == nil {
 		now := time.Now()
-		switch x.admit(now, l.timing.retry()) {
+		switch ls.admit(now, l.timing.retryInterval()) {
 		case admitted:
 			return 0
 		case overLimit:
-			return x.refusedUntil.Sub(now)
+			return ls.refusedUntil.Sub(now)
 		case retryLater:
-			l.waitReleasingLock(ctx, nil, l.timing.retry())
+			l.waitReleasingLock(ctx, nil, l.timing.retryInterval())
 		case awaitResponse:
-			l.awaitResponse(ctx, x, tenant.Name, now)
+			l.awaitResponse(ctx, ls, tenant.Name, now)
 		}
 	}
 	return quota.Window / 2
 }
 
-// awaitResponse waits for the answer to the request under way, or to a new one,
-// and notes if it does not come soon. It is called and returns with the lock.
-func (l *Leases) awaitResponse(ctx context.Context, x *lease, tenant string, now time.Time) {
-	if x.pending == nil {
-		x.pending = make(chan struct{})
-		x.requested = now
-		go l.request(context.WithoutCancel(ctx), []string{tenant})
+// awaitResponse waits for the response to the request in flight, or to a new one, and marks
+// the owner as unreachable if it takes too long. The caller holds l.mu.
+func (l *Leases) awaitResponse(ctx context.Context, ls *lease, tenant string, now time.Time) {
+	if ls.pending == nil {
+		ls.pending = make(chan struct{})
+		ls.requestedAt = now
+		go l.requestLeases(context.WithoutCancel(ctx), []string{tenant})
 	}
-	pending := x.pending
-	l.waitReleasingLock(ctx, pending, l.timing.suspect())
-	if x.pending == pending {
-		x.unreachable = true
+	pending := ls.pending
+	l.waitReleasingLock(ctx, pending, l.timing.suspicionTimeout())
+	if ls.pending == pending {
+		ls.unreachable = true
 	}
 }
 
-// waitReleasingLock waits without the lock until done is closed, d is over or ctx
-// ends, and returns with the lock.
+// waitReleasingLock releases l.mu, waits until done is closed, d has elapsed or ctx is done,
+// and locks l.mu again.
 func (l *Leases) waitReleasingLock(ctx context.Context, done <-chan struct{}, d time.Duration) {
 	l.mu.Unlock()
 	defer l.mu.Lock()
@@ -123,12 +122,12 @@
 	}
 }
 
-// Run renews the leases ahead of demand, round by round, until ctx ends.
+// Run renews the leases ahead of demand once per renewal interval, until ctx is done.
 func (l *Leases) Run(ctx context.Context) {
 	l.mu.Lock()
-	l.running = ctx
+	l.runCtx = ctx
 	l.mu.Unlock()
-	tick := time.NewTicker(l.timing.round())
+	tick := time.NewTicker(l.timing.renewalInterval())
 	defer tick.Stop()
 	for {
 		select {
@@ -136,106 +135,106 @@
 			return
 		case <-tick.C:
 		}
-		if tenants := l.endRound(time.Now()); len(tenants) > 0 {
-			go l.request(ctx, tenants)
+		if tenants := l.startRenewal(time.Now()); len(tenants) > 0 {
+			go l.requestLeases(ctx, tenants)
 		}
 	}
 }
 
-// endRound measures demand, drops the leases of idle tenants, and returns the
-// tenants whose leases are to be renewed.
-func (l *Leases) endRound(now time.Time) []string {
+// startRenewal updates the measured rates, deletes the leases of idle tenants, and returns
+// the tenants whose leases must be renewed; it marks their requests as in flight.
+func (l *Leases) startRenewal(now time.Time) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	round := l.timing.round()
+	interval := l.timing.renewalInterval()
 	var tenants []string
-	for name, x := range l.tenants {
-		x.endRound(now, round)
-		if x.forgettable(now) {
-			delete(l.tenants, name)
+	for name, ls := range l.leases {
+		ls.updateRates(now, interval)
+		if ls.evictable(now) {
+			delete(l.leases, name)
 		}
-		if x.needsRenewal(now, round) {
-			x.pending = make(chan struct{})
-			x.requested = now
+		if ls.needsRenewal(now, interval) {
+			ls.pending = make(chan struct{})
+			ls.requestedAt = now
 			tenants = append(tenants, name)
 		}
 	}
 	return tenants
 }
 
-// request leases quota of tenants from their owners, and ends their pending
-// requests.
-func (l *Leases) request(ctx context.Context, tenants []string) {
-	ctx, cancel := context.WithTimeout(ctx, l.timing.request())
+// requestLeases requests tokens for tenants from their owners, waits for the responses, and
+// wakes up the messages that wait for them.
+func (l *Leases) requestLeases(ctx context.Context, tenants []string) {
+	ctx, cancel := context.WithTimeout(ctx, l.timing.requestTimeout())
 	defer cancel()
 	p := l.placement()
 	l.mu.Lock()
-	if l.running != nil {
-		defer context.AfterFunc(l.running, cancel)()
+	if l.runCtx != nil {
+		defer context.AfterFunc(l.runCtx, cancel)()
 	}
 	requests := l.requestsLocked(p, tenants)
 	l.mu.Unlock()
 	var calls sync.WaitGroup
 	for owner, in := range requests {
-		calls.Go(func() { l.exchange(ctx, p.Stores[owner].Address, in) })
+		calls.Go(func() { l.sendRequest(ctx, p.Stores[owner].Address, in) })
 	}
 	calls.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, name := range tenants {
-		if x := l.tenants[name]; x != nil && x.pending != nil {
-			close(x.pending)
-			x.pending = nil
+		if ls := l.leases[name]; ls != nil && ls.pending != nil {
+			close(ls.pending)
+			ls.pending = nil
 		}
 	}
 }
 
-// requestsLocked makes one request for each owner of some of the tenants, by
-// the owner's name.
+// requestsLocked builds one request for each owner of the tenants, keyed by the name of the
+// owner.
 func (l *Leases) requestsLocked(p *placement.Placement, tenants []string) map[string]QuotaLeaseRequest {
 	requests := map[string]QuotaLeaseRequest{}
 	if p == nil || len(p.Partitions) == 0 {
 		return requests
 	}
 	for _, name := range tenants {
-		x := l.tenants[name]
-		if x == nil {
+		ls := l.leases[name]
+		if ls == nil {
 			continue
 		}
 		owner := p.Partitions[LimiterPartition(name, len(p.Partitions))].Primary
 		in, ok := requests[owner]
 		if !ok {
-			in = QuotaLeaseRequest{Partitions: len(p.Partitions), Wanted: map[string]float64{}, Returned: map[string]float64{}, Spent: map[string]float64{}}
+			in = QuotaLeaseRequest{Partitions: len(p.Partitions), Requested: map[string]float64{}, Returned: map[string]float64{}, AdmittedUnleased: map[string]float64{}}
 			requests[owner] = in
 		}
-		x.addTo(&in, name, time.Now(), l.timing.round())
+		ls.addToRequest(&in, name, time.Now(), l.timing.renewalInterval())
 	}
 	return requests
 }
 
-// exchange sends a request to one owner and takes over what it grants.
-func (l *Leases) exchange(ctx context.Context, address string, in QuotaLeaseRequest) {
+// sendRequest sends a request to one owner and applies the grants of its response.
+func (l *Leases) sendRequest(ctx context.Context, address string, in QuotaLeaseRequest) {
 	sent := time.Now()
 	var out QuotaLeaseResponse
-	err := l.client.Call(ctx, address, Path, in, nil, &out)
+	err := l.client.Call(ctx, address, LeasePath, in, nil, &out)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	for name, wanted := range in.Wanted {
-		x := l.tenants[name]
-		if x == nil {
+	for name, requested := range in.Requested {
+		ls := l.leases[name]
+		if ls == nil {
 			continue
 		}
 		if err != nil {
-			x.unreachable = true
+			ls.unreachable = true
 			continue
 		}
 		grant := leaseGrant{
-			wanted:  wanted,
-			granted: out.Granted[name],
-			spent:   in.Spent[name],
-			retry:   time.Duration(out.WaitMs[name]) * time.Millisecond,
+			requested:        requested,
+			granted:          out.Granted[name],
+			admittedUnleased: in.AdmittedUnleased[name],
+			retryAfter:       time.Duration(out.RetryAfterMs[name]) * time.Millisecond,
 		}
-		x.renew(grant, sent, now, l.timing.round())
+		ls.applyGrant(grant, sent, now, l.timing.renewalInterval())
 	}
 }
