--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -109,8 +109,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		b, _ := newBroker(t)
 		lead(b, record(1, 1e9), record(2, 1e9))
-		out := follow(t, b, topic.FollowRequest{Session: "s", Begin: true, Follow: []topic.Followed{
-			{Topic: "t", Recent: true, After: partition.Position{Epoch: 1, Order: 1}, Subscribers: 3},
+		out := follow(t, b, topic.FollowRequest{Session: "s", Begin: true, Follow: []topic.FollowedTopic{
+			{Topic: "t", Replay: true, After: partition.Position{Epoch: 1, Order: 1}, Subscribers: 3},
 			{Topic: "elsewhere", Partition: 7},
 		}})
 		if state := out.Topics[0]; state.End.Order != 2 || state.Floor.Order != 0 || len(state.Entries) != 1 || string(state.Entries[0].Body) != "x" {
@@ -144,7 +144,7 @@
 		b, _ := newBroker(t)
 		lead(b)
 		begin := func(session string) {
-			follow(t, b, topic.FollowRequest{Session: session, Begin: true, Follow: []topic.Followed{{Topic: "t"}}})
+			follow(t, b, topic.FollowRequest{Session: session, Begin: true, Follow: []topic.FollowedTopic{{Topic: "t"}}})
 		}
 		begin("a")
 		for _, c := range []struct {
@@ -157,7 +157,7 @@
 			}
 		}
 		begin("b")
-		if out := follow(t, b, topic.FollowRequest{Session: "a", Drop: []string{"t"}}); !out.Unknown {
+		if out := follow(t, b, topic.FollowRequest{Session: "a", Unfollow: []string{"t"}}); !out.Unknown {
 			t.Error("a late call of a former session is obeyed")
 		}
 		b.applyEvents([]partition.Event{{Entries: []*partition.Record{record(1, 1e9)}}})
@@ -171,20 +171,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		b, _ := newBroker(t)
 		lead(b)
-		follow(t, b, topic.FollowRequest{Session: "s", Begin: true, Follow: []topic.Followed{{Topic: "t"}}})
+		follow(t, b, topic.FollowRequest{Session: "s", Begin: true, Follow: []topic.FollowedTopic{{Topic: "t"}}})
 		b.applyEvents([]partition.Event{{LostPrimary: true}})
-		if _, out := poll(t, b, "s", 1); !slices.Equal(out.Lost, []int{0}) {
-			t.Errorf("lost are %v", out.Lost)
+		if _, out := poll(t, b, "s", 1); !slices.Equal(out.LostPartitions, []int{0}) {
+			t.Errorf("lost are %v", out.LostPartitions)
 		}
 		lead(b)
-		follow(t, b, topic.FollowRequest{Session: "s", Follow: []topic.Followed{{Topic: "t"}}})
+		follow(t, b, topic.FollowRequest{Session: "s", Follow: []topic.FollowedTopic{{Topic: "t"}}})
 		big := record(1, 1e9)
 		big.Body = make([]byte, maxOutboxBytes)
 		b.applyEvents([]partition.Event{{Entries: []*partition.Record{big}}})
 		if _, out := poll(t, b, "s", 2); !out.Unknown {
 			t.Error("a session over its bound goes on")
 		}
-		follow(t, b, topic.FollowRequest{Session: "r", Begin: true, Follow: []topic.Followed{{Topic: "t", Subscribers: 1}}})
+		follow(t, b, topic.FollowRequest{Session: "r", Begin: true, Follow: []topic.FollowedTopic{{Topic: "t", Subscribers: 1}}})
 		time.Sleep(b.timing.sessionTimeout() + time.Millisecond)
 		b.sweep()
 		if _, out := poll(t, b, "r", 1); !out.Unknown || b.topics.byName["t"].count() != 0 {
@@ -197,8 +197,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		b, _ := newBroker(t)
 		lead(b, record(1, 1e9), record(2, 1e9))
-		out := follow(t, b, topic.FollowRequest{Session: "s", Begin: true, MaxBytes: 1, Follow: []topic.Followed{{Topic: "t", Recent: true}, {Topic: "u"}}})
-		if len(out.Topics[0].Entries) != 2 || out.Topics[0].Later || !out.Topics[1].Later || out.Topics[1].NotReady {
+		out := follow(t, b, topic.FollowRequest{Session: "s", Begin: true, MaxBytes: 1, Follow: []topic.FollowedTopic{{Topic: "t", Replay: true}, {Topic: "u"}}})
+		if len(out.Topics[0].Entries) != 2 || out.Topics[0].Deferred || !out.Topics[1].Deferred || out.Topics[1].NotReady {
 			t.Errorf("%+v", out.Topics)
 		}
 		b.applyEvents([]partition.Event{{Entries: []*partition.Record{record(3, 1e9), record(4, 1e9)}}})
@@ -215,7 +215,7 @@
 	b, f := newBroker(t)
 	lead(b, record(5, 2000), record(6, 3000), record(7, 4000))
 	state := func() topic.TopicState {
-		return follow(t, b, topic.FollowRequest{Session: "s", Begin: true, Follow: []topic.Followed{{Topic: "t", Recent: true}}}).Topics[0]
+		return follow(t, b, topic.FollowRequest{Session: "s", Begin: true, Follow: []topic.FollowedTopic{{Topic: "t", Replay: true}}}).Topics[0]
 	}
 	for _, c := range []struct{ now, floor, end, entries int64 }{{1000, 4, 7, 3}, {2500, 5, 7, 2}, {9000, 7, 7, 0}} {
 		f.now = c.now
@@ -224,7 +224,7 @@
 			t.Errorf("at %d: %+v", c.now, got)
 		}
 	}
-	follow(t, b, topic.FollowRequest{Session: "s", Drop: []string{"t"}})
+	follow(t, b, topic.FollowRequest{Session: "s", Unfollow: []string{"t"}})
 	f.now += 2 * forgetEmpty.Milliseconds()
 	b.sweep()
 	if len(b.topics.byName) != 0 {
@@ -264,12 +264,12 @@
 	}
 	lead(b, entries...)
 	const pageSize = 5 * (1000 + entryOverhead)
-	out := follow(t, b, topic.FollowRequest{Session: "s", Begin: true, MaxBacklog: pageSize, Follow: []topic.Followed{{Topic: "t", Recent: true}}})
+	out := follow(t, b, topic.FollowRequest{Session: "s", Begin: true, MaxBacklog: pageSize, Follow: []topic.FollowedTopic{{Topic: "t", Replay: true}}})
 	state := out.Topics[0]
 	if len(state.Entries) != 5 || state.Skipped != entries[34].Position() || state.End != entries[39].Position() {
 		t.Errorf("%d messages with the join, skipped up to %v, end %v", len(state.Entries), state.Skipped, state.End)
 	}
-	out = follow(t, b, topic.FollowRequest{Session: "s", Follow: []topic.Followed{{Topic: "t", Recent: true}}})
+	out = follow(t, b, topic.FollowRequest{Session: "s", Follow: []topic.FollowedTopic{{Topic: "t", Replay: true}}})
 	if state := out.Topics[0]; len(state.Entries) != 40 || state.Skipped != (partition.Position{}) {
 		t.Errorf("without a bound %d messages, skipped up to %v", len(state.Entries), state.Skipped)
 	}
--- a/internal/broker/calls.go
+++ b/internal/broker/calls.go
@@ -78,14 +78,14 @@
 		return &topic.FollowResponse{Unknown: true}, nil, nil
 	}
 	s.lastSeen = time.Now()
-	for _, name := range in.Drop {
+	for _, name := range in.Unfollow {
 		delete(s.topics, name)
 		b.topics.unfollow(name, s)
 	}
 	out := &topic.FollowResponse{}
 	bodies, size, bound := []byte{}, 0, answerBound(in.MaxBytes)
 	for _, f := range in.Follow {
-		state := topic.TopicState{Later: true}
+		state := topic.TopicState{Deferred: true}
 		if size < bound {
 			state = b.followLocked(s, f, in.MaxBacklog)
 		}
@@ -103,7 +103,7 @@
 
 // followLocked makes a session follow a topic: it gets the messages up to End now
 // and later ones by its polls.
-func (b *Broker) followLocked(s *session, f topic.Followed, maxBacklog int) topic.TopicState {
+func (b *Broker) followLocked(s *session, f topic.FollowedTopic, maxBacklog int) topic.TopicState {
 	if !b.topics.isReady(f.Partition) {
 		return topic.TopicState{NotReady: true}
 	}
@@ -112,7 +112,7 @@
 	t.followers[s] = true
 	b.setCountLocked(s, f.Topic, f.Subscribers)
 	state := topic.TopicState{End: t.end(), Floor: t.floor}
-	if f.Recent {
+	if f.Replay {
 		var newest []*partition.Record
 		state.Skipped, newest = newestWithin(partition.EntriesAfter(t.entries, f.After), maxBacklog)
 		state.Entries = entriesOf(newest)
@@ -139,7 +139,7 @@
 func entriesOf(records []*partition.Record) []topic.Entry {
 	var entries []topic.Entry
 	for _, r := range records {
-		entries = append(entries, topic.EntryOf(r))
+		entries = append(entries, topic.NewEntry(r))
 	}
 	return entries
 }
@@ -162,7 +162,7 @@
 		if size > bound && len(out.Entries) > 0 {
 			break
 		}
-		out.Entries = append(out.Entries, topic.EntryOf(r))
+		out.Entries = append(out.Entries, topic.NewEntry(r))
 		bodies = append(bodies, r.Body...)
 	}
 	return out, bodies, nil
@@ -223,11 +223,11 @@
 	}
 	s.polling = false
 	s.lastSeen = time.Now()
-	out := &topic.PollResponse{Unknown: s.ended, Lost: s.lost}
+	out := &topic.PollResponse{Unknown: s.ended, LostPartitions: s.lost}
 	s.lost = nil
 	bodies := []byte{}
 	for _, r := range s.take(maxBytes) {
-		out.Entries = append(out.Entries, topic.EntryOf(r))
+		out.Entries = append(out.Entries, topic.NewEntry(r))
 		bodies = append(bodies, r.Body...)
 	}
 	return out, bodies, nil
--- a/internal/gateway/feed.go
+++ b/internal/gateway/feed.go
@@ -44,11 +44,11 @@
 	link      *link // to the broker
 
 	state     feedState
-	request   topic.Followed     // the last that was made
-	early     []topic.Entry      // came while joining
-	earlyLost bool               // more of them came than are kept
-	position  partition.Position // of the last message
-	known     bool               // position is
+	request   topic.FollowedTopic // the last that was made
+	early     []topic.Entry       // came while joining
+	earlyLost bool                // more of them came than are kept
+	position  partition.Position  // of the last message
+	known     bool                // position is
 	recent    recentMessages
 	backlog   backlog
 
@@ -128,14 +128,14 @@
 // joinRequest is what to ask of the broker: the messages that some subscription
 // lacks, and all later ones. Those of the subscriptions that are behind are read
 // separately. subscribers is how many there are.
-func (f *feed) joinRequest(subscribers int) topic.Followed {
-	r := topic.Followed{Topic: f.topic, Partition: f.partition, Recent: f.known, After: f.position, Subscribers: subscribers}
+func (f *feed) joinRequest(subscribers int) topic.FollowedTopic {
+	r := topic.FollowedTopic{Topic: f.topic, Partition: f.partition, Replay: f.known, After: f.position, Subscribers: subscribers}
 	for s := range f.subscriptions {
 		if s.answered || s.behind || !s.resumes || f.known && !f.recent.isTrimmedAfter(s.cursor) {
 			continue
 		}
-		if !r.Recent || r.After.After(s.cursor) {
-			r.Recent, r.After = true, s.cursor
+		if !r.Replay || r.After.After(s.cursor) {
+			r.Replay, r.After = true, s.cursor
 		}
 	}
 	f.reported = subscribers
@@ -173,7 +173,7 @@
 // those that are here they are added; else they replace them.
 func (f *feed) rebuildRecent(state topic.TopicState) {
 	from := f.request.After
-	if !f.request.Recent {
+	if !f.request.Replay {
 		from = state.End
 	}
 	for _, missing := range []partition.Position{state.Floor, state.Skipped} {
--- a/internal/gateway/feed_test.go
+++ b/internal/gateway/feed_test.go
@@ -86,7 +86,7 @@
 }
 
 // answer is the answer to a join: what was polled before is on its way still.
-func (b *modelBroker) answer(r topic.Followed) topic.TopicState {
+func (b *modelBroker) answer(r topic.FollowedTopic) topic.TopicState {
 	state := topic.TopicState{}
 	if b.last > 0 {
 		state.End = at(b.last)
@@ -94,7 +94,7 @@
 	if b.floor > 0 {
 		state.Floor = at(b.floor)
 	}
-	if r.Recent {
+	if r.Replay {
 		for order := max(r.After.Order, b.floor) + 1; order <= b.last; order++ {
 			state.Entries = append(state.Entries, b.entry(order))
 		}
@@ -141,7 +141,7 @@
 		t.Fatalf("a feed that has not joined answers %q", fresh.lines)
 	}
 	r := f.joinRequest(2)
-	if !r.Recent || r.After != at(2) || r.Subscribers != 2 {
+	if !r.Replay || r.After != at(2) || r.Subscribers != 2 {
 		t.Fatalf("asks for %+v", r)
 	}
 	b.publish()
@@ -224,7 +224,7 @@
 	feed      *feed
 	recorders []*recorder
 	firsts    []int64 // of each recorder: the first order it is owed; -1 without a cursor
-	request   *topic.Followed
+	request   *topic.FollowedTopic
 	mustJoin  bool
 }
 
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -128,7 +128,7 @@
 	}
 	r = &topic.FollowRequest{Session: l.session.id, Begin: !l.session.begun, Counts: l.counts, MaxBytes: l.hub.answerBytes(), MaxBacklog: maxRecentBytes}
 	for name := range l.drops {
-		r.Drop = append(r.Drop, name)
+		r.Unfollow = append(r.Unfollow, name)
 	}
 	for name, f := range l.pending {
 		if len(r.Follow) == maxFollowed {
@@ -178,7 +178,7 @@
 	if f == nil {
 		return
 	}
-	if state.NotReady || state.Later {
+	if state.NotReady || state.Deferred {
 		f.rejoin()
 		l.pending[name] = f
 		if state.NotReady {
@@ -261,7 +261,7 @@
 			l.join(f)
 		}
 	}
-	for _, number := range out.Lost {
+	for _, number := range out.LostPartitions {
 		l.rejoinPartition(number)
 	}
 }
--- a/internal/topic/topic.go
+++ b/internal/topic/topic.go
@@ -64,23 +64,23 @@
 // sequence of calls of which none may be lost. A broker knows one session of each
 // gateway, the one begun last.
 type FollowRequest struct {
-	Gateway  string         `json:"g"`
-	Session  string         `json:"s"`
-	Begin    bool           `json:"begin,omitempty"` // the first call of the session
-	Follow   []Followed     `json:"f,omitempty"`
-	Drop     []string       `json:"d,omitempty"`   // topics to follow no longer
-	Counts   map[string]int `json:"c,omitempty"`   // of the gateway's subscribers, where they changed
-	MaxBytes int            `json:"max,omitempty"` // about as many the answer may have; 0: any
+	Gateway  string          `json:"g"`
+	Session  string          `json:"s"`
+	Begin    bool            `json:"begin,omitempty"` // the first call of the session
+	Follow   []FollowedTopic `json:"f,omitempty"`
+	Unfollow []string        `json:"d,omitempty"`   // topics to follow no longer
+	Counts   map[string]int  `json:"c,omitempty"`   // of the gateway's subscribers, where they changed
+	MaxBytes int             `json:"max,omitempty"` // about as many the answer may have; 0: any
 	// MaxBacklog bounds the bytes of messages of each topic; 0: any. Of more than that the
 	// newest are in the answer, and the gateway reads the others.
 	MaxBacklog int `json:"backlog,omitempty"`
 }
 
-// Followed is a topic that a gateway follows from now on.
-type Followed struct {
+// FollowedTopic is a topic that a gateway follows from now on.
+type FollowedTopic struct {
 	Topic       string             `json:"t"`
 	Partition   int                `json:"n"`
-	Recent      bool               `json:"r,omitempty"` // send the messages after After; else only new ones
+	Replay      bool               `json:"r,omitempty"` // send the messages after After; else only new ones
 	After       partition.Position `json:"a,omitzero"`
 	Subscribers int                `json:"c,omitempty"` // at the gateway
 }
@@ -95,7 +95,7 @@
 // TopicState is where a topic stands when a gateway begins to follow it.
 type TopicState struct {
 	NotReady bool               `json:"x,omitempty"` // the broker is not, or not yet, the topic's primary; it is not followed
-	Later    bool               `json:"l,omitempty"` // the answer is full; it is not followed, and may be asked for again at once
+	Deferred bool               `json:"l,omitempty"` // the answer is full; it is not followed, and may be asked for again at once
 	End      partition.Position `json:"e,omitzero"`  // of the last message; later ones are polled
 	Floor    partition.Position `json:"f,omitzero"`  // messages up to here were deleted after their retention
 	Skipped  partition.Position `json:"k,omitzero"`  // the messages asked for up to here are left out, over MaxBacklog
@@ -124,9 +124,9 @@
 
 // PollResponse answers a PollRequest. The bodies of the entries follow the JSON.
 type PollResponse struct {
-	Unknown bool    `json:"u,omitempty"` // there is no such session, or the number is not the next
-	Lost    []int   `json:"x,omitempty"` // partitions that the broker leads no longer; it sends nothing more of them
-	Entries []Entry `json:"m,omitempty"`
+	Unknown        bool    `json:"u,omitempty"` // there is no such session, or the number is not the next
+	LostPartitions []int   `json:"x,omitempty"` // partitions that the broker leads no longer; it sends nothing more of them
+	Entries        []Entry `json:"m,omitempty"`
 }
 
 // RefuseRequest asks whether a publisher's number may be refused: its tenant is over its
@@ -195,8 +195,8 @@
 	return nil
 }
 
-// EntryOf is a record of the log as gateways get it.
-func EntryOf(r *partition.Record) Entry {
+// NewEntry is a record of the log as gateways get it.
+func NewEntry(r *partition.Record) Entry {
 	return Entry{
 		Topic: r.Topic, Position: r.Position(), Previous: r.Previous,
 		Publisher: r.Publisher, Number: r.Number, Length: len(r.Body), Body: r.Body,
