--- a/cmd/saltreel-data/realtime.go
+++ b/cmd/saltreel-data/realtime.go
@@ -31,7 +31,7 @@
 				Joined: func(cursor string) {
 					_, _ = fmt.Fprintf(cmd.ErrOrStderr(), "joined %s behind %s\n", args[0], cursor)
 				},
-				Deliver: func(m *linewire.Answer) {
+				Deliver: func(m *linewire.Response) {
 					_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%s %s %d %s\n", m.Cursor, m.Publisher, m.Number, m.Body)
 				},
 			})
--- a/internal/cluster/subscribe_test.go
+++ b/internal/cluster/subscribe_test.go
@@ -21,11 +21,11 @@
 		publisher := &realtime.Client{Dial: w.clientProcess.dial, Address: address, Name: "writer", Key: "key-one"}
 		ctx, cancel := context.WithCancel(w.t.Context())
 		defer cancel()
-		joined, messages := make(chan string, 8), make(chan *linewire.Answer, 8)
+		joined, messages := make(chan string, 8), make(chan *linewire.Response, 8)
 		w.goroutines.Go(func() {
 			_ = subscriber.Subscribe(ctx, "live.q", "", realtime.Subscriber{
 				Joined:  func(cursor string) { joined <- cursor },
-				Deliver: func(m *linewire.Answer) { messages <- m },
+				Deliver: func(m *linewire.Response) { messages <- m },
 			})
 		})
 		var got []string
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -65,12 +65,12 @@
 	}
 	command, err := linewire.ReadCommand(c.reader)
 	c.lastReceived.Store(int64(c.gateway.uptime()))
-	var refused *linewire.RefusedError
+	var refused *linewire.ProtocolError
 	switch {
 	case errors.As(err, &refused):
 		c.gateway.logRefusal(c, refused)
-		if refused.Word != "" {
-			c.send(linewire.AppendReject(nil, refused.Word, refused.Topic, refused.Number, refused.Reason))
+		if refused.Verb != "" {
+			c.send(linewire.AppendReject(nil, refused.Verb, refused.Topic, refused.Number, refused.Reason))
 		}
 		return !refused.Fatal
 	case err != nil:
@@ -81,11 +81,11 @@
 
 // handle handles one message of the client. It reports whether another may follow.
 func (c *clientConn) handle(ctx context.Context, command *linewire.Command) (more bool) {
-	if command.Word == linewire.Ping {
+	if command.Verb == linewire.Ping {
 		c.send(linewire.AppendPong(nil))
 		return true
 	}
-	if command.Word == linewire.Hello {
+	if command.Verb == linewire.Hello {
 		return c.handleHello(ctx, command)
 	}
 	if c.name == "" {
@@ -94,11 +94,11 @@
 	}
 	table := c.gateway.node.Table()
 	space, reason := authorize(table, command.Topic, c.secret, c.gateway.settings.HasTenants())
-	if reason != "" && command.Word != linewire.Unsubscribe {
+	if reason != "" && command.Verb != linewire.Unsubscribe {
 		c.refuse(command, reason)
 		return true
 	}
-	switch command.Word {
+	switch command.Verb {
 	case linewire.Subscribe:
 		c.handleSubscribe(command, table)
 	case linewire.Unsubscribe:
@@ -112,7 +112,7 @@
 }
 
 func (c *clientConn) refuse(command *linewire.Command, reason linewire.Reason) {
-	c.send(linewire.AppendReject(nil, command.Word, command.Topic, command.Number, reason))
+	c.send(linewire.AppendReject(nil, command.Verb, command.Topic, command.Number, reason))
 }
 
 // handleHello learns who the client is.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -251,7 +251,7 @@
 
 // logRefusal logs that a client sent something unreadable: once in a while, since
 // it may do nothing else.
-func (g *Gateway) logRefusal(c *clientConn, refused *linewire.RefusedError) {
+func (g *Gateway) logRefusal(c *clientConn, refused *linewire.ProtocolError) {
 	if n, ok := g.refusals.next(g.timing.contact); ok {
 		g.log.Printf("gateway: %s of client %q: %v (%d such messages since the last report)", c.conn.RemoteAddr(), c.name, refused, n)
 	}
--- a/internal/linewire/answer.go
+++ b/internal/linewire/append.go
@@ -2,58 +2,59 @@
 
 import "strconv"
 
-// The functions here append messages to clients to a buffer.
+// The functions in this file append server messages to a buffer.
 
-// AppendHelloOK appends the answer to a HELLO that is accepted.
+// AppendHelloOK appends the response to an accepted HELLO.
 func AppendHelloOK(b []byte) []byte { return appendLine(b, "OK", Hello) }
 
-// AppendSubscribeOK appends the answer to a SUBSCRIBE that is taken up at a cursor.
+// AppendSubscribeOK appends the response to an accepted SUBSCRIBE. Deliveries start after the
+// cursor.
 func AppendSubscribeOK(b []byte, topic, cursor string) []byte {
 	return appendLine(b, "OK", Subscribe, topic, cursor)
 }
 
-// AppendUnsubscribeOK appends the answer to an UNSUB.
+// AppendUnsubscribeOK appends the response to an UNSUB.
 func AppendUnsubscribeOK(b []byte, topic string) []byte {
 	return appendLine(b, "OK", Unsubscribe, topic)
 }
 
-// AppendAck appends the answer to a PUBLISH that is accepted.
+// AppendAck appends the response to an accepted PUBLISH.
 func AppendAck(b []byte, topic string, number int64) []byte {
 	return appendLine(b, "ACK", topic, strconv.FormatInt(number, 10))
 }
 
-// AppendDeliver appends a message of a topic. The cursor is its place; publisher
-// and number are those of its sender.
+// AppendDeliver appends a message of a topic. The cursor is the position of the message;
+// publisher and number identify it at its sender.
 func AppendDeliver(b []byte, topic, cursor, publisher string, number int64, body []byte) []byte {
 	b = appendLine(b, "DELIVER", topic, cursor, publisher, strconv.FormatInt(number, 10), strconv.Itoa(len(body)))
 	b = append(b, body...)
 	return append(b, "\r\n"...)
 }
 
-// AppendCount appends the answer to a SUBCOUNT.
+// AppendCount appends the response to a SUBCOUNT.
 func AppendCount(b []byte, topic string, count int) []byte {
 	return appendLine(b, "COUNT", topic, strconv.Itoa(count))
 }
 
-// AppendPong appends the answer to a PING.
+// AppendPong appends the response to a PING.
 func AppendPong(b []byte) []byte { return appendLine(b, "PONG") }
 
-// AppendRedirect appends the address that the client shall come back to.
+// AppendRedirect appends the address that the client must reconnect to.
 func AppendRedirect(b []byte, address string) []byte { return appendLine(b, "REDIRECT", address) }
 
-// AppendReject appends a refusal of a message with this word. The topic may be
-// empty; number is that of a PUBLISH, or 0.
-func AppendReject(b []byte, word, topic string, number int64, reason Reason) []byte {
+// AppendReject appends the rejection of a command with this verb. The topic may be empty;
+// number is that of a PUBLISH, otherwise 0.
+func AppendReject(b []byte, verb, topic string, number int64, reason Reason) []byte {
 	text := ""
 	if number > 0 {
 		text = strconv.FormatInt(number, 10)
 	}
-	return appendLine(b, "REJECT", word, topic, text, string(reason))
+	return appendLine(b, "REJECT", verb, topic, text, string(reason))
 }
 
-// appendLine appends a word and its fields. The last field is not empty.
-func appendLine(b []byte, word string, fields ...string) []byte {
-	b = append(b, word...)
+// appendLine appends a verb and its fields. The last field must not be empty.
+func appendLine(b []byte, verb string, fields ...string) []byte {
+	b = append(b, verb...)
 	for _, field := range fields {
 		b = append(b, ' ')
 		if field == "" {
--- a/internal/linewire/command.go
+++ b/internal/linewire/command.go
@@ -1,7 +1,7 @@
-// Package linewire reads and writes the protocol of realtime clients: one line for
-// each message, a word and fields with single spaces between them, ended by CRLF.
-// Behind the lines of PUBLISH and DELIVER comes a body, also ended by CRLF. Fields
-// that are empty at the end are left out; an empty one in the middle is "-".
+// Package linewire encodes and decodes the line protocol of realtime clients. Each message is
+// one line, a verb and fields separated by single spaces, terminated by CRLF. PUBLISH and
+// DELIVER lines are followed by a body, which is also terminated by CRLF. Empty trailing
+// fields are omitted; an empty field elsewhere is written as "-".
 package linewire
 
 import (
@@ -14,7 +14,7 @@
 	"strings"
 )
 
-// Words of the messages that clients send.
+// Verbs of client commands.
 const (
 	Hello       = "HELLO"
 	Subscribe   = "SUBSCRIBE"
@@ -24,11 +24,11 @@
 	Ping        = "PING"
 )
 
-// Reason is why something is refused. Only RETRY promises that the work is not
-// done and never will be.
+// Reason is the reason code of a REJECT. Only RETRY guarantees that the command was not
+// executed and never will be.
 type Reason string
 
-// The reasons.
+// Reason codes.
 const (
 	Retry     Reason = "RETRY"
 	Unknown   Reason = "UNKNOWN"
@@ -39,54 +39,55 @@
 	Expired   Reason = "EXPIRED"
 )
 
-// Bounds of what is read.
+// Limits for decoding.
 const (
-	// MaxBodyBytes is the longest body of a message.
+	// MaxBodyBytes is the maximum size of a message body.
 	MaxBodyBytes = 16 << 10
-	// maxLineBytes bounds a line without its body, and so the names in it.
+	// maxLineBytes limits a line without its body, and thereby the names in it.
 	maxLineBytes = 4 << 10
-	// maxSkippedBytes bounds the body that is read only to refuse it.
+	// maxSkippedBytes limits an oversized body that is read and discarded so that the command
+	// can be rejected without closing the connection.
 	maxSkippedBytes = 1 << 20
 )
 
-// Command is a message of a client. Fields that its word does not have are empty.
+// Command is a client command. Fields that its verb does not use are empty.
 type Command struct {
-	Word   string
-	Client string // of HELLO
-	Secret string // of HELLO; may be empty
+	Verb   string
+	Client string // HELLO
+	Secret string // HELLO; may be empty
 	Topic  string
-	Cursor string // of SUBSCRIBE; may be empty
-	Number int64  // of PUBLISH: the client's number of the message
-	Body   []byte // of PUBLISH
+	Cursor string // SUBSCRIBE; may be empty
+	Number int64  // PUBLISH: the client's number for the message
+	Body   []byte // PUBLISH
 }
 
-// RefusedError says that a message of a client cannot be read. If Fatal is false,
-// the next one can.
-type RefusedError struct {
-	Word   string // empty if it is not known
+// ProtocolError reports a client command that cannot be parsed. Unless Fatal is set, the
+// stream remains in sync and the next command can be read.
+type ProtocolError struct {
+	Verb   string // empty if unknown
 	Topic  string
-	Number int64 // 0 if it is not known
+	Number int64 // 0 if unknown
 	Reason Reason
 	Fatal  bool
 	Detail string
 }
 
-func (e *RefusedError) Error() string { return fmt.Sprintf("%s: %s: %s", e.Word, e.Reason, e.Detail) }
+func (e *ProtocolError) Error() string { return fmt.Sprintf("%s: %s: %s", e.Verb, e.Reason, e.Detail) }
 
-// ReadCommand reads the next message of a client. The error is a *RefusedError, or
-// that of the connection.
+// ReadCommand reads the next client command. The error is a *ProtocolError or an error of the
+// connection.
 func ReadCommand(r *bufio.Reader) (*Command, error) {
 	line, err := readLine(r)
 	if err != nil {
 		return nil, err
 	}
-	word, rest, hasFields := strings.Cut(line, " ")
+	verb, rest, hasFields := strings.Cut(line, " ")
 	var fields []string
 	if hasFields {
 		fields = strings.Split(rest, " ")
 	}
-	c := &Command{Word: word}
-	switch word {
+	c := &Command{Verb: verb}
+	switch verb {
 	case Hello:
 		return c, c.parse(fields, 1, &c.Client, &c.Secret)
 	case Subscribe:
@@ -98,10 +99,10 @@
 	case Publish:
 		return c, c.readPublish(fields, r)
 	}
-	return nil, &RefusedError{Reason: Malformed, Fatal: true, Detail: "the word is unknown"}
+	return nil, &ProtocolError{Reason: Malformed, Fatal: true, Detail: "unknown command"}
 }
 
-// readLine reads a line without its end.
+// readLine reads a line and strips its CRLF.
 func readLine(r *bufio.Reader) (string, error) {
 	var line []byte
 	for {
@@ -114,38 +115,38 @@
 			return "", err
 		}
 		if len(line) > maxLineBytes {
-			return "", &RefusedError{Reason: Malformed, Fatal: true, Detail: "the line is too long"}
+			return "", &ProtocolError{Reason: Malformed, Fatal: true, Detail: "line too long"}
 		}
 	}
 	text, ok := bytes.CutSuffix(line, []byte("\r\n"))
 	if !ok || len(text) > maxLineBytes {
-		return "", &RefusedError{Reason: Malformed, Fatal: true, Detail: "the line does not end properly"}
+		return "", &ProtocolError{Reason: Malformed, Fatal: true, Detail: "line too long or not terminated by CRLF"}
 	}
 	return string(text), nil
 }
 
-// parse sets the targets to the fields. At least the first of them, as many as
-// required, must be there and not empty.
+// parse assigns the fields to the targets. The first required fields must be present and not
+// empty.
 func (c *Command) parse(fields []string, required int, targets ...*string) error {
 	if len(fields) < required || len(fields) > len(targets) {
-		return c.malformed("the number of fields is wrong")
+		return c.malformed("wrong number of fields")
 	}
 	for i, field := range fields {
 		if !isField(field) {
-			return c.malformed("a field is not proper")
+			return c.malformed("invalid character in field")
 		}
 		if field == "-" {
 			field = ""
 		}
 		if field == "" && i < required {
-			return c.malformed("a field is empty")
+			return c.malformed("required field is empty")
 		}
 		*targets[i] = field
 	}
 	return nil
 }
 
-// isField reports whether a text may stand in a line as a field.
+// isField reports whether the text is a valid field: non-empty printable ASCII without spaces.
 func isField(text string) bool {
 	if text == "" {
 		return false
@@ -158,24 +159,24 @@
 	return true
 }
 
-func (c *Command) malformed(detail string) *RefusedError {
-	return &RefusedError{Word: c.Word, Topic: c.Topic, Number: c.Number, Reason: Malformed, Detail: detail}
+func (c *Command) malformed(detail string) *ProtocolError {
+	return &ProtocolError{Verb: c.Verb, Topic: c.Topic, Number: c.Number, Reason: Malformed, Detail: detail}
 }
 
-// readPublish reads the fields and the body of a PUBLISH. If the length of the body
-// cannot be read, nobody knows where the next message begins.
+// readPublish reads the fields and the body of a PUBLISH. An invalid body length is fatal
+// because the start of the next command is then unknown.
 func (c *Command) readPublish(fields []string, r *bufio.Reader) error {
 	var number, length string
 	if err := c.parse(fields, 3, &c.Topic, &number, &length); err != nil {
-		return c.fatal("the fields are not proper")
+		return c.fatal("invalid PUBLISH fields")
 	}
 	size, err := strconv.ParseUint(length, 10, 63)
 	if err != nil || size > maxSkippedBytes {
-		return c.fatal("the length of the body is not proper")
+		return c.fatal("invalid body length")
 	}
 	body, err := readBody(r, int(size))
 	if err != nil {
-		if errors.Is(err, errBodyEnd) {
+		if errors.Is(err, errBodyTerminator) {
 			return c.fatal(err.Error())
 		}
 		return err
@@ -183,45 +184,45 @@
 	c.Number, err = strconv.ParseInt(number, 10, 64)
 	if err != nil || c.Number <= 0 {
 		c.Number = 0
-		return c.malformed("the number is not proper")
+		return c.malformed("invalid message number")
 	}
 	if size > MaxBodyBytes {
-		return &RefusedError{Word: c.Word, Topic: c.Topic, Number: c.Number, Reason: Oversize, Detail: "the body is too long"}
+		return &ProtocolError{Verb: c.Verb, Topic: c.Topic, Number: c.Number, Reason: Oversize, Detail: "body too long"}
 	}
 	c.Body = body
 	return nil
 }
 
-func (c *Command) fatal(detail string) *RefusedError {
-	refused := c.malformed(detail)
-	refused.Fatal = true
-	return refused
+func (c *Command) fatal(detail string) *ProtocolError {
+	err := c.malformed(detail)
+	err.Fatal = true
+	return err
 }
 
-var errBodyEnd = errors.New("the body does not end properly")
+var errBodyTerminator = errors.New("body not terminated by CRLF")
 
-// readBody reads a body and its end. One that is too long is read and dropped.
+// readBody reads a body and its terminator. An oversized body is read and discarded.
 func readBody(r *bufio.Reader, size int) ([]byte, error) {
 	if size > MaxBodyBytes {
 		if _, err := r.Discard(size); err != nil {
 			return nil, err
 		}
-		return nil, readBodyEnd(r)
+		return nil, readBodyTerminator(r)
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(r, body); err != nil {
 		return nil, err
 	}
-	return body, readBodyEnd(r)
+	return body, readBodyTerminator(r)
 }
 
-func readBodyEnd(r *bufio.Reader) error {
+func readBodyTerminator(r *bufio.Reader) error {
 	var end [2]byte
 	if _, err := io.ReadFull(r, end[:]); err != nil {
 		return err
 	}
 	if string(end[:]) != "\r\n" {
-		return errBodyEnd
+		return errBodyTerminator
 	}
 	return nil
 }
--- a/internal/realtime/client.go
+++ b/internal/realtime/client.go
@@ -63,14 +63,14 @@
 	// cursor behind which the messages follow; nil: nobody is told.
 	Joined func(cursor string)
 	// Deliver is called for each message.
-	Deliver func(*linewire.Answer)
+	Deliver func(*linewire.Response)
 }
 
 // Subscribe subscribes to a topic, from a cursor on unless it is empty, until ctx ends
 // or the gateway refuses the subscription.
 func (c *Client) Subscribe(ctx context.Context, topic, cursor string, to Subscriber) error {
 	subscribe := func(conn *connection) error {
-		if err := conn.write(&linewire.Command{Word: linewire.Subscribe, Topic: topic, Cursor: cursor}); err != nil {
+		if err := conn.write(&linewire.Command{Verb: linewire.Subscribe, Topic: topic, Cursor: cursor}); err != nil {
 			return err
 		}
 		for {
@@ -79,15 +79,15 @@
 				return err
 			}
 			switch {
-			case a.Word == linewire.Deliver && a.Topic == topic:
+			case a.Verb == linewire.Deliver && a.Topic == topic:
 				cursor = a.Cursor
 				to.Deliver(a)
-			case a.Word == linewire.OK && a.Request == linewire.Subscribe:
+			case a.Verb == linewire.OK && a.Request == linewire.Subscribe:
 				cursor = a.Cursor
 				if to.Joined != nil {
 					to.Joined(cursor)
 				}
-			case a.Word == linewire.Reject:
+			case a.Verb == linewire.Reject:
 				return rejection(a)
 			}
 		}
@@ -99,7 +99,7 @@
 // is acknowledged. Number must be higher than any that this client used before.
 func (c *Client) Publish(ctx context.Context, topic string, number int64, body []byte) error {
 	return c.repeat(ctx, func(conn *connection) error {
-		if err := conn.write(&linewire.Command{Word: linewire.Publish, Topic: topic, Number: number, Body: body}); err != nil {
+		if err := conn.write(&linewire.Command{Verb: linewire.Publish, Topic: topic, Number: number, Body: body}); err != nil {
 			return err
 		}
 		for {
@@ -107,10 +107,10 @@
 			if err != nil {
 				return err
 			}
-			if a.Word == linewire.Ack && a.Number == number {
+			if a.Verb == linewire.Ack && a.Number == number {
 				return nil
 			}
-			if a.Word == linewire.Reject {
+			if a.Verb == linewire.Reject {
 				return rejection(a)
 			}
 		}
@@ -120,7 +120,7 @@
 // Count returns how many subscribers a topic has.
 func (c *Client) Count(ctx context.Context, topic string) (count int, err error) {
 	err = c.repeat(ctx, func(conn *connection) error {
-		if err := conn.write(&linewire.Command{Word: linewire.Count, Topic: topic}); err != nil {
+		if err := conn.write(&linewire.Command{Verb: linewire.Count, Topic: topic}); err != nil {
 			return err
 		}
 		for {
@@ -128,11 +128,11 @@
 			if err != nil {
 				return err
 			}
-			if a.Word == linewire.Counted {
+			if a.Verb == linewire.CountResult {
 				count = a.Count
 				return nil
 			}
-			if a.Word == linewire.Reject {
+			if a.Verb == linewire.Reject {
 				return rejection(a)
 			}
 		}
@@ -142,7 +142,7 @@
 
 // rejection is the error of a REJECT: a *RejectedError, unless another try may
 // help.
-func rejection(a *linewire.Answer) error {
+func rejection(a *linewire.Response) error {
 	if a.Reason == linewire.Retry && a.Request != linewire.Publish || a.Reason == linewire.Unknown {
 		return fmt.Errorf("%s %s: %s", a.Request, a.Topic, a.Reason)
 	}
@@ -185,14 +185,14 @@
 	defer func() { _ = conn.Close() }()
 	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
 	connected := &connection{conn: conn, reader: bufio.NewReader(conn)}
-	if err := connected.write(&linewire.Command{Word: linewire.Hello, Client: c.Name, Secret: c.Key}); err != nil {
+	if err := connected.write(&linewire.Command{Verb: linewire.Hello, Client: c.Name, Secret: c.Key}); err != nil {
 		return err
 	}
 	a, err := connected.read(answerTimeout)
 	if err != nil {
 		return err
 	}
-	if a.Word != linewire.OK {
+	if a.Verb != linewire.OK {
 		return rejection(a)
 	}
 	defer connected.startPings()()
@@ -219,18 +219,18 @@
 }
 
 // read returns the next answer but PONG.
-func (c *connection) read(timeout time.Duration) (*linewire.Answer, error) {
+func (c *connection) read(timeout time.Duration) (*linewire.Response, error) {
 	for {
 		if err := c.conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 			return nil, fmt.Errorf("read: %w", err)
 		}
-		a, err := linewire.ReadAnswer(c.reader)
+		a, err := linewire.ReadResponse(c.reader)
 		switch {
 		case err != nil:
 			return nil, fmt.Errorf("read: %w", err)
-		case a.Word == linewire.Redirect:
+		case a.Verb == linewire.Redirect:
 			return nil, redirectedError{a.Address}
-		case a.Word != linewire.Pong:
+		case a.Verb != linewire.Pong:
 			return a, nil
 		}
 	}
@@ -243,7 +243,7 @@
 	task.Go(func() {
 		for {
 			timeutil.Sleep(ctx, pingInterval)
-			if ctx.Err() != nil || c.write(&linewire.Command{Word: linewire.Ping}) != nil {
+			if ctx.Err() != nil || c.write(&linewire.Command{Verb: linewire.Ping}) != nil {
 				return
 			}
 		}
