--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,6 +1,5 @@
-// Package client is the HTTP interface for clients beyond plain HTTP: the headers
-// of a request that submits a message, the names of messages, and the queries
-// about them.
+// Package client defines the parts of the HTTP client interface that go beyond plain HTTP: the
+// headers of a message submission, message names, and message queries.
 package client
 
 import (
@@ -14,7 +13,7 @@
 	"saltreel/internal/partition"
 )
 
-// Headers of a request that hands in a message.
+// Headers of a message submission.
 const (
 	headerAttemptID = "Saltreel-Attempt-Id"
 	headerOrderKey  = "Saltreel-Order-Key"
@@ -23,33 +22,31 @@
 	headerDeadline  = "Saltreel-Deadline-Ms"
 )
 
-// Paths of the questions about a message, followed by its name.
+// Path prefixes of message queries, followed by the message name.
 const (
 	statusPath = "/v1/message/"
 	bodyPath   = "/v1/message-body/"
 )
 
-// maxIDBytes bounds an attempt id, so that the name of a message has room for
-// its partition.
+// maxIDBytes limits an attempt ID so that the message name has room for its partition.
 const maxIDBytes = 56
 
-// maxMilliseconds bounds the times in headers to about four months, which a
-// time.Duration can represent.
+// maxMilliseconds limits times in headers to about four months, which a time.Duration can
+// represent.
 const maxMilliseconds = 1e10
 
-// Message is the part of a client's request that is not HTTP.
+// Message holds the non-HTTP part of a message submission.
 type Message struct {
-	ID       string // the attempt id, by which the client may send it again
-	Tenant   string // "" on a route with public access
-	OrderKey string // messages of one key are delivered in order; "" for none
+	ID       string // attempt ID, which the client reuses when it retries
+	Tenant   string // empty on a route with public access
+	OrderKey string // messages with the same key are delivered in order; may be empty
 	Delay    time.Duration
 	Deadline time.Duration
 	Throttle time.Duration // throttle time of the quota of accepted messages
 }
 
-// ParseMessage reads and checks a request that hands in a message. The route is
-// the one that it matches. If the request is wrong, the response says why, and
-// the others are nil.
+// ParseMessage parses and validates a message submission and returns the message and the
+// matching route. If the request is invalid, it returns only the error response.
 func ParseMessage(r *httpwire.Request, t *configuration.Table) (*Message, *configuration.Route, *httpwire.Response) {
 	route := t.Route(r.Host, r.RequestURI)
 	if route == nil {
@@ -86,19 +83,19 @@
 
 func isRepeated(h http.Header, name string) bool { return len(h.Values(name)) > 1 }
 
-// parseMilliseconds reads the value of a header; 0 if there is none.
+// parseMilliseconds parses a header value in milliseconds; an empty value is 0.
 func parseMilliseconds(value string) (d time.Duration, ok bool) {
 	if value == "" {
 		return 0, true
 	}
 	ms, err := strconv.ParseFloat(value, 64)
-	if err != nil || !(ms >= 0 && ms <= maxMilliseconds) { // NaN is none of both
+	if err != nil || !(ms >= 0 && ms <= maxMilliseconds) { // false for NaN
 		return 0, false
 	}
 	return time.Duration(ms * float64(time.Millisecond)), true
 }
 
-// isValidID reports whether an attempt id may be part of the name of a message.
+// isValidID reports whether an attempt ID can be part of a message name.
 func isValidID(id string) bool {
 	if id == "" || len(id) > maxIDBytes {
 		return false
@@ -115,20 +112,21 @@
 	return c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' || c == '_' || c == '.'
 }
 
-// Name returns the name of a message: its partition and its attempt id. So any
-// edge knows where to ask about it.
+// Name returns the name of a message, which consists of its partition and attempt ID, so that
+// any edge can locate the message from its name.
 func Name(partition int, id string) string { return strconv.Itoa(partition) + "." + id }
 
-// ParseName splits the name of a message; ok is false if it is none.
+// ParseName splits a message name into partition and attempt ID. It returns false if the name
+// is invalid.
 func ParseName(name string) (partition int, id string, ok bool) {
 	number, id, found := strings.Cut(name, ".")
 	partition, err := strconv.Atoi(number)
 	return partition, id, found && err == nil && partition >= 0 && isValidID(id)
 }
 
-// ParseQuestion returns what a request asks about a message, "status" or "body",
-// and the name of the message; ok is false if it asks for neither.
-func ParseQuestion(r *httpwire.Request) (kind, name string, ok bool) {
+// ParseQuery returns the kind of a message query, "status" or "body", and the message name. It
+// returns false if the request is not a message query.
+func ParseQuery(r *httpwire.Request) (kind, name string, ok bool) {
 	if r.Method != http.MethodGet {
 		return "", "", false
 	}
@@ -139,19 +137,19 @@
 	return "body", name, ok
 }
 
-// Answer is the state of a message as clients read it.
-type Answer struct {
+// StatusResponse is the JSON response to a status query.
+type StatusResponse struct {
 	State string `json:"oper-state"`     // "pending", "complete" or "dead_letter"
-	Seal  string `json:"seal,omitempty"` // of a complete message
+	Seal  string `json:"seal,omitempty"` // set if the message is complete
 }
 
-// Status returns the answer for a state. The seal is that of the message.
-func Status(state partition.State, seal string) Answer {
+// NewStatusResponse returns the response for a message with the given state and seal.
+func NewStatusResponse(state partition.State, seal string) StatusResponse {
 	switch state {
 	case partition.Complete:
-		return Answer{State: "complete", Seal: seal}
+		return StatusResponse{State: "complete", Seal: seal}
 	case partition.Dead:
-		return Answer{State: "dead_letter"}
+		return StatusResponse{State: "dead_letter"}
 	}
-	return Answer{State: "pending"}
+	return StatusResponse{State: "pending"}
 }
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -14,7 +14,7 @@
 		ok        bool
 	}{
 		{Name(7, "a-1"), 7, "a-1", true},
-		{"0.a.b", 0, "a.b", true}, // an id may have dots
+		{"0.a.b", 0, "a.b", true}, // an ID may contain dots
 		{"7", 7, "", false},
 		{"7.", 7, "", false},
 		{"-1.a", -1, "a", false},
@@ -60,7 +60,7 @@
 		{"1.1e10", 0, false},
 		{"-1", 0, false},
 		{"soon", 0, false},
-		{"NaN", 0, false}, // such a message would never be due
+		{"NaN", 0, false}, // a message with this delay would never become due
 		{"Inf", 0, false},
 	} {
 		if d, ok := parseMilliseconds(c.value); d != c.d || ok != c.ok {
--- a/internal/edge/admission.go
+++ b/internal/edge/admission.go
@@ -22,7 +22,7 @@
 	}
 	table := e.node.Table()
 	e.quotas.ApplyLimits(table)
-	if kind, name, ok := client.ParseQuestion(r); ok {
+	if kind, name, ok := client.ParseQuery(r); ok {
 		return e.answerQuery(ctx, r, table, kind, name)
 	}
 	m, route, problem := client.ParseMessage(r, table)
--- a/internal/edge/query.go
+++ b/internal/edge/query.go
@@ -61,7 +61,7 @@
 	if err := json.Unmarshal(answer.Body, &status); err != nil {
 		return httpwire.Problem(502, "the store's answer cannot be read")
 	}
-	return httpwire.JSON(200, client.Status(status.State, status.Seal))
+	return httpwire.JSON(200, client.NewStatusResponse(status.State, status.Seal))
 }
 
 // queryPrimary asks the primary of a message's partition, whoever that is, until
