--- a/cmd/saltreel-data/realtime.go
+++ b/cmd/saltreel-data/realtime.go
@@ -27,11 +27,11 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			ctx, cancel := platform.StopContext(signals)
 			defer cancel()
-			err := client.Subscribe(ctx, args[0], cursor, realtime.Subscriber{
-				Joined: func(cursor string) {
+			err := client.Subscribe(ctx, args[0], cursor, realtime.SubscriptionHandler{
+				OnSubscribed: func(cursor string) {
 					_, _ = fmt.Fprintf(cmd.ErrOrStderr(), "joined %s behind %s\n", args[0], cursor)
 				},
-				Deliver: func(m *linewire.Response) {
+				OnMessage: func(m *linewire.Response) {
 					_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%s %s %d %s\n", m.Cursor, m.Publisher, m.Number, m.Body)
 				},
 			})
--- a/internal/cluster/subscribe_test.go
+++ b/internal/cluster/subscribe_test.go
@@ -23,9 +23,9 @@
 		defer cancel()
 		joined, messages := make(chan string, 8), make(chan *linewire.Response, 8)
 		w.goroutines.Go(func() {
-			_ = subscriber.Subscribe(ctx, "live.q", "", realtime.Subscriber{
-				Joined:  func(cursor string) { joined <- cursor },
-				Deliver: func(m *linewire.Response) { messages <- m },
+			_ = subscriber.Subscribe(ctx, "live.q", "", realtime.SubscriptionHandler{
+				OnSubscribed: func(cursor string) { joined <- cursor },
+				OnMessage:    func(m *linewire.Response) { messages <- m },
 			})
 		})
 		var got []string
--- a/internal/realtime/client.go
+++ b/internal/realtime/client.go
@@ -1,6 +1,6 @@
-// Package realtime is a client of topics: it subscribes and publishes at a gateway,
-// comes back with its cursors when it loses the connection, and goes where it is
-// sent. The commands for a terminal use it.
+// Package realtime implements a client of topics. It subscribes and publishes at a gateway,
+// resumes from its cursors after a lost connection, and follows redirects. The terminal
+// commands use it.
 package realtime
 
 import (
@@ -17,28 +17,26 @@
 	"saltreel/internal/timeutil"
 )
 
-// Client is a client of one gateway after the other. Its fields must not change
-// while it is in use.
+// Client connects to one gateway at a time. Its fields must not change while it is in use.
 type Client struct {
 	Dial    httpwire.Dial
-	Address string // of the first gateway, host:port
-	Name    string // the client's own; it stays the same over all connections
-	Key     string // of a tenant; empty if there is none
-	// Log tells of lost connections; nil: nobody.
+	Address string // host:port of the first gateway
+	Name    string // client name, the same on all connections
+	Key     string // API key of the tenant; may be empty
+	// Log reports lost connections; may be nil.
 	Log func(format string, args ...any)
 }
 
-// Times of a client.
+// Timeouts and intervals.
 const (
-	dialTimeout    = time.Second
-	answerTimeout  = 3 * time.Second
-	pingInterval   = time.Second
-	silenceTimeout = 5 * pingInterval
-	reconnectDelay = 500 * time.Millisecond
+	dialTimeout     = time.Second
+	responseTimeout = 3 * time.Second
+	pingInterval    = time.Second
+	idleTimeout     = 5 * pingInterval
+	reconnectDelay  = 500 * time.Millisecond
 )
 
-// RejectedError says that a gateway refuses something for a reason that another try
-// does not change.
+// RejectedError reports a rejection that a retry cannot change.
 type RejectedError struct {
 	Request string
 	Topic   string
@@ -47,63 +45,63 @@
 
 func (e *RejectedError) Error() string {
 	if e.Topic == "" {
-		return fmt.Sprintf("%s is refused: %s", e.Request, e.Reason)
+		return fmt.Sprintf("%s rejected: %s", e.Request, e.Reason)
 	}
-	return fmt.Sprintf("%s %s is refused: %s", e.Request, e.Topic, e.Reason)
+	return fmt.Sprintf("%s %s rejected: %s", e.Request, e.Topic, e.Reason)
 }
 
-// redirectedError says that the gateway sent the client to another one.
+// redirectedError reports that the gateway redirected the client to another one.
 type redirectedError struct{ address string }
 
-func (e redirectedError) Error() string { return "sent to " + e.address }
+func (e redirectedError) Error() string { return "redirected to " + e.address }
 
-// Subscriber is told what becomes of a subscription.
-type Subscriber struct {
-	// Joined is called each time that a gateway has taken up the subscription, with the
-	// cursor behind which the messages follow; nil: nobody is told.
-	Joined func(cursor string)
-	// Deliver is called for each message.
-	Deliver func(*linewire.Response)
+// SubscriptionHandler receives the events of a subscription.
+type SubscriptionHandler struct {
+	// OnSubscribed is called each time a gateway accepts the subscription, with the cursor
+	// after which messages follow; may be nil.
+	OnSubscribed func(cursor string)
+	// OnMessage is called for each message.
+	OnMessage func(*linewire.Response)
 }
 
-// Subscribe subscribes to a topic, from a cursor on unless it is empty, until ctx ends
-// or the gateway refuses the subscription.
-func (c *Client) Subscribe(ctx context.Context, topic, cursor string, to Subscriber) error {
+// Subscribe subscribes to a topic, starting after the cursor if it is not empty, until ctx
+// ends or the gateway rejects the subscription.
+func (c *Client) Subscribe(ctx context.Context, topic, cursor string, handler SubscriptionHandler) error {
 	subscribe := func(conn *connection) error {
 		if err := conn.write(&linewire.Command{Verb: linewire.Subscribe, Topic: topic, Cursor: cursor}); err != nil {
 			return err
 		}
 		for {
-			a, err := conn.read(silenceTimeout)
+			a, err := conn.read(idleTimeout)
 			if err != nil {
 				return err
 			}
 			switch {
 			case a.Verb == linewire.Deliver && a.Topic == topic:
 				cursor = a.Cursor
-				to.Deliver(a)
+				handler.OnMessage(a)
 			case a.Verb == linewire.OK && a.Request == linewire.Subscribe:
 				cursor = a.Cursor
-				if to.Joined != nil {
-					to.Joined(cursor)
+				if handler.OnSubscribed != nil {
+					handler.OnSubscribed(cursor)
 				}
 			case a.Verb == linewire.Reject:
 				return rejection(a)
 			}
 		}
 	}
-	return c.repeat(ctx, subscribe)
+	return c.withRetries(ctx, subscribe)
 }
 
-// Publish has a message delivered to all subscribers of a topic, and returns once it
-// is acknowledged. Number must be higher than any that this client used before.
+// Publish publishes a message to a topic and returns once it is acknowledged. The number must
+// be higher than any that this client used before.
 func (c *Client) Publish(ctx context.Context, topic string, number int64, body []byte) error {
-	return c.repeat(ctx, func(conn *connection) error {
+	return c.withRetries(ctx, func(conn *connection) error {
 		if err := conn.write(&linewire.Command{Verb: linewire.Publish, Topic: topic, Number: number, Body: body}); err != nil {
 			return err
 		}
 		for {
-			a, err := conn.read(answerTimeout)
+			a, err := conn.read(responseTimeout)
 			if err != nil {
 				return err
 			}
@@ -117,14 +115,14 @@
 	})
 }
 
-// Count returns how many subscribers a topic has.
+// Count returns the number of subscribers of a topic.
 func (c *Client) Count(ctx context.Context, topic string) (count int, err error) {
-	err = c.repeat(ctx, func(conn *connection) error {
+	err = c.withRetries(ctx, func(conn *connection) error {
 		if err := conn.write(&linewire.Command{Verb: linewire.Count, Topic: topic}); err != nil {
 			return err
 		}
 		for {
-			a, err := conn.read(answerTimeout)
+			a, err := conn.read(responseTimeout)
 			if err != nil {
 				return err
 			}
@@ -140,8 +138,7 @@
 	return count, err
 }
 
-// rejection is the error of a REJECT: a *RejectedError, unless another try may
-// help.
+// rejection returns the error for a REJECT: a *RejectedError, unless a retry may succeed.
 func rejection(a *linewire.Response) error {
 	if a.Reason == linewire.Retry && a.Request != linewire.Publish || a.Reason == linewire.Unknown {
 		return fmt.Errorf("%s %s: %s", a.Request, a.Topic, a.Reason)
@@ -149,9 +146,9 @@
 	return &RejectedError{a.Request, a.Topic, a.Reason}
 }
 
-// repeat connects and calls use, again and again until it returns nil or a
-// *RejectedError, or ctx ends.
-func (c *Client) repeat(ctx context.Context, use func(*connection) error) error {
+// withRetries connects and calls use, and retries until use returns nil or a *RejectedError,
+// or ctx ends.
+func (c *Client) withRetries(ctx context.Context, use func(*connection) error) error {
 	address := c.Address
 	for {
 		err := c.connect(ctx, address, use)
@@ -174,7 +171,7 @@
 	}
 }
 
-// connect opens a connection, says HELLO, and calls use.
+// connect opens a connection, sends HELLO, and calls use.
 func (c *Client) connect(ctx context.Context, address string, use func(*connection) error) error {
 	dialing, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -188,7 +185,7 @@
 	if err := connected.write(&linewire.Command{Verb: linewire.Hello, Client: c.Name, Secret: c.Key}); err != nil {
 		return err
 	}
-	a, err := connected.read(answerTimeout)
+	a, err := connected.read(responseTimeout)
 	if err != nil {
 		return err
 	}
@@ -199,17 +196,17 @@
 	return use(connected)
 }
 
-// connection is one connection to a gateway.
+// connection is a connection to a gateway.
 type connection struct {
 	conn   net.Conn
 	reader *bufio.Reader
-	mu     sync.Mutex // one write at a time
+	mu     sync.Mutex // serializes writes
 }
 
 func (c *connection) write(command *linewire.Command) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err := c.conn.SetWriteDeadline(time.Now().Add(answerTimeout)); err != nil {
+	if err := c.conn.SetWriteDeadline(time.Now().Add(responseTimeout)); err != nil {
 		return fmt.Errorf("write: %w", err)
 	}
 	if _, err := c.conn.Write(linewire.AppendCommand(nil, command)); err != nil {
@@ -218,7 +215,7 @@
 	return nil
 }
 
-// read returns the next answer but PONG.
+// read returns the next response other than PONG.
 func (c *connection) read(timeout time.Duration) (*linewire.Response, error) {
 	for {
 		if err := c.conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
@@ -236,7 +233,7 @@
 	}
 }
 
-// startPings says PING now and then, until stop is called.
+// startPings sends PING periodically until stop is called.
 func (c *connection) startPings() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var task sync.WaitGroup
