--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -115,7 +115,7 @@
 // Run implements store.Workload. When ctx ends, all gateways are told that the
 // partitions are led here no longer.
 func (b *Broker) Run(ctx context.Context) {
-	ticker := time.NewTicker(b.timing.sweep())
+	ticker := time.NewTicker(b.timing.sweepInterval())
 	defer ticker.Stop()
 	for {
 		events, more := b.config.Partitions.Events()
@@ -146,7 +146,7 @@
 	case e.LostPrimary:
 		b.topics.remove(e.Partition)
 		for _, s := range b.sessions {
-			s.losePartition(e.Partition)
+			s.addLostPartition(e.Partition)
 		}
 	case e.LogReady:
 		b.topics.setReady(e.Partition, true)
@@ -155,7 +155,7 @@
 	for _, r := range e.Entries {
 		t := b.topics.append(e.Partition, r)
 		for s := range t.followers {
-			s.push(r)
+			s.enqueue(r)
 		}
 	}
 }
@@ -165,9 +165,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.topics.deleteExpired(b.config.Partitions.Now())
-	b.refusals.forget(time.Now().Add(-b.timing.extraRetention()))
+	b.refusals.deleteBefore(time.Now().Add(-b.timing.extraRetention()))
 	for gateway, s := range b.sessions {
-		if s.isAbandoned(time.Now(), b.timing.sessionTimeout()) {
+		if s.isExpired(time.Now(), b.timing.sessionTimeout()) {
 			b.config.Log.Printf("broker: the session of %s ended: %d messages wait for its next poll", gateway, len(s.outbox))
 			b.endSessionLocked(gateway)
 		}
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -16,18 +16,18 @@
 
 // fakePartitions gives events when a test says so and accepts as it says.
 type fakePartitions struct {
-	now     int64
-	outcome []error
-	stored  []*partition.Record
-	during  func() // an accept; nil: nothing
+	now          int64
+	outcome      []error
+	stored       []*partition.Record
+	duringAccept func() // an accept; nil: nothing
 }
 
 func (f *fakePartitions) Events() ([]partition.Event, <-chan struct{}) { return nil, nil }
 func (f *fakePartitions) Now() int64                                   { return f.now }
 func (f *fakePartitions) AcceptAll(_ context.Context, _ int, records []*partition.Record) []error {
 	f.stored = append(f.stored, records...)
-	if f.during != nil {
-		f.during()
+	if f.duringAccept != nil {
+		f.duringAccept()
 	}
 	return f.outcome
 }
@@ -71,7 +71,7 @@
 	}
 }
 
-func lead(b *Broker, entries ...*partition.Record) {
+func becomePrimary(b *Broker, entries ...*partition.Record) {
 	b.applyEvents([]partition.Event{{BecamePrimary: true}, {LogReady: true}, {Entries: entries}})
 }
 
@@ -108,7 +108,7 @@
 func TestSessionGetsEachMessageOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, _ := newBroker(t)
-		lead(b, record(1, 1e9), record(2, 1e9))
+		becomePrimary(b, record(1, 1e9), record(2, 1e9))
 		out := follow(t, b, topic.FollowRequest{Session: "s", Begin: true, Follow: []topic.FollowedTopic{
 			{Topic: "t", Replay: true, After: partition.Position{Epoch: 1, Order: 1}, Subscribers: 3},
 			{Topic: "elsewhere", Partition: 7},
@@ -119,7 +119,7 @@
 		if !out.Topics[1].NotReady {
 			t.Error("a topic of a partition that is led elsewhere is followed")
 		}
-		lead(b)
+		becomePrimary(b)
 		b.applyEvents([]partition.Event{{Entries: []*partition.Record{record(3, 1e9)}}})
 		time.AfterFunc(50*time.Millisecond, func() {
 			b.applyEvents([]partition.Event{{Entries: []*partition.Record{record(4, 1e9)}}})
@@ -142,7 +142,7 @@
 func TestOnlyTheNextPollOfTheNewestSessionIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, _ := newBroker(t)
-		lead(b)
+		becomePrimary(b)
 		begin := func(session string) {
 			follow(t, b, topic.FollowRequest{Session: session, Begin: true, Follow: []topic.FollowedTopic{{Topic: "t"}}})
 		}
@@ -170,13 +170,13 @@
 func TestSessionIsToldOfLostPartitionsAndOfItsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, _ := newBroker(t)
-		lead(b)
+		becomePrimary(b)
 		follow(t, b, topic.FollowRequest{Session: "s", Begin: true, Follow: []topic.FollowedTopic{{Topic: "t"}}})
 		b.applyEvents([]partition.Event{{LostPrimary: true}})
 		if _, out := poll(t, b, "s", 1); !slices.Equal(out.LostPartitions, []int{0}) {
 			t.Errorf("lost are %v", out.LostPartitions)
 		}
-		lead(b)
+		becomePrimary(b)
 		follow(t, b, topic.FollowRequest{Session: "s", Follow: []topic.FollowedTopic{{Topic: "t"}}})
 		big := record(1, 1e9)
 		big.Body = make([]byte, maxOutboxBytes)
@@ -196,7 +196,7 @@
 func TestAnswersAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, _ := newBroker(t)
-		lead(b, record(1, 1e9), record(2, 1e9))
+		becomePrimary(b, record(1, 1e9), record(2, 1e9))
 		out := follow(t, b, topic.FollowRequest{Session: "s", Begin: true, MaxBytes: 1, Follow: []topic.FollowedTopic{{Topic: "t", Replay: true}, {Topic: "u"}}})
 		if len(out.Topics[0].Entries) != 2 || out.Topics[0].Deferred || !out.Topics[1].Deferred || out.Topics[1].NotReady {
 			t.Errorf("%+v", out.Topics)
@@ -213,7 +213,7 @@
 
 func TestFloorIsThatOfDeletedMessages(t *testing.T) {
 	b, f := newBroker(t)
-	lead(b, record(5, 2000), record(6, 3000), record(7, 4000))
+	becomePrimary(b, record(5, 2000), record(6, 3000), record(7, 4000))
 	state := func() topic.TopicState {
 		return follow(t, b, topic.FollowRequest{Session: "s", Begin: true, Follow: []topic.FollowedTopic{{Topic: "t", Replay: true}}}).Topics[0]
 	}
@@ -225,7 +225,7 @@
 		}
 	}
 	follow(t, b, topic.FollowRequest{Session: "s", Unfollow: []string{"t"}})
-	f.now += 2 * forgetEmpty.Milliseconds()
+	f.now += 2 * emptyTopicRetention.Milliseconds()
 	b.sweep()
 	if len(b.topics.byName) != 0 {
 		t.Error("an empty topic is kept for good")
@@ -262,7 +262,7 @@
 		r.Body = make([]byte, 1000)
 		entries = append(entries, r)
 	}
-	lead(b, entries...)
+	becomePrimary(b, entries...)
 	const pageSize = 5 * (1000 + entryOverhead)
 	out := follow(t, b, topic.FollowRequest{Session: "s", Begin: true, MaxBacklog: pageSize, Follow: []topic.FollowedTopic{{Topic: "t", Replay: true}}})
 	state := out.Topics[0]
@@ -303,7 +303,7 @@
 // and subscribers get it twice.
 func TestRefusedNumberIsNeverStored(t *testing.T) {
 	b, f := newBroker(t)
-	lead(b)
+	becomePrimary(b)
 	refuse := func(number int64) bool {
 		t.Helper()
 		out, err := b.handleRefuse(t.Context(), &topic.RefuseRequest{Topic: "t", Publisher: "p", Number: number}, nil)
@@ -332,8 +332,8 @@
 	if refuse(1) {
 		t.Error("a number that is stored is refused")
 	}
-	f.during = func() {
-		f.during = nil
+	f.duringAccept = func() {
+		f.duringAccept = nil
 		f.stored = f.stored[:1] // its accept has just begun
 		if refuse(2) {
 			t.Error("a number that is being stored is refused")
@@ -349,7 +349,7 @@
 	if f.HoldsNumber(0, "t", "p", 5) || len(b.refusals.publishing) != 0 {
 		t.Errorf("the refused number is stored, or %d publications are under way", len(b.refusals.publishing))
 	}
-	b.refusals.forget(time.Now().Add(time.Minute))
+	b.refusals.deleteBefore(time.Now().Add(time.Minute))
 	if len(b.refusals.refused) != 0 {
 		t.Error("old refusals are kept")
 	}
--- a/internal/broker/calls.go
+++ b/internal/broker/calls.go
@@ -13,7 +13,7 @@
 // handlePublish stores messages of a publisher, and answers when their outcome is
 // known or the gateway waits no longer.
 func (b *Broker) handlePublish(ctx context.Context, in *topic.PublishRequest, raw []byte) (*topic.PublishResponse, error) {
-	records, err := b.recordsOf(in, raw)
+	records, err := b.newRecords(in, raw)
 	if err != nil {
 		return nil, err
 	}
@@ -28,14 +28,14 @@
 			out.Outcomes = append(out.Outcomes, topic.Superseded)
 			continue
 		}
-		out.Outcomes = append(out.Outcomes, outcomeOf(errs[0]))
+		out.Outcomes = append(out.Outcomes, outcomeFromError(errs[0]))
 		errs = errs[1:]
 	}
 	return out, nil
 }
 
-// recordsOf makes the log entries of a request. Their times are this store's.
-func (b *Broker) recordsOf(in *topic.PublishRequest, raw []byte) ([]*partition.Record, error) {
+// newRecords makes the log entries of a request. Their times are this store's.
+func (b *Broker) newRecords(in *topic.PublishRequest, raw []byte) ([]*partition.Record, error) {
 	expires := b.config.Partitions.Now() + in.RetentionMs + b.timing.extraRetention().Milliseconds()
 	var records []*partition.Record
 	for _, m := range in.Messages {
@@ -51,8 +51,8 @@
 	return records, nil
 }
 
-// outcomeOf maps the error of an accept to the outcome for the publisher.
-func outcomeOf(err error) topic.Outcome {
+// outcomeFromError maps the error of an accept to the outcome for the publisher.
+func outcomeFromError(err error) topic.Outcome {
 	switch {
 	case err == nil:
 		return topic.Accepted
@@ -83,7 +83,7 @@
 		b.topics.unfollow(name, s)
 	}
 	out := &topic.FollowResponse{}
-	bodies, size, bound := []byte{}, 0, answerBound(in.MaxBytes)
+	bodies, size, bound := []byte{}, 0, responseLimit(in.MaxBytes)
 	for _, f := range in.Follow {
 		state := topic.TopicState{Deferred: true}
 		if size < bound {
@@ -115,7 +115,7 @@
 	if f.Replay {
 		var newest []*partition.Record
 		state.Skipped, newest = newestWithin(partition.EntriesAfter(t.entries, f.After), maxBacklog)
-		state.Entries = entriesOf(newest)
+		state.Entries = newEntries(newest)
 	}
 	return state
 }
@@ -136,7 +136,7 @@
 	return partition.Position{}, records
 }
 
-func entriesOf(records []*partition.Record) []topic.Entry {
+func newEntries(records []*partition.Record) []topic.Entry {
 	var entries []topic.Entry
 	for _, r := range records {
 		entries = append(entries, topic.NewEntry(r))
@@ -156,7 +156,7 @@
 		return &topic.ReadResponse{}, []byte{}, nil
 	}
 	out := &topic.ReadResponse{End: t.end(), Floor: t.floor}
-	bodies, size, bound := []byte{}, 0, answerBound(in.MaxBytes)
+	bodies, size, bound := []byte{}, 0, responseLimit(in.MaxBytes)
 	for _, r := range partition.EntriesAfter(t.entries, in.After) {
 		size += entryBytes(r)
 		if size > bound && len(out.Entries) > 0 {
@@ -189,7 +189,7 @@
 		return &topic.PollResponse{Unknown: true}, nil, nil
 	}
 	for {
-		out, bodies, changed := b.nextOf(s, answerBound(in.MaxBytes), ctx.Err() != nil)
+		out, bodies, changed := b.nextPollResponse(s, responseLimit(in.MaxBytes), ctx.Err() != nil)
 		if out != nil {
 			return out, bodies, nil
 		}
@@ -205,26 +205,26 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.sessions[in.Gateway]
-	if s == nil || s.id != in.Session || s.ended || s.polling || in.Number != s.polled+1 {
+	if s == nil || s.id != in.Session || s.ended || s.polling || in.Number != s.lastPoll+1 {
 		return nil
 	}
-	s.polled = in.Number
+	s.lastPoll = in.Number
 	s.polling = true
 	return s
 }
 
-// nextOf returns the answer to the poll of a session; nil, and a channel that is
+// nextPollResponse returns the answer to the poll of a session; nil, and a channel that is
 // closed when to look again, if there is nothing to say and the poll may wait.
-func (b *Broker) nextOf(s *session, maxBytes int, waitIsOver bool) (*topic.PollResponse, []byte, <-chan struct{}) {
+func (b *Broker) nextPollResponse(s *session, maxBytes int, waitIsOver bool) (*topic.PollResponse, []byte, <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !s.ended && !waitIsOver && len(s.outbox) == 0 && len(s.lost) == 0 {
+	if !s.ended && !waitIsOver && len(s.outbox) == 0 && len(s.lostPartitions) == 0 {
 		return nil, nil, s.changed
 	}
 	s.polling = false
 	s.lastSeen = time.Now()
-	out := &topic.PollResponse{Unknown: s.ended, LostPartitions: s.lost}
-	s.lost = nil
+	out := &topic.PollResponse{Unknown: s.ended, LostPartitions: s.lostPartitions}
+	s.lostPartitions = nil
 	bodies := []byte{}
 	for _, r := range s.take(maxBytes) {
 		out.Entries = append(out.Entries, topic.NewEntry(r))
--- a/internal/broker/refusals.go
+++ b/internal/broker/refusals.go
@@ -8,29 +8,31 @@
 	"saltreel/internal/topic"
 )
 
-// number is a publisher's number on a topic.
-type number struct {
+// publicationKey is a publisher's publicationKey on a topic.
+type publicationKey struct {
 	topic, publisher string
 	number           int64
 }
 
-func numberOf(r *partition.Record) number { return number{r.Topic, r.Publisher, r.Number} }
+func publicationKeyOf(r *partition.Record) publicationKey {
+	return publicationKey{r.Topic, r.Publisher, r.Number}
+}
 
 // refusals are the numbers whose publishers were told that they are not and will not be
 // stored: a try of one that is still on its way must not store it. They are kept in memory,
 // for as long as a number may come again; a broker that takes over does not know them. It has
 // no lock: the Broker's mu guards it.
 type refusals struct {
-	refused    map[number]time.Time // since when
-	publishing map[number]int       // calls that may store it
+	refused    map[publicationKey]time.Time // since when
+	publishing map[publicationKey]int       // calls that may store it
 }
 
 func newRefusals() refusals {
-	return refusals{refused: map[number]time.Time{}, publishing: map[number]int{}}
+	return refusals{refused: map[publicationKey]time.Time{}, publishing: map[publicationKey]int{}}
 }
 
-// forget forgets the numbers that were refused before a time.
-func (r *refusals) forget(before time.Time) {
+// deleteBefore forgets the numbers that were refused before a time.
+func (r *refusals) deleteBefore(before time.Time) {
 	for n, since := range r.refused {
 		if since.Before(before) {
 			delete(r.refused, n)
@@ -43,11 +45,11 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, r := range records {
-		_, isRefused := b.refusals.refused[numberOf(r)]
+		_, isRefused := b.refusals.refused[publicationKeyOf(r)]
 		refused = append(refused, isRefused)
 		if !isRefused {
 			accepting = append(accepting, r)
-			b.refusals.publishing[numberOf(r)]++
+			b.refusals.publishing[publicationKeyOf(r)]++
 		}
 	}
 	return accepting, refused
@@ -58,7 +60,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, r := range records {
-		n := numberOf(r)
+		n := publicationKeyOf(r)
 		if b.refusals.publishing[n]--; b.refusals.publishing[n] == 0 {
 			delete(b.refusals.publishing, n)
 		}
@@ -72,7 +74,7 @@
 	if !b.topics.isReady(in.Partition) {
 		return nil, errNotReady
 	}
-	n := number{in.Topic, in.Publisher, in.Number}
+	n := publicationKey{in.Topic, in.Publisher, in.Number}
 	if b.refusals.publishing[n] > 0 || b.config.Partitions.HoldsNumber(in.Partition, in.Topic, in.Publisher, in.Number) {
 		return &topic.RefuseResponse{}, nil
 	}
--- a/internal/broker/session.go
+++ b/internal/broker/session.go
@@ -13,67 +13,67 @@
 // session is what one gateway follows here. It has no lock: the Broker's mu guards
 // it, except for changed, which is closed and replaced under mu.
 type session struct {
-	id       string
-	topics   map[string]bool
-	outbox   []*partition.Record // for the next poll
-	bytes    int                 // of outbox
-	lost     []int               // partitions that are led here no longer, for the next poll
-	polled   int64               // number of the last poll
-	polling  bool                // a poll waits
-	lastSeen time.Time
-	ended    bool
-	changed  chan struct{} // closed and replaced when a poll that waits is to look again
+	id             string
+	topics         map[string]bool
+	outbox         []*partition.Record // for the next poll
+	outboxBytes    int                 // of outbox
+	lostPartitions []int               // partitions that are led here no longer, for the next poll
+	lastPoll       int64               // number of the last poll
+	polling        bool                // a poll waits
+	lastSeen       time.Time
+	ended          bool
+	changed        chan struct{} // closed and replaced when a poll that waits is to look again
 }
 
 func newSession(id string) *session {
 	return &session{id: id, topics: map[string]bool{}, lastSeen: time.Now(), changed: make(chan struct{})}
 }
 
-// wake lets the poll that waits look again.
-func (s *session) wake() {
+// notifyPoll lets the poll that waits look again.
+func (s *session) notifyPoll() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// push adds a message for the next poll.
-func (s *session) push(r *partition.Record) {
+// enqueue adds a message for the next poll.
+func (s *session) enqueue(r *partition.Record) {
 	s.outbox = append(s.outbox, r)
-	s.bytes += entryBytes(r)
-	if s.bytes > maxOutboxBytes {
+	s.outboxBytes += entryBytes(r)
+	if s.outboxBytes > maxOutboxBytes {
 		s.end()
 		return
 	}
-	s.wake()
+	s.notifyPoll()
 }
 
-// losePartition tells the gateway to follow a partition elsewhere.
-func (s *session) losePartition(number int) {
-	s.lost = append(s.lost, number)
-	s.wake()
+// addLostPartition tells the gateway to follow a partition elsewhere.
+func (s *session) addLostPartition(number int) {
+	s.lostPartitions = append(s.lostPartitions, number)
+	s.notifyPoll()
 }
 
 // end lets the gateway begin a new session.
 func (s *session) end() {
 	s.ended = true
-	s.outbox, s.bytes = nil, 0
-	s.wake()
+	s.outbox, s.outboxBytes = nil, 0
+	s.notifyPoll()
 }
 
-// isAbandoned reports whether the gateway has not polled for too long, or has to
+// isExpired reports whether the gateway has not polled for too long, or has to
 // begin a new session.
-func (s *session) isAbandoned(now time.Time, timeout time.Duration) bool {
+func (s *session) isExpired(now time.Time, timeout time.Duration) bool {
 	return s.ended || !s.polling && now.Sub(s.lastSeen) > timeout
 }
 
-// maxAnswerBytes bounds the messages in the answer to one call.
-const maxAnswerBytes = 128 << 10
+// maxResponseBytes bounds the messages in the answer to one call.
+const maxResponseBytes = 128 << 10
 
-// answerBound is the bound of an answer to a gateway that wants no more than that.
-func answerBound(wanted int) int {
+// responseLimit is the bound of an answer to a gateway that wants no more than that.
+func responseLimit(wanted int) int {
 	if wanted <= 0 {
-		return maxAnswerBytes
+		return maxResponseBytes
 	}
-	return min(wanted, maxAnswerBytes)
+	return min(wanted, maxResponseBytes)
 }
 
 // take removes what the next answer holds from the outbox: a message at least.
@@ -85,7 +85,7 @@
 	}
 	taken := s.outbox[:n:n]
 	s.outbox = s.outbox[n:]
-	s.bytes -= size
+	s.outboxBytes -= size
 	return taken
 }
 
--- a/internal/broker/timing.go
+++ b/internal/broker/timing.go
@@ -9,9 +9,9 @@
 	retransmit     time.Duration // how long a client may send a number again
 }
 
-// sweep is how often messages that are past their retention and sessions without
+// sweepInterval is how often messages that are past their retention and sessions without
 // a gateway are dropped.
-func (t timing) sweep() time.Duration { return t.contactTimeout / 8 }
+func (t timing) sweepInterval() time.Duration { return t.contactTimeout / 8 }
 
 // sessionTimeout is how long a session outlives the last poll: a gateway polls
 // again at once, so it is gone, or cut off and begins a new session later.
--- a/internal/broker/topics.go
+++ b/internal/broker/topics.go
@@ -9,12 +9,12 @@
 
 // topicLog is the messages of one topic that may be delivered.
 type topicLog struct {
-	partition   int
-	entries     []*partition.Record // in order
-	floor       partition.Position  // messages up to here were deleted
-	emptied     int64               // when the last of entries was deleted, in ms; 0 while there are any
-	followers   map[*session]bool
-	subscribers map[*session]int // at the gateways, where there are any
+	partition    int
+	entries      []*partition.Record // in order
+	floor        partition.Position  // messages up to here were deleted
+	emptySinceMs int64               // when the last of entries was deleted, in ms; 0 while there are any
+	followers    map[*session]bool
+	subscribers  map[*session]int // at the gateways, where there are any
 }
 
 // end is the position of the last message; of the last that was deleted if there
@@ -83,7 +83,7 @@
 func (t *topicTable) setFloors(number int, floors map[string]partition.Position, now int64) {
 	for name, floor := range floors {
 		log := t.get(number, name)
-		log.floor, log.emptied = floor, now
+		log.floor, log.emptySinceMs = floor, now
 	}
 }
 
@@ -94,7 +94,7 @@
 		log.floor = r.Previous // deleted before this store led the partition
 	}
 	log.entries = append(log.entries, r)
-	log.emptied = 0
+	log.emptySinceMs = 0
 	return log
 }
 
@@ -106,16 +106,16 @@
 	}
 }
 
-// forgetEmpty is how long the floor of a topic without messages is known. A cursor
+// emptyTopicRetention is how long the floor of a topic without messages is known. A cursor
 // from before that counts as one that has missed nothing.
-const forgetEmpty = time.Hour
+const emptyTopicRetention = time.Hour
 
 // deleteExpired drops the messages that are past their retention, and the topics
 // that have been without any for long.
 func (t *topicTable) deleteExpired(now int64) {
 	for name, log := range t.byName {
 		log.deleteExpired(now)
-		if log.isUnused() && now-log.emptied > forgetEmpty.Milliseconds() {
+		if log.isUnused() && now-log.emptySinceMs > emptyTopicRetention.Milliseconds() {
 			delete(t.byName, name)
 		}
 	}
@@ -129,6 +129,6 @@
 	}
 	t.entries = slices.Delete(t.entries, 0, expired)
 	if expired > 0 && len(t.entries) == 0 {
-		t.emptied = now
+		t.emptySinceMs = now
 	}
 }
