--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -1,10 +1,10 @@
-// Package broker is the workload of a store of topics. The broker of a topic is the
-// primary of its partition: it accepts what is published there, keeps the order,
-// and sends each message once to every gateway that follows the topic. A message is
-// sent only when as many disks hold it as must.
+// Package broker implements the workload of a store that holds topics. The broker of a topic
+// is the primary of its partition: it accepts published messages, orders them, and sends each
+// message once to every gateway that follows the topic. A message is sent only after the
+// required number of disks have stored it.
 //
-// The partitions own the messages; all state here follows from their events and
-// from what the gateways ask for, and is lost without harm.
+// The partitions own the messages. All state in this package is derived from their events and
+// from requests of the gateways, and can be lost without harm.
 package broker
 
 import (
@@ -22,51 +22,51 @@
 	"saltreel/internal/topic"
 )
 
-// Partitions is what a broker needs of the partitions of its store.
+// Partitions is the interface to the partitions of the store.
 type Partitions interface {
-	// Events returns the changes since the last call, in order, and a channel
-	// that receives when there may be more.
+	// Events returns the changes since the last call, in order, and a channel that receives a
+	// value when there may be more.
 	Events() ([]partition.Event, <-chan struct{})
-	// Now is the wall clock in milliseconds, without its steps.
+	// Now returns the wall clock in milliseconds, corrected for clock steps.
 	Now() int64
-	// AcceptAll stores messages of a partition in their order.
+	// AcceptAll stores messages of a partition in order.
 	AcceptAll(ctx context.Context, n int, records []*partition.Record) []error
-	// HoldsNumber reports whether a publisher's number on a topic is stored.
+	// HoldsNumber reports whether a publisher's message number on a topic is stored.
 	HoldsNumber(n int, topic, publisher string, number int64) bool
 }
 
-// Config is what a Broker needs; all fields are required.
+// Config configures a Broker. All fields are required.
 type Config struct {
 	Partitions     Partitions
 	Log            *log.Logger
 	ContactTimeout time.Duration
-	Retransmit     time.Duration // how long a client may send a number again
+	Retransmit     time.Duration // how long a client may retransmit a message number
 }
 
 func (c *Config) check() error {
 	switch {
 	case c.Partitions == nil || c.Log == nil:
-		return errors.New("broker: the partitions or the log are not given")
+		return errors.New("broker: Partitions and Log are required")
 	case c.ContactTimeout <= 0:
-		return errors.New("broker: the contact timeout is not positive")
+		return errors.New("broker: ContactTimeout must be positive")
 	case c.Retransmit <= 0:
-		return errors.New("broker: the time of retransmissions is not positive")
+		return errors.New("broker: Retransmit must be positive")
 	}
 	return nil
 }
 
-// Broker is the topics whose partitions this store is primary of.
+// Broker serves the topics of the partitions whose primary is this store.
 type Broker struct {
 	config Config
 	timing timing
 
-	mu       sync.Mutex // guards all below
+	mu       sync.Mutex // guards the fields below
 	topics   topicTable
-	sessions map[string]*session // by gateway
+	sessions map[string]*session // by gateway name
 	refusals refusals
 }
 
-// New makes a broker without topics.
+// New returns a broker without topics.
 func New(config Config) (*Broker, error) {
 	if err := config.check(); err != nil {
 		return nil, err
@@ -80,7 +80,7 @@
 	}, nil
 }
 
-// NewWorkload makes the broker of a store.
+// NewWorkload returns the broker as the workload of a store.
 func NewWorkload(host store.Host) (store.Workload, error) {
 	return New(Config{
 		Partitions:     host.Partitions,
@@ -102,18 +102,18 @@
 	}
 }
 
-// ApplyEvent implements store.Workload: a broker needs nothing but its partitions.
+// ApplyEvent implements store.Workload. A broker depends only on its partitions.
 func (b *Broker) ApplyEvent(journal.Event) {}
 
-// EndBy implements store.Workload: nothing here takes long.
+// EndBy implements store.Workload. A broker has no long-running work to finish.
 func (b *Broker) EndBy(time.Time) {}
 
-// Idle implements store.Workload: nothing of a partition is in flight but accepts,
-// which a handover waits for itself.
+// Idle implements store.Workload. The only work in flight for a partition is accepts, for
+// which the handover itself waits.
 func (b *Broker) Idle(int) bool { return true }
 
-// Run implements store.Workload. When ctx ends, all gateways are told that the
-// partitions are led here no longer.
+// Run implements store.Workload. When ctx ends, it ends all sessions, so that the gateways
+// learn that the partitions are no longer led here.
 func (b *Broker) Run(ctx context.Context) {
 	ticker := time.NewTicker(b.timing.sweepInterval())
 	defer ticker.Stop()
@@ -160,7 +160,7 @@
 	}
 }
 
-// sweep drops what is past its time.
+// sweep deletes expired messages, refusals and sessions.
 func (b *Broker) sweep() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -168,7 +168,7 @@
 	b.refusals.deleteBefore(time.Now().Add(-b.timing.extraRetention()))
 	for gateway, s := range b.sessions {
 		if s.isExpired(time.Now(), b.timing.sessionTimeout()) {
-			b.config.Log.Printf("broker: the session of %s ended: %d messages wait for its next poll", gateway, len(s.outbox))
+			b.config.Log.Printf("broker: session of gateway %s ended with %d undelivered messages", gateway, len(s.outbox))
 			b.endSessionLocked(gateway)
 		}
 	}
@@ -182,8 +182,8 @@
 	}
 }
 
-// endSessionLocked forgets the session of a gateway, which finds out by its next
-// poll, or by the one that waits.
+// endSessionLocked removes the session of a gateway. A pending poll, or otherwise the next
+// one, tells the gateway.
 func (b *Broker) endSessionLocked(gateway string) {
 	s := b.sessions[gateway]
 	if s == nil {
@@ -196,7 +196,7 @@
 	s.end()
 }
 
-// statusCode maps the errors of a broker's calls to statuses.
+// statusCode maps the errors of the broker RPCs to HTTP status codes.
 func statusCode(err error) int {
 	switch {
 	case errors.Is(err, topic.ErrTruncated):
--- a/internal/broker/broker_bench_test.go
+++ b/internal/broker/broker_bench_test.go
@@ -17,8 +17,8 @@
 	"saltreel/internal/topic"
 )
 
-// BenchmarkPublish measures publications of 700 bytes at a broker without backups,
-// with 64 publishers at once, on this machine's disk.
+// BenchmarkPublish measures publications of 700 bytes at a broker without backups, with 64
+// concurrent publishers, on the local disk.
 func BenchmarkPublish(b *testing.B) {
 	unreachable := func(context.Context, string) (net.Conn, error) { return nil, io.EOF }
 	partitions, err := partition.New(partition.Config{
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -14,12 +14,13 @@
 	"saltreel/internal/topic"
 )
 
-// fakePartitions gives events when a test says so and accepts as it says.
+// fakePartitions returns predefined outcomes and records what is stored. Tests apply events
+// directly.
 type fakePartitions struct {
 	now          int64
 	outcome      []error
 	stored       []*partition.Record
-	duringAccept func() // an accept; nil: nothing
+	duringAccept func() // called by AcceptAll; may be nil
 }
 
 func (f *fakePartitions) Events() ([]partition.Event, <-chan struct{}) { return nil, nil }
@@ -63,7 +64,8 @@
 	}
 }
 
-// record is the entry of topic t at an order, behind the one before it.
+// record returns the entry of topic t with the given order, which follows the entry with the
+// preceding order.
 func record(order int64, expires int64) *partition.Record {
 	return &partition.Record{
 		Epoch: 1, Order: order, Topic: "t", Publisher: "p", Number: order, Expires: expires, Body: []byte("x"),
@@ -88,7 +90,7 @@
 	return out
 }
 
-// poll returns the orders of the next messages, and the answer.
+// poll returns the orders of the next messages, and the response.
 func poll(t *testing.T, b *Broker, session string, number int64) ([]int64, *topic.PollResponse) {
 	t.Helper()
 	out, raw, err := b.handlePoll(t.Context(), &topic.PollRequest{Gateway: "g", Session: session, Number: number, WaitMs: 100}, nil)
@@ -114,10 +116,10 @@
 			{Topic: "elsewhere", Partition: 7},
 		}})
 		if state := out.Topics[0]; state.End.Order != 2 || state.Floor.Order != 0 || len(state.Entries) != 1 || string(state.Entries[0].Body) != "x" {
-			t.Errorf("the topic stands at %+v", state)
+			t.Errorf("topic state %+v", state)
 		}
 		if !out.Topics[1].NotReady {
-			t.Error("a topic of a partition that is led elsewhere is followed")
+			t.Error("a topic of a partition led elsewhere is followed")
 		}
 		becomePrimary(b)
 		b.applyEvents([]partition.Event{{Entries: []*partition.Record{record(3, 1e9)}}})
@@ -126,7 +128,7 @@
 		})
 		for number, want := range [][]int64{{3}, {4}, nil} {
 			if got, _ := poll(t, b, "s", int64(number+1)); !slices.Equal(got, want) {
-				t.Errorf("poll %d brings %v, not %v", number+1, got, want)
+				t.Errorf("poll %d returned %v, want %v", number+1, got, want)
 			}
 		}
 		count, err := b.handleCount(t.Context(), &topic.CountRequest{Topic: "t"}, nil)
@@ -134,12 +136,12 @@
 			t.Errorf("%d subscribers, %v", count.Count, err)
 		}
 		if _, err := b.handleCount(t.Context(), &topic.CountRequest{Topic: "t", Partition: 7}, nil); statusCode(err) != 421 {
-			t.Errorf("a count elsewhere: %v", err)
+			t.Errorf("count of a partition led elsewhere: %v", err)
 		}
 	})
 }
 
-func TestOnlyTheNextPollOfTheNewestSessionIsAnswered(t *testing.T) {
+func TestPollRequiresCurrentSessionAndSequenceNumber(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, _ := newBroker(t)
 		becomePrimary(b)
@@ -158,23 +160,23 @@
 		}
 		begin("b")
 		if out := follow(t, b, topic.FollowRequest{Session: "a", Unfollow: []string{"t"}}); !out.Unknown {
-			t.Error("a late call of a former session is obeyed")
+			t.Error("a late request of a former session is applied")
 		}
 		b.applyEvents([]partition.Event{{Entries: []*partition.Record{record(1, 1e9)}}})
 		if got, _ := poll(t, b, "b", 1); !slices.Equal(got, []int64{1}) {
-			t.Errorf("the new session gets %v", got)
+			t.Errorf("new session received %v", got)
 		}
 	})
 }
 
-func TestSessionIsToldOfLostPartitionsAndOfItsEnd(t *testing.T) {
+func TestPollReportsLostPartitionsAndSessionEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, _ := newBroker(t)
 		becomePrimary(b)
 		follow(t, b, topic.FollowRequest{Session: "s", Begin: true, Follow: []topic.FollowedTopic{{Topic: "t"}}})
 		b.applyEvents([]partition.Event{{LostPrimary: true}})
 		if _, out := poll(t, b, "s", 1); !slices.Equal(out.LostPartitions, []int{0}) {
-			t.Errorf("lost are %v", out.LostPartitions)
+			t.Errorf("lost partitions %v", out.LostPartitions)
 		}
 		becomePrimary(b)
 		follow(t, b, topic.FollowRequest{Session: "s", Follow: []topic.FollowedTopic{{Topic: "t"}}})
@@ -182,18 +184,18 @@
 		big.Body = make([]byte, maxOutboxBytes)
 		b.applyEvents([]partition.Event{{Entries: []*partition.Record{big}}})
 		if _, out := poll(t, b, "s", 2); !out.Unknown {
-			t.Error("a session over its bound goes on")
+			t.Error("a session over its outbox limit did not end")
 		}
 		follow(t, b, topic.FollowRequest{Session: "r", Begin: true, Follow: []topic.FollowedTopic{{Topic: "t", Subscribers: 1}}})
 		time.Sleep(b.timing.sessionTimeout() + time.Millisecond)
 		b.sweep()
 		if _, out := poll(t, b, "r", 1); !out.Unknown || b.topics.byName["t"].count() != 0 {
-			t.Error("a gateway that does not poll still counts")
+			t.Error("subscribers of an expired session are still counted")
 		}
 	})
 }
 
-func TestAnswersAreBounded(t *testing.T) {
+func TestResponsesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, _ := newBroker(t)
 		becomePrimary(b, record(1, 1e9), record(2, 1e9))
@@ -211,7 +213,7 @@
 	})
 }
 
-func TestFloorIsThatOfDeletedMessages(t *testing.T) {
+func TestFloorFollowsDeletedMessages(t *testing.T) {
 	b, f := newBroker(t)
 	becomePrimary(b, record(5, 2000), record(6, 3000), record(7, 4000))
 	state := func() topic.TopicState {
@@ -228,11 +230,11 @@
 	f.now += 2 * emptyTopicRetention.Milliseconds()
 	b.sweep()
 	if len(b.topics.byName) != 0 {
-		t.Error("an empty topic is kept for good")
+		t.Error("an empty topic was not deleted after its retention")
 	}
 }
 
-func TestPublishGivesTheOutcomeOfEachMessage(t *testing.T) {
+func TestPublishReturnsOutcomePerMessage(t *testing.T) {
 	b, f := newBroker(t)
 	f.outcome = []error{nil, partition.ErrSuperseded, &partition.TooFewBackupsError{}, &partition.UnconfirmedError{}, errors.New("another")}
 	in := &topic.PublishRequest{Topic: "t", Publisher: "p", RetentionMs: 5000, WaitMs: 100}
@@ -245,15 +247,15 @@
 		t.Errorf("%v, %v", out, err)
 	}
 	if r := f.stored[2]; string(r.Body) != "cc" || r.Number != 3 || r.Expires != 1000+5000+8000+10000 {
-		t.Errorf("stored is %+v", r)
+		t.Errorf("stored record %+v", r)
 	}
 	if _, err := b.handlePublish(t.Context(), in, []byte("too short")); statusCode(err) != 400 {
-		t.Errorf("bodies cut short: %v", err)
+		t.Errorf("truncated bodies: %v", err)
 	}
 }
 
-// A topic with more messages than the gateway wants at once gives the newest of them with
-// the join, and the others page by page, without a gap.
+// A join returns only the newest messages of a topic that has more than the gateway requests
+// at once; the others are read page by page, without a gap.
 func TestLargeBacklogIsReadInPages(t *testing.T) {
 	b, _ := newBroker(t)
 	var entries []*partition.Record
@@ -267,11 +269,11 @@
 	out := follow(t, b, topic.FollowRequest{Session: "s", Begin: true, MaxBacklog: pageSize, Follow: []topic.FollowedTopic{{Topic: "t", Replay: true}}})
 	state := out.Topics[0]
 	if len(state.Entries) != 5 || state.Skipped != entries[34].Position() || state.End != entries[39].Position() {
-		t.Errorf("%d messages with the join, skipped up to %v, end %v", len(state.Entries), state.Skipped, state.End)
+		t.Errorf("follow returned %d messages, skipped up to %v, end %v", len(state.Entries), state.Skipped, state.End)
 	}
 	out = follow(t, b, topic.FollowRequest{Session: "s", Follow: []topic.FollowedTopic{{Topic: "t", Replay: true}}})
 	if state := out.Topics[0]; len(state.Entries) != 40 || state.Skipped != (partition.Position{}) {
-		t.Errorf("without a bound %d messages, skipped up to %v", len(state.Entries), state.Skipped)
+		t.Errorf("without a limit: %d messages, skipped up to %v", len(state.Entries), state.Skipped)
 	}
 	var orders []int64
 	for after := (partition.Position{}); after != entries[39].Position(); {
@@ -288,19 +290,19 @@
 		t.Errorf("read %v", orders)
 	}
 	if page, _, err := b.handleRead(t.Context(), &topic.ReadRequest{Topic: "t", MaxBytes: 1}, nil); err != nil || len(page.Entries) != 1 {
-		t.Errorf("a message is larger than the page: %d, %v", len(page.Entries), err)
+		t.Errorf("message larger than the page: %d messages, %v", len(page.Entries), err)
 	}
 	if page, _, err := b.handleRead(t.Context(), &topic.ReadRequest{Topic: "unknown"}, nil); err != nil || len(page.Entries) != 0 || len(b.topics.byName) != 1 {
-		t.Errorf("an unknown topic: %+v, %v", page, err)
+		t.Errorf("unknown topic: %+v, %v", page, err)
 	}
 	if _, _, err := b.handleRead(t.Context(), &topic.ReadRequest{Topic: "t", Partition: 9}, nil); !errors.Is(err, errNotReady) {
 		t.Errorf("not led here: %v", err)
 	}
 }
 
-// Guards against RETRY for a number that was accepted, or that a try on its way stores later
-// (docs/incidents/retry-after-accept.md): a publisher sends its message under a new number then,
-// and subscribers get it twice.
+// Guards against RETRY for a number that was accepted earlier or that an attempt in flight
+// stores later (docs/incidents/retry-after-accept.md). The publisher would then send the
+// message under a new number, and subscribers would receive it twice.
 func TestRefusedNumberIsNeverStored(t *testing.T) {
 	b, f := newBroker(t)
 	becomePrimary(b)
@@ -330,28 +332,28 @@
 	}
 	publish(1)
 	if refuse(1) {
-		t.Error("a number that is stored is refused")
+		t.Error("a stored number is refused")
 	}
 	f.duringAccept = func() {
 		f.duringAccept = nil
-		f.stored = f.stored[:1] // its accept has just begun
+		f.stored = f.stored[:1] // the accept of number 2 is still in progress
 		if refuse(2) {
 			t.Error("a number that is being stored is refused")
 		}
 	}
 	publish(2)
 	if first := refuse(5); !first || !refuse(5) {
-		t.Error("a number that nobody stored is not refused")
+		t.Error("a number that was never stored is not refused")
 	}
 	if got := publish(4, 5, 6); !slices.Equal(got, []topic.Outcome{topic.Accepted, topic.Superseded, topic.Accepted}) {
-		t.Errorf("a refused number among others: %v", got)
+		t.Errorf("outcomes with a refused number: %v", got)
 	}
 	if f.HoldsNumber(0, "t", "p", 5) || len(b.refusals.publishing) != 0 {
-		t.Errorf("the refused number is stored, or %d publications are under way", len(b.refusals.publishing))
+		t.Errorf("the refused number is stored, or %d publications are still in progress", len(b.refusals.publishing))
 	}
 	b.refusals.deleteBefore(time.Now().Add(time.Minute))
 	if len(b.refusals.refused) != 0 {
-		t.Error("old refusals are kept")
+		t.Error("old refusals were not deleted")
 	}
 	if _, err := b.handleRefuse(t.Context(), &topic.RefuseRequest{Topic: "t", Partition: 9, Publisher: "p", Number: 7}, nil); !errors.Is(err, errNotReady) {
 		t.Errorf("not led here: %v", err)
--- a/internal/broker/calls.go
+++ b/internal/broker/calls.go
@@ -10,8 +10,8 @@
 	"saltreel/internal/topic"
 )
 
-// handlePublish stores messages of a publisher, and answers when their outcome is
-// known or the gateway waits no longer.
+// handlePublish stores messages of a publisher. It responds when their outcomes are known or
+// the gateway's wait time is over.
 func (b *Broker) handlePublish(ctx context.Context, in *topic.PublishRequest, raw []byte) (*topic.PublishResponse, error) {
 	records, err := b.newRecords(in, raw)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return out, nil
 }
 
-// newRecords makes the log entries of a request. Their times are this store's.
+// newRecords returns the log records for a request. Their expiry is by this store's clock.
 func (b *Broker) newRecords(in *topic.PublishRequest, raw []byte) ([]*partition.Record, error) {
 	expires := b.config.Partitions.Now() + in.RetentionMs + b.timing.extraRetention().Milliseconds()
 	var records []*partition.Record
@@ -65,7 +65,7 @@
 	}
 }
 
-// handleFollow changes what a gateway follows.
+// handleFollow changes the set of topics that a gateway follows.
 func (b *Broker) handleFollow(_ context.Context, in *topic.FollowRequest, _ []byte) (*topic.FollowResponse, []byte, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -101,8 +101,8 @@
 	return out, bodies, nil
 }
 
-// followLocked makes a session follow a topic: it gets the messages up to End now
-// and later ones by its polls.
+// followLocked adds a topic to a session. Messages up to End are returned now if requested;
+// later ones are returned by polls.
 func (b *Broker) followLocked(s *session, f topic.FollowedTopic, maxBacklog int) topic.TopicState {
 	if !b.topics.isReady(f.Partition) {
 		return topic.TopicState{NotReady: true}
@@ -120,8 +120,8 @@
 	return state
 }
 
-// newestWithin returns the newest of records that have no more bytes than a bound, but for
-// a single one, and the position of the last that is left out. A bound of 0 is none.
+// newestWithin returns the newest records whose total size is within maxBytes, at least one,
+// and the position of the last omitted record. A limit of 0 means no limit.
 func newestWithin(records []*partition.Record, maxBytes int) (skipped partition.Position, newest []*partition.Record) {
 	if maxBytes <= 0 {
 		return partition.Position{}, records
@@ -144,7 +144,7 @@
 	return entries
 }
 
-// handleRead answers with messages of a topic, for those who are far behind.
+// handleRead returns a page of a topic's messages, for subscribers that are far behind.
 func (b *Broker) handleRead(_ context.Context, in *topic.ReadRequest, _ []byte) (*topic.ReadResponse, []byte, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -180,7 +180,7 @@
 	t.subscribers[s] = subscribers
 }
 
-// handlePoll answers with the next messages of a session, as soon as there are any.
+// handlePoll returns the next messages of a session, waiting until there are any.
 func (b *Broker) handlePoll(ctx context.Context, in *topic.PollRequest, _ []byte) (*topic.PollResponse, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(in.WaitMs)*time.Millisecond)
 	defer cancel()
@@ -200,7 +200,8 @@
 	}
 }
 
-// beginPoll returns the session that a poll is the next of; nil if there is none.
+// beginPoll returns the session for a poll, or nil if the session is unknown or the poll is
+// out of sequence.
 func (b *Broker) beginPoll(in *topic.PollRequest) *session {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -213,12 +214,13 @@
 	return s
 }
 
-// nextPollResponse returns the answer to the poll of a session; nil, and a channel that is
-// closed when to look again, if there is nothing to say and the poll may wait.
-func (b *Broker) nextPollResponse(s *session, maxBytes int, waitIsOver bool) (*topic.PollResponse, []byte, <-chan struct{}) {
+// nextPollResponse returns the response to a poll of the session. If there is nothing to
+// return and the poll may wait, it returns nil and a channel that is closed when to check
+// again.
+func (b *Broker) nextPollResponse(s *session, maxBytes int, waitExpired bool) (*topic.PollResponse, []byte, <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !s.ended && !waitIsOver && len(s.outbox) == 0 && len(s.lostPartitions) == 0 {
+	if !s.ended && !waitExpired && len(s.outbox) == 0 && len(s.lostPartitions) == 0 {
 		return nil, nil, s.changed
 	}
 	s.polling = false
@@ -233,7 +235,7 @@
 	return out, bodies, nil
 }
 
-// handleCount answers how many subscribers a topic has.
+// handleCount returns the number of subscribers of a topic.
 func (b *Broker) handleCount(_ context.Context, in *topic.CountRequest, _ []byte) (*topic.CountResponse, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/broker/refusals.go
+++ b/internal/broker/refusals.go
@@ -8,7 +8,7 @@
 	"saltreel/internal/topic"
 )
 
-// publicationKey is a publisher's publicationKey on a topic.
+// publicationKey identifies a publication by topic, publisher and message number.
 type publicationKey struct {
 	topic, publisher string
 	number           int64
@@ -18,20 +18,20 @@
 	return publicationKey{r.Topic, r.Publisher, r.Number}
 }
 
-// refusals are the numbers whose publishers were told that they are not and will not be
-// stored: a try of one that is still on its way must not store it. They are kept in memory,
-// for as long as a number may come again; a broker that takes over does not know them. It has
-// no lock: the Broker's mu guards it.
+// refusals records the numbers whose publishers were told that they are not stored and never
+// will be: an attempt still in flight must not store them. Entries are kept in memory for as
+// long as a number may be retransmitted; a broker that takes over the partition does not know
+// them. It has no lock of its own: Broker.mu guards it.
 type refusals struct {
-	refused    map[publicationKey]time.Time // since when
-	publishing map[publicationKey]int       // calls that may store it
+	refused    map[publicationKey]time.Time // time of the refusal
+	publishing map[publicationKey]int       // number of calls in progress that may store it
 }
 
 func newRefusals() refusals {
 	return refusals{refused: map[publicationKey]time.Time{}, publishing: map[publicationKey]int{}}
 }
 
-// deleteBefore forgets the numbers that were refused before a time.
+// deleteBefore deletes the refusals older than the given time.
 func (r *refusals) deleteBefore(before time.Time) {
 	for n, since := range r.refused {
 		if since.Before(before) {
@@ -40,7 +40,8 @@
 	}
 }
 
-// beginPublish returns the records that may be stored, and of all which were refused.
+// beginPublish returns the records that may be stored, and for each of the given records
+// whether it was refused.
 func (b *Broker) beginPublish(records []*partition.Record) (accepting []*partition.Record, refused []bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -55,7 +56,7 @@
 	return accepting, refused
 }
 
-// endPublish notes that a call stores these records no more.
+// endPublish marks the end of a call that stored these records.
 func (b *Broker) endPublish(records []*partition.Record) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -67,7 +68,8 @@
 	}
 }
 
-// handleRefuse refuses a number for good, unless it is stored or may be just now.
+// handleRefuse refuses a number permanently, unless it is stored or a call in progress may
+// store it.
 func (b *Broker) handleRefuse(_ context.Context, in *topic.RefuseRequest, _ []byte) (*topic.RefuseResponse, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/broker/session.go
+++ b/internal/broker/session.go
@@ -6,30 +6,30 @@
 	"saltreel/internal/partition"
 )
 
-// maxOutboxBytes bounds what waits for a gateway that does not poll. One that lags
-// further behind begins a new session and asks for what it lacks.
+// maxOutboxBytes limits the messages queued for a gateway that does not poll. A gateway that
+// lags further behind begins a new session and requests the messages that it lacks.
 const maxOutboxBytes = 4 << 20
 
-// session is what one gateway follows here. It has no lock: the Broker's mu guards
-// it, except for changed, which is closed and replaced under mu.
+// session is the state of one gateway at this broker. It has no lock of its own: Broker.mu
+// guards it. A poll waits on changed without holding the lock.
 type session struct {
 	id             string
 	topics         map[string]bool
-	outbox         []*partition.Record // for the next poll
-	outboxBytes    int                 // of outbox
-	lostPartitions []int               // partitions that are led here no longer, for the next poll
+	outbox         []*partition.Record // messages for the next poll
+	outboxBytes    int                 // size of outbox
+	lostPartitions []int               // partitions no longer led here, for the next poll
 	lastPoll       int64               // number of the last poll
-	polling        bool                // a poll waits
+	polling        bool                // a poll is in progress
 	lastSeen       time.Time
 	ended          bool
-	changed        chan struct{} // closed and replaced when a poll that waits is to look again
+	changed        chan struct{} // closed and replaced when a waiting poll must check again
 }
 
 func newSession(id string) *session {
 	return &session{id: id, topics: map[string]bool{}, lastSeen: time.Now(), changed: make(chan struct{})}
 }
 
-// notifyPoll lets the poll that waits look again.
+// notifyPoll makes a waiting poll check the session again.
 func (s *session) notifyPoll() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -46,37 +46,39 @@
 	s.notifyPoll()
 }
 
-// addLostPartition tells the gateway to follow a partition elsewhere.
+// addLostPartition tells the gateway with the next poll that the partition is no longer led
+// here.
 func (s *session) addLostPartition(number int) {
 	s.lostPartitions = append(s.lostPartitions, number)
 	s.notifyPoll()
 }
 
-// end lets the gateway begin a new session.
+// end marks the session as ended, so that the gateway begins a new one.
 func (s *session) end() {
 	s.ended = true
 	s.outbox, s.outboxBytes = nil, 0
 	s.notifyPoll()
 }
 
-// isExpired reports whether the gateway has not polled for too long, or has to
-// begin a new session.
+// isExpired reports whether the session has ended or has not been polled within the timeout.
 func (s *session) isExpired(now time.Time, timeout time.Duration) bool {
 	return s.ended || !s.polling && now.Sub(s.lastSeen) > timeout
 }
 
-// maxResponseBytes bounds the messages in the answer to one call.
+// maxResponseBytes limits the messages in one response.
 const maxResponseBytes = 128 << 10
 
-// responseLimit is the bound of an answer to a gateway that wants no more than that.
-func responseLimit(wanted int) int {
-	if wanted <= 0 {
+// responseLimit returns the limit for a response, given the limit that the gateway requested;
+// 0 requests the default.
+func responseLimit(requested int) int {
+	if requested <= 0 {
 		return maxResponseBytes
 	}
-	return min(wanted, maxResponseBytes)
+	return min(requested, maxResponseBytes)
 }
 
-// take removes what the next answer holds from the outbox: a message at least.
+// take removes the messages of the next response from the outbox: at least one, if there are
+// any.
 func (s *session) take(maxBytes int) []*partition.Record {
 	size, n := 0, 0
 	for n < len(s.outbox) && (n == 0 || size < maxBytes) {
@@ -89,7 +91,7 @@
 	return taken
 }
 
-// entryOverhead estimates the bytes of an entry without its body.
+// entryOverhead is the estimated size of an entry without its body.
 const entryOverhead = 120
 
 func entryBytes(r *partition.Record) int { return entryOverhead + len(r.Body) }
--- a/internal/broker/timing.go
+++ b/internal/broker/timing.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// timing derives the times of a broker from the contact timeout and the bounds of
-// the topics.
+// timing derives the broker's intervals and timeouts from the contact timeout and the
+// retransmission period.
 type timing struct {
 	contactTimeout time.Duration
-	retransmit     time.Duration // how long a client may send a number again
+	retransmit     time.Duration // how long a client may retransmit a message number
 }
 
-// sweepInterval is how often messages that are past their retention and sessions without
-// a gateway are dropped.
+// sweepInterval is the interval between two sweeps, which delete expired messages and sessions
+// that are no longer polled.
 func (t timing) sweepInterval() time.Duration { return t.contactTimeout / 8 }
 
-// sessionTimeout is how long a session outlives the last poll: a gateway polls
-// again at once, so it is gone, or cut off and begins a new session later.
+// sessionTimeout is how long a session is kept after its last poll. A gateway polls again
+// immediately, so one that does not has stopped, or is disconnected and will begin a new
+// session.
 func (t timing) sessionTimeout() time.Duration { return t.contactTimeout / 2 }
 
-// extraRetention is how much longer than its space says a message is kept: a
-// client that was away for just the retention still has to connect and to ask,
-// clocks of stores differ, and a client may send the number of a message again
-// for some time.
+// extraRetention is how much longer a message is kept than the retention of its space. A
+// client that was disconnected for the whole retention still has to connect and subscribe,
+// clocks of stores differ, and a client may retransmit a message number for some time.
 func (t timing) extraRetention() time.Duration { return 2*t.contactTimeout + t.retransmit }
--- a/internal/broker/topics.go
+++ b/internal/broker/topics.go
@@ -7,18 +7,17 @@
 	"saltreel/internal/partition"
 )
 
-// topicLog is the messages of one topic that may be delivered.
+// topicLog holds the deliverable messages of one topic.
 type topicLog struct {
 	partition    int
 	entries      []*partition.Record // in order
-	floor        partition.Position  // messages up to here were deleted
-	emptySinceMs int64               // when the last of entries was deleted, in ms; 0 while there are any
+	floor        partition.Position  // messages up to this position were deleted
+	emptySinceMs int64               // time when the last entry was deleted; 0 while there are entries
 	followers    map[*session]bool
-	subscribers  map[*session]int // at the gateways, where there are any
+	subscribers  map[*session]int // number of subscribers by session; no zero entries
 }
 
-// end is the position of the last message; of the last that was deleted if there
-// is none.
+// end returns the position of the last message, or of the last deleted one if there is none.
 func (t *topicLog) end() partition.Position {
 	if len(t.entries) == 0 {
 		return t.floor
@@ -26,7 +25,7 @@
 	return t.entries[len(t.entries)-1].Position()
 }
 
-// count is the number of subscribers at all gateways.
+// count returns the number of subscribers at all gateways.
 func (t *topicLog) count() int {
 	total := 0
 	for _, n := range t.subscribers {
@@ -35,15 +34,15 @@
 	return total
 }
 
-// isUnused reports whether nothing is known of the topic that is needed.
+// isUnused reports whether the topic has no messages, followers or subscribers.
 func (t *topicLog) isUnused() bool {
 	return len(t.entries) == 0 && len(t.followers) == 0 && len(t.subscribers) == 0
 }
 
-// topicTable is the topics of the partitions that this store is primary of. It has
-// no lock: the Broker's mu guards it.
+// topicTable holds the topics of the partitions whose primary is this store. It has no lock of
+// its own: Broker.mu guards it.
 type topicTable struct {
-	ready  map[int]bool // by partition that is led here: its entries are complete
+	ready  map[int]bool // partitions led here; true once their entries are complete
 	byName map[string]*topicLog
 }
 
@@ -51,14 +50,14 @@
 	return topicTable{ready: map[int]bool{}, byName: map[string]*topicLog{}}
 }
 
-// setReady notes that a partition is led here, and whether all its entries up to
-// now have been appended or come next.
+// setReady records that a partition is led here, and whether all its entries so far have been
+// appended or come next.
 func (t *topicTable) setReady(number int, ready bool) { t.ready[number] = ready }
 
-// isReady reports whether a partition is led here with all its entries.
+// isReady reports whether a partition is led here and its entries are complete.
 func (t *topicTable) isReady(number int) bool { return t.ready[number] }
 
-// remove forgets a partition that is led here no longer.
+// remove deletes the topics of a partition that is no longer led here.
 func (t *topicTable) remove(number int) {
 	delete(t.ready, number)
 	for name, log := range t.byName {
@@ -68,7 +67,7 @@
 	}
 }
 
-// get returns the log of a topic; an empty one if there is none yet.
+// get returns the log of a topic and creates it if necessary.
 func (t *topicTable) get(number int, name string) *topicLog {
 	log := t.byName[name]
 	if log == nil {
@@ -78,8 +77,8 @@
 	return log
 }
 
-// setFloors notes up to where messages of topics were deleted before this store led
-// the partition.
+// setFloors sets the positions up to which messages were deleted before this store became the
+// primary.
 func (t *topicTable) setFloors(number int, floors map[string]partition.Position, now int64) {
 	for name, floor := range floors {
 		log := t.get(number, name)
@@ -87,18 +86,18 @@
 	}
 }
 
-// append adds a message to its topic.
+// append appends a message to the log of its topic.
 func (t *topicTable) append(number int, r *partition.Record) *topicLog {
 	log := t.get(number, r.Topic)
 	if len(log.entries) == 0 && r.Previous.After(log.floor) {
-		log.floor = r.Previous // deleted before this store led the partition
+		log.floor = r.Previous // deleted before this store became the primary
 	}
 	log.entries = append(log.entries, r)
 	log.emptySinceMs = 0
 	return log
 }
 
-// unfollow notes that a session follows a topic no longer, and has no subscribers.
+// unfollow removes a session and its subscribers from a topic.
 func (t *topicTable) unfollow(name string, s *session) {
 	if log := t.byName[name]; log != nil {
 		delete(log.followers, s)
@@ -106,12 +105,11 @@
 	}
 }
 
-// emptyTopicRetention is how long the floor of a topic without messages is known. A cursor
-// from before that counts as one that has missed nothing.
+// emptyTopicRetention is how long the floor of a topic without messages is kept. After that,
+// an older cursor is treated as one that has missed nothing.
 const emptyTopicRetention = time.Hour
 
-// deleteExpired drops the messages that are past their retention, and the topics
-// that have been without any for long.
+// deleteExpired deletes expired messages, and unused topics whose retention has passed.
 func (t *topicTable) deleteExpired(now int64) {
 	for name, log := range t.byName {
 		log.deleteExpired(now)
