--- a/internal/gateway/backlog.go
+++ b/internal/gateway/backlog.go
@@ -187,7 +187,7 @@
 			}
 		default:
 			if err := h.readPage(ctx, caller, f, next); err != nil {
-				timeutil.Sleep(ctx, h.timing.retry())
+				timeutil.Sleep(ctx, h.timing.retryDelay())
 			}
 		}
 	}
@@ -197,7 +197,7 @@
 type pageRead struct {
 	reader  *subscription
 	request topic.ReadRequest
-	link    *link
+	link    *brokerLink
 	address string
 }
 
@@ -221,13 +221,13 @@
 // readPage reads one page and gives it to the feed.
 func (h *hub) readPage(ctx context.Context, caller *brokerCaller, f *feed, p *pageRead) error {
 	select {
-	case p.link.reads <- struct{}{}:
+	case p.link.readSlots <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { <-p.link.reads }()
+	defer func() { <-p.link.readSlots }()
 	var out topic.ReadResponse
-	raw, err := caller.call(ctx, p.link.store, p.address, topic.PathRead, h.timing.follow(), p.request, nil, &out)
+	raw, err := caller.call(ctx, p.link.store, p.address, topic.PathRead, h.timing.followTimeout(), p.request, nil, &out)
 	if err == nil {
 		_, err = topic.SetBodies(out.Entries, raw)
 	}
--- a/internal/gateway/backlog_test.go
+++ b/internal/gateway/backlog_test.go
@@ -144,7 +144,7 @@
 		want int
 	}{{0, maxPageBytes}, {1000, maxPageBytes}, {4, 4_000_000 / 8 * 6 / 12 / 3 / maxReads}} {
 		h := newHub(timing{contact: 6e9}, func() *placement.Placement { return p }, log.New(io.Discard, "", 0), nil, nil)
-		h.link = c.mbps * 1e6 / 8
+		h.linkBytesPerS = c.mbps * 1e6 / 8
 		if got := h.pageBytes(); got != c.want {
 			t.Errorf("%v Mbit/s: pages of %d bytes, not %d", c.mbps, got, c.want)
 		}
--- a/internal/gateway/caller.go
+++ b/internal/gateway/caller.go
@@ -26,7 +26,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if path != topic.PathPoll {
-		early := time.AfterFunc(c.timing.suspect(), func() { c.node.ReportFailure(store, false) })
+		early := time.AfterFunc(c.timing.suspectTimeout(), func() { c.node.ReportFailure(store, false) })
 		defer early.Stop()
 	}
 	answer, err := c.node.Client.CallRaw(callCtx, address, path, in, raw, out)
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -22,12 +22,12 @@
 	reader  *bufio.Reader
 	outbox  *outbox
 
-	name   string // of the client; empty before its HELLO
-	secret string
+	clientName string // of the client; empty before its HELLO
+	secret     string
 
 	lastReceived atomic.Int64  // time of the last message, in ns of the steady clock
 	unanswered   atomic.Int64  // messages to publish that have no answer yet
-	released     chan struct{} // closed when reads are held no longer, at the end
+	closed       chan struct{} // closed when reads are held no longer, at the end
 
 	mu            sync.Mutex
 	subscriptions map[string]*subscription // by topic
@@ -37,7 +37,7 @@
 func newClientConn(g *Gateway, conn net.Conn) *clientConn {
 	c := &clientConn{
 		gateway: g, conn: conn, reader: bufio.NewReader(conn),
-		released: make(chan struct{}), subscriptions: map[string]*subscription{},
+		closed: make(chan struct{}), subscriptions: map[string]*subscription{},
 	}
 	c.outbox = newOutbox(func() { g.hub.resumeBacklogs(c.currentSubscriptions()) })
 	return c
@@ -48,12 +48,12 @@
 	defer context.AfterFunc(ctx, func() { _ = c.conn.Close() })()
 	var writing sync.WaitGroup
 	writing.Go(func() {
-		c.outbox.run(c.conn, c.gateway.timing.write())
+		c.outbox.run(c.conn, c.gateway.timing.writeTimeout())
 		_ = c.conn.Close() // so that the reading ends too
 	})
 	for c.serveNext(ctx) {
 	}
-	c.end()
+	c.closeSubscriptions()
 	c.outbox.close()
 	writing.Wait()
 }
@@ -68,7 +68,7 @@
 	var refused *linewire.ProtocolError
 	switch {
 	case errors.As(err, &refused):
-		c.gateway.logRefusal(c, refused)
+		c.gateway.logProtocolError(c, refused)
 		if refused.Verb != "" {
 			c.send(linewire.AppendReject(nil, refused.Verb, refused.Topic, refused.Number, refused.Reason))
 		}
@@ -88,7 +88,7 @@
 	if command.Verb == linewire.Hello {
 		return c.handleHello(ctx, command)
 	}
-	if c.name == "" {
+	if c.clientName == "" {
 		c.refuse(command, linewire.Malformed) // nobody said HELLO
 		return false
 	}
@@ -119,17 +119,17 @@
 func (c *clientConn) handleHello(ctx context.Context, command *linewire.Command) (more bool) {
 	g := c.gateway
 	switch {
-	case c.name != "":
+	case c.clientName != "":
 		c.refuse(command, linewire.Malformed)
 		return false
-	case g.stopping.Load() || !g.node.WaitForPlacement(ctx, g.timing.placementWait()) || !g.knowsBrokers():
+	case g.stopping.Load() || !g.node.WaitForPlacement(ctx, g.timing.placementTimeout()) || !g.knowsBrokers():
 		c.refuse(command, linewire.Retry)
 		return false
 	case g.settings.HasTenants() && command.Secret != "" && g.node.Table().TenantOfKey(command.Secret) == nil:
 		c.refuse(command, linewire.Unauth)
 		return true
 	}
-	c.name, c.secret = command.Client, command.Secret
+	c.clientName, c.secret = command.Client, command.Secret
 	g.clients.identify(c)
 	c.send(linewire.AppendHelloOK(nil))
 	return true
@@ -192,7 +192,7 @@
 		number:      command.Number,
 		body:        command.Body,
 		retentionMs: int64(space.RetentionS * 1000),
-		deadline:    received.Add(g.timing.publishAnswer(time.Duration(space.TimeoutMs) * time.Millisecond)),
+		deadline:    received.Add(g.timing.publishDeadline(time.Duration(space.TimeoutMs) * time.Millisecond)),
 	}
 	var throttle time.Duration
 	if tenant := table.TenantOfKey(c.secret); tenant != nil {
@@ -205,11 +205,11 @@
 		c.unanswered.Add(-1)
 	}
 	if throttle > 0 {
-		g.publishers.refuse(publisherTopic{c.name, command.Topic}, m)
+		g.publishers.refuse(publisherTopic{c.clientName, command.Topic}, m)
 	} else {
-		g.publishers.add(publisherTopic{c.name, command.Topic}, m)
+		g.publishers.add(publisherTopic{c.clientName, command.Topic}, m)
 	}
-	c.hold(g.quotas.RecordRequest(c.quotaTenant(m.tenant), space.Name, len(command.Body), time.Since(received), throttle))
+	c.throttleReads(g.quotas.RecordRequest(c.quotaTenant(m.tenant), space.Name, len(command.Body), time.Since(received), throttle))
 }
 
 // quotaTenant is whom the quotas of this node count a client for: its tenant, or
@@ -218,21 +218,21 @@
 	if tenant != "" {
 		return tenant
 	}
-	return "client " + c.name
+	return "client " + c.clientName
 }
 
-// hold stops reads from the connection for the throttle time X of a quota, for as
+// throttleReads stops reads from the connection for the throttle time X of a quota, for as
 // long as the client can do without an answer to its PING.
-func (c *clientConn) hold(x time.Duration, by *quota.Manager) {
+func (c *clientConn) throttleReads(x time.Duration, by *quota.Manager) {
 	if x <= 0 {
 		return
 	}
-	timer := time.NewTimer(c.gateway.timing.maxHold())
+	timer := time.NewTimer(c.gateway.timing.maxReadThrottle())
 	defer timer.Stop()
 	select {
 	case <-by.Throttle(x):
 	case <-timer.C:
-	case <-c.released:
+	case <-c.closed:
 	}
 }
 
@@ -241,14 +241,14 @@
 func (c *clientConn) handleCount(ctx context.Context, command *linewire.Command) {
 	g := c.gateway
 	g.caller.tasks.Go(func() {
-		ctx, cancel := context.WithTimeout(ctx, g.timing.countAnswer())
+		ctx, cancel := context.WithTimeout(ctx, g.timing.countTimeout())
 		defer cancel()
 		for ctx.Err() == nil {
 			if n, err := g.countSubscribers(ctx, command.Topic); err == nil {
 				c.send(linewire.AppendCount(nil, command.Topic, n))
 				return
 			}
-			timeutil.Sleep(ctx, g.timing.retry())
+			timeutil.Sleep(ctx, g.timing.retryDelay())
 		}
 		c.refuse(command, linewire.Retry)
 	})
@@ -285,7 +285,7 @@
 
 // isPresent reports whether the client has said something lately.
 func (c *clientConn) isPresent() bool {
-	return c.gateway.uptime()-time.Duration(c.lastReceived.Load()) <= c.gateway.timing.present()
+	return c.gateway.uptime()-time.Duration(c.lastReceived.Load()) <= c.gateway.timing.presenceTimeout()
 }
 
 // currentSubscriptions lists the subscriptions of the client.
@@ -299,12 +299,12 @@
 	return list
 }
 
-// end ends the subscriptions.
-func (c *clientConn) end() {
+// closeSubscriptions ends the subscriptions.
+func (c *clientConn) closeSubscriptions() {
 	c.mu.Lock()
 	c.ended = true
 	c.mu.Unlock()
-	close(c.released)
+	close(c.closed)
 	for _, s := range c.currentSubscriptions() {
 		c.gateway.hub.unsubscribe(s)
 	}
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -24,18 +24,18 @@
 func (t *clientTable) identify(c *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if former := t.byName[c.name]; former != nil {
+	if former := t.byName[c.clientName]; former != nil {
 		_ = former.conn.Close()
 	}
-	t.byName[c.name] = c
+	t.byName[c.clientName] = c
 }
 
 func (t *clientTable) remove(c *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.conns, c)
-	if t.byName[c.name] == c {
-		delete(t.byName, c.name)
+	if t.byName[c.clientName] == c {
+		delete(t.byName, c.clientName)
 	}
 }
 
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -13,19 +13,19 @@
 	"saltreel/internal/membership"
 )
 
-// neighbors is the other gateways that clients may be sent to.
-type neighbors struct {
+// peerGateways is the other gateways that clients may be sent to.
+type peerGateways struct {
 	self  string
 	mu    sync.Mutex
 	nodes map[string]membership.Node // by name
 }
 
-func newNeighbors(self string) neighbors {
-	return neighbors{self: self, nodes: map[string]membership.Node{}}
+func newPeerGateways(self string) peerGateways {
+	return peerGateways{self: self, nodes: map[string]membership.Node{}}
 }
 
 // applyEvent follows the nodes of the zone.
-func (n *neighbors) applyEvent(e journal.Event) {
+func (n *peerGateways) applyEvent(e journal.Event) {
 	name, ok := strings.CutPrefix(e.Key, distribution.PrefixNode)
 	if !ok {
 		return
@@ -42,7 +42,7 @@
 
 // addresses lists where clients reach the other gateways: on all machines at the
 // same port.
-func (n *neighbors) addresses(port string) []string {
+func (n *peerGateways) addresses(port string) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var addresses []string
@@ -61,16 +61,16 @@
 func (g *Gateway) drain() {
 	g.stopping.Store(true)
 	g.node.Drain()
-	deadline := time.Now().Add(g.timing.drain())
+	deadline := time.Now().Add(g.timing.drainTimeout())
 	g.redirectAll()
 	for _, c := range g.clients.all() {
 		for c.unanswered.Load() > 0 && time.Now().Before(deadline) {
-			time.Sleep(g.timing.retry())
+			time.Sleep(g.timing.retryDelay())
 		}
 		c.outbox.close()
 	}
 	for len(g.clients.all()) > 0 && time.Now().Before(deadline) {
-		time.Sleep(g.timing.retry())
+		time.Sleep(g.timing.retryDelay())
 	}
 }
 
@@ -80,12 +80,12 @@
 	if err != nil {
 		return
 	}
-	addresses := g.neighbors.addresses(port)
+	addresses := g.peers.addresses(port)
 	clients := g.clients.all()
 	if len(addresses) == 0 || len(clients) == 0 {
 		return
 	}
-	pause := g.timing.redirects() / time.Duration(len(clients))
+	pause := g.timing.redirectPeriod() / time.Duration(len(clients))
 	for i, c := range clients {
 		c.send(linewire.AppendRedirect(nil, addresses[i%len(addresses)]))
 		time.Sleep(pause)
--- a/internal/gateway/feed.go
+++ b/internal/gateway/feed.go
@@ -41,7 +41,7 @@
 type feed struct {
 	topic     string
 	partition int
-	link      *link // to the broker
+	link      *brokerLink // to the broker
 
 	state     feedState
 	request   topic.FollowedTopic // the last that was made
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -43,45 +43,45 @@
 	network  httpwire.Network
 	started  time.Time
 
-	node       *node.Node
-	hub        *hub
-	caller     *brokerCaller
-	publishers *publishers
-	clients    clientTable
-	neighbors  neighbors
-	leases     *ratelimit.Leases
-	quotas     *admission.Quotas
-	refusals   refusalLog
+	node           *node.Node
+	hub            *hub
+	caller         *brokerCaller
+	publishers     *publishers
+	clients        clientTable
+	peers          peerGateways
+	leases         *ratelimit.Leases
+	quotas         *admission.Quotas
+	protocolErrors logLimiter
 
-	stopping    atomic.Bool   // no new clients are wanted
-	changed     chan struct{} // holds a value when the configuration or the placement may be another
-	serving     context.Context
-	stopServing context.CancelFunc
-	background  sync.WaitGroup
+	stopping       atomic.Bool   // no new clients are wanted
+	controlChanged chan struct{} // holds a value when the configuration or the placement may be another
+	serving        context.Context
+	stopServing    context.CancelFunc
+	background     sync.WaitGroup
 }
 
 // New makes the process; Run starts it.
 func New(set *settings.Settings, network httpwire.Network, logger *log.Logger) *Gateway {
 	g := &Gateway{
-		settings:  set,
-		timing:    newTiming(set),
-		log:       logger,
-		network:   network,
-		started:   time.Now(),
-		node:      node.New(node.Config{Settings: set, Role: nodeRole, Network: network, Log: logger}),
-		clients:   newClientTable(),
-		neighbors: newNeighbors(set.NodeName),
-		quotas:    admission.NewQuotas(set.ProcessorShare()),
-		changed:   make(chan struct{}, 1),
+		settings:       set,
+		timing:         newTiming(set),
+		log:            logger,
+		network:        network,
+		started:        time.Now(),
+		node:           node.New(node.Config{Settings: set, Role: nodeRole, Network: network, Log: logger}),
+		clients:        newClientTable(),
+		peers:          newPeerGateways(set.NodeName),
+		quotas:         admission.NewQuotas(set.ProcessorShare()),
+		controlChanged: make(chan struct{}, 1),
 	}
 	g.serving, g.stopServing = context.WithCancel(context.Background())
 	g.caller = &brokerCaller{node: g.node, timing: g.timing, gateway: set.NodeName}
-	g.hub = newHub(g.timing, g.node.Placement, logger, func(l *link) {
+	g.hub = newHub(g.timing, g.node.Placement, logger, func(l *brokerLink) {
 		g.caller.tasks.Go(func() { l.run(g.serving, g.caller) })
 	}, func(f *feed) {
 		g.caller.tasks.Go(func() { g.hub.readBacklog(g.serving, g.caller, f) })
 	})
-	g.hub.link = set.Limits.LinkSpeedMbps * 1e6 / 8
+	g.hub.linkBytesPerS = set.Limits.LinkSpeedMbps * 1e6 / 8
 	g.publishers = newPublishers(g.serving, g.hub, g.caller)
 	g.leases = ratelimit.NewLeases(g.node.Client, g.node.Placement, set.Contact())
 	g.node.Journal.Subscribe(g.applyEvent)
@@ -96,10 +96,10 @@
 
 // applyEvent follows what the control plane distributes.
 func (g *Gateway) applyEvent(e journal.Event) {
-	g.neighbors.applyEvent(e)
+	g.peers.applyEvent(e)
 	if e.Key == distribution.KeyPlacement || e.Key == distribution.KeyConfiguration {
 		select {
-		case g.changed <- struct{}{}:
+		case g.controlChanged <- struct{}{}:
 		default:
 		}
 	}
@@ -141,7 +141,7 @@
 		func() { g.node.Run(g.serving) },
 		func() { g.leases.Run(g.serving) },
 		func() { g.quotas.Reap(g.serving) },
-		func() { g.followControl(g.serving) },
+		func() { g.applyControlUpdates(g.serving) },
 		func() { g.maintain(g.serving) },
 	} {
 		tasks.Go(task)
@@ -181,13 +181,13 @@
 	}
 }
 
-// followControl applies each new configuration and placement, until ctx ends.
-func (g *Gateway) followControl(ctx context.Context) {
+// applyControlUpdates applies each new configuration and placement, until ctx ends.
+func (g *Gateway) applyControlUpdates(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.changed:
+		case <-g.controlChanged:
 		}
 		if g.node.Table() == nil || !g.knowsBrokers() {
 			continue
@@ -221,7 +221,7 @@
 // maintain reports counts of subscribers and drops topics without any, until ctx
 // ends.
 func (g *Gateway) maintain(ctx context.Context) {
-	timeutil.Repeat(ctx, g.timing.countReport(), func() {
+	timeutil.Repeat(ctx, g.timing.countReportInterval(), func() {
 		g.hub.reportCounts()
 		g.hub.dropUnused()
 	})
@@ -233,7 +233,7 @@
 	store, address := g.hub.primaryOf(number)
 	var out topic.CountResponse
 	request := topic.CountRequest{Topic: name, Partition: number}
-	_, err := g.caller.call(ctx, store, address, topic.PathCount, g.timing.count(), request, nil, &out)
+	_, err := g.caller.call(ctx, store, address, topic.PathCount, g.timing.countCallTimeout(), request, nil, &out)
 	return out.Count, err
 }
 
@@ -249,23 +249,23 @@
 	return g.leases.Acquire(ctx, tenant)
 }
 
-// logRefusal logs that a client sent something unreadable: once in a while, since
+// logProtocolError logs that a client sent something unreadable: once in a while, since
 // it may do nothing else.
-func (g *Gateway) logRefusal(c *clientConn, refused *linewire.ProtocolError) {
-	if n, ok := g.refusals.next(g.timing.contact); ok {
-		g.log.Printf("gateway: %s of client %q: %v (%d such messages since the last report)", c.conn.RemoteAddr(), c.name, refused, n)
+func (g *Gateway) logProtocolError(c *clientConn, refused *linewire.ProtocolError) {
+	if n, ok := g.protocolErrors.next(g.timing.contact); ok {
+		g.log.Printf("gateway: %s of client %q: %v (%d such messages since the last report)", c.conn.RemoteAddr(), c.clientName, refused, n)
 	}
 }
 
-// refusalLog bounds how often refusals are logged.
-type refusalLog struct {
+// logLimiter bounds how often refusals are logged.
+type logLimiter struct {
 	mu    sync.Mutex
 	last  time.Time
 	count int
 }
 
 // next counts a refusal. It reports whether to log it, and how many there were.
-func (l *refusalLog) next(interval time.Duration) (count int, log bool) {
+func (l *logLimiter) next(interval time.Duration) (count int, log bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.count++
--- a/internal/gateway/hub.go
+++ b/internal/gateway/hub.go
@@ -14,22 +14,22 @@
 // hub is the topics that the gateway follows, and the subscriptions to them. mu
 // guards all of it, the feeds and what the links say of themselves included.
 type hub struct {
-	timing    timing
-	placement func() *placement.Placement // the newest; nil before the first
-	startLink func(l *link)               // begins to work off a new link
-	startRead func(f *feed)               // begins to read the backlog of a feed
-	log       *log.Logger
-	link      float64 // bytes a second of this machine's link; 0: not known
+	timing           timing
+	placement        func() *placement.Placement // the newest; nil before the first
+	startLink        func(l *brokerLink)         // begins to work off a new link
+	startBacklogRead func(f *feed)               // begins to read the backlog of a feed
+	log              *log.Logger
+	linkBytesPerS    float64 // bytes a second of this machine's link; 0: not known
 
 	mu    sync.Mutex
-	feeds map[string]*feed // by topic
-	links map[string]*link // by the name of the broker's store
+	feeds map[string]*feed       // by topic
+	links map[string]*brokerLink // by the name of the broker's store
 }
 
-func newHub(timing timing, placement func() *placement.Placement, logger *log.Logger, startLink func(l *link), startRead func(f *feed)) *hub {
+func newHub(timing timing, placement func() *placement.Placement, logger *log.Logger, startLink func(l *brokerLink), startRead func(f *feed)) *hub {
 	return &hub{
-		timing: timing, placement: placement, startLink: startLink, startRead: startRead, log: logger,
-		feeds: map[string]*feed{}, links: map[string]*link{},
+		timing: timing, placement: placement, startLink: startLink, startBacklogRead: startRead, log: logger,
+		feeds: map[string]*feed{}, links: map[string]*brokerLink{},
 	}
 }
 
@@ -39,7 +39,7 @@
 	defer h.mu.Unlock()
 	f := h.feeds[s.topic]
 	if f == nil {
-		f = newFeed(s.topic, h.partitionOf(s.topic), h.startRead)
+		f = newFeed(s.topic, h.partitionOf(s.topic), h.startBacklogRead)
 		h.feeds[s.topic] = f
 		h.assignLocked(f)
 	}
@@ -88,7 +88,7 @@
 func (h *hub) answerBytes() int {
 	const least = 4 << 10 // one message of usual size, and the frame of the call
 	stores := max(1, len(h.placement().Stores))
-	bytes := int(h.link * h.timing.transfer().Seconds() / float64(stores))
+	bytes := int(h.linkBytesPerS * h.timing.transferTime().Seconds() / float64(stores))
 	if bytes == 0 {
 		return 0
 	}
@@ -107,7 +107,7 @@
 	name, address := h.primaryOf(f.partition)
 	l := h.links[name]
 	if l == nil {
-		l = newLink(h, name)
+		l = newBrokerLink(h, name)
 		h.links[name] = l
 		defer h.startLink(l)
 	}
@@ -141,7 +141,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for name, f := range h.feeds {
-		if len(f.subscriptions) == 0 && time.Since(f.unusedSince) > h.timing.unusedFeed() {
+		if len(f.subscriptions) == 0 && time.Since(f.unusedSince) > h.timing.unusedFeedRetention() {
 			delete(h.feeds, name)
 			f.link.unfollow(f)
 		}
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -10,26 +10,26 @@
 	"saltreel/internal/topic"
 )
 
-// link is what the gateway follows at one broker: a session of calls that change
+// brokerLink is what the gateway follows at one broker: a session of calls that change
 // what is followed, one at a time, and of polls, one at a time. If any of them
 // fails, the session ends and a new one begins, in which each topic is followed
 // from its last message on: so nothing is missed, whatever was lost on the way.
 //
 // The hub's mu guards all fields but the channels.
-type link struct {
+type brokerLink struct {
 	hub     *hub
 	store   string // the broker
 	address string
 
-	feeds     map[string]*feed // that this broker leads
-	pending   map[string]*feed // that are to join
-	drops     map[string]bool  // topics that are to be dropped
-	counts    map[string]int   // of subscribers, that are to be reported
-	notBefore time.Time        // no call is made earlier, after a failure
+	feeds        map[string]*feed // that this broker leads
+	pending      map[string]*feed // that are to join
+	unfollows    map[string]bool  // topics that are to be dropped
+	countUpdates map[string]int   // of subscribers, that are to be reported
+	notBefore    time.Time        // no call is made earlier, after a failure
 
-	session session
-	wake    chan struct{} // holds a value when there may be something to do
-	reads   chan struct{} // holds a value for each page that is being read
+	session   session
+	wake      chan struct{} // holds a value when there may be something to do
+	readSlots chan struct{} // holds a value for each page that is being read
 }
 
 // session is one session of a link.
@@ -39,17 +39,17 @@
 	end   context.CancelFunc // of its polls; nil before they run
 }
 
-func newLink(h *hub, store string) *link {
-	return &link{
+func newBrokerLink(h *hub, store string) *brokerLink {
+	return &brokerLink{
 		hub: h, store: store,
-		feeds: map[string]*feed{}, pending: map[string]*feed{}, drops: map[string]bool{}, counts: map[string]int{},
-		session: session{id: rand.Text()},
-		wake:    make(chan struct{}, 1),
-		reads:   make(chan struct{}, maxReads),
+		feeds: map[string]*feed{}, pending: map[string]*feed{}, unfollows: map[string]bool{}, countUpdates: map[string]int{},
+		session:   session{id: rand.Text()},
+		wake:      make(chan struct{}, 1),
+		readSlots: make(chan struct{}, maxReads),
 	}
 }
 
-func (l *link) wakeUp() {
+func (l *brokerLink) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -57,28 +57,28 @@
 }
 
 // join has a feed of this broker join.
-func (l *link) join(f *feed) {
-	delete(l.drops, f.topic)
+func (l *brokerLink) join(f *feed) {
+	delete(l.unfollows, f.topic)
 	l.pending[f.topic] = f
 	l.wakeUp()
 }
 
 // unfollow has the broker told that a feed is followed here no longer.
-func (l *link) unfollow(f *feed) {
+func (l *brokerLink) unfollow(f *feed) {
 	delete(l.feeds, f.topic)
 	delete(l.pending, f.topic)
-	delete(l.counts, f.topic)
-	l.drops[f.topic] = true
+	delete(l.countUpdates, f.topic)
+	l.unfollows[f.topic] = true
 	l.wakeUp()
 }
 
-func (l *link) setCount(topic string, n int) {
-	l.counts[topic] = n
+func (l *brokerLink) setCount(topic string, n int) {
+	l.countUpdates[topic] = n
 	l.wakeUp()
 }
 
 // retryNow ends the delay after a failure.
-func (l *link) retryNow() {
+func (l *brokerLink) retryNow() {
 	if !l.notBefore.IsZero() {
 		l.notBefore = time.Time{}
 		l.wakeUp()
@@ -86,7 +86,7 @@
 }
 
 // run works off the link until ctx ends.
-func (l *link) run(ctx context.Context, caller *brokerCaller) {
+func (l *brokerLink) run(ctx context.Context, caller *brokerCaller) {
 	defer l.reset("", nil)
 	for {
 		select {
@@ -103,7 +103,7 @@
 			if request == nil {
 				break
 			}
-			l.follow(ctx, caller, address, request)
+			l.sendFollow(ctx, caller, address, request)
 		}
 	}
 }
@@ -113,21 +113,21 @@
 
 // nextRequest makes the next call; nil if there is nothing to say. If it is too
 // early for one, it returns how long to wait.
-func (l *link) nextRequest() (r *topic.FollowRequest, address string, delay time.Duration) {
+func (l *brokerLink) nextRequest() (r *topic.FollowRequest, address string, delay time.Duration) {
 	l.hub.mu.Lock()
 	defer l.hub.mu.Unlock()
 	if !l.session.begun && len(l.feeds) == 0 {
-		clear(l.drops) // a broker without a session follows nothing
-		clear(l.counts)
+		clear(l.unfollows) // a broker without a session follows nothing
+		clear(l.countUpdates)
 	}
-	if len(l.pending)+len(l.drops)+len(l.counts) == 0 {
+	if len(l.pending)+len(l.unfollows)+len(l.countUpdates) == 0 {
 		return nil, "", 0
 	}
 	if delay := time.Until(l.notBefore); delay > 0 {
 		return nil, "", delay
 	}
-	r = &topic.FollowRequest{Session: l.session.id, Begin: !l.session.begun, Counts: l.counts, MaxBytes: l.hub.answerBytes(), MaxBacklog: maxRecentBytes}
-	for name := range l.drops {
+	r = &topic.FollowRequest{Session: l.session.id, Begin: !l.session.begun, Counts: l.countUpdates, MaxBytes: l.hub.answerBytes(), MaxBacklog: maxRecentBytes}
+	for name := range l.unfollows {
 		r.Unfollow = append(r.Unfollow, name)
 	}
 	for name, f := range l.pending {
@@ -137,15 +137,15 @@
 		delete(l.pending, name)
 		r.Follow = append(r.Follow, f.joinRequest(f.subscribers()))
 	}
-	l.drops, l.counts = map[string]bool{}, map[string]int{}
+	l.unfollows, l.countUpdates = map[string]bool{}, map[string]int{}
 	return r, l.address, 0
 }
 
-// follow makes one call and takes over the answer.
-func (l *link) follow(ctx context.Context, caller *brokerCaller, address string, r *topic.FollowRequest) {
+// sendFollow makes one call and takes over the answer.
+func (l *brokerLink) sendFollow(ctx context.Context, caller *brokerCaller, address string, r *topic.FollowRequest) {
 	var out topic.FollowResponse
 	r.Gateway = caller.gateway
-	raw, err := caller.call(ctx, l.store, address, topic.PathFollow, l.hub.timing.follow(), r, nil, &out)
+	raw, err := caller.call(ctx, l.store, address, topic.PathFollow, l.hub.timing.followTimeout(), r, nil, &out)
 	if err == nil {
 		err = out.SetBodies(raw)
 	}
@@ -162,18 +162,18 @@
 		return
 	}
 	for i, state := range out.Topics {
-		l.joinedLocked(r.Follow[i].Topic, state)
+		l.applyTopicStateLocked(r.Follow[i].Topic, state)
 	}
 	if !l.session.begun {
 		l.session.begun = true
 		polls, end := context.WithCancel(ctx)
 		l.session.end = end
-		caller.tasks.Go(func() { l.poll(polls, caller, r.Session) })
+		caller.tasks.Go(func() { l.pollLoop(polls, caller, r.Session) })
 	}
 }
 
-// joinedLocked takes over where a topic stands.
-func (l *link) joinedLocked(name string, state topic.TopicState) {
+// applyTopicStateLocked takes over where a topic stands.
+func (l *brokerLink) applyTopicStateLocked(name string, state topic.TopicState) {
 	f := l.feeds[name]
 	if f == nil {
 		return
@@ -182,7 +182,7 @@
 		f.rejoin()
 		l.pending[name] = f
 		if state.NotReady {
-			l.notBefore = time.Now().Add(l.hub.timing.retry())
+			l.notBefore = time.Now().Add(l.hub.timing.retryDelay())
 		}
 		return
 	}
@@ -197,7 +197,7 @@
 
 // reset ends a session, unless it has ended already: all feeds join again. cause is
 // what failed; nil at the end of the process.
-func (l *link) reset(id string, cause error) {
+func (l *brokerLink) reset(id string, cause error) {
 	l.hub.mu.Lock()
 	defer l.hub.mu.Unlock()
 	if id != "" && l.session.id != id {
@@ -210,25 +210,25 @@
 		l.hub.log.Printf("gateway: the session with %s ended: %v", l.store, cause)
 	}
 	l.session = session{id: rand.Text()}
-	l.notBefore = time.Now().Add(l.hub.timing.retry())
+	l.notBefore = time.Now().Add(l.hub.timing.retryDelay())
 	for name, f := range l.feeds {
 		f.rejoin()
 		l.pending[name] = f
 	}
-	clear(l.drops)
-	clear(l.counts)
+	clear(l.unfollows)
+	clear(l.countUpdates)
 	l.wakeUp()
 }
 
-// poll takes the messages of a session until it ends.
-func (l *link) poll(ctx context.Context, caller *brokerCaller, id string) {
+// pollLoop takes the messages of a session until it ends.
+func (l *brokerLink) pollLoop(ctx context.Context, caller *brokerCaller, id string) {
 	for number := int64(1); ctx.Err() == nil; number++ {
 		var out topic.PollResponse
 		request := topic.PollRequest{
 			Gateway: caller.gateway, Session: id, Number: number,
 			WaitMs: l.hub.timing.pollWait().Milliseconds(), MaxBytes: l.hub.answerBytes(),
 		}
-		raw, err := caller.call(ctx, l.store, l.currentAddress(), topic.PathPoll, l.hub.timing.poll(), request, nil, &out)
+		raw, err := caller.call(ctx, l.store, l.currentAddress(), topic.PathPoll, l.hub.timing.pollTimeout(), request, nil, &out)
 		if err == nil {
 			_, err = topic.SetBodies(out.Entries, raw)
 		}
@@ -243,14 +243,14 @@
 	}
 }
 
-func (l *link) currentAddress() string {
+func (l *brokerLink) currentAddress() string {
 	l.hub.mu.Lock()
 	defer l.hub.mu.Unlock()
 	return l.address
 }
 
 // deliver gives the messages of a poll to their feeds.
-func (l *link) deliver(id string, out *topic.PollResponse) {
+func (l *brokerLink) deliver(id string, out *topic.PollResponse) {
 	l.hub.mu.Lock()
 	defer l.hub.mu.Unlock()
 	if l.session.id != id {
@@ -268,12 +268,12 @@
 
 // rejoinPartition has all feeds of a partition join, after a delay: the placement
 // that names another broker may be on its way.
-func (l *link) rejoinPartition(number int) {
+func (l *brokerLink) rejoinPartition(number int) {
 	for _, f := range l.feeds {
 		if f.partition == number {
 			f.rejoin()
 			l.join(f)
-			l.notBefore = time.Now().Add(l.hub.timing.retry())
+			l.notBefore = time.Now().Add(l.hub.timing.retryDelay())
 		}
 	}
 }
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -114,7 +114,7 @@
 		}
 		if undecided := p.handleOutcomes(from, batch, p.callBroker(from, batch)); undecided {
 			// A new placement may name a broker that accepts.
-			timeutil.SleepUntil(p.ctx, p.hub.timing.retry(), p.caller.node.PlacementChanged())
+			timeutil.SleepUntil(p.ctx, p.hub.timing.retryDelay(), p.caller.node.PlacementChanged())
 		}
 	}
 }
@@ -161,7 +161,7 @@
 			if p.ctx.Err() != nil {
 				m.reply(unknownFrame(from, m.number))
 			}
-			done[m] = m.answer == nil && now.Sub(m.deadline) > p.hub.timing.repeat() || p.ctx.Err() != nil
+			done[m] = m.answer == nil && now.Sub(m.deadline) > p.hub.timing.retransmitWindow() || p.ctx.Err() != nil
 			undecided = undecided || !done[m]
 		}
 	}
@@ -173,7 +173,7 @@
 func (p *publishers) callBroker(from publisherTopic, batch []*publication) []topic.Outcome {
 	number := p.hub.partitionOf(from.topic)
 	store, address := p.hub.primaryOf(number)
-	timeout := p.hub.timing.publishAttempt()
+	timeout := p.hub.timing.publishCallTimeout()
 	request := topic.PublishRequest{
 		Partition: number, Topic: from.topic, Publisher: from.publisher,
 		Tenant: batch[0].tenant, RetentionMs: batch[0].retentionMs,
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -40,8 +40,8 @@
 	store, address := p.hub.primaryOf(partition)
 	request := topic.RefuseRequest{Topic: from.topic, Partition: partition, Publisher: from.publisher, Number: number}
 	var out topic.RefuseResponse
-	ctx, cancel := context.WithTimeout(p.ctx, p.hub.timing.publishAttempt())
+	ctx, cancel := context.WithTimeout(p.ctx, p.hub.timing.publishCallTimeout())
 	defer cancel()
-	_, err = p.caller.call(ctx, store, address, topic.PathRefuse, p.hub.timing.publishAttempt(), request, nil, &out)
+	_, err = p.caller.call(ctx, store, address, topic.PathRefuse, p.hub.timing.publishCallTimeout(), request, nil, &out)
 	return out.Refused, err
 }
