--- a/internal/gateway/backlog.go
+++ b/internal/gateway/backlog.go
@@ -45,8 +45,8 @@
 	messages       []*message
 }
 
-// holdsNext reports whether the page has what follows a position.
-func (p *page) holdsNext(cursor partition.Position) bool {
+// hasNext reports whether the page has what follows a position.
+func (p *page) hasNext(cursor partition.Position) bool {
 	return !p.after.After(cursor) && p.through.After(cursor)
 }
 
@@ -65,20 +65,20 @@
 	f.backlog.startReading(f)
 }
 
-// progress is how far a subscription that is behind has come.
-type progress int
+// backlogProgress is how far a subscription that is behind has come.
+type backlogProgress int
 
 const (
-	caughtUp  progress = iota // it is behind no longer
-	noRoom                    // its client has to take what waits
-	needsPage                 // what follows is not here
+	caughtUp   backlogProgress = iota // it is behind no longer
+	outboxFull                        // its client has to take what waits
+	needsPage                         // what follows is not here
 )
 
 // advance sends a subscription that is behind what is here of what it lacks.
-func (f *feed) advance(s *subscription) progress {
+func (f *feed) advance(s *subscription) backlogProgress {
 	for {
 		isRecent := !f.recent.isTrimmedAfter(s.cursor)
-		if !isRecent && !f.backlog.page.holdsNext(s.cursor) {
+		if !isRecent && !f.backlog.page.hasNext(s.cursor) {
 			return needsPage
 		}
 		f.acknowledge(s)
@@ -88,7 +88,7 @@
 		}
 		for _, m := range messages {
 			if !s.deliver(m) {
-				return noRoom
+				return outboxFull
 			}
 		}
 		if isRecent {
@@ -112,7 +112,7 @@
 		case caughtUp:
 			return true
 		case needsPage:
-			if next == nil && s.to.hasRoom() {
+			if next == nil && s.client.hasRoom() {
 				next = s
 			}
 		}
@@ -131,7 +131,7 @@
 	for _, s := range b.subscriptions {
 		if f.subscriptions[s] && r.Floor.After(s.cursor) {
 			delete(f.subscriptions, s)
-			s.to.reject(s, linewire.Expired)
+			s.client.reject(s, linewire.Expired)
 		}
 	}
 	b.page = page{after: after, through: r.End}
@@ -167,7 +167,7 @@
 // pageBytes is about how much one page may have, so that the pages that are read at once
 // don't occupy the link for long.
 func (h *hub) pageBytes() int {
-	if bytes := h.answerBytes(); bytes > 0 {
+	if bytes := h.responseBytes(); bytes > 0 {
 		return min(maxPageBytes, bytes/maxReads)
 	}
 	return maxPageBytes
--- a/internal/gateway/backlog_test.go
+++ b/internal/gateway/backlog_test.go
@@ -10,13 +10,13 @@
 	"saltreel/internal/placement"
 )
 
-// behindFeed is a live feed of a broker with so many messages, of which the feed has the
+// newFeedWithHistory is a live feed of a broker with so many messages, of which the feed has the
 // recent ones.
-func behindFeed(messages int) (*modelBroker, *feed) {
+func newFeedWithHistory(messages int) (*modelBroker, *feed) {
 	b := &modelBroker{maxBacklog: maxRecentMessages}
 	f := newFeed("t", 0, ignoreBacklog)
 	f.add(subscribeAt(&recorder{}, true, 0))
-	f.joined(b.answer(f.joinRequest(1)))
+	f.applyJoin(b.answer(f.joinRequest(1)))
 	for range messages {
 		b.publish()
 		f.deliver(b.entry(b.last))
@@ -28,7 +28,7 @@
 // (docs/incidents/large-backlog.md): it gets all of it as it takes it, those who came as far
 // with the same page, and what comes meanwhile behind that.
 func TestBacklogIsSentAsItIsTaken(t *testing.T) {
-	b, f := behindFeed(1000)
+	b, f := newFeedWithHistory(1000)
 	m := &feedModel{broker: b, feed: f}
 	quick, slow := &recorder{}, &recorder{room: 5}
 	f.add(subscribeAt(quick, true, 10))
@@ -62,7 +62,7 @@
 // Retention may pass the cursor while a subscription is read for, before and after its OK.
 func TestBacklogExpires(t *testing.T) {
 	for _, answered := range []bool{false, true} {
-		b, f := behindFeed(500)
+		b, f := newFeedWithHistory(500)
 		m := &feedModel{broker: b, feed: f}
 		to := &recorder{room: 10}
 		f.add(subscribeAt(to, true, 10))
@@ -81,7 +81,7 @@
 
 // A subscription that ends while it is behind gets nothing more, and the reading ends.
 func TestBacklogOfAnEndedSubscription(t *testing.T) {
-	b, f := behindFeed(500)
+	b, f := newFeedWithHistory(500)
 	m := &feedModel{broker: b, feed: f}
 	to := &recorder{room: 10}
 	s := subscribeAt(to, true, 10)
@@ -96,7 +96,7 @@
 
 // A live subscriber that takes less than comes is behind, not closed.
 func TestLiveSubscriberWithoutRoomFallsBehind(t *testing.T) {
-	b, f := behindFeed(0)
+	b, f := newFeedWithHistory(0)
 	m := &feedModel{broker: b, feed: f}
 	to := &recorder{room: 3}
 	f.add(subscribeAt(to, true, 0))
@@ -114,7 +114,7 @@
 
 // Thousands who return at once share the pages, and the memory of the messages.
 func TestManyBehindShareTheirPages(t *testing.T) {
-	b, f := behindFeed(1000)
+	b, f := newFeedWithHistory(1000)
 	m := &feedModel{broker: b, feed: f}
 	var all []*recorder
 	for range 2000 {
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -25,9 +25,9 @@
 	clientName string // of the client; empty before its HELLO
 	secret     string
 
-	lastReceived atomic.Int64  // time of the last message, in ns of the steady clock
-	unanswered   atomic.Int64  // messages to publish that have no answer yet
-	closed       chan struct{} // closed when reads are held no longer, at the end
+	lastReceived     atomic.Int64  // time of the last message, in ns of the steady clock
+	pendingPublishes atomic.Int64  // messages to publish that have no answer yet
+	closed           chan struct{} // closed when reads are held no longer, at the end
 
 	mu            sync.Mutex
 	subscriptions map[string]*subscription // by topic
@@ -89,13 +89,13 @@
 		return c.handleHello(ctx, command)
 	}
 	if c.clientName == "" {
-		c.refuse(command, linewire.Malformed) // nobody said HELLO
+		c.sendReject(command, linewire.Malformed) // nobody said HELLO
 		return false
 	}
 	table := c.gateway.node.Table()
 	space, reason := authorize(table, command.Topic, c.secret, c.gateway.settings.HasTenants())
 	if reason != "" && command.Verb != linewire.Unsubscribe {
-		c.refuse(command, reason)
+		c.sendReject(command, reason)
 		return true
 	}
 	switch command.Verb {
@@ -111,7 +111,7 @@
 	return true
 }
 
-func (c *clientConn) refuse(command *linewire.Command, reason linewire.Reason) {
+func (c *clientConn) sendReject(command *linewire.Command, reason linewire.Reason) {
 	c.send(linewire.AppendReject(nil, command.Verb, command.Topic, command.Number, reason))
 }
 
@@ -120,34 +120,34 @@
 	g := c.gateway
 	switch {
 	case c.clientName != "":
-		c.refuse(command, linewire.Malformed)
+		c.sendReject(command, linewire.Malformed)
 		return false
 	case g.stopping.Load() || !g.node.WaitForPlacement(ctx, g.timing.placementTimeout()) || !g.knowsBrokers():
-		c.refuse(command, linewire.Retry)
+		c.sendReject(command, linewire.Retry)
 		return false
 	case g.settings.HasTenants() && command.Secret != "" && g.node.Table().TenantOfKey(command.Secret) == nil:
-		c.refuse(command, linewire.Unauth)
+		c.sendReject(command, linewire.Unauth)
 		return true
 	}
 	c.clientName, c.secret = command.Client, command.Secret
-	g.clients.identify(c)
+	g.clients.register(c)
 	c.send(linewire.AppendHelloOK(nil))
 	return true
 }
 
 func (c *clientConn) handleSubscribe(command *linewire.Command, table *configuration.Table) {
-	s := &subscription{to: c, topic: command.Topic}
+	s := &subscription{client: c, topic: command.Topic}
 	if command.Cursor != "" {
-		cursor, ok := cursorOf(command.Cursor)
+		cursor, ok := parseCursor(command.Cursor)
 		if !ok { // nobody was given this one, so nothing can have expired
-			c.refuse(command, linewire.Malformed)
+			c.sendReject(command, linewire.Malformed)
 			return
 		}
 		s.resumes, s.cursor = true, cursor
 	}
 	former, ok := c.addSubscription(s, int(table.Limits.GetSubscriptions()))
 	if !ok {
-		c.refuse(command, linewire.Retry)
+		c.sendReject(command, linewire.Retry)
 		return
 	}
 	if former != nil {
@@ -199,10 +199,10 @@
 		m.tenant = tenant.Name
 		throttle = g.checkRate(ctx, tenant, space.Name, m.deadline)
 	}
-	c.unanswered.Add(1)
-	m.answer = func(frame []byte) {
+	c.pendingPublishes.Add(1)
+	m.respond = func(frame []byte) {
 		c.send(frame)
-		c.unanswered.Add(-1)
+		c.pendingPublishes.Add(-1)
 	}
 	if throttle > 0 {
 		g.publishers.refuse(publisherTopic{c.clientName, command.Topic}, m)
@@ -250,7 +250,7 @@
 			}
 			timeutil.Sleep(ctx, g.timing.retryDelay())
 		}
-		c.refuse(command, linewire.Retry)
+		c.sendReject(command, linewire.Retry)
 	})
 }
 
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -19,9 +19,9 @@
 	t.conns[c] = true
 }
 
-// identify notes whose connection it is. An older one of the client, which it has
+// register notes whose connection it is. An older one of the client, which it has
 // left, is closed.
-func (t *clientTable) identify(c *clientConn) {
+func (t *clientTable) register(c *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if former := t.byName[c.clientName]; former != nil {
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -64,7 +64,7 @@
 	deadline := time.Now().Add(g.timing.drainTimeout())
 	g.redirectAll()
 	for _, c := range g.clients.all() {
-		for c.unanswered.Load() > 0 && time.Now().Before(deadline) {
+		for c.pendingPublishes.Load() > 0 && time.Now().Before(deadline) {
 			time.Sleep(g.timing.retryDelay())
 		}
 		c.outbox.close()
--- a/internal/gateway/feed.go
+++ b/internal/gateway/feed.go
@@ -25,12 +25,12 @@
 
 // subscription is one topic of one connection.
 type subscription struct {
-	to       subscriber
-	topic    string
-	resumes  bool               // the client gave a cursor
-	cursor   partition.Position // all messages up to here are sent, or not wanted
-	answered bool               // the client knows that it is subscribed
-	behind   bool               // it lacks messages that are not recent, or has no room: see backlog
+	client       subscriber
+	topic        string
+	resumes      bool               // the client gave a cursor
+	cursor       partition.Position // all messages up to here are sent, or not wanted
+	acknowledged bool               // the client knows that it is subscribed
+	behind       bool               // it lacks messages that are not recent, or has no room: see backlog
 }
 
 // feed is a topic that the gateway follows: a state machine without I/O. It has to
@@ -43,14 +43,14 @@
 	partition int
 	link      *brokerLink // to the broker
 
-	state     feedState
-	request   topic.FollowedTopic // the last that was made
-	early     []topic.Entry       // came while joining
-	earlyLost bool                // more of them came than are kept
-	position  partition.Position  // of the last message
-	known     bool                // position is
-	recent    recentMessages
-	backlog   backlog
+	state         feedState
+	request       topic.FollowedTopic // the last that was made
+	early         []topic.Entry       // came while joining
+	earlyLost     bool                // more of them came than are kept
+	position      partition.Position  // of the last message
+	positionKnown bool                // position is
+	recent        recentMessages
+	backlog       backlog
 
 	subscriptions map[*subscription]bool
 	unusedSince   time.Time // when the last of them ended
@@ -80,13 +80,13 @@
 	case s.resumes && f.recent.isTrimmedAfter(s.cursor):
 		f.fallBehind(s)
 	default:
-		f.answer(s)
+		f.activate(s)
 	}
 	return f.state == feedUnjoined
 }
 
-// answer takes up a subscription of a live feed, whose recent messages are enough.
-func (f *feed) answer(s *subscription) {
+// activate takes up a subscription of a live feed, whose recent messages are enough.
+func (f *feed) activate(s *subscription) {
 	if !s.resumes {
 		s.cursor = f.position
 	}
@@ -96,9 +96,9 @@
 
 // acknowledge tells the client that it is subscribed, unless it knows.
 func (f *feed) acknowledge(s *subscription) {
-	if !s.answered {
-		s.answered = true
-		s.to.send(linewire.AppendSubscribeOK(nil, f.topic, s.cursor.String()))
+	if !s.acknowledged {
+		s.acknowledged = true
+		s.client.send(linewire.AppendSubscribeOK(nil, f.topic, s.cursor.String()))
 	}
 }
 
@@ -118,7 +118,7 @@
 	if !m.position.After(s.cursor) {
 		return true
 	}
-	if !s.to.deliver(m, s.behind) {
+	if !s.client.deliver(m, s.behind) {
 		return false
 	}
 	s.cursor = m.position
@@ -129,9 +129,9 @@
 // lacks, and all later ones. Those of the subscriptions that are behind are read
 // separately. subscribers is how many there are.
 func (f *feed) joinRequest(subscribers int) topic.FollowedTopic {
-	r := topic.FollowedTopic{Topic: f.topic, Partition: f.partition, Replay: f.known, After: f.position, Subscribers: subscribers}
+	r := topic.FollowedTopic{Topic: f.topic, Partition: f.partition, Replay: f.positionKnown, After: f.position, Subscribers: subscribers}
 	for s := range f.subscriptions {
-		if s.answered || s.behind || !s.resumes || f.known && !f.recent.isTrimmedAfter(s.cursor) {
+		if s.acknowledged || s.behind || !s.resumes || f.positionKnown && !f.recent.isTrimmedAfter(s.cursor) {
 			continue
 		}
 		if !r.Replay || r.After.After(s.cursor) {
@@ -144,14 +144,14 @@
 	return r
 }
 
-// joined takes what the broker answered to the last joinRequest. It reports whether
+// applyJoin takes what the broker answered to the last joinRequest. It reports whether
 // the feed has to join again.
-func (f *feed) joined(state topic.TopicState) (again bool) {
+func (f *feed) applyJoin(state topic.TopicState) (again bool) {
 	f.rebuildRecent(state)
-	if !f.known || state.End.After(f.position) {
+	if !f.positionKnown || state.End.After(f.position) {
 		f.position = state.End
 	}
-	f.known = true
+	f.positionKnown = true
 	again = f.earlyLost
 	for s := range f.subscriptions {
 		f.resume(s, state.Floor)
@@ -181,7 +181,7 @@
 			from = missing
 		}
 	}
-	if !f.known || from != f.position {
+	if !f.positionKnown || from != f.position {
 		f.recent = recentMessages{trimmed: from}
 	}
 	for _, e := range state.Entries {
@@ -194,17 +194,17 @@
 func (f *feed) resume(s *subscription, floor partition.Position) {
 	switch {
 	case s.behind:
-	case !s.answered && !s.resumes:
-		f.answer(s)
+	case !s.acknowledged && !s.resumes:
+		f.activate(s)
 	case floor.After(s.cursor):
 		delete(f.subscriptions, s)
-		s.to.reject(s, linewire.Expired)
+		s.client.reject(s, linewire.Expired)
 	case f.recent.isTrimmedAfter(s.cursor):
 		f.fallBehind(s)
-	case s.answered:
+	case s.acknowledged:
 		f.sendRecent(s)
 	default:
-		f.answer(s)
+		f.activate(s)
 	}
 }
 
@@ -219,7 +219,7 @@
 	case f.state == feedUnjoined: // it comes with the answer to the join
 		return false
 	case f.state == feedJoining:
-		f.keepEarly(e)
+		f.bufferEarly(e)
 		return false
 	case !e.Position.After(f.position): // it came with the answer to a join
 		return false
@@ -239,7 +239,7 @@
 	return false
 }
 
-func (f *feed) keepEarly(e topic.Entry) {
+func (f *feed) bufferEarly(e topic.Entry) {
 	if len(f.early) == maxEarly {
 		f.earlyLost = true
 		return
--- a/internal/gateway/feed_bench_test.go
+++ b/internal/gateway/feed_bench_test.go
@@ -18,10 +18,10 @@
 			for range subscribers {
 				c := &clientConn{outbox: newOutbox(func() {})}
 				outboxes = append(outboxes, c.outbox)
-				f.add(&subscription{to: c, topic: f.topic})
+				f.add(&subscription{client: c, topic: f.topic})
 			}
 			f.joinRequest(subscribers)
-			f.joined(topic.TopicState{})
+			f.applyJoin(topic.TopicState{})
 			e := topic.Entry{Topic: f.topic, Publisher: "u1fx3a9c", Body: make([]byte, 90)}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -32,8 +32,8 @@
 					b.Fatal("the feed joins")
 				}
 				for _, o := range outboxes {
-					frames, _, _ := o.take(nil)
-					o.take(frames) // its memory is used again
+					frames, _, _ := o.dequeue(nil)
+					o.dequeue(frames) // its memory is used again
 				}
 			}
 			b.ReportMetric(float64(b.N*subscribers)/b.Elapsed().Seconds(), "deliveries/s")
--- a/internal/gateway/feed_test.go
+++ b/internal/gateway/feed_test.go
@@ -123,7 +123,7 @@
 }
 
 func subscribeAt(to *recorder, resumes bool, cursor int64) *subscription {
-	s := &subscription{to: to, topic: "t", resumes: resumes}
+	s := &subscription{client: to, topic: "t", resumes: resumes}
 	if resumes && cursor > 0 {
 		s.cursor = at(cursor)
 	}
@@ -146,7 +146,7 @@
 	}
 	b.publish()
 	f.deliver(b.entry(6)) // overtakes the answer
-	if f.joined(b.answer(r)) {
+	if f.applyJoin(b.answer(r)) {
 		t.Fatal("joins again")
 	}
 	f.deliver(b.entry(6))
@@ -168,14 +168,14 @@
 	f := newFeed("t", 0, ignoreBacklog)
 	to := &recorder{}
 	f.add(subscribeAt(to, false, 0))
-	f.joined(b.answer(f.joinRequest(1)))
+	f.applyJoin(b.answer(f.joinRequest(1)))
 	for range 3 {
 		b.publish()
 	}
 	if f.deliver(b.entry(1)) || !f.deliver(b.entry(3)) {
 		t.Fatal("the gap is not seen")
 	}
-	if r := f.joinRequest(1); r.After != at(1) || f.joined(b.answer(r)) {
+	if r := f.joinRequest(1); r.After != at(1) || f.applyJoin(b.answer(r)) {
 		t.Fatalf("asked for %+v", r)
 	}
 	if !slices.Equal(to.orders(), []int64{1, 2, 3}) {
@@ -196,7 +196,7 @@
 	for _, e := range b.polled {
 		f.deliver(e)
 	}
-	if !f.joined(stale) || f.joined(b.answer(f.joinRequest(1))) {
+	if !f.applyJoin(stale) || f.applyJoin(b.answer(f.joinRequest(1))) {
 		t.Error("the feed does not join once more")
 	}
 	if got := len(to.orders()); got != maxEarly+5 {
@@ -210,7 +210,7 @@
 		f := newFeed("t", 0, ignoreBacklog)
 		to := &recorder{}
 		f.add(subscribeAt(to, true, cursor))
-		f.joined(b.answer(f.joinRequest(1)))
+		f.applyJoin(b.answer(f.joinRequest(1)))
 		if to.rejected != reason || (len(to.lines) == 0) != (reason != "") || len(f.subscriptions) != len(to.lines)-len(to.orders()) {
 			t.Errorf("cursor %d: %q, rejected %q", cursor, to.lines, to.rejected)
 		}
@@ -237,7 +237,7 @@
 
 func (m *feedModel) answer() {
 	if m.request != nil {
-		m.mustJoin = m.feed.joined(m.broker.answer(*m.request)) || m.mustJoin
+		m.mustJoin = m.feed.applyJoin(m.broker.answer(*m.request)) || m.mustJoin
 		m.request = nil
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -252,7 +252,7 @@
 // logProtocolError logs that a client sent something unreadable: once in a while, since
 // it may do nothing else.
 func (g *Gateway) logProtocolError(c *clientConn, refused *linewire.ProtocolError) {
-	if n, ok := g.protocolErrors.next(g.timing.contact); ok {
+	if n, ok := g.protocolErrors.allow(g.timing.contact); ok {
 		g.log.Printf("gateway: %s of client %q: %v (%d such messages since the last report)", c.conn.RemoteAddr(), c.clientName, refused, n)
 	}
 }
@@ -264,8 +264,8 @@
 	count int
 }
 
-// next counts a refusal. It reports whether to log it, and how many there were.
-func (l *logLimiter) next(interval time.Duration) (count int, log bool) {
+// allow counts a refusal. It reports whether to log it, and how many there were.
+func (l *logLimiter) allow(interval time.Duration) (count int, log bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.count++
--- a/internal/gateway/hub.go
+++ b/internal/gateway/hub.go
@@ -75,7 +75,7 @@
 		return
 	}
 	h.removeLocked(s)
-	s.to.reject(s, reason)
+	s.client.reject(s, reason)
 }
 
 // partitionOf is the partition of a topic. There is a placement before any client.
@@ -83,9 +83,9 @@
 	return topic.PartitionOf(name, len(h.placement().Partitions))
 }
 
-// answerBytes is about how much one answer of a broker may have, so that those of
+// responseBytes is about how much one answer of a broker may have, so that those of
 // all brokers at once don't occupy the link for long.
-func (h *hub) answerBytes() int {
+func (h *hub) responseBytes() int {
 	const least = 4 << 10 // one message of usual size, and the frame of the call
 	stores := max(1, len(h.placement().Stores))
 	bytes := int(h.linkBytesPerS * h.timing.transferTime().Seconds() / float64(stores))
@@ -165,15 +165,15 @@
 func (f *feed) subscribers() int {
 	n := 0
 	for s := range f.subscriptions {
-		if s.to.isPresent() {
+		if s.client.isPresent() {
 			n++
 		}
 	}
 	return n
 }
 
-// cursorOf reads the cursor of a SUBSCRIBE; ok is false if no message has it.
-func cursorOf(text string) (cursor partition.Position, ok bool) {
+// parseCursor reads the cursor of a SUBSCRIBE; ok is false if no message has it.
+func parseCursor(text string) (cursor partition.Position, ok bool) {
 	cursor, err := partition.ParsePosition(text)
 	return cursor, err == nil
 }
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -126,7 +126,7 @@
 	if delay := time.Until(l.notBefore); delay > 0 {
 		return nil, "", delay
 	}
-	r = &topic.FollowRequest{Session: l.session.id, Begin: !l.session.begun, Counts: l.countUpdates, MaxBytes: l.hub.answerBytes(), MaxBacklog: maxRecentBytes}
+	r = &topic.FollowRequest{Session: l.session.id, Begin: !l.session.begun, Counts: l.countUpdates, MaxBytes: l.hub.responseBytes(), MaxBacklog: maxRecentBytes}
 	for name := range l.unfollows {
 		r.Unfollow = append(r.Unfollow, name)
 	}
@@ -186,7 +186,7 @@
 		}
 		return
 	}
-	if f.joined(state) {
+	if f.applyJoin(state) {
 		l.pending[name] = f
 	}
 }
@@ -226,7 +226,7 @@
 		var out topic.PollResponse
 		request := topic.PollRequest{
 			Gateway: caller.gateway, Session: id, Number: number,
-			WaitMs: l.hub.timing.pollWait().Milliseconds(), MaxBytes: l.hub.answerBytes(),
+			WaitMs: l.hub.timing.pollWait().Milliseconds(), MaxBytes: l.hub.responseBytes(),
 		}
 		raw, err := caller.call(ctx, l.store, l.currentAddress(), topic.PathPoll, l.hub.timing.pollTimeout(), request, nil, &out)
 		if err == nil {
--- a/internal/gateway/outbox.go
+++ b/internal/gateway/outbox.go
@@ -25,13 +25,13 @@
 // outbox is what waits to be written to one client. The frames of messages are shared by
 // all who get them.
 type outbox struct {
-	mu      sync.Mutex
-	frames  [][]byte
-	bytes   int  // of frames
-	refused bool // a message found no room since onRoom was last called
-	closing bool // nothing more is taken; run ends when all is written
-	wake    chan struct{}
-	onRoom  func() // called when there is room again, without mu
+	mu             sync.Mutex
+	frames         [][]byte
+	queuedBytes    int  // of frames
+	waitingForRoom bool // a message found no room since onRoom was last called
+	closing        bool // nothing more is taken; run ends when all is written
+	wake           chan struct{}
+	onRoom         func() // called when there is room again, without mu
 }
 
 func newOutbox(onRoom func()) *outbox {
@@ -45,7 +45,7 @@
 	if o.closing {
 		return true
 	}
-	if o.bytes+len(frame) > maxOutboxBytes {
+	if o.queuedBytes+len(frame) > maxOutboxBytes {
 		return false
 	}
 	o.queueLocked(frame)
@@ -57,8 +57,8 @@
 func (o *outbox) deliver(frame []byte, bound int) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.closing || o.bytes >= bound {
-		o.refused = true
+	if o.closing || o.queuedBytes >= bound {
+		o.waitingForRoom = true
 		return false
 	}
 	o.queueLocked(frame)
@@ -70,8 +70,8 @@
 func (o *outbox) hasRoom() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.closing || o.bytes >= maxBacklogBytes {
-		o.refused = true
+	if o.closing || o.queuedBytes >= maxBacklogBytes {
+		o.waitingForRoom = true
 		return false
 	}
 	return true
@@ -79,7 +79,7 @@
 
 func (o *outbox) queueLocked(frame []byte) {
 	o.frames = append(o.frames, frame)
-	o.bytes += len(frame)
+	o.queuedBytes += len(frame)
 	o.wakeUp()
 }
 
@@ -101,9 +101,9 @@
 // maxWriteBytes bounds the frames that are written with one call, but for a longer one.
 const maxWriteBytes = 16 << 10
 
-// take removes the frames that are to be written next; spare is memory for the queue. room
+// dequeue removes the frames that are to be written next; spare is memory for the queue. room
 // reports that there is room for a message that found none.
-func (o *outbox) take(spare [][]byte) (frames [][]byte, room, closing bool) {
+func (o *outbox) dequeue(spare [][]byte) (frames [][]byte, room, closing bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	n, size := 0, 0
@@ -117,10 +117,10 @@
 		frames = append(spare[:0], o.frames[:n]...)
 		o.frames = slices.Delete(o.frames, 0, n)
 	}
-	o.bytes -= size
-	room = o.refused && o.bytes <= maxBacklogBytes/2
+	o.queuedBytes -= size
+	room = o.waitingForRoom && o.queuedBytes <= maxBacklogBytes/2
 	if room {
-		o.refused = false
+		o.waitingForRoom = false
 	}
 	return frames, room, o.closing
 }
@@ -137,7 +137,7 @@
 	var spare [][]byte
 	var buffer []byte
 	for {
-		frames, room, closing := o.take(spare)
+		frames, room, closing := o.dequeue(spare)
 		if room {
 			o.onRoom()
 		}
@@ -151,7 +151,7 @@
 		}
 		data := frames[0]
 		if len(frames) > 1 {
-			buffer = join(buffer[:0], frames)
+			buffer = appendFrames(buffer[:0], frames)
 			data = buffer
 		}
 		if writeAll(conn, data, timeout) != nil {
@@ -168,8 +168,8 @@
 	}
 }
 
-// join appends frames to a buffer.
-func join(buffer []byte, frames [][]byte) []byte {
+// appendFrames appends frames to a buffer.
+func appendFrames(buffer []byte, frames [][]byte) []byte {
 	for _, frame := range frames {
 		buffer = append(buffer, frame...)
 	}
--- a/internal/gateway/outbox_test.go
+++ b/internal/gateway/outbox_test.go
@@ -21,8 +21,8 @@
 	}
 	for o.add(frame) {
 	}
-	if o.bytes > maxOutboxBytes || o.bytes+len(frame) <= maxOutboxBytes {
-		t.Errorf("%d bytes wait", o.bytes)
+	if o.queuedBytes > maxOutboxBytes || o.queuedBytes+len(frame) <= maxOutboxBytes {
+		t.Errorf("%d bytes wait", o.queuedBytes)
 	}
 }
 
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -20,7 +20,7 @@
 	tenant      string
 	retentionMs int64
 
-	answer   func(frame []byte) // nil while the client waits for none
+	respond  func(frame []byte) // nil while the client waits for none
 	deadline time.Time          // of the answer
 }
 
@@ -62,7 +62,7 @@
 	queue, running := p.queues[from]
 	if i := slices.IndexFunc(queue, func(q *publication) bool { return q.number == m.number }); i >= 0 {
 		queue[i].reply(unknownFrame(from, m.number))
-		queue[i].answer, queue[i].deadline = m.answer, m.deadline
+		queue[i].respond, queue[i].deadline = m.respond, m.deadline
 		p.expireAtDeadline(from, queue[i])
 		return
 	}
@@ -79,9 +79,9 @@
 
 // reply answers the client, once.
 func (m *publication) reply(frame []byte) {
-	if m.answer != nil {
-		m.answer(frame)
-		m.answer = nil
+	if m.respond != nil {
+		m.respond(frame)
+		m.respond = nil
 	}
 }
 
@@ -108,7 +108,7 @@
 // run works off the messages of one client on one topic.
 func (p *publishers) run(from publisherTopic) {
 	for {
-		batch := p.next(from)
+		batch := p.nextBatch(from)
 		if len(batch) == 0 {
 			return
 		}
@@ -125,8 +125,8 @@
 	maxBatchBytes = 64 << 10
 )
 
-// next returns the messages of the next call. If there are none, it ends the entry.
-func (p *publishers) next(from publisherTopic) []*publication {
+// nextBatch returns the messages of the nextBatch call. If there are none, it ends the entry.
+func (p *publishers) nextBatch(from publisherTopic) []*publication {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	queue := p.queues[from]
@@ -161,7 +161,7 @@
 			if p.ctx.Err() != nil {
 				m.reply(unknownFrame(from, m.number))
 			}
-			done[m] = m.answer == nil && now.Sub(m.deadline) > p.hub.timing.retransmitWindow() || p.ctx.Err() != nil
+			done[m] = m.respond == nil && now.Sub(m.deadline) > p.hub.timing.retransmitWindow() || p.ctx.Err() != nil
 			undecided = undecided || !done[m]
 		}
 	}
@@ -187,7 +187,7 @@
 	var out topic.PublishResponse
 	ctx, cancel := context.WithCancel(p.ctx)
 	defer cancel()
-	go p.cancelWithPrimary(ctx, cancel, number, store)
+	go p.cancelOnPrimaryChange(ctx, cancel, number, store)
 	_, err := p.caller.call(ctx, store, address, topic.PathPublish, timeout, request, bodies, &out)
 	if err == nil && len(out.Outcomes) == len(batch) {
 		return out.Outcomes
@@ -195,9 +195,9 @@
 	return make([]topic.Outcome, len(batch)) // all are indeterminate
 }
 
-// cancelWithPrimary cancels a call to a broker when another store leads the
+// cancelOnPrimaryChange cancels a call to a broker when another store leads the
 // partition.
-func (p *publishers) cancelWithPrimary(ctx context.Context, cancel context.CancelFunc, number int, store string) {
+func (p *publishers) cancelOnPrimaryChange(ctx context.Context, cancel context.CancelFunc, number int, store string) {
 	for {
 		changed := p.caller.node.PlacementChanged()
 		if primary, _ := p.hub.primaryOf(number); primary != store {
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -22,7 +22,7 @@
 		return
 	}
 	p.caller.tasks.Go(func() {
-		refused, err := p.askToRefuse(from, m.number)
+		refused, err := p.requestRefusal(from, m.number)
 		<-p.refusals
 		switch {
 		case err != nil:
@@ -35,7 +35,7 @@
 	})
 }
 
-func (p *publishers) askToRefuse(from publisherTopic, number int64) (refused bool, err error) {
+func (p *publishers) requestRefusal(from publisherTopic, number int64) (refused bool, err error) {
 	partition := p.hub.partitionOf(from.topic)
 	store, address := p.hub.primaryOf(partition)
 	request := topic.RefuseRequest{Topic: from.topic, Partition: partition, Publisher: from.publisher, Number: number}
