--- a/internal/gateway/backlog.go
+++ b/internal/gateway/backlog.go
@@ -10,22 +10,22 @@
 	"saltreel/internal/topic"
 )
 
-// A subscription that lacks more than the recent messages of its topic is behind: one whose
-// client was away for long, or takes messages more slowly than they come. What it lacks is
-// read from the broker in pages, as its client takes them, until the recent ones are enough.
-// So what waits for a client is bounded, and what it may have missed is not.
+// A subscription that lacks more than the recent messages of its topic is behind: its client
+// was disconnected for long, or reads more slowly than messages arrive. The missing messages
+// are read from the broker in pages, as the client reads them, until the recent ones suffice.
+// So the queue of a client is bounded, but the number of messages it can catch up on is not.
 //
-// A page serves all subscriptions that have come as far: those who were away together are
-// served together.
+// A page serves all subscriptions that have reached its start, so clients that were
+// disconnected at the same time share pages.
 
-// backlog is the subscriptions of a feed that are behind, and the page that was read last. It
-// has no lock: the hub's mu guards it.
+// backlog holds the subscriptions of a feed that are behind, and the page read last. It has no
+// lock of its own: hub.mu guards it.
 type backlog struct {
-	subscriptions []*subscription // the one that a page was read for last comes last
+	subscriptions []*subscription // round-robin: the one last read for is at the end
 	page          page
 	reading       bool
 	startReading  func(f *feed)
-	wake          chan struct{} // holds a value when there may be something to read
+	wake          chan struct{} // receives a value when there may be a page to read
 }
 
 func newBacklog(startReading func(f *feed)) backlog {
@@ -39,18 +39,18 @@
 	}
 }
 
-// page is messages of a topic without a gap.
+// page is a contiguous range of messages of a topic.
 type page struct {
-	after, through partition.Position // it has all messages after the one, up to the other
+	after, through partition.Position // contains all messages after the first position, up to the second
 	messages       []*message
 }
 
-// hasNext reports whether the page has what follows a position.
+// hasNext reports whether the page contains the messages that follow a position.
 func (p *page) hasNext(cursor partition.Position) bool {
 	return !p.after.After(cursor) && p.through.After(cursor)
 }
 
-// fallBehind has a subscription get what it lacks from the backlog.
+// fallBehind makes a subscription get the messages that it lacks from the backlog.
 func (f *feed) fallBehind(s *subscription) {
 	if s.behind {
 		return
@@ -65,16 +65,16 @@
 	f.backlog.startReading(f)
 }
 
-// backlogProgress is how far a subscription that is behind has come.
+// backlogProgress is the result of advancing a subscription that is behind.
 type backlogProgress int
 
 const (
-	caughtUp   backlogProgress = iota // it is behind no longer
-	outboxFull                        // its client has to take what waits
-	needsPage                         // what follows is not here
+	caughtUp   backlogProgress = iota // no longer behind
+	outboxFull                        // the client has to read queued messages first
+	needsPage                         // the next messages have to be read
 )
 
-// advance sends a subscription that is behind what is here of what it lacks.
+// advance sends a subscription that is behind the available messages that it lacks.
 func (f *feed) advance(s *subscription) backlogProgress {
 	for {
 		isRecent := !f.recent.isTrimmedAfter(s.cursor)
@@ -99,9 +99,8 @@
 	}
 }
 
-// serveBacklog sends the subscriptions that are behind what is here of what they lack. It
-// returns the first that has room for a page, nil if there is none, and whether any is
-// behind still.
+// serveBacklog advances all subscriptions that are behind. It returns the first that needs a
+// page and has room for it, or nil, and whether any subscription is still behind.
 func (f *feed) serveBacklog() (next *subscription, more bool) {
 	b := &f.backlog
 	b.subscriptions = slices.DeleteFunc(b.subscriptions, func(s *subscription) bool {
@@ -124,8 +123,8 @@
 	return next, len(b.subscriptions) > 0
 }
 
-// addPage takes the answer to a read for a subscription. It ends the subscriptions that lack
-// messages that are deleted.
+// addPage stores the page read for a subscription. It rejects subscriptions whose missing
+// messages were deleted.
 func (f *feed) addPage(reader *subscription, after partition.Position, r *topic.ReadResponse) {
 	b := &f.backlog
 	for _, s := range b.subscriptions {
@@ -140,14 +139,14 @@
 		b.page.through = e.Position
 	}
 	if len(r.Entries) == 0 && f.recent.trimmed.After(r.End) {
-		b.page.through = f.recent.trimmed // there is nothing before it
+		b.page.through = f.recent.trimmed // there are no messages in between
 	}
 	if at := slices.Index(b.subscriptions, reader); at >= 0 {
 		b.subscriptions = append(slices.Delete(b.subscriptions, at, at+1), reader)
 	}
 }
 
-// resumeBacklogs reads on for subscriptions whose client has room again.
+// resumeBacklogs resumes reading for subscriptions whose client has room again.
 func (h *hub) resumeBacklogs(subscriptions []*subscription) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -158,14 +157,14 @@
 	}
 }
 
-// maxPageBytes bounds the messages of one page, but for a single one.
+// maxPageBytes limits the messages of one page; a larger message is read on its own.
 const maxPageBytes = 64 << 10
 
-// maxReads bounds the pages that are read from one broker at once.
+// maxReads limits the concurrent page reads from one broker.
 const maxReads = 4
 
-// pageBytes is about how much one page may have, so that the pages that are read at once
-// don't occupy the link for long.
+// pageBytes returns the approximate size limit of a page, so that concurrent reads do not
+// occupy the link for long.
 func (h *hub) pageBytes() int {
 	if bytes := h.responseBytes(); bytes > 0 {
 		return min(maxPageBytes, bytes/maxReads)
@@ -173,7 +172,7 @@
 	return maxPageBytes
 }
 
-// readBacklog reads the backlog of a feed until nobody is behind, or ctx ends.
+// readBacklog reads the backlog of a feed until no subscription is behind, or ctx ends.
 func (h *hub) readBacklog(ctx context.Context, caller *brokerCaller, f *feed) {
 	for ctx.Err() == nil {
 		next, more := h.nextPage(f)
@@ -193,7 +192,7 @@
 	}
 }
 
-// pageRead is a page that is to be read.
+// pageRead is a page read to perform.
 type pageRead struct {
 	reader  *subscription
 	request topic.ReadRequest
@@ -201,8 +200,9 @@
 	address string
 }
 
-// nextPage serves those who are behind with what is here. It returns what to read next, nil
-// if nobody has room for it, and whether anyone is behind still; if not, the reading ends.
+// nextPage advances the subscriptions that are behind. It returns the next page to read, or
+// nil if no client has room for it, and whether any subscription is still behind. If none is,
+// reading ends.
 func (h *hub) nextPage(f *feed) (next *pageRead, more bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -218,7 +218,7 @@
 	return &pageRead{reader, request, f.link, f.link.address}, true
 }
 
-// readPage reads one page and gives it to the feed.
+// readPage reads one page and adds it to the feed.
 func (h *hub) readPage(ctx context.Context, caller *brokerCaller, f *feed, p *pageRead) error {
 	select {
 	case p.link.readSlots <- struct{}{}:
--- a/internal/gateway/backlog_test.go
+++ b/internal/gateway/backlog_test.go
@@ -10,8 +10,8 @@
 	"saltreel/internal/placement"
 )
 
-// newFeedWithHistory is a live feed of a broker with so many messages, of which the feed has the
-// recent ones.
+// newFeedWithHistory returns a live feed, and its broker with the given number of messages, of
+// which the feed has the recent ones.
 func newFeedWithHistory(messages int) (*modelBroker, *feed) {
 	b := &modelBroker{maxBacklog: maxRecentMessages}
 	f := newFeed("t", 0, ignoreBacklog)
@@ -24,9 +24,9 @@
 	return b, f
 }
 
-// Guards against closing a subscriber that missed more than its queue holds
-// (docs/incidents/large-backlog.md): it gets all of it as it takes it, those who came as far
-// with the same page, and what comes meanwhile behind that.
+// Guards against disconnecting a subscriber that missed more than its queue holds
+// (docs/incidents/large-backlog.md). It gets all messages as it reads them; subscribers at the
+// same position share pages, and messages that arrive in the meantime follow.
 func TestBacklogIsSentAsItIsTaken(t *testing.T) {
 	b, f := newFeedWithHistory(1000)
 	m := &feedModel{broker: b, feed: f}
@@ -40,26 +40,26 @@
 		f.deliver(b.entry(b.last))
 	}
 	if first := quick.orders()[0]; first != 11 || len(quick.orders()) != int(b.last)-10 {
-		t.Errorf("the quick one got %d messages from %d on, of %d", len(quick.orders()), first, b.last)
+		t.Errorf("the fast client got %d messages from %d on, of %d", len(quick.orders()), first, b.last)
 	}
 	if !slices.Equal(slow.orders(), []int64{11, 12, 13, 14, 15}) {
-		t.Errorf("the slow one got %v", slow.orders())
+		t.Errorf("the slow client got %v", slow.orders())
 	}
 	if most := 1000/50 + 1; reads > most {
-		t.Errorf("%d pages were read", reads)
+		t.Errorf("read %d pages", reads)
 	}
 	slow.full, slow.room = false, 0
 	for m.read(50) {
 	}
 	if len(slow.orders()) != int(b.last)-10 || !slices.IsSorted(slow.orders()) {
-		t.Errorf("the slow one got %d messages in the end", len(slow.orders()))
+		t.Errorf("the slow client got %d messages in total", len(slow.orders()))
 	}
 	if f.backlog.page.messages != nil || len(f.backlog.subscriptions) > 0 {
-		t.Errorf("the backlog keeps %d messages and %d subscriptions", len(f.backlog.page.messages), len(f.backlog.subscriptions))
+		t.Errorf("the backlog still holds %d messages and %d subscriptions", len(f.backlog.page.messages), len(f.backlog.subscriptions))
 	}
 }
 
-// Retention may pass the cursor while a subscription is read for, before and after its OK.
+// The retention may pass the cursor of a subscription that is behind, before and after its OK.
 func TestBacklogExpires(t *testing.T) {
 	for _, answered := range []bool{false, true} {
 		b, f := newFeedWithHistory(500)
@@ -69,17 +69,17 @@
 		if answered {
 			m.read(50)
 			to.full, to.room = false, 0
-			f.backlog.page = page{} // others were read for
+			f.backlog.page = page{} // a page for another subscription replaced it
 		}
 		b.floor = 100
 		m.read(50)
 		if to.rejected != linewire.Expired || m.read(50) {
-			t.Errorf("answered %v: rejected with %q", answered, to.rejected)
+			t.Errorf("acknowledged %v: rejected with %q", answered, to.rejected)
 		}
 	}
 }
 
-// A subscription that ends while it is behind gets nothing more, and the reading ends.
+// A subscription that ends while it is behind gets no more messages, and reading stops.
 func TestBacklogOfAnEndedSubscription(t *testing.T) {
 	b, f := newFeedWithHistory(500)
 	m := &feedModel{broker: b, feed: f}
@@ -90,11 +90,12 @@
 	to.full, to.room = false, 0
 	delete(f.subscriptions, s)
 	if next, more := f.serveBacklog(); next != nil || more || len(to.orders()) != 10 {
-		t.Errorf("it got %d messages, read on %v", len(to.orders()), more)
+		t.Errorf("got %d messages, reading continues: %v", len(to.orders()), more)
 	}
 }
 
-// A live subscriber that takes less than comes is behind, not closed.
+// A live subscriber that reads more slowly than messages arrive falls behind instead of being
+// disconnected.
 func TestLiveSubscriberWithoutRoomFallsBehind(t *testing.T) {
 	b, f := newFeedWithHistory(0)
 	m := &feedModel{broker: b, feed: f}
@@ -108,11 +109,11 @@
 	for m.read(50) {
 	}
 	if len(to.orders()) != 300 || !slices.IsSorted(to.orders()) {
-		t.Errorf("it got %v", to.orders())
+		t.Errorf("got %v", to.orders())
 	}
 }
 
-// Thousands who return at once share the pages, and the memory of the messages.
+// Thousands of subscribers that return at once share the pages and the memory of the messages.
 func TestManyBehindShareTheirPages(t *testing.T) {
 	b, f := newFeedWithHistory(1000)
 	m := &feedModel{broker: b, feed: f}
@@ -128,15 +129,16 @@
 	}
 	for _, to := range all {
 		if len(to.orders()) != 990 {
-			t.Fatalf("one got %d messages", len(to.orders()))
+			t.Fatalf("a subscriber got %d messages", len(to.orders()))
 		}
 	}
 	if reads > 10 {
-		t.Errorf("%d pages were read for all", reads)
+		t.Errorf("read %d pages for all subscribers", reads)
 	}
 }
 
-// Pages are small enough that those of all brokers do not occupy a thin link for long.
+// Pages are small enough that concurrent reads from all brokers do not occupy a slow link for
+// long.
 func TestPageBytes(t *testing.T) {
 	p := &placement.Placement{Stores: map[string]placement.Store{"a": {}, "b": {}, "c": {}}}
 	for _, c := range []struct {
@@ -146,7 +148,7 @@
 		h := newHub(timing{contact: 6e9}, func() *placement.Placement { return p }, log.New(io.Discard, "", 0), nil, nil)
 		h.linkBytesPerS = c.mbps * 1e6 / 8
 		if got := h.pageBytes(); got != c.want {
-			t.Errorf("%v Mbit/s: pages of %d bytes, not %d", c.mbps, got, c.want)
+			t.Errorf("%v Mbit/s: pages of %d bytes, want %d", c.mbps, got, c.want)
 		}
 	}
 }
--- a/internal/gateway/caller.go
+++ b/internal/gateway/caller.go
@@ -11,8 +11,8 @@
 	"saltreel/internal/topic"
 )
 
-// brokerCaller calls brokers in the name of this gateway, and reports those that
-// do not answer.
+// brokerCaller calls brokers on behalf of this gateway, and reports brokers that do not
+// respond.
 type brokerCaller struct {
 	node    *node.Node
 	timing  timing
@@ -20,8 +20,8 @@
 	tasks   sync.WaitGroup
 }
 
-// call makes one call, with raw bytes behind it unless raw is nil, and returns those
-// behind the answer.
+// call makes one call and returns the raw bytes that follow the response. The request is
+// followed by raw, unless raw is nil.
 func (c *brokerCaller) call(ctx context.Context, store, address, path string, timeout time.Duration, in any, raw []byte, out any) ([]byte, error) {
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -30,7 +30,7 @@
 		defer early.Stop()
 	}
 	answer, err := c.node.Client.CallRaw(callCtx, address, path, in, raw, out)
-	if err != nil && ctx.Err() == nil && rpc.StatusCode(err) == 0 { // there was no answer
+	if err != nil && ctx.Err() == nil && rpc.StatusCode(err) == 0 { // no response
 		c.node.ReportFailure(store, httpwire.ConnectionRefused(err))
 	}
 	return answer, err
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -15,19 +15,19 @@
 	"saltreel/internal/timeutil"
 )
 
-// clientConn is the connection of one client.
+// clientConn is the connection of a client.
 type clientConn struct {
 	gateway *Gateway
 	conn    net.Conn
 	reader  *bufio.Reader
 	outbox  *outbox
 
-	clientName string // of the client; empty before its HELLO
+	clientName string // empty before HELLO
 	secret     string
 
-	lastReceived     atomic.Int64  // time of the last message, in ns of the steady clock
-	pendingPublishes atomic.Int64  // messages to publish that have no answer yet
-	closed           chan struct{} // closed when reads are held no longer, at the end
+	lastReceived     atomic.Int64  // monotonic time of the last command, in ns
+	pendingPublishes atomic.Int64  // publications not answered yet
+	closed           chan struct{} // closed when the connection ends, to resume throttled reads
 
 	mu            sync.Mutex
 	subscriptions map[string]*subscription // by topic
@@ -49,7 +49,7 @@
 	var writing sync.WaitGroup
 	writing.Go(func() {
 		c.outbox.run(c.conn, c.gateway.timing.writeTimeout())
-		_ = c.conn.Close() // so that the reading ends too
+		_ = c.conn.Close() // unblocks the reader
 	})
 	for c.serveNext(ctx) {
 	}
@@ -58,7 +58,7 @@
 	writing.Wait()
 }
 
-// serveNext reads and handles one message. It reports whether another may follow.
+// serveNext reads and handles one command. It reports whether to continue.
 func (c *clientConn) serveNext(ctx context.Context) (more bool) {
 	if c.conn.SetReadDeadline(time.Now().Add(c.gateway.timing.idleTimeout())) != nil {
 		return false
@@ -79,7 +79,7 @@
 	return c.handle(ctx, command)
 }
 
-// handle handles one message of the client. It reports whether another may follow.
+// handle handles one command. It reports whether to continue.
 func (c *clientConn) handle(ctx context.Context, command *linewire.Command) (more bool) {
 	if command.Verb == linewire.Ping {
 		c.send(linewire.AppendPong(nil))
@@ -89,7 +89,7 @@
 		return c.handleHello(ctx, command)
 	}
 	if c.clientName == "" {
-		c.sendReject(command, linewire.Malformed) // nobody said HELLO
+		c.sendReject(command, linewire.Malformed) // HELLO is required first
 		return false
 	}
 	table := c.gateway.node.Table()
@@ -115,7 +115,7 @@
 	c.send(linewire.AppendReject(nil, command.Verb, command.Topic, command.Number, reason))
 }
 
-// handleHello learns who the client is.
+// handleHello identifies and authenticates the client.
 func (c *clientConn) handleHello(ctx context.Context, command *linewire.Command) (more bool) {
 	g := c.gateway
 	switch {
@@ -139,7 +139,7 @@
 	s := &subscription{client: c, topic: command.Topic}
 	if command.Cursor != "" {
 		cursor, ok := parseCursor(command.Cursor)
-		if !ok { // nobody was given this one, so nothing can have expired
+		if !ok { // never issued by a gateway, so not expired
 			c.sendReject(command, linewire.Malformed)
 			return
 		}
@@ -154,12 +154,12 @@
 		c.gateway.hub.unsubscribe(former)
 	}
 	c.gateway.hub.subscribe(s)
-	// A configuration that came meanwhile was applied to the others.
+	// A configuration applied in the meantime did not cover this subscription.
 	c.gateway.reauthorize(s, c.secret)
 }
 
-// addSubscription notes a subscription. It returns the former one of the topic, or
-// false if there are too many; a limit of 0 is none.
+// addSubscription adds a subscription and returns the former one of the topic. It returns
+// false if the limit is reached or the connection has ended; a limit of 0 means no limit.
 func (c *clientConn) addSubscription(s *subscription, limit int) (former *subscription, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,9 +182,9 @@
 	c.send(linewire.AppendUnsubscribeOK(nil, command.Topic))
 }
 
-// handlePublish has a message published, unless the tenant is over its rate and the
-// number was not accepted before. Over another quota, reads from the connection stop for
-// the throttle time.
+// handlePublish publishes a message, unless the tenant is over its rate limit and the number
+// was not accepted before. If another quota is exceeded, reads from the connection are paused
+// for the throttle time.
 func (c *clientConn) handlePublish(ctx context.Context, command *linewire.Command, table *configuration.Table, space *configuration.Route) {
 	received := time.Now()
 	g := c.gateway
@@ -212,8 +212,8 @@
 	c.throttleReads(g.quotas.RecordRequest(c.quotaTenant(m.tenant), space.Name, len(command.Body), time.Since(received), throttle))
 }
 
-// quotaTenant is whom the quotas of this node count a client for: its tenant, or
-// itself in spaces that need none.
+// quotaTenant returns the name under which the quotas of this node account for the client:
+// that of its tenant, or its own in spaces with public access.
 func (c *clientConn) quotaTenant(tenant string) string {
 	if tenant != "" {
 		return tenant
@@ -221,8 +221,8 @@
 	return "client " + c.clientName
 }
 
-// throttleReads stops reads from the connection for the throttle time X of a quota, for as
-// long as the client can do without an answer to its PING.
+// throttleReads pauses reads from the connection for the throttle time x of a quota, but no
+// longer than the client tolerates an unanswered PING.
 func (c *clientConn) throttleReads(x time.Duration, by *quota.Manager) {
 	if x <= 0 {
 		return
@@ -236,8 +236,8 @@
 	}
 }
 
-// handleCount answers how many subscribers a topic has, without holding up what
-// the client says next.
+// handleCount returns the number of subscribers of a topic, without blocking later commands of
+// the client.
 func (c *clientConn) handleCount(ctx context.Context, command *linewire.Command) {
 	g := c.gateway
 	g.caller.tasks.Go(func() {
@@ -254,7 +254,8 @@
 	})
 }
 
-// send implements subscriber. A client that asks on and takes no answers is closed.
+// send implements subscriber. A client that keeps sending requests without reading the
+// responses is disconnected.
 func (c *clientConn) send(frame []byte) {
 	if !c.outbox.add(frame) {
 		_ = c.conn.Close()
@@ -272,8 +273,7 @@
 // hasRoom implements subscriber.
 func (c *clientConn) hasRoom() bool { return c.outbox.hasRoom() }
 
-// reject implements subscriber: it answers a SUBSCRIBE, or ends a subscription
-// unasked.
+// reject implements subscriber. It rejects a SUBSCRIBE, or ends an accepted subscription.
 func (c *clientConn) reject(s *subscription, reason linewire.Reason) {
 	c.mu.Lock()
 	if c.subscriptions[s.topic] == s {
@@ -283,12 +283,12 @@
 	c.send(linewire.AppendReject(nil, linewire.Subscribe, s.topic, 0, reason))
 }
 
-// isPresent reports whether the client has said something lately.
+// isPresent implements subscriber. It reports whether the client has sent a command recently.
 func (c *clientConn) isPresent() bool {
 	return c.gateway.uptime()-time.Duration(c.lastReceived.Load()) <= c.gateway.timing.presenceTimeout()
 }
 
-// currentSubscriptions lists the subscriptions of the client.
+// currentSubscriptions returns the subscriptions of the client.
 func (c *clientConn) currentSubscriptions() []*subscription {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -299,7 +299,7 @@
 	return list
 }
 
-// closeSubscriptions ends the subscriptions.
+// closeSubscriptions ends all subscriptions and removes the connection from the table.
 func (c *clientConn) closeSubscriptions() {
 	c.mu.Lock()
 	c.ended = true
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// clientTable is the connections of all clients.
+// clientTable holds all client connections.
 type clientTable struct {
 	mu     sync.Mutex
 	conns  map[*clientConn]bool
-	byName map[string]*clientConn // the newest of each client
+	byName map[string]*clientConn // the newest connection of each client
 }
 
 func newClientTable() clientTable {
@@ -19,8 +19,8 @@
 	t.conns[c] = true
 }
 
-// register notes whose connection it is. An older one of the client, which it has
-// left, is closed.
+// register records the client name of a connection. An older connection of the same client,
+// which the client has abandoned, is closed.
 func (t *clientTable) register(c *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -39,7 +39,7 @@
 	}
 }
 
-// all lists the connections.
+// all returns all connections.
 func (t *clientTable) all() []*clientConn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -13,7 +13,7 @@
 	"saltreel/internal/membership"
 )
 
-// peerGateways is the other gateways that clients may be sent to.
+// peerGateways holds the other gateways, to which clients can be redirected.
 type peerGateways struct {
 	self  string
 	mu    sync.Mutex
@@ -24,7 +24,7 @@
 	return peerGateways{self: self, nodes: map[string]membership.Node{}}
 }
 
-// applyEvent follows the nodes of the zone.
+// applyEvent updates the gateways from the nodes of the zone.
 func (n *peerGateways) applyEvent(e journal.Event) {
 	name, ok := strings.CutPrefix(e.Key, distribution.PrefixNode)
 	if !ok {
@@ -40,8 +40,8 @@
 	n.nodes[name] = node
 }
 
-// addresses lists where clients reach the other gateways: on all machines at the
-// same port.
+// addresses returns the client addresses of the other gateways. The port is the same on all
+// machines.
 func (n *peerGateways) addresses(port string) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -55,9 +55,9 @@
 	return addresses
 }
 
-// drain sends the clients to other gateways, one after the other over the time
-// there is, and waits until they are gone. Those that stay are closed when they
-// have the answers that they wait for, or the time is over.
+// drain redirects the clients to other gateways, spread over the redirect period, and waits
+// until they have disconnected. Remaining connections are closed once their outstanding
+// publications are answered, or when the drain timeout expires.
 func (g *Gateway) drain() {
 	g.stopping.Store(true)
 	g.node.Drain()
@@ -74,7 +74,7 @@
 	}
 }
 
-// redirectAll sends the clients to the other gateways in turn.
+// redirectAll distributes the clients over the other gateways round-robin.
 func (g *Gateway) redirectAll() {
 	_, port, err := net.SplitHostPort(g.settings.Listeners.DataPlane)
 	if err != nil {
--- a/internal/gateway/feed.go
+++ b/internal/gateway/feed.go
@@ -8,70 +8,70 @@
 	"saltreel/internal/topic"
 )
 
-// subscriber gets what a subscription is answered and sent.
+// subscriber receives the responses and messages of a subscription.
 type subscriber interface {
-	// send queues an answer. It does not block.
+	// send queues a response without blocking.
 	send(frame []byte)
-	// deliver queues a message, unless too much waits: less may where it is of the
-	// backlog. Where it reports false, hub.resumeBacklogs is called when there is room.
+	// deliver queues a message unless the queue is full; the limit is lower for backlog
+	// messages. If it returns false, hub.resumeBacklogs is called when there is room.
 	deliver(m *message, backlog bool) bool
-	// hasRoom reports whether a message of the backlog would be queued, as deliver does.
+	// hasRoom reports whether deliver would queue a backlog message.
 	hasRoom() bool
-	// reject answers a subscription, or ends it.
+	// reject rejects a subscription, or ends an accepted one.
 	reject(s *subscription, reason linewire.Reason)
-	// isPresent reports whether it is there: it may be gone without a word.
+	// isPresent reports whether the client is alive; a connection may be lost without notice.
 	isPresent() bool
 }
 
-// subscription is one topic of one connection.
+// subscription is the subscription of one connection to one topic.
 type subscription struct {
 	client       subscriber
 	topic        string
 	resumes      bool               // the client gave a cursor
-	cursor       partition.Position // all messages up to here are sent, or not wanted
-	acknowledged bool               // the client knows that it is subscribed
-	behind       bool               // it lacks messages that are not recent, or has no room: see backlog
+	cursor       partition.Position // all messages up to here were sent or are not wanted
+	acknowledged bool               // SUBSCRIBE was answered with OK
+	behind       bool               // lacks messages that are not recent, or its queue is full; see backlog
 }
 
-// feed is a topic that the gateway follows: a state machine without I/O. It has to
-// join (joinRequest, joined) and is live then: each message comes once and in order
-// (deliver). Where one is missing, it has to join again. Subscriptions that lack more
-// than the recent messages are behind, and get the others from the backlog. It has no
-// lock: the hub's mu guards it.
+// feed is the state machine, without I/O, of a topic that the gateway follows. It first has to
+// join (joinRequest, applyJoin) and is then live: each message arrives once and in order
+// (deliver). If one is missing, the feed has to join again. Subscriptions that lack more than
+// the recent messages are behind and get the others from the backlog. A feed has no lock of
+// its own: hub.mu guards it.
 type feed struct {
 	topic     string
 	partition int
 	link      *brokerLink // to the broker
 
 	state         feedState
-	request       topic.FollowedTopic // the last that was made
-	early         []topic.Entry       // came while joining
-	earlyLost     bool                // more of them came than are kept
-	position      partition.Position  // of the last message
-	positionKnown bool                // position is
+	request       topic.FollowedTopic // the last join request
+	early         []topic.Entry       // received while joining
+	earlyLost     bool                // more were received than are buffered
+	position      partition.Position  // position of the last message
+	positionKnown bool                // position is valid
 	recent        recentMessages
 	backlog       backlog
 
 	subscriptions map[*subscription]bool
-	unusedSince   time.Time // when the last of them ended
-	reported      int       // subscribers as the broker was last told
+	unusedSince   time.Time // when the last subscription ended
+	reported      int       // subscriber count last reported to the broker
 }
 
-// feedState is how far a feed is.
+// feedState is the join state of a feed.
 type feedState int
 
 const (
-	feedUnjoined feedState = iota // it has to join
-	feedJoining                   // the broker was asked
+	feedUnjoined feedState = iota // has to join
+	feedJoining                   // the join request was sent
 	feedLive
 )
 
-// newFeed makes a feed; startReading begins to read its backlog.
+// newFeed returns a feed. startReading is called to start reading its backlog.
 func newFeed(name string, number int, startReading func(f *feed)) *feed {
 	return &feed{topic: name, partition: number, backlog: newBacklog(startReading), subscriptions: map[*subscription]bool{}}
 }
 
-// add adds a subscription, and answers it if the feed is live and has what it
+// add adds a subscription, and activates it if the feed is live and has the messages that it
 // lacks. It reports whether the feed has to join now.
 func (f *feed) add(s *subscription) (join bool) {
 	f.subscriptions[s] = true
@@ -85,7 +85,8 @@
 	return f.state == feedUnjoined
 }
 
-// activate takes up a subscription of a live feed, whose recent messages are enough.
+// activate acknowledges a subscription of a live feed whose recent messages suffice, and sends
+// them.
 func (f *feed) activate(s *subscription) {
 	if !s.resumes {
 		s.cursor = f.position
@@ -94,7 +95,7 @@
 	f.sendRecent(s)
 }
 
-// acknowledge tells the client that it is subscribed, unless it knows.
+// acknowledge sends OK for the subscription, unless that was done before.
 func (f *feed) acknowledge(s *subscription) {
 	if !s.acknowledged {
 		s.acknowledged = true
@@ -102,8 +103,8 @@
 	}
 }
 
-// sendRecent sends the recent messages that a subscription lacks. It is behind if there is
-// no room for all of them.
+// sendRecent sends the recent messages that a subscription lacks. If the client's queue is
+// full, the subscription falls behind.
 func (f *feed) sendRecent(s *subscription) {
 	for _, m := range f.recent.after(s.cursor) {
 		if !s.deliver(m) {
@@ -113,7 +114,8 @@
 	}
 }
 
-// deliver sends a message, unless it was sent. It reports false if there is no room.
+// deliver sends a message unless it was sent before. It returns false if the client's queue is
+// full.
 func (s *subscription) deliver(m *message) bool {
 	if !m.position.After(s.cursor) {
 		return true
@@ -125,9 +127,9 @@
 	return true
 }
 
-// joinRequest is what to ask of the broker: the messages that some subscription
-// lacks, and all later ones. Those of the subscriptions that are behind are read
-// separately. subscribers is how many there are.
+// joinRequest returns the request to the broker: for the messages that some subscription lacks
+// and all later ones. Messages for subscriptions that are behind are read separately.
+// subscribers is the number to report.
 func (f *feed) joinRequest(subscribers int) topic.FollowedTopic {
 	r := topic.FollowedTopic{Topic: f.topic, Partition: f.partition, Replay: f.positionKnown, After: f.position, Subscribers: subscribers}
 	for s := range f.subscriptions {
@@ -144,8 +146,8 @@
 	return r
 }
 
-// applyJoin takes what the broker answered to the last joinRequest. It reports whether
-// the feed has to join again.
+// applyJoin applies the broker's response to the last joinRequest. It reports whether the feed
+// has to join again.
 func (f *feed) applyJoin(state topic.TopicState) (again bool) {
 	f.rebuildRecent(state)
 	if !f.positionKnown || state.End.After(f.position) {
@@ -169,8 +171,8 @@
 	return again
 }
 
-// rebuildRecent takes over the messages of the broker's answer. Without a gap to
-// those that are here they are added; else they replace them.
+// rebuildRecent adds the messages of the broker's response to the recent ones, or replaces
+// them if there is a gap in between.
 func (f *feed) rebuildRecent(state topic.TopicState) {
 	from := f.request.After
 	if !f.request.Replay {
@@ -189,8 +191,8 @@
 	}
 }
 
-// resume sends a subscription what it lacks after a join, or ends it where that was
-// deleted. It is behind where the answer to the join did not hold all of it.
+// resume sends a subscription the messages that it lacks after a join, or rejects it if they
+// were deleted. The subscription falls behind if the response did not contain all of them.
 func (f *feed) resume(s *subscription, floor partition.Position) {
 	switch {
 	case s.behind:
@@ -208,20 +210,20 @@
 	}
 }
 
-// maxEarly bounds the messages that are kept while the feed joins. If more come,
-// it joins again.
+// maxEarly limits the messages buffered while the feed joins. If there are more, it joins
+// again.
 const maxEarly = 256
 
-// deliver takes the next message of the broker. It reports whether the feed has to
-// join, since one before it is missing.
+// deliver handles the next message of the broker. It reports whether the feed has to join
+// because a preceding message is missing.
 func (f *feed) deliver(e topic.Entry) (join bool) {
 	switch {
-	case f.state == feedUnjoined: // it comes with the answer to the join
+	case f.state == feedUnjoined: // the join response will contain it
 		return false
 	case f.state == feedJoining:
 		f.bufferEarly(e)
 		return false
-	case !e.Position.After(f.position): // it came with the answer to a join
+	case !e.Position.After(f.position): // the join response contained it
 		return false
 	case e.Previous.After(f.position):
 		f.rejoin()
@@ -247,13 +249,13 @@
 	f.early = append(f.early, e)
 }
 
-// rejoin makes the feed join, as when its broker or the session with it changes.
+// rejoin makes the feed join again, for example after its broker or the session changed.
 func (f *feed) rejoin() {
 	f.state = feedUnjoined
 	f.early, f.earlyLost = nil, false
 }
 
-// message is a message of a topic as clients get it.
+// message is a message of a topic, encoded for clients.
 type message struct {
 	position partition.Position
 	frame    []byte
@@ -265,17 +267,17 @@
 	return &message{e.Position, frame}
 }
 
-// frameOverhead is enough for the rest of a DELIVER line.
+// frameOverhead is an upper estimate for the rest of a DELIVER line.
 const frameOverhead = 64
 
-// recentMessages is the last messages of a topic, for those who come back.
+// recentMessages caches the last messages of a topic for clients that reconnect.
 type recentMessages struct {
 	messages []*message
 	bytes    int
-	trimmed  partition.Position // all messages after it are here
+	trimmed  partition.Position // all messages after this position are present
 }
 
-// Bounds of the recent messages of one topic.
+// Limits of the recent messages of one topic.
 const (
 	maxRecentMessages = 64
 	maxRecentBytes    = 32 << 10
@@ -286,7 +288,7 @@
 	r.bytes += len(m.frame)
 }
 
-// trim drops the oldest messages while there are more than the bounds allow.
+// trim drops the oldest messages that exceed the limits.
 func (r *recentMessages) trim() {
 	for len(r.messages) > maxRecentMessages || r.bytes > maxRecentBytes && len(r.messages) > 1 {
 		r.trimmed = r.messages[0].position
@@ -296,7 +298,7 @@
 	}
 }
 
-// isTrimmedAfter reports whether messages after a position may be missing here.
+// isTrimmedAfter reports whether messages after a position may be missing.
 func (r *recentMessages) isTrimmedAfter(p partition.Position) bool { return r.trimmed.After(p) }
 
 // after returns the messages after a position.
--- a/internal/gateway/feed_bench_test.go
+++ b/internal/gateway/feed_bench_test.go
@@ -8,8 +8,8 @@
 	"saltreel/internal/topic"
 )
 
-// BenchmarkDeliver measures one message of 90 bytes to the subscribers of one topic
-// at one gateway, up to the buffers of their connections.
+// BenchmarkDeliver measures the delivery of a 90-byte message to the subscribers of a topic at
+// one gateway, up to their write queues.
 func BenchmarkDeliver(b *testing.B) {
 	for _, subscribers := range []int{1, 40} {
 		b.Run(fmt.Sprintf("%d subscribers", subscribers), func(b *testing.B) {
@@ -29,11 +29,11 @@
 				e.Position = partition.Position{Epoch: 1, Order: e.Position.Order + 1}
 				e.Number++
 				if f.deliver(e) {
-					b.Fatal("the feed joins")
+					b.Fatal("the feed has to join")
 				}
 				for _, o := range outboxes {
 					frames, _, _ := o.dequeue(nil)
-					o.dequeue(frames) // its memory is used again
+					o.dequeue(frames) // reuses the memory
 				}
 			}
 			b.ReportMetric(float64(b.N*subscribers)/b.Elapsed().Seconds(), "deliveries/s")
--- a/internal/gateway/feed_test.go
+++ b/internal/gateway/feed_test.go
@@ -13,15 +13,15 @@
 	"saltreel/internal/topic"
 )
 
-// recorder is a subscriber that keeps what it is sent.
+// recorder is a subscriber that records what it receives.
 type recorder struct {
 	lines    []string
 	rejected linewire.Reason
-	full     bool // no message is taken
-	room     int  // how many messages are taken until it is full; 0: any number
+	full     bool // no message is accepted
+	room     int  // messages accepted until it is full; 0: unlimited
 }
 
-// ignoreBacklog is for feeds whose backlog the test reads itself, or that have none.
+// ignoreBacklog is for feeds without a backlog, or whose backlog the test reads itself.
 func ignoreBacklog(*feed) {}
 
 func (r *recorder) deliver(m *message, _ bool) bool {
@@ -45,7 +45,7 @@
 
 func (r *recorder) isPresent() bool { return true }
 
-// orders returns the orders of the messages that came, behind the OK.
+// orders returns the orders of the received messages.
 func (r *recorder) orders() (orders []int64) {
 	for _, line := range r.lines {
 		fields := strings.Split(line, " ")
@@ -63,13 +63,13 @@
 
 func at(order int64) partition.Position { return partition.Position{Epoch: 1, Order: order} }
 
-// modelBroker is a broker of one topic whose every message has the next order.
+// modelBroker models a broker with one topic whose messages have consecutive orders.
 type modelBroker struct {
 	last   int64
 	floor  int64
-	polled []topic.Entry // on their way to the gateway
+	polled []topic.Entry // in flight to the gateway
 
-	maxBacklog int // messages in the answer to a join; 0: any number
+	maxBacklog int // messages in a join response; 0: unlimited
 }
 
 func (b *modelBroker) entry(order int64) topic.Entry {
@@ -85,7 +85,7 @@
 	b.polled = append(b.polled, b.entry(b.last))
 }
 
-// answer is the answer to a join: what was polled before is on its way still.
+// answer returns the response to a join. Messages polled before may still be in flight.
 func (b *modelBroker) answer(r topic.FollowedTopic) topic.TopicState {
 	state := topic.TopicState{}
 	if b.last > 0 {
@@ -106,7 +106,7 @@
 	return state
 }
 
-// read is the answer to a read of so many messages.
+// read returns the response to a read, with at most the given number of messages.
 func (b *modelBroker) read(after partition.Position, messages int64) *topic.ReadResponse {
 	r := &topic.ReadResponse{}
 	if b.last > 0 {
@@ -138,16 +138,16 @@
 		b.publish()
 	}
 	if !f.add(subscribeAt(fresh, false, 0)) || !f.add(subscribeAt(resumed, true, 2)) || len(fresh.lines) > 0 {
-		t.Fatalf("a feed that has not joined answers %q", fresh.lines)
+		t.Fatalf("a feed that has not joined sent %q", fresh.lines)
 	}
 	r := f.joinRequest(2)
 	if !r.Replay || r.After != at(2) || r.Subscribers != 2 {
-		t.Fatalf("asks for %+v", r)
+		t.Fatalf("join request %+v", r)
 	}
 	b.publish()
-	f.deliver(b.entry(6)) // overtakes the answer
+	f.deliver(b.entry(6)) // arrives before the join response
 	if f.applyJoin(b.answer(r)) {
-		t.Fatal("joins again")
+		t.Fatal("the feed has to join again")
 	}
 	f.deliver(b.entry(6))
 	f.deliver(b.entry(7))
@@ -159,11 +159,11 @@
 	}
 	late := &recorder{}
 	if f.add(subscribeAt(late, true, 4)) || !slices.Equal(late.orders(), []int64{5, 6, 7}) {
-		t.Errorf("from what is recent: %q", late.lines)
+		t.Errorf("from the recent messages: %q", late.lines)
 	}
 }
 
-func TestFeedJoinsAgainWhereAMessageIsMissing(t *testing.T) {
+func TestFeedRejoinsOnMissingMessage(t *testing.T) {
 	b := &modelBroker{}
 	f := newFeed("t", 0, ignoreBacklog)
 	to := &recorder{}
@@ -173,18 +173,19 @@
 		b.publish()
 	}
 	if f.deliver(b.entry(1)) || !f.deliver(b.entry(3)) {
-		t.Fatal("the gap is not seen")
+		t.Fatal("the gap is not detected")
 	}
 	if r := f.joinRequest(1); r.After != at(1) || f.applyJoin(b.answer(r)) {
-		t.Fatalf("asked for %+v", r)
+		t.Fatalf("join request %+v, or the feed has to join again", r)
 	}
 	if !slices.Equal(to.orders(), []int64{1, 2, 3}) {
 		t.Errorf("%q", to.lines)
 	}
 }
 
-// More messages may come while the feed joins than it keeps: it asks for the rest.
-func TestFeedJoinsAgainWhereTooManyMessagesCameEarly(t *testing.T) {
+// More messages may arrive while the feed joins than it buffers: it joins again to get the
+// rest.
+func TestFeedRejoinsOnEarlyBufferOverflow(t *testing.T) {
 	b := &modelBroker{}
 	f := newFeed("t", 0, ignoreBacklog)
 	to := &recorder{}
@@ -197,14 +198,14 @@
 		f.deliver(e)
 	}
 	if !f.applyJoin(stale) || f.applyJoin(b.answer(f.joinRequest(1))) {
-		t.Error("the feed does not join once more")
+		t.Error("the feed does not join exactly once more")
 	}
 	if got := len(to.orders()); got != maxEarly+5 {
-		t.Errorf("%d of %d messages came", got, maxEarly+5)
+		t.Errorf("got %d of %d messages", got, maxEarly+5)
 	}
 }
 
-func TestSubscriptionIsExpiredOnlyWhereAMessageWasDeleted(t *testing.T) {
+func TestSubscriptionExpiresOnlyIfMessagesWereDeleted(t *testing.T) {
 	for cursor, reason := range map[int64]linewire.Reason{2: linewire.Expired, 3: "", 9: ""} {
 		b := &modelBroker{floor: 3, last: 5}
 		f := newFeed("t", 0, ignoreBacklog)
@@ -217,13 +218,12 @@
 	}
 }
 
-// feedModel is a feed with its broker, its subscribers, and what is under way
-// between them.
+// feedModel is a feed with its broker, its subscribers, and what is in flight between them.
 type feedModel struct {
 	broker    *modelBroker
 	feed      *feed
 	recorders []*recorder
-	firsts    []int64 // of each recorder: the first order it is owed; -1 without a cursor
+	firsts    []int64 // for each recorder: the first order expected; -1 without a cursor
 	request   *topic.FollowedTopic
 	mustJoin  bool
 }
@@ -264,8 +264,8 @@
 	m.mustJoin = m.feed.add(subscribeAt(to, resumes, cursor)) || m.mustJoin
 }
 
-// read reads a page for the subscriptions that are behind, if there is any with room. It
-// reports whether there was.
+// read reads a page for the next subscription that needs one and has room. It reports whether
+// there was one.
 func (m *feedModel) read(messages int64) bool {
 	next, _ := m.feed.serveBacklog()
 	if next != nil {
@@ -275,7 +275,7 @@
 	return next != nil
 }
 
-// finish brings all that is under way to its end.
+// finish completes everything in flight.
 func (m *feedModel) finish() {
 	for _, to := range m.recorders {
 		to.full, to.room = false, 0
@@ -289,9 +289,9 @@
 	}
 }
 
-// Whatever order messages, answers, pages and losses of the session come in, whatever is
-// still in memory, and whoever takes how much, each subscription gets each message after
-// its cursor once and in order.
+// Each subscription gets each message after its cursor once and in order, for any interleaving
+// of messages, responses, page reads and lost sessions, any set of cached messages, and any
+// reading speed of the subscribers.
 func TestFeedDeliversOnceAndInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxBacklog := rapid.IntRange(0, maxRecentMessages).Draw(t, "backlog")
@@ -326,11 +326,11 @@
 	})
 }
 
-// checkRecorder checks that a subscriber got all orders from first to last; from
-// the one behind that of its OK, if first is -1.
+// checkRecorder checks that a subscriber got all orders from first to last. If first is -1,
+// the first is the one after the cursor of its OK.
 func checkRecorder(t *rapid.T, to *recorder, first, last int64) {
 	if len(to.lines) == 0 || !strings.HasPrefix(to.lines[0], "OK SUBSCRIBE t ") || to.rejected != "" {
-		t.Fatalf("answered %q, rejected %q", to.lines, to.rejected)
+		t.Fatalf("received %q, rejected %q", to.lines, to.rejected)
 	}
 	if first < 0 {
 		cursor, _ := partition.ParsePosition(strings.TrimPrefix(to.lines[0], "OK SUBSCRIBE t "))
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,10 +1,9 @@
-// Package gateway is the process of an edge machine in a deployment of topics: it
-// holds the connections of realtime clients, admits what they publish and hands it
-// to the brokers, and follows at the brokers the topics that its clients subscribe
-// to.
+// Package gateway implements the process of an edge machine in a deployment with topics. It
+// accepts the connections of realtime clients, admits their publications and forwards them to
+// the brokers, and follows the topics at the brokers to which its clients subscribe.
 //
-// feed.go is what becomes of a topic, without I/O; link.go is the session with a
-// broker; client.go is a client's connection.
+// feed.go contains the state machine of a topic, without I/O; link.go the session with a
+// broker; client.go the connection of a client.
 package gateway
 
 import (
@@ -31,8 +30,7 @@
 	"saltreel/internal/topic"
 )
 
-// nodeRole is the role of a gateway as heartbeats name it: that of any node that
-// serves clients.
+// nodeRole is the role of a gateway in heartbeats, that of every node that serves clients.
 const nodeRole = "edge"
 
 // Gateway is the process of one edge machine.
@@ -53,14 +51,14 @@
 	quotas         *admission.Quotas
 	protocolErrors logLimiter
 
-	stopping       atomic.Bool   // no new clients are wanted
-	controlChanged chan struct{} // holds a value when the configuration or the placement may be another
+	stopping       atomic.Bool   // new clients are not accepted
+	controlChanged chan struct{} // receives a value when the configuration or the placement may have changed
 	serving        context.Context
 	stopServing    context.CancelFunc
 	background     sync.WaitGroup
 }
 
-// New makes the process; Run starts it.
+// New returns a gateway. Run starts it.
 func New(set *settings.Settings, network httpwire.Network, logger *log.Logger) *Gateway {
 	g := &Gateway{
 		settings:       set,
@@ -88,13 +86,13 @@
 	return g
 }
 
-// Reload applies the settings that may change while the process runs.
+// Reload applies the settings that can change at run time.
 func (g *Gateway) Reload(s *settings.Settings) { g.node.Reload(s) }
 
-// uptime is the time since the start, by the steady clock.
+// uptime returns the monotonic time since the start.
 func (g *Gateway) uptime() time.Duration { return time.Since(g.started) }
 
-// applyEvent follows what the control plane distributes.
+// applyEvent handles an event distributed by the control plane.
 func (g *Gateway) applyEvent(e journal.Event) {
 	g.peers.applyEvent(e)
 	if e.Key == distribution.KeyPlacement || e.Key == distribution.KeyConfiguration {
@@ -105,7 +103,7 @@
 	}
 }
 
-// ready tells why the process wants no new clients; nil if it does.
+// ready returns the reason why the process does not accept new clients, or nil if it does.
 func (g *Gateway) ready() error {
 	switch {
 	case g.stopping.Load():
@@ -124,8 +122,8 @@
 	return p != nil && len(p.Partitions) > 0
 }
 
-// Run serves until ctx ends, sends the clients to other gateways, and returns. The
-// error is that of a listener that cannot be opened.
+// Run serves until ctx ends, and then redirects the clients to other gateways. It returns an
+// error if a listener cannot be opened.
 func (g *Gateway) Run(ctx context.Context) error {
 	defer g.stopServing()
 	listeners, err := platform.Listen(g.network.Listen, g.settings)
@@ -159,8 +157,8 @@
 	return nil
 }
 
-// acceptRetryDelay is the wait after a failed Accept, for instance when there are
-// too many open files.
+// acceptRetryDelay is the delay after a failed Accept, for instance when there are too many
+// open files.
 const acceptRetryDelay = 50 * time.Millisecond
 
 // accept serves clients until the listener is closed.
@@ -181,7 +179,7 @@
 	}
 }
 
-// applyControlUpdates applies each new configuration and placement, until ctx ends.
+// applyControlUpdates applies new configurations and placements until ctx ends.
 func (g *Gateway) applyControlUpdates(ctx context.Context) {
 	for {
 		select {
@@ -197,11 +195,11 @@
 	}
 }
 
-// applyConfiguration applies a configuration: it ends the subscriptions whose space
-// or key it does not have.
+// applyConfiguration applies a configuration. It ends the subscriptions whose space or key no
+// longer exists.
 func (g *Gateway) applyConfiguration(table *configuration.Table) {
 	if !g.quotas.ApplyLimits(table) {
-		return // it was applied before
+		return // already applied
 	}
 	for _, c := range g.clients.all() {
 		for _, s := range c.currentSubscriptions() {
@@ -210,16 +208,14 @@
 	}
 }
 
-// reauthorize ends a subscription that the newest configuration does not
-// allow.
+// reauthorize ends a subscription that the current configuration does not allow.
 func (g *Gateway) reauthorize(s *subscription, secret string) {
 	if _, reason := authorize(g.node.Table(), s.topic, secret, g.settings.HasTenants()); reason != "" {
 		g.hub.end(s, reason)
 	}
 }
 
-// maintain reports counts of subscribers and drops topics without any, until ctx
-// ends.
+// maintain reports subscriber counts and stops following unused topics, until ctx ends.
 func (g *Gateway) maintain(ctx context.Context) {
 	timeutil.Repeat(ctx, g.timing.countReportInterval(), func() {
 		g.hub.reportCounts()
@@ -227,7 +223,7 @@
 	})
 }
 
-// countSubscribers asks the broker of a topic how many subscribers it has.
+// countSubscribers asks the broker of a topic for its number of subscribers.
 func (g *Gateway) countSubscribers(ctx context.Context, name string) (int, error) {
 	number := g.hub.partitionOf(name)
 	store, address := g.hub.primaryOf(number)
@@ -237,8 +233,8 @@
 	return out.Count, err
 }
 
-// checkRate uses up one message of the tenant's limit over all nodes. It returns
-// how long the tenant is over it; 0 if it is not.
+// checkRate consumes one message of the tenant's rate limit, which applies across all nodes.
+// It returns how long the tenant is over the limit, or 0.
 func (g *Gateway) checkRate(ctx context.Context, tenant *configuration.Tenant, space string, deadline time.Time) time.Duration {
 	if tenant.RatePerS <= 0 {
 		return 0
@@ -249,22 +245,23 @@
 	return g.leases.Acquire(ctx, tenant)
 }
 
-// logProtocolError logs that a client sent something unreadable: once in a while, since
-// it may do nothing else.
+// logProtocolError logs a malformed command. Logging is rate-limited because a faulty client
+// may send nothing else.
 func (g *Gateway) logProtocolError(c *clientConn, refused *linewire.ProtocolError) {
 	if n, ok := g.protocolErrors.allow(g.timing.contact); ok {
-		g.log.Printf("gateway: %s of client %q: %v (%d such messages since the last report)", c.conn.RemoteAddr(), c.clientName, refused, n)
+		g.log.Printf("gateway: malformed command from %s (client %q): %v (%d such commands since the last log line)", c.conn.RemoteAddr(), c.clientName, refused, n)
 	}
 }
 
-// logLimiter bounds how often refusals are logged.
+// logLimiter limits how often an event is logged.
 type logLimiter struct {
 	mu    sync.Mutex
 	last  time.Time
 	count int
 }
 
-// allow counts a refusal. It reports whether to log it, and how many there were.
+// allow counts an event. It reports whether to log it, and how many events there were since
+// the last log line.
 func (l *logLimiter) allow(interval time.Duration) (count int, log bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/gateway/hub.go
+++ b/internal/gateway/hub.go
@@ -11,19 +11,19 @@
 	"saltreel/internal/topic"
 )
 
-// hub is the topics that the gateway follows, and the subscriptions to them. mu
-// guards all of it, the feeds and what the links say of themselves included.
+// hub holds the topics that the gateway follows and the subscriptions to them. mu also guards
+// the feeds and the state of the links.
 type hub struct {
 	timing           timing
-	placement        func() *placement.Placement // the newest; nil before the first
-	startLink        func(l *brokerLink)         // begins to work off a new link
-	startBacklogRead func(f *feed)               // begins to read the backlog of a feed
+	placement        func() *placement.Placement // returns the current placement; nil before the first
+	startLink        func(l *brokerLink)         // starts a new link
+	startBacklogRead func(f *feed)               // starts reading the backlog of a feed
 	log              *log.Logger
-	linkBytesPerS    float64 // bytes a second of this machine's link; 0: not known
+	linkBytesPerS    float64 // network link speed of this machine; 0: unknown
 
 	mu    sync.Mutex
 	feeds map[string]*feed       // by topic
-	links map[string]*brokerLink // by the name of the broker's store
+	links map[string]*brokerLink // by broker store name
 }
 
 func newHub(timing timing, placement func() *placement.Placement, logger *log.Logger, startLink func(l *brokerLink), startRead func(f *feed)) *hub {
@@ -33,7 +33,7 @@
 	}
 }
 
-// subscribe adds a subscription, which is answered now or when its broker answers.
+// subscribe adds a subscription, which is acknowledged now or when the broker responds.
 func (h *hub) subscribe(s *subscription) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -48,7 +48,7 @@
 	}
 }
 
-// unsubscribe ends a subscription. Nothing more is sent to it.
+// unsubscribe ends a subscription. Nothing more is sent for it.
 func (h *hub) unsubscribe(s *subscription) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -58,15 +58,15 @@
 func (h *hub) removeLocked(s *subscription) {
 	if f := h.feeds[s.topic]; f != nil {
 		delete(f.subscriptions, s)
-		f.backlog.wakeUp() // its reading may end
+		f.backlog.wakeUp() // the backlog reader may be able to stop
 		if len(f.subscriptions) == 0 {
 			f.unusedSince = time.Now()
 		}
 	}
 }
 
-// end ends a subscription that the client did not end, and says why: to a SUBSCRIBE
-// that waits for its answer, or unasked.
+// end ends a subscription that the client did not end. The client gets the reason in a REJECT,
+// either in response to its SUBSCRIBE or unsolicited.
 func (h *hub) end(s *subscription, reason linewire.Reason) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -78,15 +78,16 @@
 	s.client.reject(s, reason)
 }
 
-// partitionOf is the partition of a topic. There is a placement before any client.
+// partitionOf returns the partition of a topic. Clients are accepted only once there is a
+// placement.
 func (h *hub) partitionOf(name string) int {
 	return topic.PartitionOf(name, len(h.placement().Partitions))
 }
 
-// responseBytes is about how much one answer of a broker may have, so that those of
-// all brokers at once don't occupy the link for long.
+// responseBytes returns the approximate size limit of one broker response, so that concurrent
+// responses of all brokers do not occupy the link for long; 0 if the link speed is unknown.
 func (h *hub) responseBytes() int {
-	const least = 4 << 10 // one message of usual size, and the frame of the call
+	const least = 4 << 10 // one message of typical size and the framing of the call
 	stores := max(1, len(h.placement().Stores))
 	bytes := int(h.linkBytesPerS * h.timing.transferTime().Seconds() / float64(stores))
 	if bytes == 0 {
@@ -95,14 +96,14 @@
 	return max(least, bytes)
 }
 
-// primaryOf is the name and the address of the store that leads a partition.
+// primaryOf returns the name and address of the primary of a partition.
 func (h *hub) primaryOf(number int) (name, address string) {
 	p := h.placement()
 	name = p.Partitions[number].Primary
 	return name, p.Stores[name].Address
 }
 
-// assignLocked gives a feed to the link of its broker.
+// assignLocked assigns a feed to the link of its broker.
 func (h *hub) assignLocked(f *feed) {
 	name, address := h.primaryOf(f.partition)
 	l := h.links[name]
@@ -116,7 +117,7 @@
 	l.feeds[f.topic] = f
 }
 
-// applyPlacement gives the feeds whose broker is another one by now to its link.
+// applyPlacement moves the feeds whose broker has changed to the link of the new one.
 func (h *hub) applyPlacement() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -136,7 +137,7 @@
 	}
 }
 
-// dropUnused stops to follow the topics that nobody subscribes to any more.
+// dropUnused stops following topics that have had no subscriptions for some time.
 func (h *hub) dropUnused() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -148,8 +149,7 @@
 	}
 }
 
-// reportCounts has the brokers told how many subscribers there are, where that
-// changed.
+// reportCounts queues changed subscriber counts for the brokers.
 func (h *hub) reportCounts() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -161,7 +161,7 @@
 	}
 }
 
-// subscribers counts the subscriptions of those who are there.
+// subscribers returns the number of subscriptions whose client is present.
 func (f *feed) subscribers() int {
 	n := 0
 	for s := range f.subscriptions {
@@ -172,7 +172,7 @@
 	return n
 }
 
-// parseCursor reads the cursor of a SUBSCRIBE; ok is false if no message has it.
+// parseCursor parses the cursor of a SUBSCRIBE. It returns false if the cursor is invalid.
 func parseCursor(text string) (cursor partition.Position, ok bool) {
 	cursor, err := partition.ParsePosition(text)
 	return cursor, err == nil
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -10,33 +10,33 @@
 	"saltreel/internal/topic"
 )
 
-// brokerLink is what the gateway follows at one broker: a session of calls that change
-// what is followed, one at a time, and of polls, one at a time. If any of them
-// fails, the session ends and a new one begins, in which each topic is followed
-// from its last message on: so nothing is missed, whatever was lost on the way.
+// brokerLink follows topics at one broker. Its session consists of a sequence of follow calls
+// and a sequence of polls, each with at most one call in flight. If any call fails, the
+// session ends and a new one begins, which resumes each topic after its last received message.
+// So no message is missed, whatever was lost.
 //
-// The hub's mu guards all fields but the channels.
+// hub.mu guards all fields except the channels.
 type brokerLink struct {
 	hub     *hub
-	store   string // the broker
+	store   string // name of the broker
 	address string
 
-	feeds        map[string]*feed // that this broker leads
-	pending      map[string]*feed // that are to join
-	unfollows    map[string]bool  // topics that are to be dropped
-	countUpdates map[string]int   // of subscribers, that are to be reported
-	notBefore    time.Time        // no call is made earlier, after a failure
+	feeds        map[string]*feed // topics led by this broker
+	pending      map[string]*feed // topics that have to join
+	unfollows    map[string]bool  // topics to stop following
+	countUpdates map[string]int   // subscriber counts to report
+	notBefore    time.Time        // earliest time of the next call, after a failure
 
 	session   session
-	wake      chan struct{} // holds a value when there may be something to do
-	readSlots chan struct{} // holds a value for each page that is being read
+	wake      chan struct{} // receives a value when there may be work
+	readSlots chan struct{} // semaphore for concurrent page reads
 }
 
-// session is one session of a link.
+// session is a session of a brokerLink.
 type session struct {
 	id    string
-	begun bool               // the broker knows it
-	end   context.CancelFunc // of its polls; nil before they run
+	begun bool               // known to the broker
+	end   context.CancelFunc // cancels the polls; nil until they are started
 }
 
 func newBrokerLink(h *hub, store string) *brokerLink {
@@ -56,14 +56,14 @@
 	}
 }
 
-// join has a feed of this broker join.
+// join requests that a feed of this broker joins.
 func (l *brokerLink) join(f *feed) {
 	delete(l.unfollows, f.topic)
 	l.pending[f.topic] = f
 	l.wakeUp()
 }
 
-// unfollow has the broker told that a feed is followed here no longer.
+// unfollow requests that the broker stops sending the topic of a feed.
 func (l *brokerLink) unfollow(f *feed) {
 	delete(l.feeds, f.topic)
 	delete(l.pending, f.topic)
@@ -77,7 +77,7 @@
 	l.wakeUp()
 }
 
-// retryNow ends the delay after a failure.
+// retryNow cancels the delay after a failure.
 func (l *brokerLink) retryNow() {
 	if !l.notBefore.IsZero() {
 		l.notBefore = time.Time{}
@@ -85,7 +85,7 @@
 	}
 }
 
-// run works off the link until ctx ends.
+// run processes the requests of the link until ctx ends.
 func (l *brokerLink) run(ctx context.Context, caller *brokerCaller) {
 	defer l.reset("", nil)
 	for {
@@ -108,11 +108,11 @@
 	}
 }
 
-// maxFollowed bounds the topics in one call.
+// maxFollowed limits the topics in one call.
 const maxFollowed = 512
 
-// nextRequest makes the next call; nil if there is nothing to say. If it is too
-// early for one, it returns how long to wait.
+// nextRequest returns the next follow request, or nil if there is none. If it may not be sent
+// yet, it returns how long to wait.
 func (l *brokerLink) nextRequest() (r *topic.FollowRequest, address string, delay time.Duration) {
 	l.hub.mu.Lock()
 	defer l.hub.mu.Unlock()
@@ -141,7 +141,7 @@
 	return r, l.address, 0
 }
 
-// sendFollow makes one call and takes over the answer.
+// sendFollow makes one follow call and applies the response.
 func (l *brokerLink) sendFollow(ctx context.Context, caller *brokerCaller, address string, r *topic.FollowRequest) {
 	var out topic.FollowResponse
 	r.Gateway = caller.gateway
@@ -172,7 +172,7 @@
 	}
 }
 
-// applyTopicStateLocked takes over where a topic stands.
+// applyTopicStateLocked applies the state of a topic from a follow response.
 func (l *brokerLink) applyTopicStateLocked(name string, state topic.TopicState) {
 	f := l.feeds[name]
 	if f == nil {
@@ -191,12 +191,12 @@
 	}
 }
 
-// errUnknownSession says that the broker does not know a session, or not as the
-// gateway does: it restarted, or a call was lost.
-var errUnknownSession = errors.New("the broker does not know it")
+// errUnknownSession reports that the broker does not know the session, or is at another point
+// of it: the broker restarted, or a call was lost.
+var errUnknownSession = errors.New("session unknown to the broker")
 
-// reset ends a session, unless it has ended already: all feeds join again. cause is
-// what failed; nil at the end of the process.
+// reset ends a session, unless it has already ended, and makes all feeds join again. cause is
+// the failure, or nil when the process ends.
 func (l *brokerLink) reset(id string, cause error) {
 	l.hub.mu.Lock()
 	defer l.hub.mu.Unlock()
@@ -207,7 +207,7 @@
 		l.session.end()
 	}
 	if cause != nil && l.session.begun {
-		l.hub.log.Printf("gateway: the session with %s ended: %v", l.store, cause)
+		l.hub.log.Printf("gateway: session with broker %s ended: %v", l.store, cause)
 	}
 	l.session = session{id: rand.Text()}
 	l.notBefore = time.Now().Add(l.hub.timing.retryDelay())
@@ -220,7 +220,7 @@
 	l.wakeUp()
 }
 
-// pollLoop takes the messages of a session until it ends.
+// pollLoop receives the messages of a session until it ends.
 func (l *brokerLink) pollLoop(ctx context.Context, caller *brokerCaller, id string) {
 	for number := int64(1); ctx.Err() == nil; number++ {
 		var out topic.PollResponse
@@ -249,7 +249,7 @@
 	return l.address
 }
 
-// deliver gives the messages of a poll to their feeds.
+// deliver passes the messages of a poll to their feeds.
 func (l *brokerLink) deliver(id string, out *topic.PollResponse) {
 	l.hub.mu.Lock()
 	defer l.hub.mu.Unlock()
@@ -266,8 +266,8 @@
 	}
 }
 
-// rejoinPartition has all feeds of a partition join, after a delay: the placement
-// that names another broker may be on its way.
+// rejoinPartition makes all feeds of a partition join after a delay, because the placement
+// that names the new broker may not have arrived yet.
 func (l *brokerLink) rejoinPartition(number int) {
 	for _, f := range l.feeds {
 		if f.partition == number {
--- a/internal/gateway/outbox.go
+++ b/internal/gateway/outbox.go
@@ -9,36 +9,36 @@
 	"time"
 )
 
-// Bounds of what waits for one client, in bytes.
+// Limits of the data queued for one client, in bytes.
 const (
-	// maxBacklogBytes bounds the messages that a client has missed, or that it takes more
-	// slowly than they come: the next ones are read as it takes these.
+	// maxBacklogBytes limits the queued messages of a client that catches up from the backlog.
+	// More are read as the client accepts these.
 	maxBacklogBytes = 64 << 10
-	// maxQueuedBytes bounds the messages that wait as they come. Over it a subscription is
-	// behind, and gets what follows from the backlog.
+	// maxQueuedBytes limits the queued live messages. Above it, a subscription is behind and
+	// gets the following messages from the backlog.
 	maxQueuedBytes = 192 << 10
-	// maxOutboxBytes bounds all that waits, answers included. A client that asks on and
-	// takes no answers is closed.
+	// maxOutboxBytes limits all queued data, including responses. A client that keeps sending
+	// requests without reading the responses is disconnected.
 	maxOutboxBytes = 256 << 10
 )
 
-// outbox is what waits to be written to one client. The frames of messages are shared by
-// all who get them.
+// outbox is the write queue of one client. Message frames are shared between all clients that
+// receive them.
 type outbox struct {
 	mu             sync.Mutex
 	frames         [][]byte
-	queuedBytes    int  // of frames
-	waitingForRoom bool // a message found no room since onRoom was last called
-	closing        bool // nothing more is taken; run ends when all is written
+	queuedBytes    int  // total size of frames
+	waitingForRoom bool // a message was not queued since onRoom was last called
+	closing        bool // nothing more is queued; run returns when all is written
 	wake           chan struct{}
-	onRoom         func() // called when there is room again, without mu
+	onRoom         func() // called without mu when there is room again
 }
 
 func newOutbox(onRoom func()) *outbox {
 	return &outbox{wake: make(chan struct{}, 1), onRoom: onRoom}
 }
 
-// add queues an answer. It reports false if too much waits.
+// add queues a response. It returns false if the queue is full.
 func (o *outbox) add(frame []byte) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -52,12 +52,12 @@
 	return true
 }
 
-// deliver queues a message if less than bound waits. Else it reports false, and onRoom is
-// called when there is room.
-func (o *outbox) deliver(frame []byte, bound int) bool {
+// deliver queues a message if fewer than limit bytes are queued. Otherwise it returns false,
+// and onRoom is called when there is room.
+func (o *outbox) deliver(frame []byte, limit int) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.closing || o.queuedBytes >= bound {
+	if o.closing || o.queuedBytes >= limit {
 		o.waitingForRoom = true
 		return false
 	}
@@ -65,8 +65,8 @@
 	return true
 }
 
-// hasRoom reports whether a message of the backlog may be queued; else onRoom is called
-// when it may.
+// hasRoom reports whether a backlog message can be queued. If not, onRoom is called when there
+// is room.
 func (o *outbox) hasRoom() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -83,7 +83,7 @@
 	o.wakeUp()
 }
 
-// close lets run end when all is written.
+// close makes run return once all queued data is written.
 func (o *outbox) close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -98,11 +98,12 @@
 	}
 }
 
-// maxWriteBytes bounds the frames that are written with one call, but for a longer one.
+// maxWriteBytes limits the frames combined into one write; a larger frame is written on its
+// own.
 const maxWriteBytes = 16 << 10
 
-// dequeue removes the frames that are to be written next; spare is memory for the queue. room
-// reports that there is room for a message that found none.
+// dequeue removes the frames to write next; spare is reused as memory for the queue. room
+// reports that there is room again for a message that could not be queued.
 func (o *outbox) dequeue(spare [][]byte) (frames [][]byte, room, closing bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -125,14 +126,14 @@
 	return frames, room, o.closing
 }
 
-// Bounds of the memory that an idle connection keeps.
+// Limits of the buffers that an idle connection keeps.
 const (
 	maxReusedBytes  = 8 << 10
 	maxReusedFrames = 64
 )
 
-// run writes until the outbox is closed and empty, a write fails, or the client takes
-// nothing for the timeout.
+// run writes queued frames until the outbox is closed and empty, a write fails, or the client
+// accepts no data within the timeout.
 func (o *outbox) run(conn net.Conn, timeout time.Duration) {
 	var spare [][]byte
 	var buffer []byte
@@ -168,7 +169,7 @@
 	}
 }
 
-// appendFrames appends frames to a buffer.
+// appendFrames appends the frames to a buffer.
 func appendFrames(buffer []byte, frames [][]byte) []byte {
 	for _, frame := range frames {
 		buffer = append(buffer, frame...)
@@ -176,7 +177,7 @@
 	return buffer
 }
 
-// writeAll writes all of data, as long as some of it is taken within each timeout.
+// writeAll writes all of data, provided that some of it is accepted within each timeout.
 func writeAll(conn net.Conn, data []byte, timeout time.Duration) error {
 	for len(data) > 0 {
 		if err := conn.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
--- a/internal/gateway/outbox_test.go
+++ b/internal/gateway/outbox_test.go
@@ -16,18 +16,19 @@
 		for o.deliver(frame, c.bound) {
 		}
 		if len(o.frames) != c.want {
-			t.Errorf("%d messages of 10 KiB fit into %d bytes, not %d", len(o.frames), c.bound, c.want)
+			t.Errorf("%d messages of 10 KiB fit into %d bytes, want %d", len(o.frames), c.bound, c.want)
 		}
 	}
 	for o.add(frame) {
 	}
 	if o.queuedBytes > maxOutboxBytes || o.queuedBytes+len(frame) <= maxOutboxBytes {
-		t.Errorf("%d bytes wait", o.queuedBytes)
+		t.Errorf("%d bytes are queued", o.queuedBytes)
 	}
 }
 
-// All that was queued is written, in order, and those who found no room are called.
-func TestOutboxWritesInOrderAndCallsThoseWhoWait(t *testing.T) {
+// All queued data is written in order, and onRoom is called after a message could not be
+// queued.
+func TestOutboxWritesInOrderAndCallsOnRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client, server := net.Pipe()
 		var o *outbox
@@ -54,14 +55,14 @@
 		}()
 		got, err := io.ReadAll(client)
 		if err != nil || !bytes.Equal(got, sent) || next != 250 {
-			t.Errorf("%d of %d bytes came: %v", len(got), len(sent), err)
+			t.Errorf("received %d of %d bytes: %v", len(got), len(sent), err)
 		}
 	})
 }
 
-// A client is judged by what it takes: one that takes a little is not given up, one that
-// takes nothing is, within the timeout.
-func TestOutboxGivesUpAClientThatTakesNothing(t *testing.T) {
+// The write timeout applies to progress: a client that reads slowly stays connected, one that
+// reads nothing is dropped after the timeout.
+func TestOutboxDropsClientThatReadsNothing(t *testing.T) {
 	const timeout = 5 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		client, server := net.Pipe()
@@ -82,7 +83,7 @@
 		}
 		o.add(make([]byte, 10))
 		if took := (<-ended).Sub(last); took != timeout {
-			t.Errorf("given up after %v", took)
+			t.Errorf("dropped after %v", took)
 		}
 	})
 }
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -12,34 +12,33 @@
 	"saltreel/internal/topic"
 )
 
-// publication is one message of a client. publishers.mu guards it, but for what
-// does not change.
+// publication is a message published by a client. publishers.mu guards the fields that change.
 type publication struct {
 	number      int64
 	body        []byte
 	tenant      string
 	retentionMs int64
 
-	respond  func(frame []byte) // nil while the client waits for none
-	deadline time.Time          // of the answer
+	respond  func(frame []byte) // sends the response; nil if the client does not wait for one
+	deadline time.Time          // deadline of the response
 }
 
-// publisherTopic is a client on one topic.
+// publisherTopic identifies the publications of one client on one topic.
 type publisherTopic struct{ publisher, topic string }
 
-// publishers brings messages to the brokers: those of one client on one topic in
-// order, all that wait in one call. A client that waits no longer gets UNKNOWN, and
-// sends the same number again; its message stays in its place meanwhile, so that
-// later ones do not overtake it.
+// publishers forwards publications to the brokers. The publications of one client on one topic
+// are sent in order, and all that are queued are sent in one call. If the response deadline
+// passes, the client gets UNKNOWN and retransmits the same number; meanwhile the message keeps
+// its place in the queue, so that later ones do not overtake it.
 type publishers struct {
 	hub    *hub
 	caller *brokerCaller
-	ctx    context.Context // of the calls
+	ctx    context.Context // parent context of the calls
 
-	refusals chan struct{} // holds a value for each number that a broker is asked to refuse
+	refusals chan struct{} // semaphore for concurrent refuse calls
 
 	mu     sync.Mutex
-	queues map[publisherTopic][]*publication // an entry exists while a goroutine works it off
+	queues map[publisherTopic][]*publication // an entry exists while a goroutine processes it
 }
 
 func newPublishers(ctx context.Context, h *hub, caller *brokerCaller) *publishers {
@@ -50,12 +49,12 @@
 	}
 }
 
-// maxQueued bounds the messages of one client on one topic that wait. Clients have
-// a few at a time.
+// maxQueued limits the queued messages of one client on one topic. Clients normally have only
+// a few in flight.
 const maxQueued = 256
 
-// add queues a message, which is answered when its outcome is known, or at its
-// deadline. One that waits already gets the new answer in place of the former.
+// add queues a message, which is answered when its outcome is known or at its deadline. If the
+// number is already queued, the new response replaces the former.
 func (p *publishers) add(from publisherTopic, m *publication) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,7 +76,7 @@
 	}
 }
 
-// reply answers the client, once.
+// reply sends the response to the client, at most once.
 func (m *publication) reply(frame []byte) {
 	if m.respond != nil {
 		m.respond(frame)
@@ -85,15 +84,15 @@
 	}
 }
 
-// unknownFrame answers a message whose outcome nobody knows. It is right even where
-// no broker has it: the client sends the same number again for as long as it cares,
-// and after RETRY only a few times.
+// unknownFrame returns the response for a message whose outcome is unknown. It is also correct
+// if no broker has the message: after UNKNOWN the client retransmits the same number for as
+// long as it needs to, after RETRY only a few times.
 func unknownFrame(from publisherTopic, number int64) []byte {
 	return linewire.AppendReject(nil, linewire.Publish, from.topic, number, linewire.Unknown)
 }
 
-// expireAtDeadline answers a message at its deadline, unless it is answered by then
-// or the client has sent it again.
+// expireAtDeadline answers a message with UNKNOWN at its deadline, unless it has been answered
+// or retransmitted by then.
 func (p *publishers) expireAtDeadline(from publisherTopic, m *publication) {
 	deadline := m.deadline
 	time.AfterFunc(time.Until(deadline), func() {
@@ -105,7 +104,7 @@
 	})
 }
 
-// run works off the messages of one client on one topic.
+// run sends the queued messages of one client on one topic.
 func (p *publishers) run(from publisherTopic) {
 	for {
 		batch := p.nextBatch(from)
@@ -113,19 +112,19 @@
 			return
 		}
 		if undecided := p.handleOutcomes(from, batch, p.callBroker(from, batch)); undecided {
-			// A new placement may name a broker that accepts.
+			// A new placement may name another primary, so it ends the delay.
 			timeutil.SleepUntil(p.ctx, p.hub.timing.retryDelay(), p.caller.node.PlacementChanged())
 		}
 	}
 }
 
-// Bounds of one call.
+// Limits of one publish call.
 const (
 	maxBatch      = 64
 	maxBatchBytes = 64 << 10
 )
 
-// nextBatch returns the messages of the nextBatch call. If there are none, it ends the entry.
+// nextBatch returns the messages of the next call. If there are none, it removes the queue.
 func (p *publishers) nextBatch(from publisherTopic) []*publication {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -142,8 +141,8 @@
 	return slices.Clone(queue[:n])
 }
 
-// handleOutcomes answers the messages whose outcome is known, and drops those for which
-// nobody waits any more. It reports whether others are left of the call.
+// handleOutcomes answers the messages whose outcome is known, and drops those that the client
+// has given up. It reports whether any messages of the batch remain.
 func (p *publishers) handleOutcomes(from publisherTopic, batch []*publication, outcomes []topic.Outcome) (undecided bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -169,7 +168,7 @@
 	return undecided
 }
 
-// callBroker makes one call for messages of a client on a topic.
+// callBroker makes one publish call and returns the outcomes.
 func (p *publishers) callBroker(from publisherTopic, batch []*publication) []topic.Outcome {
 	number := p.hub.partitionOf(from.topic)
 	store, address := p.hub.primaryOf(number)
@@ -192,10 +191,10 @@
 	if err == nil && len(out.Outcomes) == len(batch) {
 		return out.Outcomes
 	}
-	return make([]topic.Outcome, len(batch)) // all are indeterminate
+	return make([]topic.Outcome, len(batch)) // all Indeterminate
 }
 
-// cancelOnPrimaryChange cancels a call to a broker when another store leads the
+// cancelOnPrimaryChange cancels a call when another store becomes the primary of the
 // partition.
 func (p *publishers) cancelOnPrimaryChange(ctx context.Context, cancel context.CancelFunc, number int, store string) {
 	for {
@@ -212,9 +211,9 @@
 	}
 }
 
-// authorize returns the space of a topic for a client with a secret, which may be
-// empty; else why the client may not use the topic. Without needsKey, no client
-// needs a secret.
+// authorize returns the space of a topic if a client with the given secret, which may be
+// empty, may use it, and otherwise the reason for the rejection. If needsKey is false, clients
+// need no secret.
 func authorize(table *configuration.Table, name, secret string, needsKey bool) (*configuration.Route, linewire.Reason) {
 	space := table.Space(name)
 	if space == nil {
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -7,13 +7,14 @@
 	"saltreel/internal/topic"
 )
 
-// maxRefusals bounds the numbers that brokers are asked about at once.
+// maxRefusals limits the concurrent refuse calls to brokers.
 const maxRefusals = 64
 
-// refuse answers a message of a tenant that is over its rate. RETRY promises that the number
-// is not and will not be stored, and the number may have been accepted before, when its answer
-// was lost: so the broker refuses it, or it is published as any other, which gives ACK and
-// counts no second time. Where the broker cannot say, the answer promises nothing.
+// refuse handles a message of a tenant that is over its rate limit. RETRY guarantees that the
+// number is not stored and never will be. However, the number may have been accepted earlier
+// and its response lost. So the broker is asked to refuse it; if it cannot, the message is
+// published as usual, which yields ACK and is not counted again. If the broker does not
+// respond, the client gets UNKNOWN, which guarantees nothing.
 func (p *publishers) refuse(from publisherTopic, m *publication) {
 	select {
 	case p.refusals <- struct{}{}:
