--- a/internal/placement/preferred_test.go
+++ b/internal/placement/preferred_test.go
@@ -102,6 +102,6 @@
 		}
 	}
 	if !IsReplicaOrSource(q, "s99") || moved != partitionsPerStore-1 {
-		t.Errorf("%d primaries moved to the added store, want %d", moved, partitionsPerStore-1)
+		t.Errorf("%d primaries moved after a store was added, want %d", moved, partitionsPerStore-1)
 	}
 }
