--- a/internal/boltstore/damage.go
+++ b/internal/boltstore/damage.go
@@ -31,10 +31,10 @@
 	return fmt.Errorf("%w: %w", ErrDamaged, err)
 }
 
-// Guard runs do, which may meet damage in the file at path. A panic of bbolt, a
+// detectDamage runs do, which may meet damage in the file at path. A panic of bbolt, a
 // memory fault on the mapped file, and bbolt's errors about its format become
 // ErrDamaged if the disk can read the file, else the disk's error.
-func Guard(path string, do func() error) (err error) {
+func detectDamage(path string, do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
@@ -78,9 +78,9 @@
 	})
 }
 
-// MoveAside renames a damaged file, so that a new one may replace it, and
+// moveAside renames a damaged file, so that a new one may replace it, and
 // returns its new name. Earlier ones are never overwritten.
-func MoveAside(path string) (string, error) {
+func moveAside(path string) (string, error) {
 	for n := 1; ; n++ {
 		aside := fmt.Sprintf("%s%s%d", path, damagedInfix, n)
 		_, err := os.Lstat(aside)
--- a/internal/boltstore/damage_test.go
+++ b/internal/boltstore/damage_test.go
@@ -13,7 +13,7 @@
 )
 
 // Only what the content of a readable file causes is damage.
-func TestGuardDistinguishesDamageFromOtherErrors(t *testing.T) {
+func TestDetectDamageDistinguishesDamageFromOtherErrors(t *testing.T) {
 	dir := t.TempDir()
 	readable := filepath.Join(dir, "state.db")
 	if err := os.WriteFile(readable, []byte("content"), 0o600); err != nil {
@@ -34,7 +34,7 @@
 		"panic over an unreadable file": {filepath.Join(dir, "absent"), func() error { panic("page 7") }, fs.ErrNotExist},
 		"panic over a directory":        {dir, func() error { panic("page 7") }, syscall.EISDIR},
 	} {
-		err := Guard(c.path, c.do)
+		err := detectDamage(c.path, c.do)
 		if !errors.Is(err, c.want) || errors.Is(err, ErrDamaged) != errors.Is(c.want, ErrDamaged) {
 			t.Errorf("%s: %v, not %v", name, err, c.want)
 		}
@@ -47,7 +47,7 @@
 		if err := os.WriteFile(path, fmt.Append(nil, n), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		aside, err := MoveAside(path)
+		aside, err := moveAside(path)
 		if want := fmt.Sprintf("%s.damaged-%d", path, n); err != nil || aside != want {
 			t.Errorf("moved to %s, not %s: %v", aside, want, err)
 		}
@@ -57,7 +57,7 @@
 			t.Errorf("the file moved at %d holds %q: %v", n, content, err)
 		}
 	}
-	if _, err := MoveAside(path); !errors.Is(err, fs.ErrNotExist) {
+	if _, err := moveAside(path); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("moving an absent file: %v", err)
 	}
 }
--- a/internal/boltstore/database.go
+++ b/internal/boltstore/database.go
@@ -74,7 +74,7 @@
 		handle, err = os.OpenFile(name, flag, mode)
 		return handle, err
 	}
-	err = Guard(path, func() error {
+	err = detectDamage(path, func() error {
 		if s, err := os.Stat(path); err == nil && s.Size() == 0 {
 			return bbolterrors.ErrInvalid // bbolt would initialize it as a new one
 		}
@@ -108,12 +108,12 @@
 	if err != nil {
 		return err
 	}
-	err = Guard(path, func() error {
+	err = detectDamage(path, func() error {
 		return replaceDatabase(path, func(next *bbolt.DB) error {
 			return bbolt.Compact(next, old, compactionTransaction)
 		})
 	})
-	if errors.Is(err, ErrDamaged) || Guard(path, old.Close) != nil {
+	if errors.Is(err, ErrDamaged) || detectDamage(path, old.Close) != nil {
 		_ = handle.Close() // only read
 	}
 	if err != nil {
--- a/internal/boltstore/file.go
+++ b/internal/boltstore/file.go
@@ -79,7 +79,7 @@
 	f.init()
 	err := f.open(false)
 	if errors.Is(err, ErrDamaged) {
-		aside, moveErr := MoveAside(f.Path)
+		aside, moveErr := moveAside(f.Path)
 		if moveErr != nil {
 			return errors.Join(err, moveErr)
 		}
@@ -133,7 +133,7 @@
 }
 
 func (f *File) prepareAndLoad(database *bbolt.DB) (install func(), err error) {
-	err = Guard(f.Path, func() error {
+	err = detectDamage(f.Path, func() error {
 		if err := database.Update(f.verifyAndPrepare); err != nil {
 			return err
 		}
@@ -177,7 +177,7 @@
 			return err
 		}
 		var rolledBack error
-		err := Guard(f.Path, func() error {
+		err := detectDamage(f.Path, func() error {
 			err := database.Update(func(tx *bbolt.Tx) error {
 				if rolledBack = fn(tx); rolledBack != nil {
 					return rolledBack
@@ -199,7 +199,7 @@
 // View runs one read transaction.
 func (f *File) View(fn func(tx *bbolt.Tx) error) error {
 	return f.withDatabase(func(database *bbolt.DB) error {
-		err := Guard(f.Path, func() error { return database.View(fn) })
+		err := detectDamage(f.Path, func() error { return database.View(fn) })
 		if errors.Is(err, ErrDamaged) {
 			f.fail(err)
 		}
--- a/internal/boltstore/recovery.go
+++ b/internal/boltstore/recovery.go
@@ -37,7 +37,7 @@
 
 // discardLocked moves the damaged file aside; f.err says how it is damaged.
 func (f *File) discardLocked() {
-	aside, moveErr := MoveAside(f.Path)
+	aside, moveErr := moveAside(f.Path)
 	f.Warn("disk: %s is damaged, moved to %s: %v", f.Path, aside, errors.Join(f.err, moveErr))
 	close(f.damaged)
 }
@@ -89,7 +89,7 @@
 	if f.database == nil {
 		return
 	}
-	if errors.Is(f.Err(), ErrDamaged) || Guard(f.Path, f.database.Close) != nil {
+	if errors.Is(f.Err(), ErrDamaged) || detectDamage(f.Path, f.database.Close) != nil {
 		_ = f.handle.Close() // nothing was written through it that an error could concern
 	}
 	f.database = nil
