--- a/internal/boltstore/file.go
+++ b/internal/boltstore/file.go
@@ -43,11 +43,11 @@
 	// Fault injects an error at a step. Only tests set it.
 	Fault func(step string) error
 
-	access   sync.RWMutex // read by calls, written while the database is replaced
-	database *bbolt.DB
-	handle   *os.File // of database
+	databaseMu sync.RWMutex // read by calls, written while the database is replaced
+	database   *bbolt.DB
+	handle     *os.File // of database
 
-	writer sync.Mutex // serializes writes
+	writeMu sync.Mutex // serializes writes
 
 	mu      sync.Mutex
 	err     error // why calls are refused; nil while they are accepted
@@ -106,9 +106,9 @@
 }
 
 func (f *File) reopen(rewriteFirst bool) (install func(), err error) {
-	f.access.Lock()
-	defer f.access.Unlock()
-	f.abandonLocked()
+	f.databaseMu.Lock()
+	defer f.databaseMu.Unlock()
+	f.closeDatabaseLocked()
 	if err := f.injectedFault(StepOpen); err != nil {
 		return nil, fmt.Errorf("open %s: %w", f.Path, err)
 	}
@@ -123,7 +123,7 @@
 	}
 	install, err = f.prepareAndLoad(f.database)
 	if err != nil {
-		f.abandonLocked()
+		f.closeDatabaseLocked()
 		return nil, fmt.Errorf("read %s: %w", f.Path, err)
 	}
 	if err := createMarker(f.Path); err != nil {
@@ -171,8 +171,8 @@
 // error of fn rolls it back. After any other error it may or may not be on disk.
 func (f *File) Update(fn func(tx *bbolt.Tx) error) error {
 	return f.withDatabase(func(database *bbolt.DB) error {
-		f.writer.Lock()
-		defer f.writer.Unlock()
+		f.writeMu.Lock()
+		defer f.writeMu.Unlock()
 		if err := f.Err(); err != nil {
 			return err
 		}
@@ -213,8 +213,8 @@
 	if err := f.Err(); err != nil {
 		return err
 	}
-	f.access.RLock()
-	defer f.access.RUnlock()
+	f.databaseMu.RLock()
+	defer f.databaseMu.RUnlock()
 	if err := f.Err(); err != nil {
 		return err
 	}
@@ -230,13 +230,13 @@
 		f.err = ErrNotOpen
 	}
 	f.mu.Unlock()
-	f.access.Lock()
-	defer f.access.Unlock()
+	f.databaseMu.Lock()
+	defer f.databaseMu.Unlock()
 	if f.database == nil {
 		return nil
 	}
 	if broken {
-		f.abandonLocked()
+		f.closeDatabaseLocked()
 		return nil
 	}
 	err := f.database.Close()
--- a/internal/boltstore/file_test.go
+++ b/internal/boltstore/file_test.go
@@ -95,10 +95,10 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { s.Recover(ctx, time.Second); close(done) }()
-	var full atomic.Bool
-	full.Store(true)
+	var diskFull atomic.Bool
+	diskFull.Store(true)
 	s.Fault = func(at string) error {
-		if full.Load() && (at == step || at == StepOpen) {
+		if diskFull.Load() && (at == step || at == StepOpen) {
 			return syscall.ENOSPC
 		}
 		return nil
@@ -114,7 +114,7 @@
 		t.Error("a read while memory and disk may differ")
 	}
 	synctest.Wait()
-	full.Store(false)
+	diskFull.Store(false)
 	time.Sleep(2 * time.Second)
 	if err := s.Err(); err != nil || s.memory["a"] != want {
 		t.Errorf("memory holds %q, %v", s.memory["a"], err)
@@ -148,7 +148,7 @@
 		}
 	}
 	page := os.Getpagesize()
-	for name, harm := range map[string]func([]byte) []byte{
+	for name, corrupt := range map[string]func([]byte) []byte{
 		"both meta pages":         overwrite(0, 2*page),
 		"all but the meta pages":  overwrite(2*page, 1<<30),
 		"truncated between pages": func(raw []byte) []byte { return raw[:2*page] },
@@ -156,11 +156,11 @@
 		"empty":                   func([]byte) []byte { return nil },
 		"another format":          func([]byte) []byte { return bytes.Repeat([]byte("no database "), 4000) },
 	} {
-		t.Run(name, func(t *testing.T) { testDamagedFile(t, harm) })
+		t.Run(name, func(t *testing.T) { testDamagedFile(t, corrupt) })
 	}
 }
 
-func testDamagedFile(t *testing.T, harm func([]byte) []byte) {
+func testDamagedFile(t *testing.T, corrupt func([]byte) []byte) {
 	path := filepath.Join(t.TempDir(), "deep[1", "down", "state.db")
 	s := newState(path)
 	s.mustOpen(t)
@@ -170,7 +170,7 @@
 	for n := 1; n < 3; n++ {
 		s.fill(t)
 		s.mustClose(t)
-		harmFile(t, path, harm)
+		corruptFile(t, path, corrupt)
 		s.lines = nil
 		if err := s.Open(); err != nil || len(s.memory) != 0 {
 			t.Fatalf("%v, %d entries", err, len(s.memory))
@@ -189,13 +189,13 @@
 	s.mustClose(t)
 }
 
-func harmFile(t *testing.T, path string, harm func([]byte) []byte) {
+func corruptFile(t *testing.T, path string, corrupt func([]byte) []byte) {
 	t.Helper()
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(path, harm(raw), 0o600); err != nil {
+	if err := os.WriteFile(path, corrupt(raw), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -222,14 +222,14 @@
 func TestDiskErrorsAreNotDamage(t *testing.T) {
 	s := newState(filepath.Join(t.TempDir(), "state.db"))
 	for _, step := range []string{StepOpen, StepCommit, StepSync} {
-		for _, refusal := range []error{syscall.ENOSPC, syscall.EIO} {
+		for _, injected := range []error{syscall.ENOSPC, syscall.EIO} {
 			s.Fault = func(at string) error {
 				if at == step {
-					return refusal
+					return injected
 				}
 				return nil
 			}
-			if err := s.Open(); !errors.Is(err, refusal) || errors.Is(err, ErrDamaged) || !strings.Contains(err.Error(), s.Path) {
+			if err := s.Open(); !errors.Is(err, injected) || errors.Is(err, ErrDamaged) || !strings.Contains(err.Error(), s.Path) {
 				t.Errorf("%s: %v", step, err)
 			}
 			if WasReplaced(s.Path) || s.Err() == nil {
--- a/internal/boltstore/marker_test.go
+++ b/internal/boltstore/marker_test.go
@@ -11,7 +11,7 @@
 
 // A file that a process left after a failed write is written anew by the next one: the
 // cache may hold pages of it that are not on disk. Any other is opened as it is.
-func TestFileLeftAfterAFailedWriteIsWrittenAnew(t *testing.T) {
+func TestFileLeftAfterFailedWriteIsRewritten(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault         string // at a write of the former process
 		recovers      bool   // that process opened the file again
@@ -26,38 +26,38 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "state.db")
-			leaveFile(t, path, c.fault, c.recovers)
+			writeAndClose(t, path, c.fault, c.recovers)
 			if c.removesMarker {
 				if err := removeMarker(path); err != nil {
 					t.Fatal(err)
 				}
 			}
-			before := statOf(t, path)
-			next := newMarkedFile(t, path)
-			if rewritten := !os.SameFile(before, statOf(t, path)); rewritten != c.want {
+			before := mustStat(t, path)
+			next := openTestFile(t, path)
+			if rewritten := !os.SameFile(before, mustStat(t, path)); rewritten != c.want {
 				t.Errorf("written anew: %v", rewritten)
 			}
 			if !exists(markerPath(path)) {
 				t.Error("the file that was opened has no marker")
 			}
-			if err := errors.Join(putMarked(next, "third"), next.Close()); err != nil {
+			if err := errors.Join(putKey(next, "third"), next.Close()); err != nil {
 				t.Error(err)
 			}
 		})
 	}
 }
 
-// leaveFile is a process that has a fault at its last write, and ends.
-func leaveFile(t *testing.T, path, fault string, recovers bool) {
+// writeAndClose is a process that has a fault at its last write, and ends.
+func writeAndClose(t *testing.T, path, fault string, recovers bool) {
 	t.Helper()
-	f := newMarkedFile(t, path)
+	f := openTestFile(t, path)
 	f.Fault = func(step string) error {
 		if step == fault {
 			return errors.New("the disk refuses")
 		}
 		return nil
 	}
-	if err := putMarked(f, "second"); (err != nil) != (fault != "") {
+	if err := putKey(f, "second"); (err != nil) != (fault != "") {
 		t.Fatal(err)
 	}
 	f.Fault = nil
@@ -71,31 +71,31 @@
 	}
 }
 
-var bucketMarked = []byte("marked")
+var testBucket = []byte("marked")
 
-// newMarkedFile opens a file and puts a first key into it.
-func newMarkedFile(t *testing.T, path string) *File {
+// openTestFile opens a file and puts a first key into it.
+func openTestFile(t *testing.T, path string) *File {
 	t.Helper()
 	f := &File{
 		Path: path,
 		Prepare: func(tx *bbolt.Tx) error {
-			_, err := tx.CreateBucketIfNotExists(bucketMarked)
+			_, err := tx.CreateBucketIfNotExists(testBucket)
 			return err
 		},
 		Load: func(*bbolt.Tx) (func(), error) { return func() {}, nil },
 		Warn: t.Logf,
 	}
-	if err := errors.Join(f.Open(), putMarked(f, "first")); err != nil {
+	if err := errors.Join(f.Open(), putKey(f, "first")); err != nil {
 		t.Fatal(err)
 	}
 	return f
 }
 
-func putMarked(f *File, key string) error {
-	return f.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketMarked).Put([]byte(key), nil) })
+func putKey(f *File, key string) error {
+	return f.Update(func(tx *bbolt.Tx) error { return tx.Bucket(testBucket).Put([]byte(key), nil) })
 }
 
-func statOf(t *testing.T, path string) os.FileInfo {
+func mustStat(t *testing.T, path string) os.FileInfo {
 	t.Helper()
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/boltstore/recovery.go
+++ b/internal/boltstore/recovery.go
@@ -22,7 +22,7 @@
 	}
 	f.err = err
 	if errors.Is(err, ErrDamaged) {
-		f.discardLocked()
+		f.moveAsideLocked()
 		return
 	}
 	if markerErr := removeMarker(f.Path); markerErr != nil {
@@ -35,8 +35,8 @@
 	}
 }
 
-// discardLocked moves the damaged file aside; f.err says how it is damaged.
-func (f *File) discardLocked() {
+// moveAsideLocked moves the damaged file aside; f.err says how it is damaged.
+func (f *File) moveAsideLocked() {
 	aside, moveErr := moveAside(f.Path)
 	f.Warn("disk: %s is damaged, moved to %s: %v", f.Path, aside, errors.Join(f.err, moveErr))
 	close(f.damaged)
@@ -70,7 +70,7 @@
 		if errors.Is(err, ErrDamaged) {
 			f.mu.Lock()
 			f.err = err
-			f.discardLocked()
+			f.moveAsideLocked()
 			f.mu.Unlock()
 			return false
 		}
@@ -82,10 +82,10 @@
 	}
 }
 
-// abandonLocked closes the database, or, if that is not possible, its file
+// closeDatabaseLocked closes the database, or, if that is not possible, its file
 // handle only: a database that panicked may hold its locks for ever, and its
-// mapping stays until the process ends. f.access is held for writing.
-func (f *File) abandonLocked() {
+// mapping stays until the process ends. f.databaseMu is held for writing.
+func (f *File) closeDatabaseLocked() {
 	if f.database == nil {
 		return
 	}
