--- a/internal/boltstore/batch.go
+++ b/internal/boltstore/batch.go
@@ -6,15 +6,15 @@
 	"go.etcd.io/bbolt"
 )
 
-// batchedWrite is one call of Batch that waits for its result.
+// batchedWrite is a pending call of Batch.
 type batchedWrite struct {
 	fn     func(tx *bbolt.Tx) error
 	result chan error
 }
 
 // Batch is like Update, but calls within BatchDelay share one transaction, its
-// sync and its error. bbolt's own Batch is not used: it runs in a goroutine of
-// its own, where a panic over a damaged page would end the process.
+// sync and its error. bbolt's own Batch is not used: it commits in a separate
+// goroutine, where a panic caused by a damaged page would end the process.
 func (f *File) Batch(fn func(tx *bbolt.Tx) error) error {
 	write := &batchedWrite{fn: fn, result: make(chan error, 1)}
 	f.mu.Lock()
@@ -28,7 +28,8 @@
 	return <-write.result
 }
 
-// commitQueue writes everything that is queued and reports to each caller.
+// commitQueue commits all queued writes in one transaction and returns its error
+// to each caller.
 func (f *File) commitQueue() {
 	f.mu.Lock()
 	writes := f.queue
--- a/internal/boltstore/damage.go
+++ b/internal/boltstore/damage.go
@@ -15,15 +15,14 @@
 	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-// ErrDamaged says that a file can be read from the disk, but that its content
-// is not valid.
+// ErrDamaged reports that a file can be read from the disk, but that its content
+// is invalid.
 var ErrDamaged = errors.New("the file is damaged")
 
-// damagedInfix stands between the name of a file and the number of a damaged
-// one that was moved aside.
+// damagedInfix separates the name of a file from the number of its damaged copy.
 const damagedInfix = ".damaged-"
 
-// asDamage makes an error, if there is one, an ErrDamaged.
+// asDamage wraps a non-nil error in ErrDamaged.
 func asDamage(err error) error {
 	if err == nil {
 		return nil
@@ -31,9 +30,9 @@
 	return fmt.Errorf("%w: %w", ErrDamaged, err)
 }
 
-// detectDamage runs do, which may meet damage in the file at path. A panic of bbolt, a
-// memory fault on the mapped file, and bbolt's errors about its format become
-// ErrDamaged if the disk can read the file, else the disk's error.
+// detectDamage calls do, which accesses the file at path. A panic in bbolt, a memory
+// fault in the mapped file and bbolt's format errors are returned as ErrDamaged if the
+// whole file can be read from the disk, otherwise as the read error.
 func detectDamage(path string, do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -50,7 +49,8 @@
 	return err
 }
 
-// damageOrReadError reads all of the file: if that succeeds, cause is damage.
+// damageOrReadError reads the whole file. If that succeeds, it returns cause as
+// ErrDamaged, otherwise the read error.
 func damageOrReadError(path string, cause error) error {
 	file, err := os.Open(path)
 	if err == nil {
@@ -63,7 +63,7 @@
 	return asDamage(cause)
 }
 
-// readAll reads all pages that are in use, so that damage shows at once.
+// readAll reads all pages in use, so that damage is detected when the file is opened.
 func readAll(tx *bbolt.Tx) error {
 	return tx.ForEach(func(_ []byte, b *bbolt.Bucket) error { return readBucket(b) })
 }
@@ -78,8 +78,8 @@
 	})
 }
 
-// moveAside renames a damaged file, so that a new one may replace it, and
-// returns its new name. Earlier ones are never overwritten.
+// moveAside renames a damaged file, so that a new one can replace it, and
+// returns the new name. Damaged files moved earlier are never overwritten.
 func moveAside(path string) (string, error) {
 	for n := 1; ; n++ {
 		aside := fmt.Sprintf("%s%s%d", path, damagedInfix, n)
@@ -98,7 +98,7 @@
 }
 
 // WasReplaced reports whether a file of this name was ever moved aside as damaged.
-// It errs towards true: an unreadable directory may hold one.
+// It returns true if the directory cannot be read, since it may contain such a file.
 func WasReplaced(path string) bool {
 	entries, err := os.ReadDir(filepath.Dir(path))
 	return err != nil || slices.ContainsFunc(entries, func(e fs.DirEntry) bool {
--- a/internal/boltstore/damage_test.go
+++ b/internal/boltstore/damage_test.go
@@ -12,14 +12,15 @@
 	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Only what the content of a readable file causes is damage.
+// Guards against I/O errors and errors of the caller that are reported as damage: only
+// an error caused by the content of a readable file is damage.
 func TestDetectDamageDistinguishesDamageFromOtherErrors(t *testing.T) {
 	dir := t.TempDir()
 	readable := filepath.Join(dir, "state.db")
 	if err := os.WriteFile(readable, []byte("content"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	other := errors.New("an error of the caller")
+	other := errors.New("caller failed")
 	for name, c := range map[string]struct {
 		path string
 		do   func() error
@@ -36,7 +37,7 @@
 	} {
 		err := detectDamage(c.path, c.do)
 		if !errors.Is(err, c.want) || errors.Is(err, ErrDamaged) != errors.Is(c.want, ErrDamaged) {
-			t.Errorf("%s: %v, not %v", name, err, c.want)
+			t.Errorf("%s: got %v, want %v", name, err, c.want)
 		}
 	}
 }
@@ -49,12 +50,12 @@
 		}
 		aside, err := moveAside(path)
 		if want := fmt.Sprintf("%s.damaged-%d", path, n); err != nil || aside != want {
-			t.Errorf("moved to %s, not %s: %v", aside, want, err)
+			t.Errorf("moved to %s, want %s: %v", aside, want, err)
 		}
 	}
 	for n := 1; n <= 3; n++ {
 		if content, err := os.ReadFile(fmt.Sprintf("%s.damaged-%d", path, n)); err != nil || string(content) != fmt.Sprint(n) {
-			t.Errorf("the file moved at %d holds %q: %v", n, content, err)
+			t.Errorf("content of damaged file %d is %q: %v", n, content, err)
 		}
 	}
 	if _, err := moveAside(path); !errors.Is(err, fs.ErrNotExist) {
--- a/internal/boltstore/database.go
+++ b/internal/boltstore/database.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// lockTimeout is how long an opening waits for bbolt's file lock, which a
-	// process that is just ending may still hold.
+	// lockTimeout is how long to wait for bbolt's file lock, which a process that
+	// is terminating may still hold.
 	lockTimeout = time.Second
-	// allocationSize is the step in which a database grows, in bytes.
+	// allocationSize is the increment by which a database file grows, in bytes.
 	allocationSize = 1 << 20
-	// compactionTransaction is how much one transaction of a rewrite holds, in bytes.
+	// compactionTransaction is the maximum size of a transaction of a rewrite, in bytes.
 	compactionTransaction = 1 << 20
 	databaseMode          = 0o600
 )
 
 // openDatabase opens the database at path, or creates it, so that its directory
-// entry survives a power failure. ErrDamaged says that the file can be read,
-// but is no valid database.
+// entry survives a power failure. It returns ErrDamaged if the file can be read,
+// but is not a valid database.
 func openDatabase(path string) (database *bbolt.DB, handle *os.File, err error) {
 	defer func() {
 		if err != nil {
@@ -41,12 +41,12 @@
 	database, handle, err = openBolt(path)
 	if err == nil {
 		if err = syncDirectories(path); err != nil {
-			_ = database.Close() // nothing was written to it
+			_ = database.Close() // no writes to lose
 		}
 	}
 	if err != nil {
 		if handle != nil {
-			_ = handle.Close() // may be closed already
+			_ = handle.Close() // may already be closed
 		}
 		return nil, nil, err
 	}
@@ -54,15 +54,15 @@
 	return database, handle, nil
 }
 
-// createIfAbsent creates an empty database. It gets its name only once it is
-// complete, since an incomplete one would count as damaged.
+// createIfAbsent creates an empty database if there is none. The file is renamed to
+// path only once it is complete, since an incomplete one would be taken for damaged.
 func createIfAbsent(path string) error {
 	_, err := os.Stat(path)
 	if !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
 	if err := replaceDatabase(path, func(*bbolt.DB) error { return nil }); err != nil {
-		return fmt.Errorf("create it: %w", err)
+		return fmt.Errorf("create database: %w", err)
 	}
 	return nil
 }
@@ -76,7 +76,7 @@
 	}
 	err = detectDamage(path, func() error {
 		if s, err := os.Stat(path); err == nil && s.Size() == 0 {
-			return bbolterrors.ErrInvalid // bbolt would initialize it as a new one
+			return bbolterrors.ErrInvalid // bbolt would initialize it as a new database
 		}
 		database, err = bbolt.Open(path, databaseMode, options)
 		return err
@@ -88,21 +88,21 @@
 	return &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType}
 }
 
-// syncDirectories syncs the directory of a file and the one above: the previous
-// process may have ended between the renaming of the file and that sync.
+// syncDirectories syncs the directory of a file and its parent: the previous process
+// may have terminated between renaming the file and syncing the directory.
 func syncDirectories(path string) error {
 	dir := filepath.Dir(path)
 	err := syncDirectory(dir)
-	// The one above need not be readable by this user.
-	if above := syncDirectory(filepath.Dir(dir)); !errors.Is(above, fs.ErrPermission) {
-		err = errors.Join(err, above)
+	// This user may lack permission to read the parent directory.
+	if parentErr := syncDirectory(filepath.Dir(dir)); !errors.Is(parentErr, fs.ErrPermission) {
+		err = errors.Join(err, parentErr)
 	}
 	return err
 }
 
-// rewriteDatabase copies the database into a new file of the same name. After a
-// sync that failed, the success of a later one says nothing about the pages of
-// the first, so nothing is written to the old file again.
+// rewriteDatabase replaces the database file by a compacted copy. After a failed
+// sync, a later successful sync of the same file does not imply that the pages of
+// the failed one are on disk, so the old file is never written again.
 func rewriteDatabase(path string) error {
 	old, handle, err := openDatabase(path)
 	if err != nil {
@@ -114,20 +114,21 @@
 		})
 	})
 	if errors.Is(err, ErrDamaged) || detectDamage(path, old.Close) != nil {
-		_ = handle.Close() // only read
+		_ = handle.Close() // read only, no writes to lose
 	}
 	if err != nil {
-		return fmt.Errorf("write %s anew: %w", path, err)
+		return fmt.Errorf("rewrite %s: %w", path, err)
 	}
 	return nil
 }
 
-// replaceDatabase writes a new database and renames it to path once it is on disk.
+// replaceDatabase writes a new database to a temporary file and renames it to path
+// once it is synced.
 func replaceDatabase(path string, fill func(*bbolt.DB) error) (err error) {
 	next := path + ".new"
 	defer func() {
 		if err != nil {
-			_ = os.Remove(next) // best effort: a full disk has no room for it
+			_ = os.Remove(next) // best effort: frees space on a full disk
 		}
 	}()
 	if err := os.Remove(next); err != nil && !errors.Is(err, fs.ErrNotExist) {
--- a/internal/boltstore/directory.go
+++ b/internal/boltstore/directory.go
@@ -9,8 +9,8 @@
 	"syscall"
 )
 
-// makeDirectory creates a directory and those above it, and syncs each, so that
-// they survive a power failure.
+// makeDirectory creates a directory and its missing parents, and syncs the parent
+// of each, so that they survive a power failure.
 func makeDirectory(dir string) error {
 	s, err := os.Stat(dir)
 	if err == nil && !s.IsDir() {
@@ -32,7 +32,7 @@
 	d, err := os.Open(dir)
 	if err == nil {
 		err = d.Sync()
-		_ = d.Close() // only read and synced
+		_ = d.Close() // opened read only
 	}
 	if err != nil {
 		return fmt.Errorf("sync %s: %w", dir, err)
--- a/internal/boltstore/file.go
+++ b/internal/boltstore/file.go
@@ -1,7 +1,7 @@
-// Package boltstore owns the file that a process holds its state in: a bbolt
-// database whose directory entry survives a power failure, that distinguishes
-// corruption from I/O errors, and that accepts no writes after a failed commit
-// until memory and disk have been reconciled.
+// Package boltstore manages the state file of a process: a bbolt database whose
+// directory entry survives a power failure. The package distinguishes corruption
+// from I/O errors, and accepts no calls after a failed commit until the state in
+// memory has been reloaded from disk.
 package boltstore
 
 import (
@@ -17,33 +17,33 @@
 // ErrNotOpen is returned by calls before Open and after Close.
 var ErrNotOpen = errors.New("the state file is not open")
 
-// The steps at which File.Fault may inject an error.
+// Steps at which File.Fault may inject an error.
 const (
 	StepOpen   = "open"
-	StepCommit = "commit" // before anything is written
-	StepSync   = "sync"   // after everything is written
+	StepCommit = "commit" // before the transaction is written
+	StepSync   = "sync"   // after the transaction is written
 )
 
-// File is a database that accepts calls from Open to Close. A commit that
-// failed may have reached the disk all the same: then every call fails with the
+// File is a database that accepts calls between Open and Close. A failed commit
+// may nevertheless have reached the disk. After one, every call fails with the
 // same error until Recover has rewritten, reopened and reloaded the file.
 type File struct {
 	Path string
-	// Prepare runs in its own write transaction after each opening.
+	// Prepare runs in a write transaction each time the file is opened.
 	Prepare func(tx *bbolt.Tx) error
-	// Load reads the content after each opening. The function it returns
+	// Load reads the content each time the file is opened. The function it returns
 	// installs that content in memory and runs outside of the transaction. An
 	// error means that the content is damaged.
 	Load func(tx *bbolt.Tx) (install func(), err error)
-	// Warn logs a line in the manner of log.Printf.
+	// Warn logs a line; its arguments are those of log.Printf.
 	Warn func(format string, args ...any)
-	// BatchDelay is how long Batch waits for other calls to share its sync.
+	// BatchDelay is how long Batch waits for other calls that can share its sync.
 	BatchDelay time.Duration
 
 	// Fault injects an error at a step. Only tests set it.
 	Fault func(step string) error
 
-	databaseMu sync.RWMutex // read by calls, written while the database is replaced
+	databaseMu sync.RWMutex // held shared by calls, exclusively while the database is replaced
 	database   *bbolt.DB
 	handle     *os.File // of database
 
@@ -53,8 +53,8 @@
 	err     error // why calls are refused; nil while they are accepted
 	queue   []*batchedWrite
 	once    sync.Once
-	failed  chan struct{} // signals Recover that a write failed
-	damaged chan struct{} // closed when the file was moved aside while in use
+	failed  chan struct{} // tells Recover that a write failed
+	damaged chan struct{} // closed once the file has been moved aside while in use
 }
 
 func (f *File) init() {
@@ -65,7 +65,7 @@
 	})
 }
 
-// injectedFault is the error that a test injects at a step, if any.
+// injectedFault returns the error that a test injects at a step, or nil.
 func (f *File) injectedFault(step string) error {
 	if f.Fault == nil {
 		return nil
@@ -73,8 +73,8 @@
 	return f.Fault(step)
 }
 
-// Open opens and loads the file. A damaged one is moved aside and replaced by a
-// new one. Any other error is the disk's, and Open may be tried again.
+// Open opens and loads the file. A damaged file is moved aside and replaced by a
+// new one. Any other failure is an I/O error, after which Open may be retried.
 func (f *File) Open() error {
 	f.init()
 	err := f.open(false)
@@ -89,8 +89,8 @@
 	return err
 }
 
-// open replaces the database by a newly opened one, installs what it holds, and
-// accepts calls from then on. With rewriteFirst the file is rewritten before.
+// open reopens the database, installs its content in memory, and accepts calls from
+// then on. If rewriteFirst is true, the file is rewritten before it is opened.
 func (f *File) open(rewriteFirst bool) error {
 	install, err := f.reopen(rewriteFirst)
 	if err != nil {
@@ -159,7 +159,7 @@
 	return f.Prepare(tx)
 }
 
-// Err is why calls are refused; nil while they are accepted.
+// Err returns the error with which calls are refused, or nil while they are accepted.
 func (f *File) Err() error {
 	f.init()
 	f.mu.Lock()
@@ -167,7 +167,7 @@
 	return f.err
 }
 
-// Update runs one write transaction; it is on disk when Update returns nil. An
+// Update runs fn in a write transaction, which is on disk when Update returns nil. An
 // error of fn rolls it back. After any other error it may or may not be on disk.
 func (f *File) Update(fn func(tx *bbolt.Tx) error) error {
 	return f.withDatabase(func(database *bbolt.DB) error {
@@ -196,7 +196,7 @@
 	})
 }
 
-// View runs one read transaction.
+// View runs fn in a read transaction.
 func (f *File) View(fn func(tx *bbolt.Tx) error) error {
 	return f.withDatabase(func(database *bbolt.DB) error {
 		err := detectDamage(f.Path, func() error { return database.View(fn) })
@@ -207,8 +207,8 @@
 	})
 }
 
-// withDatabase calls do unless calls are refused. The error is looked at before
-// the lock as well, so that a refused call does not wait for a reopening.
+// withDatabase calls do unless calls are refused. The error is also checked before
+// locking, so that a refused call does not wait while the file is reopened.
 func (f *File) withDatabase(do func(*bbolt.DB) error) error {
 	if err := f.Err(); err != nil {
 		return err
--- a/internal/boltstore/file_test.go
+++ b/internal/boltstore/file_test.go
@@ -17,8 +17,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// state is a file with one bucket, its content as loaded into memory, and the
-// lines that were logged.
+// state is a file with one bucket, the content loaded into memory, and the logged
+// lines.
 type state struct {
 	File
 	memory map[string]string
@@ -61,7 +61,7 @@
 	}
 }
 
-// fill writes enough for several pages.
+// fill writes enough data to occupy several pages.
 func (s *state) fill(t *testing.T) {
 	t.Helper()
 	if err := s.Update(func(tx *bbolt.Tx) error {
@@ -76,8 +76,8 @@
 	}
 }
 
-// A commit that failed may have reached the disk: calls fail until the file was
-// reopened, and memory then holds what the disk holds.
+// Guards against memory that differs from disk after a failed commit, which may have
+// reached the disk: calls must fail until the file has been reopened and reloaded.
 func TestFailedWriteIsReloadedFromDisk(t *testing.T) {
 	for step, want := range map[string]string{StepCommit: "1", StepSync: "2"} {
 		t.Run(step, func(t *testing.T) {
@@ -108,16 +108,16 @@
 	}
 	time.Sleep(10 * time.Second)
 	if err := s.put("c", "1"); !errors.Is(err, syscall.ENOSPC) || s.Err() == nil {
-		t.Errorf("a write while memory and disk may differ: %v", err)
+		t.Errorf("write accepted before recovery: %v", err)
 	}
 	if err := s.View(func(*bbolt.Tx) error { return nil }); err == nil {
-		t.Error("a read while memory and disk may differ")
+		t.Error("read accepted before recovery")
 	}
 	synctest.Wait()
 	diskFull.Store(false)
 	time.Sleep(2 * time.Second)
 	if err := s.Err(); err != nil || s.memory["a"] != want {
-		t.Errorf("memory holds %q, %v", s.memory["a"], err)
+		t.Errorf("value in memory after recovery: %q, want %q; error: %v", s.memory["a"], want, err)
 	}
 	if err := s.put("d", "1"); err != nil {
 		t.Error(err)
@@ -126,14 +126,14 @@
 	<-done
 	s.mustClose(t)
 	if err := s.put("d", "2"); !errors.Is(err, ErrNotOpen) {
-		t.Errorf("a write after Close: %v", err)
+		t.Errorf("write after Close: got %v, want ErrNotOpen", err)
 	}
 	s.Fault = nil
 	if err := s.Open(); err != nil || s.memory["a"] != want || s.memory["d"] != "1" || s.memory["c"] != "" {
-		t.Errorf("reloaded %v, %v", s.memory, err)
+		t.Errorf("reloaded %v; error: %v", s.memory, err)
 	}
 	if len(s.lines) != 2 || !strings.Contains(s.lines[0], s.Path) {
-		t.Errorf("lines: %q", s.lines)
+		t.Errorf("logged lines: %q", s.lines)
 	}
 	s.mustClose(t)
 }
@@ -165,7 +165,7 @@
 	s := newState(path)
 	s.mustOpen(t)
 	if WasReplaced(path) {
-		t.Error("an intact file counts as replaced")
+		t.Error("WasReplaced is true for an intact file")
 	}
 	for n := 1; n < 3; n++ {
 		s.fill(t)
@@ -173,11 +173,11 @@
 		corruptFile(t, path, corrupt)
 		s.lines = nil
 		if err := s.Open(); err != nil || len(s.memory) != 0 {
-			t.Fatalf("%v, %d entries", err, len(s.memory))
+			t.Fatalf("opening the damaged file: %v; %d entries loaded, want 0", err, len(s.memory))
 		}
 		aside := fmt.Sprintf("%s.damaged-%d", path, n)
 		if len(s.lines) != 1 || !strings.Contains(s.lines[0], aside) || !WasReplaced(path) {
-			t.Errorf("lines: %q", s.lines)
+			t.Errorf("logged lines: %q", s.lines)
 		}
 		if _, err := os.Stat(aside); err != nil {
 			t.Error(err)
@@ -204,7 +204,7 @@
 	s := newState(filepath.Join(t.TempDir(), "state.db"))
 	s.mustOpen(t)
 	s.fill(t)
-	// Reads beyond the end of a mapped file fault; bbolt returns no error.
+	// Reading a mapped file beyond its end causes a memory fault; bbolt returns no error.
 	if err := os.Truncate(s.Path, int64(2*os.Getpagesize())); err != nil {
 		t.Fatal(err)
 	}
@@ -213,12 +213,12 @@
 	}
 	<-s.Damaged()
 	if err := s.put("8", "new"); !errors.Is(err, ErrDamaged) || len(s.lines) != 1 || !WasReplaced(s.Path) {
-		t.Errorf("%v, %q", err, s.lines)
+		t.Errorf("write to a damaged file: %v; logged lines: %q", err, s.lines)
 	}
 	s.mustClose(t)
 }
 
-// An error of the disk says nothing about the content of the file.
+// Guards against an intact file that is moved aside because of an I/O error.
 func TestDiskErrorsAreNotDamage(t *testing.T) {
 	s := newState(filepath.Join(t.TempDir(), "state.db"))
 	for _, step := range []string{StepOpen, StepCommit, StepSync} {
@@ -233,7 +233,7 @@
 				t.Errorf("%s: %v", step, err)
 			}
 			if WasReplaced(s.Path) || s.Err() == nil {
-				t.Errorf("%s: moved aside", step)
+				t.Errorf("%s: file moved aside or calls accepted after an I/O error", step)
 			}
 		}
 	}
@@ -242,7 +242,7 @@
 		t.Error(err)
 	}
 	s.mustClose(t)
-	// A directory in place of the file cannot be read at all.
+	// A directory in place of the file cannot be read.
 	dir := filepath.Join(t.TempDir(), "state.db")
 	if err := os.Mkdir(dir, 0o755); err != nil {
 		t.Fatal(err)
--- a/internal/boltstore/marker.go
+++ b/internal/boltstore/marker.go
@@ -8,17 +8,17 @@
 	"path/filepath"
 )
 
-// After a sync that failed, the system's cache holds pages that may never reach the
-// disk, and no later sync reports it. The process that saw the failure writes the file
-// anew. One that ends before that leaves the pages to the next, which would take them
-// for what the disk holds. So a marker stands beside the file as long as no write has
-// failed, and a file without one is written anew when it is opened. The marker is
-// removed in the cache alone: after a loss of power there is no such page.
+// After a failed sync, the page cache of the operating system holds pages that may
+// never reach the disk, and no later sync reports it. The process that saw the failure
+// rewrites the file. If it terminates before that, the next process would read the
+// cached pages as if they were on disk. Therefore a marker file exists as long as no
+// write has failed, and a file without a marker is rewritten when it is opened. The
+// removal of the marker is not synced: a power failure discards the cached pages too.
 
-// markerPath is the marker of the file at path.
+// markerPath returns the path of the marker of the file at path.
 func markerPath(path string) string { return path + ".synced" }
 
-// lacksMarker reports whether there is a file at path without its marker.
+// lacksMarker reports whether the file at path exists without a marker.
 func lacksMarker(path string) bool { return exists(path) && !exists(markerPath(path)) }
 
 func exists(path string) bool {
@@ -26,8 +26,8 @@
 	return !errors.Is(err, fs.ErrNotExist)
 }
 
-// createMarker marks a file that has been opened, unless it is marked. Without the
-// marker the file is written anew once more than needed.
+// createMarker creates the marker of an opened file if there is none. If it fails, the
+// file is rewritten needlessly at the next start.
 func createMarker(path string) error {
 	marker := markerPath(path)
 	file, err := os.OpenFile(marker, os.O_CREATE|os.O_EXCL|os.O_WRONLY, databaseMode)
@@ -40,7 +40,7 @@
 	return errors.Join(file.Sync(), file.Close(), syncDirectory(filepath.Dir(path)))
 }
 
-// removeMarker notes that a write to the file has failed.
+// removeMarker removes the marker after a write to the file has failed.
 func removeMarker(path string) error {
 	err := os.Remove(markerPath(path))
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/boltstore/marker_test.go
+++ b/internal/boltstore/marker_test.go
@@ -9,13 +9,13 @@
 	"go.etcd.io/bbolt"
 )
 
-// A file that a process left after a failed write is written anew by the next one: the
-// cache may hold pages of it that are not on disk. Any other is opened as it is.
+// Guards against the use of cached pages that are not on disk: a process must rewrite the
+// file if the previous one terminated after a failed write. Any other file is opened as is.
 func TestFileLeftAfterFailedWriteIsRewritten(t *testing.T) {
 	for name, c := range map[string]struct {
-		fault         string // at a write of the former process
-		recovers      bool   // that process opened the file again
-		removesMarker bool   // as where an earlier version wrote the file
+		fault         string // step at which a write of the previous process fails
+		recovers      bool   // the previous process reopened the file
+		removesMarker bool   // simulates a file written by a version without markers
 		want          bool
 	}{
 		"all writes succeeded":              {"", false, false, false},
@@ -35,10 +35,10 @@
 			before := mustStat(t, path)
 			next := openTestFile(t, path)
 			if rewritten := !os.SameFile(before, mustStat(t, path)); rewritten != c.want {
-				t.Errorf("written anew: %v", rewritten)
+				t.Errorf("rewritten: %v, want %v", rewritten, c.want)
 			}
 			if !exists(markerPath(path)) {
-				t.Error("the file that was opened has no marker")
+				t.Error("opened file has no marker")
 			}
 			if err := errors.Join(putKey(next, "third"), next.Close()); err != nil {
 				t.Error(err)
@@ -47,13 +47,14 @@
 	}
 }
 
-// writeAndClose is a process that has a fault at its last write, and ends.
+// writeAndClose simulates a process whose last write fails at the step fault, unless
+// that is empty, and which then terminates.
 func writeAndClose(t *testing.T, path, fault string, recovers bool) {
 	t.Helper()
 	f := openTestFile(t, path)
 	f.Fault = func(step string) error {
 		if step == fault {
-			return errors.New("the disk refuses")
+			return errors.New("injected I/O error")
 		}
 		return nil
 	}
@@ -73,7 +74,7 @@
 
 var testBucket = []byte("marked")
 
-// openTestFile opens a file and puts a first key into it.
+// openTestFile opens a file and writes a key to it.
 func openTestFile(t *testing.T, path string) *File {
 	t.Helper()
 	f := &File{
--- a/internal/boltstore/recovery.go
+++ b/internal/boltstore/recovery.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Damaged returns a channel that is closed once the file was found damaged, and
-// moved aside, while it was in use.
+// Damaged returns a channel that is closed once the file has been found damaged
+// while in use and moved aside.
 func (f *File) Damaged() <-chan struct{} {
 	f.init()
 	return f.damaged
 }
 
-// fail refuses calls from now on, since memory and disk may differ.
+// fail makes all further calls fail with err, since memory and disk may differ.
 func (f *File) fail(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -35,15 +35,16 @@
 	}
 }
 
-// moveAsideLocked moves the damaged file aside; f.err says how it is damaged.
+// moveAsideLocked moves the damaged file aside and closes the channel of Damaged. f.mu
+// is held, and f.err describes the damage.
 func (f *File) moveAsideLocked() {
 	aside, moveErr := moveAside(f.Path)
 	f.Warn("disk: %s is damaged, moved to %s: %v", f.Path, aside, errors.Join(f.err, moveErr))
 	close(f.damaged)
 }
 
-// Recover reopens the file after failed writes until ctx ends, or until the
-// file is found damaged. It tries again after each retryInterval.
+// Recover reopens the file after failed writes, until ctx ends or the file is found
+// damaged. It retries at intervals of retryInterval.
 func (f *File) Recover(ctx context.Context, retryInterval time.Duration) {
 	f.init()
 	for {
@@ -58,8 +59,8 @@
 	}
 }
 
-// recoverOnce tries until the file accepts writes again. It reports false when
-// ctx ended or the file is damaged.
+// recoverOnce retries until the file accepts writes again. It returns false if ctx
+// has ended or the file is damaged.
 func (f *File) recoverOnce(ctx context.Context, retryInterval time.Duration) bool {
 	for {
 		err := f.open(true)
@@ -82,15 +83,15 @@
 	}
 }
 
-// closeDatabaseLocked closes the database, or, if that is not possible, its file
-// handle only: a database that panicked may hold its locks for ever, and its
-// mapping stays until the process ends. f.databaseMu is held for writing.
+// closeDatabaseLocked closes the database, or only its file handle if that is not
+// possible: after a panic, bbolt may hold its locks forever, and the file stays mapped
+// until the process ends. f.databaseMu is held exclusively.
 func (f *File) closeDatabaseLocked() {
 	if f.database == nil {
 		return
 	}
 	if errors.Is(f.Err(), ErrDamaged) || detectDamage(f.Path, f.database.Close) != nil {
-		_ = f.handle.Close() // nothing was written through it that an error could concern
+		_ = f.handle.Close() // no writes that the error could affect
 	}
 	f.database = nil
 }
