--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -56,7 +56,7 @@
 		return nil, nil, httpwire.Problem(http.StatusNotFound, "no route fits")
 	}
 	m := &Message{ID: r.Header.Get(headerAttemptID), OrderKey: r.Header.Get(headerOrderKey)}
-	tenant := t.TenantOfKey(r.Header.Get(headerKey))
+	tenant := t.TenantByKey(r.Header.Get(headerKey))
 	if tenant == nil && !route.PublicAccess {
 		return nil, nil, httpwire.Problem(http.StatusUnauthorized, "the key is unknown")
 	}
--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -84,8 +84,8 @@
 	if r.RetentionS < 0 {
 		return fmt.Errorf("route %s: retention-s is below 0", r.Name)
 	}
-	if r.IsSpace() {
-		return r.checkSpace()
+	if r.IsTopicSpace() {
+		return r.checkTopicSpace()
 	}
 	if !services[r.Service] {
 		return fmt.Errorf("route %s names service %q, which is not known", r.Name, r.Service)
@@ -96,7 +96,7 @@
 	return nil
 }
 
-func (r *Route) checkSpace() error {
+func (r *Route) checkTopicSpace() error {
 	switch {
 	case r.Service != "":
 		return fmt.Errorf("route %s is a space of topics and names service %q", r.Name, r.Service)
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -18,7 +18,7 @@
 			t.Errorf("%s: %v, not %s", target, r, want)
 		}
 	}
-	if table.Route("h", "/z") != nil || table.Route("i", "/x/") != nil || table.TenantOfKey("") != nil || table.TenantOfKey("k2").Name != "t" {
+	if table.Route("h", "/z") != nil || table.Route("i", "/x/") != nil || table.TenantByKey("") != nil || table.TenantByKey("k2").Name != "t" {
 		t.Error("a lookup is wrong")
 	}
 	for what, change := range map[string][2]string{
@@ -36,21 +36,21 @@
 	}
 }
 
-const spaces = `{"revision":7,"route-table":[{"name":"a","host-match":"","path-prefix":"kafi.","route-type":"stored","timeout-ms":10,"in-order":"publisher","retention-s":35.0},{"name":"b","path-prefix":"kafi.b","route-type":"realtime","timeout-ms":10,"in-order":"topic"}],"limits":{"subscriptions":9}}`
+const topicSpaces = `{"revision":7,"route-table":[{"name":"a","host-match":"","path-prefix":"kafi.","route-type":"stored","timeout-ms":10,"in-order":"publisher","retention-s":35.0},{"name":"b","path-prefix":"kafi.b","route-type":"realtime","timeout-ms":10,"in-order":"topic"}],"limits":{"subscriptions":9}}`
 
-func TestSpacesOfTopics(t *testing.T) {
-	c, err := Parse([]byte(spaces))
+func TestTopicSpaces(t *testing.T) {
+	c, err := Parse([]byte(topicSpaces))
 	if err != nil {
 		t.Fatal(err)
 	}
 	table := NewTable(c)
 	for topic, want := range map[string]string{"kafi.1": "a", "kafi.b7?x": "b", "kafi": "", "": ""} {
-		if got := table.Space(topic).GetName(); got != want {
+		if got := table.TopicSpace(topic).GetName(); got != want {
 			t.Errorf("topic %q is in space %q, not %q", topic, got, want)
 		}
 	}
-	a, b := table.Space("kafi.1"), table.Space("kafi.b")
-	if !a.IsStored() || b.IsStored() || a.OrdersTopics() || !b.OrdersTopics() || a.OrdersKeys() || table.Limits.Subscriptions != 9 {
+	a, b := table.TopicSpace("kafi.1"), table.TopicSpace("kafi.b")
+	if !a.IsStored() || b.IsStored() || a.OrdersByTopic() || !b.OrdersByTopic() || a.OrdersByKey() || table.Limits.Subscriptions != 9 {
 		t.Errorf("read as %v", c)
 	}
 	for what, change := range map[string][2]string{
@@ -63,7 +63,7 @@
 		"an unknown type":   {`"stored"`, `"durable"`},
 		"no type for topic": {`"route-type":"realtime",`, ``},
 	} {
-		if _, err := Parse([]byte(strings.Replace(spaces, change[0], change[1], 1))); err == nil {
+		if _, err := Parse([]byte(strings.Replace(topicSpaces, change[0], change[1], 1))); err == nil {
 			t.Errorf("%s is accepted", what)
 		}
 	}
--- a/internal/configuration/space.go
+++ b/internal/configuration/space.go
@@ -9,32 +9,32 @@
 	routeRealtime = "realtime" // a space of topics whose messages are not
 )
 
-// orderOfTopic is the value of in-order by which all subscribers of a topic get
+// orderByTopic is the value of in-order by which all subscribers of a topic get
 // its messages in one order. By any other only the order of each publisher counts.
-const orderOfTopic = "topic"
+const orderByTopic = "topic"
 
-// IsSpace reports whether the route is a space of topics: its prefix is that of
+// IsTopicSpace reports whether the route is a space of topics: its prefix is that of
 // the topics' names, and it has neither a host nor a service.
-func (r *Route) IsSpace() bool {
+func (r *Route) IsTopicSpace() bool {
 	return r.GetRouteType() == routeStored || r.GetRouteType() == routeRealtime
 }
 
 // IsStored reports whether a space retains its messages for those who come back.
 func (r *Route) IsStored() bool { return r.GetRouteType() == routeStored }
 
-// OrdersKeys reports whether the messages of one order key are delivered one
+// OrdersByKey reports whether the messages of one order key are delivered one
 // after the other.
-func (r *Route) OrdersKeys() bool { return r.GetInOrder().GetBoolValue() }
+func (r *Route) OrdersByKey() bool { return r.GetInOrder().GetBoolValue() }
 
-// OrdersTopics reports whether all subscribers of a topic get its messages in one
+// OrdersByTopic reports whether all subscribers of a topic get its messages in one
 // order.
-func (r *Route) OrdersTopics() bool { return r.GetInOrder().GetStringValue() == orderOfTopic }
+func (r *Route) OrdersByTopic() bool { return r.GetInOrder().GetStringValue() == orderByTopic }
 
-// Space returns the space with the longest prefix of a topic's name; nil if there
+// TopicSpace returns the space with the longest prefix of a topic's name; nil if there
 // is none.
-func (t *Table) Space(topic string) *Route {
+func (t *Table) TopicSpace(topic string) *Route {
 	for _, route := range t.routes[""] {
-		if route.IsSpace() && strings.HasPrefix(topic, route.PathPrefix) {
+		if route.IsTopicSpace() && strings.HasPrefix(topic, route.PathPrefix) {
 			return route
 		}
 	}
--- a/internal/configuration/table.go
+++ b/internal/configuration/table.go
@@ -49,7 +49,7 @@
 // without a port, and a request target; nil if none matches.
 func (t *Table) Route(host, target string) *Route {
 	path, _, _ := strings.Cut(target, "?")
-	for _, route := range t.routesOf(host) {
+	for _, route := range t.routesForHost(host) {
 		if strings.HasPrefix(path, route.PathPrefix) {
 			return route
 		}
@@ -57,9 +57,9 @@
 	return nil
 }
 
-// routesOf returns the routes of a host. A host with a port may be configured
+// routesForHost returns the routes of a host. A host with a port may be configured
 // as such; otherwise the routes of the host without it apply.
-func (t *Table) routesOf(host string) []*Route {
+func (t *Table) routesForHost(host string) []*Route {
 	host = strings.ToLower(host)
 	if list := t.routes[host]; list != nil {
 		return list
@@ -77,8 +77,8 @@
 // Tenant returns the tenant of a name; nil if there is none.
 func (t *Table) Tenant(name string) *Tenant { return t.tenants[name] }
 
-// TenantOfKey returns the tenant that an API key belongs to; nil if there is none.
-func (t *Table) TenantOfKey(key string) *Tenant {
+// TenantByKey returns the tenant that an API key belongs to; nil if there is none.
+func (t *Table) TenantByKey(key string) *Tenant {
 	if key == "" {
 		return nil
 	}
--- a/internal/edge/candidates.go
+++ b/internal/edge/candidates.go
@@ -30,7 +30,7 @@
 	if service != nil && service.RatePerS > 0 {
 		return []int{int(ring.Hash("service", service.Name) % n)}
 	}
-	if route.OrdersKeys() && r.OrderKey != "" {
+	if route.OrdersByKey() && r.OrderKey != "" {
 		return []int{int(ring.Hash("order", r.Tenant, r.OrderKey) % n)}
 	}
 	first := int(ring.Hash(r.ID) % n)
--- a/internal/edge/query.go
+++ b/internal/edge/query.go
@@ -43,7 +43,7 @@
 // queryTenant gives the name of the tenant that asks; "" where the configuration
 // has no tenants and the client no key. It is not ok if the key is unknown.
 func queryTenant(table *configuration.Table, key string) (name string, ok bool) {
-	if tenant := table.TenantOfKey(key); tenant != nil {
+	if tenant := table.TenantByKey(key); tenant != nil {
 		return tenant.Name, true
 	}
 	return "", key == "" && len(table.TenantTable) == 0
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -125,7 +125,7 @@
 	case g.stopping.Load() || !g.node.WaitForPlacement(ctx, g.timing.placementWait()) || !g.knowsBrokers():
 		c.refuse(command, linewire.Retry)
 		return false
-	case g.settings.HasTenants() && command.Secret != "" && g.node.Table().TenantOfKey(command.Secret) == nil:
+	case g.settings.HasTenants() && command.Secret != "" && g.node.Table().TenantByKey(command.Secret) == nil:
 		c.refuse(command, linewire.Unauth)
 		return true
 	}
@@ -195,7 +195,7 @@
 		deadline:    received.Add(g.timing.publishAnswer(time.Duration(space.TimeoutMs) * time.Millisecond)),
 	}
 	var throttle time.Duration
-	if tenant := table.TenantOfKey(c.secret); tenant != nil {
+	if tenant := table.TenantByKey(c.secret); tenant != nil {
 		m.tenant = tenant.Name
 		throttle = g.checkRate(ctx, tenant, space.Name, m.deadline)
 	}
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -216,11 +216,11 @@
 // empty; else why the client may not use the topic. Without needsKey, no client
 // needs a secret.
 func authorize(table *configuration.Table, name, secret string, needsKey bool) (*configuration.Route, linewire.Reason) {
-	space := table.Space(name)
+	space := table.TopicSpace(name)
 	if space == nil {
 		return nil, linewire.NoSpace
 	}
-	if needsKey && !space.PublicAccess && table.TenantOfKey(secret) == nil {
+	if needsKey && !space.PublicAccess && table.TenantByKey(secret) == nil {
 		return nil, linewire.Unauth
 	}
 	return space, ""
