--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -85,7 +85,7 @@
 	return New(Config{
 		Partitions:     host.Partitions,
 		Log:            host.Log,
-		ContactTimeout: host.Settings.Contact(),
+		ContactTimeout: host.Settings.ContactTimeout(),
 		Retransmit:     settings.Seconds(host.Settings.Timers.RetransmitS),
 	})
 }
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -66,7 +66,7 @@
 // New makes a Server. Run opens the state on disk.
 func New(set *settings.Settings, network httpwire.Network, logger *log.Logger) (*Server, error) {
 	incarnation := rand.Text()
-	s := &Server{settings: set, timing: timing{set.Contact()}, log: logger, network: network, address: set.InternalAddress()}
+	s := &Server{settings: set, timing: timing{set.ContactTimeout()}, log: logger, network: network, address: set.InternalAddress()}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.node = membership.Node{Name: set.NodeName, Role: "core", Address: s.address, Zone: set.Zone, Region: set.Region, Incarnation: incarnation}
 	s.client = rpc.NewClient(&httpwire.Pool{Network: network})
@@ -121,7 +121,7 @@
 		Journal:           s.journal,
 		HostFailures:      hostFailures,
 		ContactTimeout:    s.timing.contact,
-		KeepaliveInterval: settings.Ms(float64(max(s.settings.KeepaliveMs, 1))),
+		KeepaliveInterval: settings.Milliseconds(float64(max(s.settings.KeepaliveMs, 1))),
 		Log:               s.log,
 		Go:                s.goBackground,
 		OnNodeChanged:     s.wakeController, // the controller may be waiting for this node
--- a/internal/delivery/scheduler.go
+++ b/internal/delivery/scheduler.go
@@ -47,7 +47,7 @@
 	if c.Partitions == nil || c.Pool == nil || c.Settings == nil || c.Log == nil || c.Table == nil || c.DeliveryBytes == nil {
 		return errors.New("delivery: incomplete scheduler configuration")
 	}
-	if c.Settings.Contact() <= 0 {
+	if c.Settings.ContactTimeout() <= 0 {
 		return errors.New("delivery: the contact timeout must be positive")
 	}
 	return nil
@@ -82,7 +82,7 @@
 		attemptCtx:     attemptCtx,
 		cancelAttempts: cancelAttempts,
 		config:         config,
-		timing:         timing{config.Settings.Contact()},
+		timing:         timing{config.Settings.ContactTimeout()},
 		wake:           make(chan struct{}, 1),
 		queues:         map[string]*serviceQueue{},
 		endpoints:      endpointTable{},
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -36,7 +36,7 @@
 
 // New makes the process; Run starts it.
 func New(set *settings.Settings, network httpwire.Network, logger *log.Logger) *Edge {
-	timing := timing{contact: set.Contact(), grace: settings.Seconds(set.Timers.GraceS)}
+	timing := timing{contact: set.ContactTimeout(), grace: settings.Seconds(set.Timers.GraceS)}
 	e := &Edge{
 		set:     set,
 		timing:  timing,
@@ -46,7 +46,7 @@
 		quotas:  admission.NewQuotas(set.ProcessorShare()),
 		stalled: newStalledPrimaries(timing.stallMemory()),
 	}
-	e.leases = ratelimit.NewLeases(e.node.Client, e.node.Placement, set.Contact())
+	e.leases = ratelimit.NewLeases(e.node.Client, e.node.Placement, set.ContactTimeout())
 	return e
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -83,7 +83,7 @@
 	})
 	g.hub.link = set.Limits.LinkSpeedMbps * 1e6 / 8
 	g.publishers = newPublishers(g.serving, g.hub, g.caller)
-	g.leases = ratelimit.NewLeases(g.node.Client, g.node.Placement, set.Contact())
+	g.leases = ratelimit.NewLeases(g.node.Client, g.node.Placement, set.ContactTimeout())
 	g.node.Journal.Subscribe(g.applyEvent)
 	return g
 }
--- a/internal/gateway/timing.go
+++ b/internal/gateway/timing.go
@@ -17,10 +17,10 @@
 
 func newTiming(set *settings.Settings) timing {
 	return timing{
-		contact:  set.Contact(),
+		contact:  set.ContactTimeout(),
 		grace:    settings.Seconds(set.Timers.GraceS),
 		ping:     settings.Seconds(set.Timers.PingIntervalS),
-		presence: settings.Ms(set.Timers.PresenceMs),
+		presence: settings.Milliseconds(set.Timers.PresenceMs),
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -70,7 +70,7 @@
 func New(config Config) *Node {
 	config.check()
 	set := config.Settings
-	timing := timing{contact: set.Contact()}
+	timing := timing{contact: set.ContactTimeout()}
 	incarnation := rand.Text()
 	n := &Node{
 		configurationView: newConfigurationView(config.Log, timing.placementPollInterval()),
--- a/internal/operator/serve.go
+++ b/internal/operator/serve.go
@@ -92,9 +92,9 @@
 	return httpwire.Limits{
 		HeaderBytes:   16 << 10,
 		BodyBytes:     MaxConfigurationBytes,
-		HeaderTimeout: set.Contact(),
-		BodyTimeout:   2 * set.Contact(),
-		IdleTimeout:   8 * set.Contact(),
+		HeaderTimeout: set.ContactTimeout(),
+		BodyTimeout:   2 * set.ContactTimeout(),
+		IdleTimeout:   8 * set.ContactTimeout(),
 	}
 }
 
--- a/internal/platform/lifecycle.go
+++ b/internal/platform/lifecycle.go
@@ -186,7 +186,7 @@
 }
 
 // watchInterval is the time between two looks at the settings file.
-func watchInterval(set *settings.Settings) time.Duration { return set.Contact() / 4 }
+func watchInterval(set *settings.Settings) time.Duration { return set.ContactTimeout() / 4 }
 
 // startAbortTimeout is how long a start that was stopped may go on: a disk that
 // answers lets it end in order, one that does not must not hold the process.
--- a/internal/settings/derived.go
+++ b/internal/settings/derived.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Contact is the contact bound. Most waits inside the system are ratios of it.
-func (s *Settings) Contact() time.Duration { return Ms(s.Timers.ContactMs) }
+// ContactTimeout is the contact bound. Most waits inside the system are ratios of it.
+func (s *Settings) ContactTimeout() time.Duration { return Milliseconds(s.Timers.ContactMs) }
 
 // ProcessorShare is how much of one core's work the process may do.
 func (s *Settings) ProcessorShare() float64 {
@@ -38,8 +38,8 @@
 	return addresses
 }
 
-// Ms converts milliseconds to a duration.
-func Ms(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+// Milliseconds converts milliseconds to a duration.
+func Milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // Seconds converts seconds to a duration.
 func Seconds(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
--- a/internal/store/timing.go
+++ b/internal/store/timing.go
@@ -14,7 +14,7 @@
 }
 
 func newTiming(set *settings.Settings) timing {
-	return timing{contactTimeout: set.Contact(), grace: settings.Seconds(set.Timers.GraceS)}
+	return timing{contactTimeout: set.ContactTimeout(), grace: settings.Seconds(set.Timers.GraceS)}
 }
 
 // dial is how long opening a connection to an endpoint may take.
