--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -32,11 +32,11 @@
 
 func (s *Settings) checkNetwork() error {
 	if net.ParseIP(s.IpAddress) == nil {
-		return fmt.Errorf("settings: ip-address=%s is not an address", s.IpAddress)
+		return fmt.Errorf("settings: ip-address=%s is not an IP address", s.IpAddress)
 	}
 	ports := s.InternalPortRange
 	if len(ports) != 2 || ports[0] < 1 || ports[1] > 65535 || ports[0] > ports[1] {
-		return fmt.Errorf("settings: internal-port-range=%v is not two ports in rising order", ports)
+		return fmt.Errorf("settings: internal-port-range=%v must be two ports in ascending order", ports)
 	}
 	if len(s.SeedPeers) == 0 {
 		return errors.New("settings: seed-peers is missing")
@@ -58,7 +58,7 @@
 	})
 }
 
-// timer is a field of the group timers.
+// timer is a field of the timers group.
 type timer struct {
 	name  string
 	value float64
@@ -67,13 +67,14 @@
 func checkPositive(timers []timer) error {
 	for _, t := range timers {
 		if t.value <= 0 {
-			return fmt.Errorf("settings: timers.%s=%v must be over 0", t.name, t.value)
+			return fmt.Errorf("settings: timers.%s=%v must be positive", t.name, t.value)
 		}
 	}
 	return nil
 }
 
-// requirement is what a role needs beyond what every role does.
+// requirement lists the fields and timers that a role needs in addition to those
+// that every role needs.
 type requirement struct {
 	fields []field
 	timers []timer
@@ -81,7 +82,7 @@
 
 type field struct{ name, value string }
 
-// requirements gives what each role needs.
+// requirements returns the requirement of each role.
 func (s *Settings) requirements() map[string]requirement {
 	clients := []field{
 		{"listeners.data-plane", s.Listeners.DataPlane},
@@ -102,13 +103,13 @@
 	}
 }
 
-// Require returns an error that names the first field which a role needs and
+// Require returns an error that names the first field that a role requires and
 // the settings lack. The role is edge, store, gateway, broker or core.
 func (s *Settings) Require(role string) error {
 	needs := s.requirements()[role]
 	for _, needed := range needs.fields {
 		if needed.value == "" {
-			return fmt.Errorf("settings: %s is missing, and the role %s needs it", needed.name, role)
+			return fmt.Errorf("settings: %s is missing, but required by the role %s", needed.name, role)
 		}
 	}
 	if err := checkPositive(needs.timers); err != nil {
--- a/internal/settings/derived.go
+++ b/internal/settings/derived.go
@@ -7,23 +7,25 @@
 	"time"
 )
 
-// ContactTimeout is the contact bound. Most waits inside the system are ratios of it.
+// ContactTimeout returns contact-ms, from which most timeouts and intervals between
+// processes are derived as fixed ratios.
 func (s *Settings) ContactTimeout() time.Duration { return Milliseconds(s.Timers.ContactMs) }
 
-// ProcessorShare is how much of one core's work the process may do.
+// ProcessorShare returns the processing time available to the process, in processor
+// cores: cpu-share for each of core-count cores, which is at least 1.
 func (s *Settings) ProcessorShare() float64 {
 	return s.Limits.CpuShare * max(1, s.Limits.CoreCount)
 }
 
-// HasTenants reports whether clients belong to tenants and prove it by a key.
+// HasTenants reports whether clients belong to tenants and authenticate by an API key.
 func (s *Settings) HasTenants() bool { return slices.Contains(s.PolicySections, "tenants") }
 
-// InternalAddress returns the address, host:port, at which the system's own processes
-// reach this one.
+// InternalAddress returns the address, host:port, at which other processes of the
+// system reach this one.
 func (s *Settings) InternalAddress() string { return s.InternalAddressAt(s.IpAddress) }
 
-// InternalAddressAt returns the internal address of the process on the host with that IP
-// address. All hosts have the same port range.
+// InternalAddressAt returns the internal address of the process on the host with the given
+// IP address. All hosts use the same port range.
 func (s *Settings) InternalAddressAt(ip string) string {
 	return net.JoinHostPort(ip, strconv.Itoa(int(s.InternalPortRange[0])))
 }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -1,6 +1,6 @@
-// Package settings reads and checks the settings file that the platform writes
-// for a process, and gives the addresses and durations derived from it. The
-// types are generated from the schema of the file.
+// Package settings parses and validates the settings file that the platform writes
+// for a process, and derives addresses and durations from it. The types are generated
+// from the schema of the file.
 package settings
 
 import (
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// Load reads and checks the file at path.
+// Load reads, parses and validates the file at path.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -23,10 +23,9 @@
 	return Parse(string(raw))
 }
 
-// Parse reads and checks settings of the form group.field=value, one to a line.
-// Empty lines and those that begin with # are ignored; so are unknown fields,
-// since a later version may have written them. Groups that are not there are
-// empty, not nil.
+// Parse parses and validates settings of the form group.field=value, one per line.
+// Empty lines and lines that begin with # are ignored. So are unknown fields, since
+// a later version may have written them. Missing groups are empty, not nil.
 func Parse(text string) (*Settings, error) {
 	tree := map[string]any{}
 	descriptor := (&Settings{}).ProtoReflect().Descriptor()
@@ -70,8 +69,8 @@
 	}
 }
 
-// setField puts one value into the tree, which has the form of the JSON of the
-// message, at the field of a dotted name.
+// setField stores a value under a dotted field name in the tree, which has the
+// structure of the JSON encoding of the message.
 func setField(tree map[string]any, message protoreflect.MessageDescriptor, name, value string) error {
 	head, rest, nested := strings.Cut(name, ".")
 	field := message.Fields().ByJSONName(head)
@@ -95,7 +94,7 @@
 	return nil
 }
 
-// setNestedField puts a value into a group or a map.
+// setNestedField stores a value in a group or a map.
 func setNestedField(tree map[string]any, field protoreflect.FieldDescriptor, name, value string) error {
 	if field.Message() == nil {
 		return fmt.Errorf("%s is not a group of fields", field.JSONName())
@@ -112,7 +111,7 @@
 	return setField(group, field.Message(), name, value)
 }
 
-// parseList reads values separated by commas.
+// parseList parses comma-separated values.
 func parseList(field protoreflect.FieldDescriptor, name, value string) ([]any, error) {
 	list := []any{}
 	for _, element := range strings.Split(value, ",") {
@@ -146,7 +145,7 @@
 	case protoreflect.Int32Kind, protoreflect.Int64Kind:
 		x, err := strconv.ParseFloat(value, 64)
 		if err != nil || x != float64(int64(x)) {
-			return nil, fmt.Errorf("%s=%s is not a whole number", name, value)
+			return nil, fmt.Errorf("%s=%s is not an integer", name, value)
 		}
 		return int64(x), nil
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -25,10 +25,10 @@
 		t.Fatal(err)
 	}
 	if s.Limits.CpuShare != 0.4 || !s.Bootstrap || s.Timers.SyncTimeS != 4.3 || s.Zones["z"] != "r" || s.InternalAddress() != "10.0.0.1:7100" || s.CoreAddresses()[1] != "10.0.0.2:7100" {
-		t.Errorf("read as %v", s)
+		t.Errorf("unexpected settings: %v", s)
 	}
 	if err := s.Require("store"); err == nil || !strings.Contains(err.Error(), "data-path") {
-		t.Errorf("a store without data-path: %v", err)
+		t.Errorf("store without data-path: %v", err)
 	}
 	for _, c := range []struct{ old, new, names string }{
 		{"node-name=n\n", "", "node-name"},
@@ -41,12 +41,12 @@
 		{"zone=z\n", "zone\n", "'='"},
 	} {
 		if _, err := Parse(strings.Replace(valid, c.old, c.new, 1)); err == nil || !strings.Contains(err.Error(), c.names) {
-			t.Errorf("%q for %q: %v", c.new, c.old, err)
+			t.Errorf("%q in place of %q: error %v does not contain %q", c.new, c.old, err, c.names)
 		}
 	}
 }
 
-// Each role asks for what it needs, and no more.
+// Each role requires its own fields, and no others.
 func TestRolesRequireWhatTheyNeed(t *testing.T) {
 	common := strings.Replace(valid, "timers.status-ttl-s=120\n", "", 1)
 	clients := "listeners.data-plane=10.0.0.1:1\nlisteners.readiness=10.0.0.1:2\n"
@@ -75,7 +75,7 @@
 			}
 		}
 		if s, err := Parse(common + c.fields); err != nil || s.Require(c.role) != nil {
-			t.Errorf("%s with all it needs: %v, %v", c.role, err, s.Require(c.role))
+			t.Errorf("%s with all required fields: %v, %v", c.role, err, s.Require(c.role))
 		}
 	}
 }
--- a/internal/timeutil/sleep.go
+++ b/internal/timeutil/sleep.go
@@ -1,4 +1,4 @@
-// Package timeutil holds what the standard library lacks about time.
+// Package timeutil provides waits and periodic calls that end with a context.
 package timeutil
 
 import (
@@ -9,7 +9,7 @@
 // Sleep waits for d, or until ctx ends.
 func Sleep(ctx context.Context, d time.Duration) { SleepUntil(ctx, d, nil) }
 
-// SleepUntil waits for d, or until ctx ends or wake is closed or has a value.
+// SleepUntil waits for d, or until ctx ends, or until wake is closed or delivers a value.
 func SleepUntil(ctx context.Context, d time.Duration, wake <-chan struct{}) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -20,7 +20,7 @@
 	}
 }
 
-// Repeat calls f in each interval, until ctx ends.
+// Repeat calls f once per interval, until ctx ends. The first call is after one interval.
 func Repeat(ctx context.Context, interval time.Duration, f func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
