--- a/internal/configuration/configuration_bench_test.go
+++ b/internal/configuration/configuration_bench_test.go
@@ -7,8 +7,8 @@
 	"google.golang.org/protobuf/encoding/protojson"
 )
 
-// destinations makes a configuration of n outside endpoints, each with its own
-// service and route, over hosts of a hundred routes.
+// destinations returns a configuration with n external endpoints, each with its own
+// service and route, and with up to 100 routes per host.
 func destinations(n int) *Configuration {
 	c := &Configuration{Revision: 1, Limits: &Limits{MaxBodyBytes: 1 << 18}}
 	for i := range n {
@@ -70,7 +70,7 @@
 	}
 }
 
-// BenchmarkRoute looks up a route of a host that has all of them.
+// BenchmarkRoute looks up a route when all routes belong to one host.
 func BenchmarkRoute(b *testing.B) {
 	for _, n := range sizes {
 		c := destinations(n)
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -15,11 +15,11 @@
 	table := NewTable(c)
 	for target, want := range map[string]string{"/x/1": "a", "/x/y/2?q": "b", "/x/y": "a"} {
 		if r := table.Route("H:80", target); r == nil || r.Name != want {
-			t.Errorf("%s: %v, not %s", target, r, want)
+			t.Errorf("%s: got route %v, want %s", target, r, want)
 		}
 	}
 	if table.Route("h", "/z") != nil || table.Route("i", "/x/") != nil || table.TenantByKey("") != nil || table.TenantByKey("k2").Name != "t" {
-		t.Error("a lookup is wrong")
+		t.Error("unexpected result of a lookup by host, prefix or API key")
 	}
 	for what, change := range map[string][2]string{
 		"not JSON":        {`"u"`, ``},
@@ -46,12 +46,12 @@
 	table := NewTable(c)
 	for topic, want := range map[string]string{"kafi.1": "a", "kafi.b7?x": "b", "kafi": "", "": ""} {
 		if got := table.TopicSpace(topic).GetName(); got != want {
-			t.Errorf("topic %q is in space %q, not %q", topic, got, want)
+			t.Errorf("topic %q: got topic space %q, want %q", topic, got, want)
 		}
 	}
 	a, b := table.TopicSpace("kafi.1"), table.TopicSpace("kafi.b")
 	if !a.IsStored() || b.IsStored() || a.OrdersByTopic() || !b.OrdersByTopic() || a.OrdersByKey() || table.Limits.Subscriptions != 9 {
-		t.Errorf("read as %v", c)
+		t.Errorf("unexpected configuration: %v", c)
 	}
 	for what, change := range map[string][2]string{
 		"a host":            {`"host-match":""`, `"host-match":"h"`},
--- a/internal/configuration/patch.go
+++ b/internal/configuration/patch.go
@@ -7,34 +7,34 @@
 	"fmt"
 )
 
-// patch is a change of named items of a configuration, as the operator sends it.
-// Items stay in the form in which they were sent, with the fields that this
-// version does not know.
+// patch is a change of named items of a configuration, as sent by the operator.
+// Items are kept as raw JSON, so that fields unknown to this version are preserved.
 type patch struct {
 	Revision json.RawMessage            `json:"revision"`
-	Upsert   map[string]json.RawMessage `json:"upsert"`   // by table: items to add, or to replace by their name
-	Withdraw map[string][]string        `json:"withdraw"` // by table: names of items to remove
+	Upsert   map[string]json.RawMessage `json:"upsert"`   // items to add or to replace, by table; items are matched by name
+	Withdraw map[string][]string        `json:"withdraw"` // names of items to remove, by table
 }
 
-// PatchRevision reads a patch and returns the revision that it makes.
+// PatchRevision parses a patch and returns the revision of the resulting configuration.
 func PatchRevision(raw []byte) (int64, error) {
 	var p patch
 	if err := json.Unmarshal(raw, &p); err != nil {
-		return 0, fmt.Errorf("patch cannot be read: %w", err)
+		return 0, fmt.Errorf("patch cannot be parsed: %w", err)
 	}
 	var revision int64
 	if err := json.Unmarshal(p.Revision, &revision); err != nil || revision <= 0 {
-		return 0, fmt.Errorf("patch: revision %q must be a number over 0", p.Revision)
+		return 0, fmt.Errorf("patch: revision %q must be a positive integer", p.Revision)
 	}
 	return revision, nil
 }
 
-// ApplyPatch returns the configuration that a patch makes of another one. It does
-// not check the result: Parse does. An error means that the patch cannot be read.
+// ApplyPatch applies a patch to a configuration and returns the result, which it does
+// not validate: Parse does. current is nil if there is no configuration yet. An error
+// means that the patch or the current configuration is malformed.
 func ApplyPatch(current, raw []byte) ([]byte, error) {
 	var p patch
 	if err := json.Unmarshal(raw, &p); err != nil {
-		return nil, fmt.Errorf("patch cannot be read: %w", err)
+		return nil, fmt.Errorf("patch cannot be parsed: %w", err)
 	}
 	if p.Revision == nil {
 		return nil, errors.New("patch: revision is missing")
@@ -42,7 +42,7 @@
 	next := map[string]json.RawMessage{}
 	if current != nil {
 		if err := json.Unmarshal(current, &next); err != nil {
-			return nil, fmt.Errorf("the configuration in force: %w", err)
+			return nil, fmt.Errorf("current configuration: %w", err)
 		}
 	}
 	next["revision"] = p.Revision
@@ -52,7 +52,7 @@
 		}
 	}
 	for table, value := range p.Upsert {
-		if !isList(value) { // a group without names, such as the limits
+		if !isList(value) { // a group without named items, such as limits
 			next[table] = value
 			continue
 		}
@@ -71,8 +71,9 @@
 	return bytes.HasPrefix(bytes.TrimSpace(raw), []byte{'['})
 }
 
-// replaceItems removes the items with these names from a table, and puts items
-// into it, each at the place of the one that has its name.
+// replaceItems removes the items named in withdrawn from a table and adds those in
+// upserted. An upserted item takes the position of the item with the same name; an
+// item with a new name is appended.
 func replaceItems(configuration map[string]json.RawMessage, table string, withdrawn []string, upserted []json.RawMessage) error {
 	var items []json.RawMessage
 	if raw := configuration[table]; raw != nil {
@@ -84,7 +85,7 @@
 	for i, item := range items {
 		name, err := itemName(item)
 		if err != nil {
-			return fmt.Errorf("patch: %s in force: %w", table, err)
+			return fmt.Errorf("patch: current %s: %w", table, err)
 		}
 		position[name] = i
 	}
--- a/internal/configuration/patch_test.go
+++ b/internal/configuration/patch_test.go
@@ -8,7 +8,7 @@
 func TestPatchRevision(t *testing.T) {
 	for raw, want := range map[string]int64{`{"revision":9}`: 9, `{"revision":0}`: 0, `{}`: 0, `{"revision":"x"}`: 0, `{`: 0} {
 		if got, err := PatchRevision([]byte(raw)); got != want || (err == nil) != (want > 0) {
-			t.Errorf("%s: %d, %v", raw, got, err)
+			t.Errorf("%s: got revision %d, want %d; error: %v", raw, got, want, err)
 		}
 	}
 }
@@ -29,7 +29,7 @@
 		"a group is replaced": {current, `{"revision":8,"upsert":{"limits":{"subscriptions":6}}}`,
 			`{"limits":{"subscriptions":6},"revision":8,"route-table":[{"name":"a","new":1},{"name":"b","retention-s":35.0},{"name":"c"}],"unknown":{"x":1}}`, ""},
 		"on nothing":            {"", `{"revision":1,"upsert":{"route-table":[{"name":"a"}]}}`, `{"revision":1,"route-table":[{"name":"a"}]}`, ""},
-		"not JSON":              {current, `{"revision":9,`, "", "cannot be read"},
+		"not JSON":              {current, `{"revision":9,`, "", "cannot be parsed"},
 		"no revision":           {current, `{}`, "", "revision is missing"},
 		"an item without name":  {current, `{"revision":9,"upsert":{"route-table":[{}]}}`, "", "no name"},
 		"an item is no object":  {current, `{"revision":9,"upsert":{"route-table":[7]}}`, "", "route-table"},
@@ -41,7 +41,7 @@
 		}
 		got, err := ApplyPatch(before, []byte(c.patch))
 		if string(got) != c.want || (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
-			t.Errorf("%s: %s, %v", name, got, err)
+			t.Errorf("%s: got %s, want %s; error: %v", name, got, c.want, err)
 		}
 	}
 }
--- a/internal/configuration/table.go
+++ b/internal/configuration/table.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// Table is a configuration with indexes for the lookups of requests. It is
-// immutable, so that it needs no lock.
+// Table is a configuration with indexes for request lookups. It is immutable and
+// therefore safe for concurrent use without a lock.
 type Table struct {
 	*Configuration
-	routes   map[string][]*Route // by host in lower case, longest prefix first
+	routes   map[string][]*Route // by lower-case host, longest prefix first
 	services map[string]*Service
 	tenants  map[string]*Tenant
 	keys     map[string]*Tenant // by API key
 }
 
-// NewTable indexes a configuration that Parse has checked. The caller must not
-// modify it afterwards.
+// NewTable indexes a configuration that Parse has validated. The caller must not
+// modify the configuration afterwards.
 func NewTable(c *Configuration) *Table {
 	t := &Table{
 		Configuration: c,
@@ -46,7 +46,7 @@
 }
 
 // Route returns the route with the longest prefix that matches a host, with or
-// without a port, and a request target; nil if none matches.
+// without a port, and a request target, or nil if none matches.
 func (t *Table) Route(host, target string) *Route {
 	path, _, _ := strings.Cut(target, "?")
 	for _, route := range t.routesForHost(host) {
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// routesForHost returns the routes of a host. A host with a port may be configured
-// as such; otherwise the routes of the host without it apply.
+// routesForHost returns the routes of a host. Routes configured for the host with its
+// port take precedence over those for the host without it.
 func (t *Table) routesForHost(host string) []*Route {
 	host = strings.ToLower(host)
 	if list := t.routes[host]; list != nil {
@@ -71,13 +71,13 @@
 	return t.routes[name]
 }
 
-// Service returns the service of a name; nil if there is none.
+// Service returns the service with the given name, or nil if there is none.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Tenant returns the tenant of a name; nil if there is none.
+// Tenant returns the tenant with the given name, or nil if there is none.
 func (t *Table) Tenant(name string) *Tenant { return t.tenants[name] }
 
-// TenantByKey returns the tenant that an API key belongs to; nil if there is none.
+// TenantByKey returns the tenant that an API key belongs to, or nil if there is none.
 func (t *Table) TenantByKey(key string) *Tenant {
 	if key == "" {
 		return nil
