--- a/cmd/saltreel-control/main.go
+++ b/cmd/saltreel-control/main.go
@@ -1,5 +1,5 @@
-// Command saltreel-control runs the control plane and sends the operator's
-// orders to it.
+// Command saltreel-control runs the control plane and sends operator requests to
+// it.
 package main
 
 import (
@@ -18,7 +18,7 @@
 
 func main() {
 	signals := platform.CatchSignals()
-	root := &cobra.Command{Use: "saltreel-control", Short: "The control plane of saltreel, and the operator's orders to it"}
+	root := &cobra.Command{Use: "saltreel-control", Short: "The control plane of saltreel and its operator commands"}
 	root.AddCommand(
 		platform.RoleCommand("core", "Run a core: control state, handlers, placement", signals, func(_ context.Context, set *settings.Settings, logger *log.Logger) (platform.Process, error) {
 			return operator.NewCore(set, httpwire.TCP(), logger)
@@ -30,15 +30,15 @@
 	os.Exit(platform.Main(root))
 }
 
-// newClient returns a client as the flags configure it. It is called once they
-// are parsed.
+// newClient returns a client configured by the flags. It must not be called before
+// they are parsed.
 type newClient func() *operator.Client
 
 func addClientFlags(root *cobra.Command) newClient {
 	var controls []string
 	var timeout time.Duration
-	root.PersistentFlags().StringSliceVar(&controls, "control", nil, "control-plane addresses, host:port, separated by commas")
-	root.PersistentFlags().DurationVar(&timeout, "timeout", 2*time.Second, "how long to wait for one answer")
+	root.PersistentFlags().StringSliceVar(&controls, "control", nil, "comma-separated control-plane addresses, host:port")
+	root.PersistentFlags().DurationVar(&timeout, "timeout", 2*time.Second, "timeout of one request")
 	return func() *operator.Client {
 		return &operator.Client{Pool: &httpwire.Pool{Network: httpwire.TCP()}, Addresses: controls, Timeout: timeout}
 	}
--- a/cmd/saltreel-control/orders.go
+++ b/cmd/saltreel-control/orders.go
@@ -27,7 +27,7 @@
 
 func configGetCommand(client newClient) *cobra.Command {
 	return &cobra.Command{
-		Use: "get", Short: "Print the configuration in force", Args: cobra.NoArgs,
+		Use: "get", Short: "Print the current configuration", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			raw, err := client().Get(cmd.Context(), "/v1/configuration")
 			if err != nil {
@@ -48,7 +48,7 @@
 }
 
 func configPatchCommand(client newClient) *cobra.Command {
-	return changeCommand("patch FILE", "Send a change of named items of the configuration; - reads standard input", client,
+	return changeCommand("patch FILE", "Send a patch that adds, replaces or removes named items; - reads standard input", client,
 		func(cmd *cobra.Command, path string) (raw []byte, revision int64, err error) {
 			if raw, err = readFile(cmd, path); err != nil {
 				return nil, 0, err
@@ -58,8 +58,8 @@
 		}, (*operator.Client).PatchConfiguration)
 }
 
-// changeCommand makes a command that reads a file and sends it as a change that
-// builds on a revision.
+// changeCommand returns a command that reads a file and sends it as a change based on
+// a given revision.
 func changeCommand(use, short string, client newClient,
 	read func(cmd *cobra.Command, path string) (raw []byte, revision int64, err error),
 	send func(c *operator.Client, ctx context.Context, raw []byte, match int64) error,
@@ -85,7 +85,7 @@
 			return err
 		},
 	}
-	cmd.Flags().Int64Var(&match, "if-match", 0, "the revision that it builds on (default: the one in force)")
+	cmd.Flags().Int64Var(&match, "if-match", 0, "the revision that the change is based on (default: the current one)")
 	return cmd
 }
 
@@ -104,8 +104,8 @@
 	}
 }
 
-// readConfiguration reads and checks the configuration in a file; - is standard
-// input.
+// readConfiguration reads, parses and validates the configuration in a file; - is
+// standard input.
 func readConfiguration(cmd *cobra.Command, path string) ([]byte, *configuration.Configuration, error) {
 	raw, err := readFile(cmd, path)
 	if err != nil {
@@ -122,7 +122,7 @@
 	return os.ReadFile(path)
 }
 
-// currentRevision returns the revision in force, 0 before the first.
+// currentRevision returns the current revision, or 0 if there is no configuration yet.
 func currentRevision(ctx context.Context, c *operator.Client) (int64, error) {
 	raw, err := c.Get(ctx, "/v1/configuration")
 	if rpc.StatusCode(err) == http.StatusNotFound {
@@ -138,13 +138,14 @@
 	return parsed.Revision, nil
 }
 
-// retirePollInterval is the time between two questions whether a store is empty.
+// retirePollInterval is the interval at which the retire command polls whether a store
+// is empty.
 const retirePollInterval = 200 * time.Millisecond
 
 func retireCommand(client newClient) *cobra.Command {
 	var wait time.Duration
 	cmd := &cobra.Command{
-		Use: "retire NODE", Short: "Empty a store, so that it may be removed", Args: cobra.ExactArgs(1),
+		Use: "retire NODE", Short: "Move all replicas off a store, so that it can be removed", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			store := args[0]
 			c := client()
@@ -158,11 +159,11 @@
 			return nil
 		},
 	}
-	cmd.Flags().DurationVar(&wait, "wait", 30*time.Second, "how long to wait until it is empty")
+	cmd.Flags().DurationVar(&wait, "wait", 30*time.Second, "how long to wait until the store is empty")
 	return cmd
 }
 
-// awaitRetired waits until a store holds no replica any more.
+// awaitRetired waits until a store holds no replicas.
 func awaitRetired(ctx context.Context, c *operator.Client, store string, timeout time.Duration) error {
 	for deadline := time.Now().Add(timeout); ; time.Sleep(retirePollInterval) {
 		state, err := c.RetireState(ctx, store)
@@ -173,14 +174,14 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return errors.New(store + " is not empty yet; ask again with retire")
+			return errors.New(store + " is not empty yet; run retire again to continue waiting")
 		}
 	}
 }
 
 func statusCommand(client newClient) *cobra.Command {
 	return &cobra.Command{
-		Use: "status", Short: "Show the view, the nodes, the placement and the handlers", Args: cobra.NoArgs,
+		Use: "status", Short: "Print the view, the nodes, the placement and the handlers as JSON", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			raw, err := client().Get(cmd.Context(), "/v1/status")
 			if err != nil {
--- a/cmd/saltreel-data/main.go
+++ b/cmd/saltreel-data/main.go
@@ -1,6 +1,6 @@
-// Command saltreel-data runs the data plane: edges that take messages in and
-// stores that keep and deliver them; gateways of realtime clients and brokers of
-// their topics.
+// Command saltreel-data runs the data plane: edges that accept messages, stores that
+// persist and deliver them, gateways for realtime clients, and brokers for their
+// topics.
 package main
 
 import (
@@ -22,9 +22,9 @@
 
 func main() {
 	signals := platform.CatchSignals()
-	root := &cobra.Command{Use: "saltreel-data", Short: "The data plane of saltreel: takes messages in, keeps and delivers them"}
+	root := &cobra.Command{Use: "saltreel-data", Short: "The data plane of saltreel: accepts, persists and delivers messages"}
 	root.AddCommand(
-		platform.RoleCommand("edge", "Run an edge: clients' HTTP, admission, questions about messages", signals, func(_ context.Context, set *settings.Settings, logger *log.Logger) (platform.Process, error) {
+		platform.RoleCommand("edge", "Run an edge: client HTTP requests, admission, message queries", signals, func(_ context.Context, set *settings.Settings, logger *log.Logger) (platform.Process, error) {
 			return edge.New(set, httpwire.TCP(), logger), nil
 		}),
 		platform.RoleCommand("store", "Run a store: durable partitions, delivery to handlers", signals, func(ctx context.Context, set *settings.Settings, logger *log.Logger) (platform.Process, error) {
@@ -33,11 +33,11 @@
 		platform.RoleCommand("gateway", "Run a gateway: connections of realtime clients, subscriptions, admission", signals, func(_ context.Context, set *settings.Settings, logger *log.Logger) (platform.Process, error) {
 			return gateway.New(set, httpwire.TCP(), logger), nil
 		}),
-		platform.RoleCommand("broker", "Run a broker: durable topics, their order, what gateways follow", signals, func(ctx context.Context, set *settings.Settings, logger *log.Logger) (platform.Process, error) {
+		platform.RoleCommand("broker", "Run a broker: durable topics, message order, feeds for gateways", signals, func(ctx context.Context, set *settings.Settings, logger *log.Logger) (platform.Process, error) {
 			return store.NewWith(ctx, set, httpwire.TCP(), logger, broker.NewWorkload)
 		}),
 		platform.CheckCommand("edge", "store", "gateway", "broker"),
-		platform.HandlesSignals(&cobra.Command{Use: "sink ADDRESS", Short: "Run a handler that takes every message and prints it, for trying things out", Args: cobra.ExactArgs(1),
+		platform.HandlesSignals(&cobra.Command{Use: "sink ADDRESS", Short: "Run a handler that accepts and prints every message, for testing", Args: cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
 				ctx, cancel := platform.StopContext(signals)
 				defer cancel()
--- a/cmd/saltreel-data/realtime.go
+++ b/cmd/saltreel-data/realtime.go
@@ -14,7 +14,7 @@
 	"saltreel/internal/realtime"
 )
 
-// realtimeCommands are the commands by which a person uses topics.
+// realtimeCommands returns the commands that subscribe to topics and publish on them.
 func realtimeCommands(signals platform.Signals) []*cobra.Command {
 	client := &realtime.Client{Dial: httpwire.TCP().Dial, Log: func(format string, args ...any) {
 		fmt.Fprintf(os.Stderr, format+"\n", args...)
@@ -23,7 +23,7 @@
 	var wait time.Duration
 
 	subscribe := platform.HandlesSignals(&cobra.Command{
-		Use: "subscribe TOPIC", Short: "Print the messages of a topic, each behind its cursor, until interrupted", Args: cobra.ExactArgs(1),
+		Use: "subscribe TOPIC", Short: "Print the messages of a topic, each preceded by its cursor, until interrupted", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			ctx, cancel := platform.StopContext(signals)
 			defer cancel()
@@ -41,14 +41,14 @@
 			return err
 		},
 	})
-	subscribe.Flags().StringVar(&cursor, "cursor", "", "print what follows this cursor too")
+	subscribe.Flags().StringVar(&cursor, "cursor", "", "also print the stored messages after this cursor")
 
 	publish := &cobra.Command{
 		Use: "publish TOPIC MESSAGE", Short: "Publish a message on a topic; returns once it is durable", Args: cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			ctx, cancel := context.WithTimeout(context.Background(), wait)
 			defer cancel()
-			number := time.Now().UnixMicro() // rises from call to call
+			number := time.Now().UnixMicro() // increases with each call
 			if err := client.Publish(ctx, args[0], number, []byte(args[1])); err != nil {
 				return fmt.Errorf("publish: %w", err)
 			}
@@ -56,7 +56,7 @@
 			return nil
 		},
 	}
-	publish.Flags().DurationVar(&wait, "wait", 10*time.Second, "how long to try")
+	publish.Flags().DurationVar(&wait, "wait", 10*time.Second, "how long to keep trying")
 
 	subscribers := &cobra.Command{
 		Use: "subscribers TOPIC", Short: "Print how many subscribers a topic has", Args: cobra.ExactArgs(1),
@@ -71,7 +71,7 @@
 			return nil
 		},
 	}
-	subscribers.Flags().DurationVar(&wait, "wait", 10*time.Second, "how long to try")
+	subscribers.Flags().DurationVar(&wait, "wait", 10*time.Second, "how long to keep trying")
 
 	commands := []*cobra.Command{subscribe, publish, subscribers}
 	hostname, err := os.Hostname()
@@ -79,9 +79,9 @@
 		hostname = "terminal"
 	}
 	for _, cmd := range commands {
-		cmd.Flags().StringVar(&client.Address, "gateway", "127.0.1.3:8749", "the gateway, HOST:PORT")
-		cmd.Flags().StringVar(&client.Key, "key", "", "the key of a tenant")
-		cmd.Flags().StringVar(&client.Name, "client", hostname, "the name of this client")
+		cmd.Flags().StringVar(&client.Address, "gateway", "127.0.1.3:8749", "gateway address, HOST:PORT")
+		cmd.Flags().StringVar(&client.Key, "key", "", "API key of a tenant")
+		cmd.Flags().StringVar(&client.Name, "client", hostname, "name of this client")
 	}
 	return commands
 }
