--- a/cmd/saltreel-control/orders.go
+++ b/cmd/saltreel-control/commands.go
@@ -62,9 +62,9 @@
 // a given revision.
 func changeCommand(use, short string, client newClient,
 	read func(cmd *cobra.Command, path string) (raw []byte, revision int64, err error),
-	send func(c *operator.Client, ctx context.Context, raw []byte, match int64) error,
+	send func(c *operator.Client, ctx context.Context, raw []byte, baseRevision int64) error,
 ) *cobra.Command {
-	var match int64
+	var baseRevision int64
 	cmd := &cobra.Command{
 		Use: use, Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -74,18 +74,18 @@
 			}
 			c := client()
 			if !cmd.Flags().Changed("if-match") {
-				if match, err = currentRevision(cmd.Context(), c); err != nil {
+				if baseRevision, err = currentRevision(cmd.Context(), c); err != nil {
 					return err
 				}
 			}
-			if err := send(c, cmd.Context(), raw, match); err != nil {
+			if err := send(c, cmd.Context(), raw, baseRevision); err != nil {
 				return err
 			}
 			_, err = fmt.Fprintf(cmd.OutOrStdout(), "revision %d was taken\n", revision)
 			return err
 		},
 	}
-	cmd.Flags().Int64Var(&match, "if-match", 0, "the revision that the change is based on (default: the current one)")
+	cmd.Flags().Int64Var(&baseRevision, "if-match", 0, "the revision that the change is based on (default: the current one)")
 	return cmd
 }
 
