--- a/internal/cluster/clients_test.go
+++ b/internal/cluster/clients_test.go
@@ -13,7 +13,7 @@
 	"saltreel/internal/httpwire"
 )
 
-func (w *world) request(addr string, c *httpwire.Call, limit time.Duration) (*httpwire.Answer, error) {
+func (w *world) request(addr string, c *httpwire.Call, limit time.Duration) (*httpwire.ClientResponse, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	return w.client.Do(ctx, addr, c)
@@ -21,7 +21,7 @@
 
 // sendMessage sends one message to the edge of a zone; without an answer its
 // status is 0.
-func (w *world) sendMessage(zone, path, id string, header ...string) *httpwire.Answer {
+func (w *world) sendMessage(zone, path, id string, header ...string) *httpwire.ClientResponse {
 	w.t.Helper()
 	h := []string{"Saltreel-Attempt-Id", id, "Saltreel-Deadline-Ms", "2000"}
 	if !strings.Contains(strings.Join(header, " "), "Saltreel-Key") {
@@ -29,7 +29,7 @@
 	}
 	a, err := w.request(w.machines["edge-"+zone].ip+":80", &httpwire.Call{Method: "POST", Target: path, Host: "app.example", Header: append(h, header...), Body: []byte("body of " + id)}, 4*time.Second)
 	if err != nil {
-		return &httpwire.Answer{Header: http.Header{}}
+		return &httpwire.ClientResponse{Header: http.Header{}}
 	}
 	return a
 }
--- a/internal/edge/query.go
+++ b/internal/edge/query.go
@@ -50,7 +50,7 @@
 }
 
 // queryResponse turns the final answer of a store into that for the client.
-func queryResponse(kind string, answer *httpwire.Answer) *httpwire.Response {
+func queryResponse(kind string, answer *httpwire.ClientResponse) *httpwire.Response {
 	if answer.Status != 200 {
 		return httpwire.Problem(answer.Status, strings.TrimSpace(string(answer.Body)))
 	}
@@ -69,7 +69,7 @@
 // the last attempt. It is errUnknownPartition where the placement at hand lacks the
 // partition, as that of an edge that just started may: only its store could say
 // that there is no such message.
-func (e *Edge) queryPrimary(ctx context.Context, path string, query store.MessageQuery) (*httpwire.Answer, error) {
+func (e *Edge) queryPrimary(ctx context.Context, path string, query store.MessageQuery) (*httpwire.ClientResponse, error) {
 	body, err := json.Marshal(query)
 	if err != nil {
 		return nil, fmt.Errorf("encode %s: %w", path, err)
@@ -106,7 +106,7 @@
 	}
 }
 
-func (e *Edge) sendQuery(ctx context.Context, address, path string, body []byte) (*httpwire.Answer, error) {
+func (e *Edge) sendQuery(ctx context.Context, address, path string, body []byte) (*httpwire.ClientResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, e.timing.queryAttemptTimeout())
 	defer cancel()
 	return e.node.Client.Send(ctx, address, path, body)
--- a/internal/edge/query_test.go
+++ b/internal/edge/query_test.go
@@ -41,14 +41,14 @@
 	for _, test := range []struct {
 		name   string
 		kind   string
-		answer httpwire.Answer
+		answer httpwire.ClientResponse
 		status int
 	}{
-		{"state", "status", httpwire.Answer{Status: 200, Body: []byte(`{"state":0}`)}, 200},
-		{"state that cannot be read", "status", httpwire.Answer{Status: 200, Body: []byte("{")}, 502},
-		{"body, whatever it is", "body", httpwire.Answer{Status: 200, Body: []byte("{")}, 200},
-		{"unknown message", "status", httpwire.Answer{Status: 404, Body: []byte("no such message\n")}, 404},
-		{"body of a complete message", "body", httpwire.Answer{Status: 410, Body: []byte("the message is complete\n")}, 410},
+		{"state", "status", httpwire.ClientResponse{Status: 200, Body: []byte(`{"state":0}`)}, 200},
+		{"state that cannot be read", "status", httpwire.ClientResponse{Status: 200, Body: []byte("{")}, 502},
+		{"body, whatever it is", "body", httpwire.ClientResponse{Status: 200, Body: []byte("{")}, 200},
+		{"unknown message", "status", httpwire.ClientResponse{Status: 404, Body: []byte("no such message\n")}, 404},
+		{"body of a complete message", "body", httpwire.ClientResponse{Status: 410, Body: []byte("the message is complete\n")}, 410},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			response := queryResponse(test.kind, &test.answer)
--- a/internal/handler/handler_test.go
+++ b/internal/handler/handler_test.go
@@ -39,7 +39,7 @@
 		"redirection":                   {302, seal, Indeterminate},
 		"not found":                     {404, nil, Indeterminate},
 	} {
-		if got := outcomeOf(&httpwire.Answer{Status: c.status, Header: c.header}); got != c.want {
+		if got := outcomeOf(&httpwire.ClientResponse{Status: c.status, Header: c.header}); got != c.want {
 			t.Errorf("%s: %v, not %v", name, got, c.want)
 		}
 	}
@@ -103,7 +103,7 @@
 	r := &httpwire.Request{Request: httptest.NewRequest("POST", "http://h/a", nil), Body: []byte("hi")}
 	r.Header.Set(headerAttemptID, "m1")
 	got := sinkResponse(r, &out)
-	answer := &httpwire.Answer{Status: got.Status, Header: http.Header{}}
+	answer := &httpwire.ClientResponse{Status: got.Status, Header: http.Header{}}
 	for i := 0; i < len(got.Header); i += 2 {
 		answer.Header.Set(got.Header[i], got.Header[i+1])
 	}
--- a/internal/handler/outcome.go
+++ b/internal/handler/outcome.go
@@ -36,7 +36,7 @@
 )
 
 // outcomeOf classifies a complete response.
-func outcomeOf(a *httpwire.Answer) Outcome {
+func outcomeOf(a *httpwire.ClientResponse) Outcome {
 	if a.Status == http.StatusMisdirectedRequest {
 		return WrongInstance
 	}
--- a/internal/httpwire/call.go
+++ b/internal/httpwire/call.go
@@ -70,8 +70,8 @@
 	return append(raw, "\r\n"...)
 }
 
-// Answer is the response to a call, its body read.
-type Answer struct {
+// ClientResponse is the response to a call, its body read.
+type ClientResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
--- a/internal/httpwire/exchange.go
+++ b/internal/httpwire/exchange.go
@@ -18,7 +18,7 @@
 
 // exchange sends one attempt of a call and reads its response. began reports
 // whether any byte of a response came.
-func (c *clientConn) exchange(ctx context.Context, call *Call) (answer *Answer, began bool, err error) {
+func (c *clientConn) exchange(ctx context.Context, call *Call) (response *ClientResponse, began bool, err error) {
 	if err := ctx.Err(); err != nil {
 		return nil, false, &Error{Step: stepWrite, Err: err}
 	}
@@ -37,11 +37,11 @@
 	if _, err := c.Write(call.encode(id)); err != nil {
 		return nil, false, &Error{Step: stepWrite, Sent: true, Err: err}
 	}
-	if err := c.awaitAnswer(ctx); err != nil {
+	if err := c.awaitResponse(ctx); err != nil {
 		return nil, false, &Error{Step: stepWait, Sent: true, Err: err}
 	}
-	answer, err = c.readAnswer(call, id)
-	return answer, true, err
+	response, err = c.readResponse(call, id)
+	return response, true, err
 }
 
 // lateTimer is by how much the deadline of a call may be noticed late by a process
@@ -49,8 +49,8 @@
 // may have arrived meanwhile: it has lateTimer again to be read.
 const lateTimer = 10 * time.Millisecond
 
-// awaitAnswer waits for the first byte of a response until the context ends.
-func (c *clientConn) awaitAnswer(ctx context.Context) error {
+// awaitResponse waits for the first byte of a response until the context ends.
+func (c *clientConn) awaitResponse(ctx context.Context) error {
 	_, err := c.reader.Peek(1)
 	deadline, ok := ctx.Deadline()
 	if !ok || !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(deadline) < lateTimer {
@@ -65,7 +65,7 @@
 // the next read or write reports.
 func (c *clientConn) limit(deadline time.Time) { _ = c.SetDeadline(deadline) }
 
-func (c *clientConn) readAnswer(call *Call, id string) (*Answer, error) {
+func (c *clientConn) readResponse(call *Call, id string) (*ClientResponse, error) {
 	response, err := c.readFinalHead(call.Method)
 	if err != nil {
 		return nil, &Error{Step: stepRead, Sent: true, Err: err}
@@ -89,7 +89,7 @@
 	if response.Close || !framed {
 		response.Header.Set("Connection", "close")
 	}
-	return &Answer{Status: response.StatusCode, Header: response.Header, Body: body}, nil
+	return &ClientResponse{Status: response.StatusCode, Header: response.Header, Body: body}, nil
 }
 
 // readFinalHead reads the head of the response and those of 1xx before it.
@@ -119,13 +119,13 @@
 
 // prepareReuse reports whether the connection may carry another call, and until
 // when. A positive expire is its idle time, unless the peer announces one.
-func (c *clientConn) prepareReuse(answer *Answer, expire time.Duration) bool {
-	if strings.EqualFold(answer.Header.Get("Connection"), "close") || c.reader.Buffered() > 0 {
+func (c *clientConn) prepareReuse(response *ClientResponse, expire time.Duration) bool {
+	if strings.EqualFold(response.Header.Get("Connection"), "close") || c.reader.Buffered() > 0 {
 		return false
 	}
 	c.reused = true
 	c.expires = time.Time{}
-	announced, ok := announcedTimeout(answer.Header.Get("Keep-Alive"))
+	announced, ok := announcedTimeout(response.Header.Get("Keep-Alive"))
 	if ok {
 		expire = announced
 	}
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -26,17 +26,17 @@
 
 // Do sends a call and reads the complete response. The context must end. Errors
 // are of type *Error.
-func (p *Pool) Do(ctx context.Context, addr string, call *Call) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, addr string, call *Call) (*ClientResponse, error) {
 	sent := false
 	for {
 		c, err := p.connect(ctx, addr)
 		if err != nil {
 			return nil, &Error{Step: stepDial, Peer: addr, Sent: sent, Err: err}
 		}
-		answer, began, err := c.exchange(ctx, call)
+		response, began, err := c.exchange(ctx, call)
 		if err == nil {
-			p.release(addr, c, answer)
-			return answer, nil
+			p.release(addr, c, response)
+			return response, nil
 		}
 		p.discard(addr, c)
 		brokeIdle := c.reused && !began
@@ -102,8 +102,8 @@
 }
 
 // release makes a connection idle after a call, or closes it.
-func (p *Pool) release(addr string, c *clientConn, answer *Answer) {
-	if c.detached && c.prepareReuse(answer, p.IdleTimeout) {
+func (p *Pool) release(addr string, c *clientConn, response *ClientResponse) {
+	if c.detached && c.prepareReuse(response, p.IdleTimeout) {
 		p.addIdle(addr, c)
 		return
 	}
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -59,7 +59,7 @@
 // Send sends a call to one of the system's own processes and reads its response,
 // whatever its status. The call is identified, and only a response that repeats
 // its identifier counts.
-func (c *Client) Send(ctx context.Context, addr, path string, body []byte) (*httpwire.Answer, error) {
+func (c *Client) Send(ctx context.Context, addr, path string, body []byte) (*httpwire.ClientResponse, error) {
 	a, err := c.Do(ctx, addr, &httpwire.Call{
 		Method:     http.MethodPost,
 		Target:     path,
