--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -77,7 +77,7 @@
 	defer stopServing()
 	publisher := e.node.Publisher()
 	internal := &httpwire.Server{Handle: rpc.Mux{"/news": publisher.Handle}.Handle}
-	clients := &httpwire.Server{Handle: e.handle, Limits: e.limits, OnPanic: e.answerPanic, AnswerTime: e.timing.answerTime()}
+	clients := &httpwire.Server{Handle: e.handle, Limits: e.limits, OnPanic: e.answerPanic, ShutdownGracePeriod: e.timing.answerTime()}
 	var tasks sync.WaitGroup
 	for _, task := range []func(){
 		func() { _ = internal.Serve(serving, listeners.Internal) },
--- a/internal/httpwire/conn.go
+++ b/internal/httpwire/conn.go
@@ -27,7 +27,7 @@
 	draining chan struct{}   // closed when the server shuts down
 	users    map[string]bool // two at most
 
-	endHandlers context.CancelFunc // ends the context of its handlers; guarded by the server's lock
+	cancelHandlers context.CancelFunc // ends the context of its handlers; guarded by the server's lock
 }
 
 func newConn(s *Server, conn net.Conn) *Conn {
--- a/internal/httpwire/server.go
+++ b/internal/httpwire/server.go
@@ -18,8 +18,8 @@
 	// acceptRetryDelay is the wait after a failed Accept, for instance when there
 	// are too many open files.
 	acceptRetryDelay = 50 * time.Millisecond
-	// defaultAnswerTime is Server.AnswerTime where it is not set.
-	defaultAnswerTime = 200 * time.Millisecond
+	// defaultShutdownGracePeriod is Server.ShutdownGracePeriod where it is not set.
+	defaultShutdownGracePeriod = 200 * time.Millisecond
 )
 
 // Handler answers one request. A nil response closes the connection without one.
@@ -41,17 +41,17 @@
 	// process, as is right where the handler may have left shared state half
 	// changed.
 	OnPanic func(r *Request, reason any) *Response
-	// AnswerTime is how long the answers may take that Shutdown asks for when its
+	// ShutdownGracePeriod is how long the answers may take that Shutdown asks for when its
 	// context ends; 0: defaultAnswerTime.
-	AnswerTime time.Duration
+	ShutdownGracePeriod time.Duration
 
-	mu       sync.Mutex
-	conns    map[*Conn]bool // true while idle
-	closing  bool           // responses carry Connection: close
-	stopped  bool           // no connection is accepted, none becomes idle
-	readsEnd time.Time      // no request is read for longer; zero: no bound
-	listener net.Listener
-	active   sync.WaitGroup // counts conns
+	mu         sync.Mutex
+	conns      map[*Conn]bool // true while idle
+	closing    bool           // responses carry Connection: close
+	stopped    bool           // no connection is accepted, none becomes idle
+	readCutoff time.Time      // no request is read for longer; zero: no bound
+	listener   net.Listener
+	active     sync.WaitGroup // counts conns
 }
 
 // Serve accepts connections until the listener is closed. When ctx ends, it
@@ -119,7 +119,7 @@
 	defer s.active.Done()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s.setHandlersEnd(c, cancel)
+	s.setCancelHandlers(c, cancel)
 	c.serve(ctx)
 	s.mu.Lock()
 	delete(s.conns, c)
@@ -127,14 +127,14 @@
 	closeConnection(c)
 }
 
-// setHandlersEnd notes how to end the context of a connection's handlers, which
+// setCancelHandlers registers the cancel function of the context of a connection's handlers, which
 // Shutdown may do before that of Serve ends.
-func (s *Server) setHandlersEnd(c *Conn, end context.CancelFunc) {
+func (s *Server) setCancelHandlers(c *Conn, cancel context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.endHandlers = end
-	if !s.readsEnd.IsZero() {
-		end()
+	c.cancelHandlers = cancel
+	if !s.readCutoff.IsZero() {
+		cancel()
 	}
 }
 
@@ -160,12 +160,12 @@
 	}()
 	select {
 	case <-done:
-		s.endRequests()
+		s.cancelRequests()
 		return
 	case <-ctx.Done():
 	}
-	s.endRequests()
-	timer := time.NewTimer(s.answerTime())
+	s.cancelRequests()
+	timer := time.NewTimer(s.shutdownGracePeriod())
 	defer timer.Stop()
 	select {
 	case <-done:
@@ -174,11 +174,11 @@
 	}
 }
 
-func (s *Server) answerTime() time.Duration {
-	if s.AnswerTime > 0 {
-		return s.AnswerTime
+func (s *Server) shutdownGracePeriod() time.Duration {
+	if s.ShutdownGracePeriod > 0 {
+		return s.ShutdownGracePeriod
 	}
-	return defaultAnswerTime
+	return defaultShutdownGracePeriod
 }
 
 // stop begins a shutdown. Only the first call has an effect.
@@ -201,14 +201,14 @@
 	}
 }
 
-// endRequests ends the contexts of the handlers and the reading of requests.
-func (s *Server) endRequests() {
+// cancelRequests ends the contexts of the handlers and the reading of requests.
+func (s *Server) cancelRequests() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.readsEnd = time.Now()
+	s.readCutoff = time.Now()
 	for c := range s.conns {
-		if c.endHandlers != nil {
-			c.endHandlers()
+		if c.cancelHandlers != nil {
+			c.cancelHandlers()
 		}
 		c.interruptRead()
 	}
@@ -242,10 +242,10 @@
 func (s *Server) readDeadline(wanted time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.readsEnd.IsZero() || !wanted.IsZero() && wanted.Before(s.readsEnd) {
+	if s.readCutoff.IsZero() || !wanted.IsZero() && wanted.Before(s.readCutoff) {
 		return wanted
 	}
-	return s.readsEnd
+	return s.readCutoff
 }
 
 func (s *Server) isClosing() bool {
--- a/internal/httpwire/server_test.go
+++ b/internal/httpwire/server_test.go
@@ -270,7 +270,7 @@
 func TestShutdownEndsWithoutAHandlerThatDoesNot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
-		s := &Server{AnswerTime: 300 * time.Millisecond, Handle: func(context.Context, *Request) *Response {
+		s := &Server{ShutdownGracePeriod: 300 * time.Millisecond, Handle: func(context.Context, *Request) *Response {
 			<-release
 			return nil
 		}}
--- a/internal/operator/serve.go
+++ b/internal/operator/serve.go
@@ -55,9 +55,9 @@
 	}
 	operatorServer := &Server{Core: core}
 	server := &httpwire.Server{
-		Handle:     core.ControlHandler(operatorServer.Handle),
-		Limits:     func() httpwire.Limits { return listenerLimits(set) },
-		AnswerTime: responseTimeout(set),
+		Handle:              core.ControlHandler(operatorServer.Handle),
+		Limits:              func() httpwire.Limits { return listenerLimits(set) },
+		ShutdownGracePeriod: responseTimeout(set),
 	}
 	// The core keeps running after ctx ends, until the listener has shut down.
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
