--- a/internal/edge/admission.go
+++ b/internal/edge/admission.go
@@ -51,13 +51,13 @@
 func (e *Edge) throttle(r *httpwire.Request, m *client.Message, route *configuration.Route, waited time.Duration, response *httpwire.Response) {
 	worked := time.Since(r.Received) - waited
 	x, by := e.quotas.RecordRequest(m.Tenant, route.Name, len(r.Body), worked, m.Throttle)
-	shared := r.Conn.Shared(m.Tenant)
+	shared := r.Conn.AddUser(m.Tenant)
 	if x <= 0 {
 		return
 	}
 	response.Header = append(response.Header, "Saltreel-Throttle-Ms", strconv.FormatInt(min(x, quota.Window).Milliseconds(), 10))
-	if !shared { // a hold would make other tenants wait
-		r.Conn.Hold(by.Throttle(x))
+	if !shared { // pausing the connection would delay other tenants
+		r.Conn.PauseReads(by.Throttle(x))
 	}
 }
 
@@ -87,7 +87,7 @@
 func (e *Edge) checkRate(ctx context.Context, tenant *configuration.Tenant, m *client.Message, route *configuration.Route) *httpwire.Response {
 	m.Throttle = e.quotas.AcceptedMessages.Record(m.Tenant, route.Name, 1)
 	if wait := e.leases.Acquire(ctx, tenant); wait > 0 {
-		// The connection is held until the next lease only: the tenant is
+		// Reads from the connection are paused until the next lease only: the tenant is
 		// still owed its limit, also on the connections it has.
 		x := max(wait, e.leases.ThrottleTime(tenant, e.quotas.AcceptedMessages.Rate(m.Tenant, route.Name)))
 		m.Throttle = min(wait, x)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -101,7 +101,7 @@
 
 // drainClients ends the service for clients: the process is not ready any more,
 // but serves until the platform has noticed; then the requests that were read are
-// answered, and connections on hold are released. What takes longer than the
+// answered, and paused connections are read again. What takes longer than the
 // shutdown may is answered by what is known of it: 503 or 504.
 func (e *Edge) drainClients(clients *httpwire.Server) {
 	e.stopping.Store(true)
--- a/internal/handler/deliver.go
+++ b/internal/handler/deliver.go
@@ -53,11 +53,11 @@
 // call makes the request. Its response must repeat the attempt's identifier.
 func (d *Delivery) call() *httpwire.Call {
 	call := &httpwire.Call{
-		Method:  d.Method,
-		Target:  d.Target,
-		Host:    d.Host,
-		Body:    d.Body,
-		Repeats: headerAttemptID,
+		Method:     d.Method,
+		Target:     d.Target,
+		Host:       d.Host,
+		Body:       d.Body,
+		EchoHeader: headerAttemptID,
 		Header: []string{
 			headerAttemptID, d.ID,
 			headerDeadline, strconv.FormatInt(d.Timeout.Milliseconds(), 10),
--- a/internal/handler/handler_test.go
+++ b/internal/handler/handler_test.go
@@ -69,7 +69,7 @@
 	d := Delivery{ID: "m1", Tenant: "t", Instance: "i", Method: "POST", Target: "/a", Host: "h", Body: []byte("x"), Timeout: 2 * time.Second}
 	call := d.call()
 	want := []string{headerAttemptID, "m1", headerDeadline, "2000", headerTenant, "t", headerExpectInstance, "i"}
-	if !slices.Equal(call.Header, want) || call.Repeats != headerAttemptID || call.Idempotent {
+	if !slices.Equal(call.Header, want) || call.EchoHeader != headerAttemptID || call.Idempotent {
 		t.Errorf("%+v", call)
 	}
 }
--- a/internal/httpwire/call.go
+++ b/internal/httpwire/call.go
@@ -12,10 +12,10 @@
 	Method, Target, Host string
 	Header               []string // names and values in turn
 	Body                 []byte
-	// Repeats names a header field by which the call is identified: a response
+	// EchoHeader names a header field by which the call is identified: a response
 	// counts only if it repeats the field as it was sent. Empty: any counts.
-	Repeats string
-	// NewID makes the value of Repeats anew for each attempt. Only our own
+	EchoHeader string
+	// NewID makes the value of EchoHeader anew for each attempt. Only our own
 	// processes answer such calls, so their responses are checked more strictly:
 	// with a length, and nothing behind it. Nil: Header holds the value.
 	NewID      func(ctx context.Context) string
@@ -25,13 +25,13 @@
 // isInternal reports whether the call goes to one of the system's own processes.
 func (c *Call) isInternal() bool { return c.NewID != nil }
 
-// id is the value of the header field Repeats for the next attempt.
+// id is the value of the header field EchoHeader for the next attempt.
 func (c *Call) id(ctx context.Context) string {
 	if c.isInternal() {
 		return c.NewID(ctx)
 	}
 	for i := 0; i+1 < len(c.Header); i += 2 {
-		if c.Header[i] == c.Repeats {
+		if c.Header[i] == c.EchoHeader {
 			return c.Header[i+1]
 		}
 	}
@@ -51,7 +51,7 @@
 		raw = appendField(raw, c.Header[i], c.Header[i+1])
 	}
 	if c.isInternal() {
-		raw = appendField(raw, c.Repeats, id)
+		raw = appendField(raw, c.EchoHeader, id)
 	}
 	bodyless := c.Method == http.MethodGet || c.Method == http.MethodDelete
 	if len(c.Body) > 0 || !bodyless {
--- a/internal/httpwire/conn.go
+++ b/internal/httpwire/conn.go
@@ -23,7 +23,7 @@
 	net.Conn
 	server   *Server
 	reader   *bufio.Reader
-	hold     <-chan struct{} // nil: not held
+	resume   <-chan struct{} // nil: reads are not paused
 	draining chan struct{}   // closed when the server shuts down
 	users    map[string]bool // two at most
 
@@ -39,9 +39,9 @@
 	}
 }
 
-// Shared notes that a user sends on the connection, and reports whether more
+// AddUser notes that a user sends on the connection, and reports whether more
 // than one has.
-func (c *Conn) Shared(user string) bool {
+func (c *Conn) AddUser(user string) bool {
 	if c.users == nil {
 		c.users = map[string]bool{}
 	}
@@ -51,9 +51,9 @@
 	return len(c.users) > 1
 }
 
-// Hold stops reads from the connection after the current response until released
+// PauseReads stops reads from the connection after the current response until resume
 // is closed or the server shuts down.
-func (c *Conn) Hold(released <-chan struct{}) { c.hold = released }
+func (c *Conn) PauseReads(resume <-chan struct{}) { c.resume = resume }
 
 // ClientClosed reports whether the client has closed the connection behind its
 // request, as far as its machine has said so. A process that was frozen, or
@@ -72,7 +72,7 @@
 
 // serveRequest answers one request, and reports whether another may follow.
 func (c *Conn) serveRequest(ctx context.Context, w *bufio.Writer) (more bool) {
-	if !c.waitWhileHeld(ctx) {
+	if !c.waitWhilePaused(ctx) {
 		return false
 	}
 	limits := c.server.limits()
@@ -111,18 +111,18 @@
 	return c.server.Handle(ctx, request)
 }
 
-// waitWhileHeld reports false if ctx ends while the connection is held.
-func (c *Conn) waitWhileHeld(ctx context.Context) bool {
-	if c.hold == nil {
+// waitWhilePaused reports false if ctx ends while reads from the connection are paused.
+func (c *Conn) waitWhilePaused(ctx context.Context) bool {
+	if c.resume == nil {
 		return true
 	}
 	select {
-	case <-c.hold:
+	case <-c.resume:
 	case <-c.draining:
 	case <-ctx.Done():
 		return false
 	}
-	c.hold = nil
+	c.resume = nil
 	return true
 }
 
--- a/internal/httpwire/exchange.go
+++ b/internal/httpwire/exchange.go
@@ -106,9 +106,9 @@
 
 // matchHead checks that a response is that to the call.
 func matchHead(call *Call, id string, header http.Header, framed bool) error {
-	if call.Repeats != "" {
-		if got := header.Values(call.Repeats); len(got) != 1 || got[0] != id {
-			return fmt.Errorf("%s is %q, not %q", call.Repeats, got, id)
+	if call.EchoHeader != "" {
+		if got := header.Values(call.EchoHeader); len(got) != 1 || got[0] != id {
+			return fmt.Errorf("%s is %q, not %q", call.EchoHeader, got, id)
 		}
 	}
 	if call.isInternal() && !framed {
--- a/internal/httpwire/pool_test.go
+++ b/internal/httpwire/pool_test.go
@@ -28,7 +28,7 @@
 		}}}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		call := &Call{Method: "GET", Target: "/", Host: "h", Header: []string{"Id", "mine"}, Repeats: "Id"}
+		call := &Call{Method: "GET", Target: "/", Host: "h", Header: []string{"Id", "mine"}, EchoHeader: "Id"}
 		if a, err := pool.Do(ctx, "h:1", call); err == nil || NotSent(err) || pool.Open("h:1") != 0 {
 			t.Errorf("response to another call: %+v %v", a, err)
 		}
@@ -49,8 +49,8 @@
 		"empty post":      {Call{Method: "POST", Target: "/a", Host: "h"}, "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"},
 		"body":            {Call{Method: "POST", Target: "/a", Host: "h", Body: []byte("hi")}, "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi"},
 		"get with a body": {Call{Method: "GET", Target: "/a", Host: "h", Body: []byte("hi")}, "GET /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi"},
-		"header":          {Call{Method: "GET", Target: "/a", Host: "h", Header: []string{"A", "1", "B", "2"}, Repeats: "A"}, "GET /a HTTP/1.1\r\nHost: h\r\nA: 1\r\nB: 2\r\n\r\n"},
-		"internal":        {Call{Method: "GET", Target: "/a", Host: "h", Repeats: "Id", NewID: newID}, "GET /a HTTP/1.1\r\nHost: h\r\nId: id-1\r\n\r\n"},
+		"header":          {Call{Method: "GET", Target: "/a", Host: "h", Header: []string{"A", "1", "B", "2"}, EchoHeader: "A"}, "GET /a HTTP/1.1\r\nHost: h\r\nA: 1\r\nB: 2\r\n\r\n"},
+		"internal":        {Call{Method: "GET", Target: "/a", Host: "h", EchoHeader: "Id", NewID: newID}, "GET /a HTTP/1.1\r\nHost: h\r\nId: id-1\r\n\r\n"},
 	} {
 		if got := string(c.call.encode(c.call.id(t.Context()))); got != c.want {
 			t.Errorf("%s: %q, not %q", name, got, c.want)
@@ -59,8 +59,8 @@
 }
 
 func TestMatchHead(t *testing.T) {
-	external := &Call{Repeats: "Id"}
-	internal := &Call{Repeats: "Id", NewID: func(context.Context) string { return "" }}
+	external := &Call{EchoHeader: "Id"}
+	internal := &Call{EchoHeader: "Id", NewID: func(context.Context) string { return "" }}
 	for name, c := range map[string]struct {
 		call   *Call
 		ids    []string
--- a/internal/httpwire/server.go
+++ b/internal/httpwire/server.go
@@ -145,7 +145,7 @@
 	s.closing = true
 }
 
-// Shutdown accepts no more connections, closes the idle ones, releases the held
+// Shutdown accepts no more connections, closes the idle ones, resumes the paused
 // ones, and waits until the others have finished their request. When ctx ends,
 // the contexts of the handlers end too, so that they answer at once by what they
 // know, and requests that have not come whole are rejected; connections are
--- a/internal/httpwire/server_test.go
+++ b/internal/httpwire/server_test.go
@@ -83,12 +83,12 @@
 	}
 }
 
-func TestHeldConnectionIsReadAfterReleaseOrShutdown(t *testing.T) {
+func TestPausedConnectionIsReadAfterResumeOrShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var at []time.Duration
 		began := time.Now()
 		s := &Server{}
-		hold := make(chan struct{})
+		neverClosed := make(chan struct{})
 		s.Handle = func(_ context.Context, r *Request) *Response {
 			at = append(at, time.Since(began))
 			if len(at) < 3 {
@@ -96,9 +96,9 @@
 				if len(at) == 1 {
 					time.AfterFunc(400*time.Millisecond, func() { close(ch) })
 				} else {
-					ch = hold // never released
+					ch = neverClosed
 				}
-				r.Conn.Hold(ch)
+				r.Conn.PauseReads(ch)
 			}
 			return &Response{Status: 200}
 		}
@@ -117,7 +117,7 @@
 func TestConnectionOfSeveralUsersIsShared(t *testing.T) {
 	c := &Conn{}
 	for i, want := range []bool{false, false, true, true} {
-		if user := []string{"a", "a", "b", "a"}[i]; c.Shared(user) != want {
+		if user := []string{"a", "a", "b", "a"}[i]; c.AddUser(user) != want {
 			t.Errorf("request %d, of %s: shared is not %v", i, user, want)
 		}
 	}
@@ -228,20 +228,20 @@
 }
 
 // A request that has arrived and was not read when the server stops is answered,
-// on an idle connection as on a held one.
+// on an idle connection as well as on a paused one.
 func TestShutdownAnswersARequestThatHasArrived(t *testing.T) {
-	for name, held := range map[string]bool{"idle": false, "held": true} {
+	for name, paused := range map[string]bool{"idle": false, "paused": true} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { checkArrivedRequest(t, held) })
+			synctest.Test(t, func(t *testing.T) { checkArrivedRequest(t, paused) })
 		})
 	}
 }
 
-func checkArrivedRequest(t *testing.T, held bool) {
+func checkArrivedRequest(t *testing.T, paused bool) {
 	t.Helper()
 	s := &Server{Handle: func(_ context.Context, r *Request) *Response {
-		if held {
-			r.Conn.Hold(make(chan struct{})) // never released
+		if paused {
+			r.Conn.PauseReads(make(chan struct{})) // never released
 		}
 		return &Response{Status: 200}
 	}}
@@ -252,7 +252,7 @@
 	}
 	synctest.Wait()
 	second := func() { _, _ = io.WriteString(c.conn, plainRequest) }
-	if held {
+	if paused {
 		go second() // a pipe has no buffer: this waits
 	} else {
 		time.AfterFunc(lateTimer/2, second)
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -65,7 +65,7 @@
 		Target:     path,
 		Host:       addr,
 		Body:       body,
-		Repeats:    headerCall,
+		EchoHeader:    headerCall,
 		NewID:      newCallID,
 		Idempotent: Idempotent[path],
 	})
--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -112,7 +112,7 @@
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		a, err := client.Do(ctx, "h:1", &httpwire.Call{Method: "POST", Target: "/", Host: "h", Header: []string{"Id", "mine"}, Repeats: "Id"})
+		a, err := client.Do(ctx, "h:1", &httpwire.Call{Method: "POST", Target: "/", Host: "h", Header: []string{"Id", "mine"}, EchoHeader: "Id"})
 		if err != nil || a.Header.Get("Seal") != "s" || client.Open("h:1") != 0 {
 			t.Errorf("%+v %v, %d connections are open", a, err, client.Open("h:1"))
 		}
