--- a/internal/delivery/attempt.go
+++ b/internal/delivery/attempt.go
@@ -99,7 +99,7 @@
 			s.endpoints.remove(e)
 		}
 	case handler.NoResponse:
-		s.config.Pool.Forget(e.Address) // its idle connections may be stalled
+		s.config.Pool.CloseIdle(e.Address) // its idle connections may be stalled
 	default:
 	}
 }
--- a/internal/delivery/reconcile.go
+++ b/internal/delivery/reconcile.go
@@ -77,5 +77,5 @@
 			}
 		}
 	}
-	s.config.Pool.Forget(removed.Address)
+	s.config.Pool.CloseIdle(removed.Address)
 }
--- a/internal/delivery/reconcile_test.go
+++ b/internal/delivery/reconcile_test.go
@@ -119,12 +119,12 @@
 			h.mu.Lock()
 			h.dialed = nil
 			h.mu.Unlock()
-			if open := s.config.Pool.Open("former"); open > 0 {
+			if open := s.config.Pool.ConnectionsTo("former"); open > 0 {
 				t.Errorf("%d connections to the former endpoint are open", open)
 			}
 		})
 		runScheduler(t, s, time.Minute)
-		s.config.Pool.Forget("current")
+		s.config.Pool.CloseIdle("current")
 		if slices.Contains(h.dialed, "former") || len(p.outcomes()) != 200 {
 			t.Errorf("connections to %q, %d of 200 messages finished", h.dialed, len(p.outcomes()))
 		}
@@ -147,7 +147,7 @@
 			return current
 		}
 		runScheduler(t, s, time.Minute)
-		s.config.Pool.Forget("current")
+		s.config.Pool.CloseIdle("current")
 		if !slices.Equal(h.dialed, []string{"former", "current"}) || h.maxRunning != 1 || len(p.outcomes()) != 2 {
 			t.Errorf("connections to %q, %d deliveries at once, outcomes %q", h.dialed, h.maxRunning, p.outcomes())
 		}
--- a/internal/delivery/scheduler_test.go
+++ b/internal/delivery/scheduler_test.go
@@ -60,7 +60,7 @@
 	cancel()
 	<-done
 	for _, e := range s.endpoints["service-0"] {
-		s.config.Pool.Forget(e.Address)
+		s.config.Pool.CloseIdle(e.Address)
 	}
 }
 
@@ -314,7 +314,7 @@
 		cancel()
 		tasks.Wait()
 		for i := range 3 {
-			s.config.Pool.Forget(fmt.Sprintf("10.0.0.%d:80", i))
+			s.config.Pool.CloseIdle(fmt.Sprintf("10.0.0.%d:80", i))
 		}
 		if len(p.outcomes()) != len(records) {
 			t.Errorf("%d of %d messages finished", len(p.outcomes()), len(records))
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// Open returns the number of connections to a peer, idle or in use.
-func (p *Pool) Open(addr string) int {
+// ConnectionsTo returns the number of connections to a peer, idle or in use.
+func (p *Pool) ConnectionsTo(addr string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open[addr]
@@ -163,8 +163,8 @@
 	return total
 }
 
-// Forget closes the idle connections to a peer.
-func (p *Pool) Forget(addr string) {
+// CloseIdle closes the idle connections to a peer.
+func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[addr] {
--- a/internal/httpwire/pool_test.go
+++ b/internal/httpwire/pool_test.go
@@ -29,7 +29,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		call := &Call{Method: "GET", Target: "/", Host: "h", Header: []string{"Id", "mine"}, EchoHeader: "Id"}
-		if a, err := pool.Do(ctx, "h:1", call); err == nil || NotSent(err) || pool.Open("h:1") != 0 {
+		if a, err := pool.Do(ctx, "h:1", call); err == nil || NotSent(err) || pool.ConnectionsTo("h:1") != 0 {
 			t.Errorf("response to another call: %+v %v", a, err)
 		}
 		if _, err := pool.Do(ctx, "h:1", call); err != nil || dials != 2 {
@@ -179,7 +179,7 @@
 		}()
 		return near, nil
 	}}}
-	t.Cleanup(func() { pool.Forget("h:1") })
+	t.Cleanup(func() { pool.CloseIdle("h:1") })
 	return pool, dials
 }
 
@@ -227,17 +227,17 @@
 		}
 		conns = append(conns, c)
 	}
-	if pool.Open("h:1") != 3 || pool.Connections() != 3 {
-		t.Errorf("%d open, %d in total", pool.Open("h:1"), pool.Connections())
+	if pool.ConnectionsTo("h:1") != 3 || pool.Connections() != 3 {
+		t.Errorf("%d open, %d in total", pool.ConnectionsTo("h:1"), pool.Connections())
 	}
 	for _, c := range conns {
 		pool.addIdle("h:1", c)
 	}
-	if pool.Open("h:1") != 2 || pool.Connections() != 2 {
-		t.Errorf("%d open, %d in total, of which 2 may be idle", pool.Open("h:1"), pool.Connections())
+	if pool.ConnectionsTo("h:1") != 2 || pool.Connections() != 2 {
+		t.Errorf("%d open, %d in total, of which 2 may be idle", pool.ConnectionsTo("h:1"), pool.Connections())
 	}
-	pool.Forget("h:1")
-	if pool.Open("h:1") != 0 || pool.Connections() != 0 {
-		t.Errorf("%d open, %d in total after Forget", pool.Open("h:1"), pool.Connections())
+	pool.CloseIdle("h:1")
+	if pool.ConnectionsTo("h:1") != 0 || pool.Connections() != 0 {
+		t.Errorf("%d open, %d in total after Forget", pool.ConnectionsTo("h:1"), pool.Connections())
 	}
 }
--- a/internal/partition/pipeline_test.go
+++ b/internal/partition/pipeline_test.go
@@ -178,7 +178,7 @@
 			backup := &slowBackup{delay: c.delay}
 			mux := rpc.Mux{"/copy": rpc.Handler(backup.handleBatch)}
 			client := pipeTo(t.Context(), &httpwire.Server{Handle: mux.Handle})
-			t.Cleanup(func() { client.Forget("other:1") })
+			t.Cleanup(func() { client.CloseIdle("other:1") })
 			m := startBackup(t)
 			m.config.Client = client
 			m.ApplyPlacement(placement.Placement{
--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -54,7 +54,7 @@
 		}()
 		return near, nil
 	}}})
-	t.Cleanup(func() { client.Forget("h:1") })
+	t.Cleanup(func() { client.CloseIdle("h:1") })
 	return client
 }
 
@@ -95,8 +95,8 @@
 			if (err == nil) != c.ok || httpwire.NotSent(err) {
 				t.Errorf("%s: %v", what, err)
 			}
-			if answered := StatusCode(err) != 0; answered != (what == "own, refused") || !c.ok && !answered && client.Open("h:1") != 0 {
-				t.Errorf("%s: %v, %d connections are open", what, err, client.Open("h:1"))
+			if answered := StatusCode(err) != 0; answered != (what == "own, refused") || !c.ok && !answered && client.ConnectionsTo("h:1") != 0 {
+				t.Errorf("%s: %v, %d connections are open", what, err, client.ConnectionsTo("h:1"))
 			}
 		})
 	}
@@ -113,8 +113,8 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		a, err := client.Do(ctx, "h:1", &httpwire.Call{Method: "POST", Target: "/", Host: "h", Header: []string{"Id", "mine"}, EchoHeader: "Id"})
-		if err != nil || a.Header.Get("Seal") != "s" || client.Open("h:1") != 0 {
-			t.Errorf("%+v %v, %d connections are open", a, err, client.Open("h:1"))
+		if err != nil || a.Header.Get("Seal") != "s" || client.ConnectionsTo("h:1") != 0 {
+			t.Errorf("%+v %v, %d connections are open", a, err, client.ConnectionsTo("h:1"))
 		}
 	})
 }
@@ -243,8 +243,8 @@
 			c, err := dial(ctx, addr)
 			return cancelOnRead{c, cancel}, err
 		}
-		if err := client.Call(ctx, "h:1", "/ping", struct{}{}, nil, nil); err != nil || client.Open("h:1") != 0 {
-			t.Errorf("%v, %d connections are open", err, client.Open("h:1"))
+		if err := client.Call(ctx, "h:1", "/ping", struct{}{}, nil, nil); err != nil || client.ConnectionsTo("h:1") != 0 {
+			t.Errorf("%v, %d connections are open", err, client.ConnectionsTo("h:1"))
 		}
 		if err := client.Call(ctx, "h:1", "/ping", struct{}{}, nil, nil); !httpwire.NotSent(err) {
 			t.Errorf("a call whose deadline has passed is sent: %v", err)
