--- a/internal/httpwire/conn.go
+++ b/internal/httpwire/conn.go
@@ -153,7 +153,7 @@
 // hasArrived reports whether the client has sent something that was not read when
 // the wait for it ended.
 func (c *Conn) hasArrived() bool {
-	_ = c.SetReadDeadline(time.Now().Add(lateTimer)) // fails on a closed connection, as the read does
+	_ = c.SetReadDeadline(time.Now().Add(deadlineSlack)) // fails on a closed connection, as the read does
 	_, err := c.reader.Peek(1)
 	return err == nil
 }
--- a/internal/httpwire/exchange.go
+++ b/internal/httpwire/exchange.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// peerTimeoutShare is the part of the idle time that a peer announces after which
+// keepAliveShare is the part of the idle time that a peer announces after which
 // a connection is not used any more, so that a call does not meet its end.
-const peerTimeoutShare = 0.8
+const keepAliveShare = 0.8
 
 // exchange sends one attempt of a call and reads its response. began reports
 // whether any byte of a response came.
@@ -23,11 +23,11 @@
 		return nil, false, &Error{Step: stepWrite, Err: err}
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		c.limit(deadline)
+		c.applyDeadline(deadline)
 	}
 	stop := context.AfterFunc(ctx, func() {
 		if !errors.Is(ctx.Err(), context.DeadlineExceeded) { // which the connection has itself
-			c.limit(time.Unix(1, 0))
+			c.applyDeadline(time.Unix(1, 0))
 		}
 	})
 	// If that function has begun, it may yet take effect: the connection must not
@@ -44,26 +44,26 @@
 	return response, true, err
 }
 
-// lateTimer is by how much the deadline of a call may be noticed late by a process
+// deadlineSlack is by how much the deadline of a call may be noticed late by a process
 // that runs. One that was without the processor notices it later, and the answer
-// may have arrived meanwhile: it has lateTimer again to be read.
-const lateTimer = 10 * time.Millisecond
+// may have arrived meanwhile: it has deadlineSlack again to be read.
+const deadlineSlack = 10 * time.Millisecond
 
 // awaitResponse waits for the first byte of a response until the context ends.
 func (c *clientConn) awaitResponse(ctx context.Context) error {
 	_, err := c.reader.Peek(1)
 	deadline, ok := ctx.Deadline()
-	if !ok || !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(deadline) < lateTimer {
+	if !ok || !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(deadline) < deadlineSlack {
 		return err
 	}
-	c.limit(time.Now().Add(lateTimer))
+	c.applyDeadline(time.Now().Add(deadlineSlack))
 	_, err = c.reader.Peek(1)
 	return err
 }
 
-// limit sets the deadline. An error means that the connection is closed, which
+// applyDeadline sets the deadline of reads and writes. An error means that the connection is closed, which
 // the next read or write reports.
-func (c *clientConn) limit(deadline time.Time) { _ = c.SetDeadline(deadline) }
+func (c *clientConn) applyDeadline(deadline time.Time) { _ = c.SetDeadline(deadline) }
 
 func (c *clientConn) readResponse(call *Call, id string) (*ClientResponse, error) {
 	response, err := c.readFinalHead(call.Method)
@@ -144,7 +144,7 @@
 			continue
 		}
 		if seconds, err := strconv.ParseFloat(value, 64); err == nil {
-			timeout = time.Duration(seconds * peerTimeoutShare * float64(time.Second))
+			timeout = time.Duration(seconds * keepAliveShare * float64(time.Second))
 			ok = true
 		}
 	}
--- a/internal/httpwire/network.go
+++ b/internal/httpwire/network.go
@@ -47,10 +47,10 @@
 // acknowledged by a response or counts as not received.
 func closeConnection(c io.Closer) { _ = c.Close() }
 
-// isQuiet reports whether an idle connection is open and has nothing to read. An
+// isReusable reports whether an idle connection is open and has nothing to read. An
 // unsolicited response must not be read as that to the next call. A connection
-// that cannot be checked counts as quiet.
-func isQuiet(c net.Conn) bool {
+// that cannot be checked counts as reusable.
+func isReusable(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
@@ -59,12 +59,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	reusable := false
 	err = raw.Control(func(fd uintptr) {
 		_, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR)
+		reusable = errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR)
 	})
-	return err == nil && quiet
+	return err == nil && reusable
 }
 
 // isClosedByPeer reports whether the peer has closed the connection, as far as
--- a/internal/httpwire/network_test.go
+++ b/internal/httpwire/network_test.go
@@ -31,8 +31,8 @@
 
 func TestStateOfAnIdleConnection(t *testing.T) {
 	for name, c := range map[string]struct {
-		change        func(near, far net.Conn)
-		quiet, closed bool
+		change           func(near, far net.Conn)
+		reusable, closed bool
 	}{
 		"open":                    {func(net.Conn, net.Conn) {}, true, false},
 		"with a byte to read":     {func(_, far net.Conn) { _, _ = far.Write([]byte("x")) }, false, false},
@@ -46,15 +46,15 @@
 		c.change(near, far)
 		// What the peer did arrives a moment later.
 		deadline := time.Now().Add(5 * time.Second)
-		for (isQuiet(near) != c.quiet || isClosedByPeer(near) != c.closed) && time.Now().Before(deadline) {
+		for (isReusable(near) != c.reusable || isClosedByPeer(near) != c.closed) && time.Now().Before(deadline) {
 			time.Sleep(time.Millisecond)
 		}
-		if quiet, closed := isQuiet(near), isClosedByPeer(near); quiet != c.quiet || closed != c.closed {
-			t.Errorf("%s: quiet %v, closed by the peer %v", name, quiet, closed)
+		if reusable, closed := isReusable(near), isClosedByPeer(near); reusable != c.reusable || closed != c.closed {
+			t.Errorf("%s: reusable %v, closed by the peer %v", name, reusable, closed)
 		}
 	}
 	pipe, _ := net.Pipe()
-	if !isQuiet(pipe) || isClosedByPeer(pipe) {
+	if !isReusable(pipe) || isClosedByPeer(pipe) {
 		t.Error("a connection that cannot be checked counts as broken")
 	}
 }
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -93,7 +93,7 @@
 		}
 		c := list[len(list)-1]
 		p.idle[addr] = list[:len(list)-1]
-		if !c.isExpired() && isQuiet(c.Conn) {
+		if !c.isExpired() && isReusable(c.Conn) {
 			return c
 		}
 		p.open[addr]--
--- a/internal/httpwire/pool_test.go
+++ b/internal/httpwire/pool_test.go
@@ -121,9 +121,9 @@
 		answer   string
 		answered bool
 	}{
-		"late, and the answer is there": {lateTimer, answer, true},
-		"late, and there is none":       {lateTimer, "", false},
-		"noticed in time":               {lateTimer - 1, answer, false},
+		"late, and the answer is there": {deadlineSlack, answer, true},
+		"late, and there is none":       {deadlineSlack, "", false},
+		"noticed in time":               {deadlineSlack - 1, answer, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			conn := &stalledConn{late: c.late, answer: c.answer}
--- a/internal/httpwire/server_test.go
+++ b/internal/httpwire/server_test.go
@@ -255,7 +255,7 @@
 	if paused {
 		go second() // a pipe has no buffer: this waits
 	} else {
-		time.AfterFunc(lateTimer/2, second)
+		time.AfterFunc(deadlineSlack/2, second)
 	}
 	status := make(chan int, 1)
 	go func() { status <- c.status() }()
