--- a/internal/rpc/calls.go
+++ b/internal/rpc/calls.go
@@ -49,10 +49,10 @@
 	"/view":           true,
 }
 
-// frequent holds the calls of which there are most. Whether their caller has
+// skipsClosedCheck holds the calls of which there are most. Whether their caller has
 // closed the connection is not checked: the check is a system call, and a late
 // call of these kinds has no effect (docs/calls.md).
-var frequent = map[string]bool{"/copy": true, "/grant": true, "/news": true}
+var skipsClosedCheck = map[string]bool{"/copy": true, "/grant": true, "/news": true}
 
 // callIDBytes are enough random bytes that no two calls on one connection, and
 // no two of which one arrives late, have the same identifier, over all restarts.
@@ -70,18 +70,18 @@
 	return string(id)
 }
 
-var errCallerWait = errors.New("the call does not say how long its caller waits")
+var errInvalidTimeout = errors.New("the call does not say how long its caller waits")
 
-// callerWait reads from a call's identifier how long its caller waits. Calls
+// parseCallerTimeout reads from a call's identifier how long its caller waits. Calls
 // without a deadline do not say.
-func callerWait(callID string) (wait time.Duration, limited bool, err error) {
+func parseCallerTimeout(callID string) (wait time.Duration, limited bool, err error) {
 	_, milliseconds, limited := strings.Cut(callID, " ")
 	if !limited {
 		return 0, false, nil
 	}
 	n, err := strconv.ParseInt(milliseconds, 10, 32)
 	if err != nil || n < 0 {
-		return 0, false, errCallerWait
+		return 0, false, errInvalidTimeout
 	}
 	return time.Duration(n) * time.Millisecond, true, nil
 }
--- a/internal/rpc/calls_test.go
+++ b/internal/rpc/calls_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestCallerWait(t *testing.T) {
+func TestParseCallerTimeout(t *testing.T) {
 	for id, want := range map[string]struct {
 		wait    time.Duration
 		limited bool
@@ -68,7 +68,7 @@
 		"abc 99999999":   {99999999 * time.Millisecond, true, false},
 		"abc 9999999999": {fails: true}, // would overflow
 	} {
-		if wait, limited, err := callerWait(id); wait != want.wait || limited != want.limited || (err != nil) != want.fails {
+		if wait, limited, err := parseCallerTimeout(id); wait != want.wait || limited != want.limited || (err != nil) != want.fails {
 			t.Errorf("%q: %v %v %v", id, wait, limited, err)
 		}
 	}
@@ -81,7 +81,7 @@
 	for range 1000 {
 		id := newCallID(ctx)
 		random, _, _ := strings.Cut(id, " ")
-		if wait, limited, err := callerWait(id); err != nil || !limited || wait <= 0 || wait > time.Minute+time.Millisecond {
+		if wait, limited, err := parseCallerTimeout(id); err != nil || !limited || wait <= 0 || wait > time.Minute+time.Millisecond {
 			t.Fatalf("%q waits %v %v %v", id, wait, limited, err)
 		}
 		if seen[random] {
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -65,7 +65,7 @@
 		Target:     path,
 		Host:       addr,
 		Body:       body,
-		EchoHeader:    headerCall,
+		EchoHeader: headerCall,
 		NewID:      newCallID,
 		Idempotent: Idempotent[path],
 	})
@@ -108,9 +108,9 @@
 	if out == nil {
 		return nil, nil
 	}
-	front, rawAnswer := SplitBody(a.Body)
-	if err := json.Unmarshal(front, out); err != nil {
+	jsonPart, rawOut := SplitBody(a.Body)
+	if err := json.Unmarshal(jsonPart, out); err != nil {
 		return nil, &httpwire.Error{Step: "decode " + path, Peer: addr, Sent: true, Err: err}
 	}
-	return rawAnswer, nil
+	return rawOut, nil
 }
--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -41,7 +41,7 @@
 const valid = "HTTP/1.1 200 OK\r\nCall: CALL-ID\r\nContent-Length: 2\r\n\r\n{}"
 
 // newPeerClient makes a client whose every connection leads to a peer.
-func newPeerClient(t *testing.T, play func(p *peer)) *Client {
+func newPeerClient(t *testing.T, script func(p *peer)) *Client {
 	t.Helper()
 	connections := 0
 	client := NewClient(&httpwire.Pool{Network: httpwire.Network{Dial: func(context.Context, string) (net.Conn, error) {
@@ -49,7 +49,7 @@
 		near, far := net.Pipe()
 		p := &peer{Conn: far, reader: bufio.NewReader(far), connection: connections}
 		go func() {
-			play(p)
+			script(p)
 			_ = far.Close()
 		}()
 		return near, nil
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -16,11 +16,11 @@
 // closed the connection, or waits no longer, is not begun; one that has begun
 // has a context that ends with the caller's wait.
 func (m Mux) Handle(ctx context.Context, r *httpwire.Request) *httpwire.Response {
-	if r.Conn != nil && !frequent[r.URL.Path] && r.Conn.ClientClosed() {
+	if r.Conn != nil && !skipsClosedCheck[r.URL.Path] && r.Conn.ClientClosed() {
 		return nil // nobody would read a response
 	}
 	callID := r.Header.Get(headerCall)
-	wait, limited, err := callerWait(callID)
+	wait, limited, err := parseCallerTimeout(callID)
 	if err != nil {
 		return httpwire.Problem(400, err.Error())
 	}
@@ -49,9 +49,9 @@
 
 // SplitBody separates the JSON of a call's body from the raw bytes that may
 // follow it on a new line.
-func SplitBody(body []byte) (front, raw []byte) {
-	front, raw, _ = bytes.Cut(body, []byte{'\n'})
-	return front, raw
+func SplitBody(body []byte) (jsonPart, raw []byte) {
+	jsonPart, raw, _ = bytes.Cut(body, []byte{'\n'})
+	return jsonPart, raw
 }
 
 // Handler makes a handler of a function of JSON to JSON. An error is answered
@@ -69,14 +69,14 @@
 // JSON on a new line.
 func RawHandler[In, Out any](f func(ctx context.Context, in *In, raw []byte) (*Out, []byte, error), codes ...func(error) int) httpwire.Handler {
 	return func(ctx context.Context, r *httpwire.Request) *httpwire.Response {
-		front, raw := SplitBody(r.Body)
+		jsonPart, raw := SplitBody(r.Body)
 		in := new(In)
-		if len(front) > 0 {
-			if err := json.Unmarshal(front, in); err != nil {
+		if len(jsonPart) > 0 {
+			if err := json.Unmarshal(jsonPart, in); err != nil {
 				return httpwire.Problem(400, "the call cannot be read: "+err.Error())
 			}
 		}
-		out, rawAnswer, err := f(ctx, in, raw)
+		out, rawOut, err := f(ctx, in, raw)
 		if err != nil {
 			return errorResponse(err, codes)
 		}
@@ -84,8 +84,8 @@
 		if err != nil {
 			return httpwire.Problem(500, err.Error())
 		}
-		if rawAnswer != nil {
-			body = append(append(body, '\n'), rawAnswer...)
+		if rawOut != nil {
+			body = append(append(body, '\n'), rawOut...)
 		}
 		// Without the header fields that only others than our own processes need.
 		return &httpwire.Response{Status: 200, Body: body}
