--- a/internal/platform/command.go
+++ b/internal/platform/command.go
@@ -51,7 +51,7 @@
 		Use: role, Short: short, Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			logger := log.New(os.Stderr, "", log.Ltime|log.Lmicroseconds)
-			lifecycle, err := NewLifecycle(role, signals, limitedStart(start), logger)
+			lifecycle, err := NewLifecycle(role, signals, withMemoryLimit(start), logger)
 			if err != nil {
 				return err
 			}
@@ -60,8 +60,8 @@
 	})
 }
 
-// limitedStart sets the limits of the Go runtime before the process starts.
-func limitedStart(start Start) Start {
+// withMemoryLimit sets the limits of the Go runtime before the process starts.
+func withMemoryLimit(start Start) Start {
 	return func(ctx context.Context, set *settings.Settings, logger *log.Logger) (Process, error) {
 		limitMemory(set)
 		return start(ctx, set, logger)
--- a/internal/platform/lifecycle.go
+++ b/internal/platform/lifecycle.go
@@ -49,8 +49,8 @@
 	return &Lifecycle{Role: role, Signals: signals, ReadSettings: readSettingsFile, Start: start, Log: logger}, nil
 }
 
-// result is what a part of the process's life ended with.
-type result struct {
+// outcome is what a part of the process's life ended with.
+type outcome struct {
 	process Process // of the start
 	err     error
 }
@@ -74,11 +74,11 @@
 	if err != nil || started == nil {
 		return err
 	}
-	ended := make(chan result, 1)
-	go func() { ended <- result{err: started.Run(ctx)} }()
+	done := make(chan outcome, 1)
+	go func() { done <- outcome{err: started.Run(ctx)} }()
 	l.process = started
 	l.perform(l.state.step(eventStarted), cancel)
-	last := l.follow(ended, watchInterval(set), cancel, nil)
+	last := l.handleEventsUntil(done, settingsPollInterval(set), cancel, nil)
 	if last.err != nil {
 		return fmt.Errorf("%s: %w", l.Role, last.err)
 	}
@@ -87,13 +87,13 @@
 
 // start opens the state. It returns no process if it was stopped meanwhile.
 func (l *Lifecycle) start(ctx context.Context, cancel context.CancelFunc, set *settings.Settings) (Process, error) {
-	opened := make(chan result, 1)
+	done := make(chan outcome, 1)
 	go func() {
 		process, err := l.Start(ctx, set, l.Log)
-		opened <- result{process, err}
+		done <- outcome{process, err}
 	}()
 	// A disk that does not answer may hold the start for ever.
-	last := l.follow(opened, watchInterval(set), cancel, func() <-chan time.Time { return time.After(startAbortTimeout(set)) })
+	last := l.handleEventsUntil(done, settingsPollInterval(set), cancel, func() <-chan time.Time { return time.After(startAbortTimeout(set)) })
 	if l.state.phase == draining && (last.err != nil || last.process == nil) {
 		l.Log.Printf("platform: stopped while starting")
 		return nil, nil
@@ -104,16 +104,16 @@
 	return last.process, nil
 }
 
-// follow handles signals and changes of the settings file until a part of the
+// handleEventsUntil handles signals and changes of the settings file until a part of the
 // process's life is over. Once the process is to stop, that may take as long as
 // giveUp says; nil is without a bound.
-func (l *Lifecycle) follow(over <-chan result, interval time.Duration, cancel context.CancelFunc, giveUp func() <-chan time.Time) result {
+func (l *Lifecycle) handleEventsUntil(done <-chan outcome, interval time.Duration, cancel context.CancelFunc, newAbortTimer func() <-chan time.Time) outcome {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	var abort <-chan time.Time
 	for {
 		select {
-		case r := <-over:
+		case r := <-done:
 			return r
 		case s := <-l.Signals:
 			if e, ok := eventOf(s); ok {
@@ -124,10 +124,10 @@
 				l.perform(l.state.step(eventSettingsChange), cancel)
 			}
 		case <-abort:
-			return result{}
+			return outcome{}
 		}
-		if giveUp != nil && abort == nil && l.state.phase == draining {
-			abort = giveUp()
+		if newAbortTimer != nil && abort == nil && l.state.phase == draining {
+			abort = newAbortTimer()
 		}
 	}
 }
@@ -141,7 +141,7 @@
 		cancel()
 	case actionApplySettings:
 		l.applySettings()
-	case actionPostpone:
+	case actionPostponeReload:
 		l.Log.Printf("platform: the settings are read again once started")
 		l.rememberSettings() // logged once for each change
 	case actionIgnoreReload:
@@ -185,8 +185,8 @@
 	l.Log.Printf("platform: settings read again")
 }
 
-// watchInterval is the time between two looks at the settings file.
-func watchInterval(set *settings.Settings) time.Duration { return set.Contact() / 4 }
+// settingsPollInterval is the time between two looks at the settings file.
+func settingsPollInterval(set *settings.Settings) time.Duration { return set.Contact() / 4 }
 
 // startAbortTimeout is how long a start that was stopped may go on: a disk that
 // answers lets it end in order, one that does not must not hold the process.
--- a/internal/platform/phase.go
+++ b/internal/platform/phase.go
@@ -25,12 +25,12 @@
 type action int
 
 const (
-	actionNone          action = iota
-	actionDrain                // let the process end in order
-	actionApplySettings        // read the settings file and apply it
-	actionPostpone             // apply the settings once started
-	actionIgnoreReload         // the process ends: new settings have no effect
-	actionIgnoreStop           // it drains already
+	actionNone           action = iota
+	actionDrain                 // let the process end in order
+	actionApplySettings         // read the settings file and apply it
+	actionPostponeReload        // apply the settings once started
+	actionIgnoreReload          // the process ends: new settings have no effect
+	actionIgnoreStop            // it drains already
 )
 
 // lifecycleState is the state machine of a process: a phase, and what is to be
@@ -66,7 +66,7 @@
 	switch s.phase {
 	case starting:
 		s.reloadPending = true
-		return actionPostpone
+		return actionPostponeReload
 	case running:
 		return actionApplySettings
 	default:
