--- a/internal/platform/command.go
+++ b/internal/platform/command.go
@@ -1,7 +1,7 @@
-// Package platform is the interface to the platform that runs the processes: the
-// settings file and its changes, the signals, the readiness probe, and the
-// command line with its exit codes. Lifecycle is the life of a process; its state
-// machine is in phase.go.
+// Package platform implements the interface to the platform that runs the
+// processes: the settings file and its reloads, signals, the readiness probe, and
+// the command line with its exit codes. Lifecycle runs a process from start to
+// exit; its state machine is in phase.go.
 package platform
 
 import (
@@ -25,27 +25,27 @@
 // Exit codes other than 0.
 const (
 	ExitFailure  = 1
-	ExitSettings = 2 // the settings are wrong; a restart does not help
+	ExitSettings = 2 // the settings are invalid; a restart does not help
 )
 
-// settingsError is an error in the settings. Main exits with ExitSettings for it.
+// settingsError is an error in the settings. Main returns ExitSettings for it.
 type settingsError struct{ err error }
 
 func (e settingsError) Error() string { return e.err.Error() }
 func (e settingsError) Unwrap() error { return e.err }
 
-// annotationSignals marks the commands that handle their signals for as long as
-// they run; the others leave them to their default action.
+// annotationSignals marks the commands that handle signals while they run. For the
+// others, Main restores the default action of the signals.
 const annotationSignals = "signals"
 
-// HandlesSignals marks a command that gets its signals from CatchSignals.
+// HandlesSignals marks a command that receives its signals from CatchSignals.
 func HandlesSignals(cmd *cobra.Command) *cobra.Command {
 	cmd.Annotations = map[string]string{annotationSignals: "handled"}
 	return cmd
 }
 
-// RoleCommand returns the command that runs a role with the settings of the
-// file that PathVariable names.
+// RoleCommand returns the command that runs a role with the settings file named
+// by PathVariable.
 func RoleCommand(role, short string, signals Signals, start Start) *cobra.Command {
 	return HandlesSignals(&cobra.Command{
 		Use: role, Short: short, Args: cobra.NoArgs,
@@ -60,7 +60,7 @@
 	})
 }
 
-// withMemoryLimit sets the limits of the Go runtime before the process starts.
+// withMemoryLimit sets the memory limit of the Go runtime before calling start.
 func withMemoryLimit(start Start) Start {
 	return func(ctx context.Context, set *settings.Settings, logger *log.Logger) (Process, error) {
 		limitMemory(set)
@@ -68,15 +68,15 @@
 	}
 }
 
-// CheckCommand returns the command that checks a settings file without starting
-// anything, optionally for one of the roles.
+// CheckCommand returns the command that validates a settings file without starting
+// a process, optionally for one of the roles.
 func CheckCommand(roles ...string) *cobra.Command {
 	var role string
 	cmd := &cobra.Command{
 		Use: "check FILE", Short: "Check a settings file without starting anything", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if role != "" && !slices.Contains(roles, role) {
-				return fmt.Errorf("there is no role %q; the roles are %s", role, strings.Join(roles, ", "))
+				return fmt.Errorf("unknown role %q; the roles are %s", role, strings.Join(roles, ", "))
 			}
 			set, err := settings.Load(args[0])
 			if err == nil && role != "" {
@@ -93,8 +93,8 @@
 	return cmd
 }
 
-// Main runs the command line of a program and returns the exit code. It prints
-// the error, if any, to standard error.
+// Main executes the command line of a program and returns the exit code. It prints
+// any error to standard error.
 func Main(root *cobra.Command) int {
 	root.SilenceUsage, root.SilenceErrors = true, true
 	root.Version = Version
--- a/internal/platform/command_test.go
+++ b/internal/platform/command_test.go
@@ -36,7 +36,7 @@
 	return path
 }
 
-// fakeProcess ends at once with an error.
+// fakeProcess returns err from Run immediately.
 type fakeProcess struct{ err error }
 
 func (p fakeProcess) Run(context.Context) error { return p.err }
@@ -57,16 +57,16 @@
 		code     int
 	}{
 		{"check of valid settings", []string{"check", valid}, "", nil, nil, 0},
-		{"check of wrong settings", []string{"check", wrong}, "", nil, nil, ExitSettings},
+		{"check of invalid settings", []string{"check", wrong}, "", nil, nil, ExitSettings},
 		{"check for a role", []string{"check", "--role", "store", store}, "", nil, nil, 0},
-		{"check for a role that needs more", []string{"check", "--role", "store", valid}, "", nil, nil, ExitSettings},
-		{"check for a role that does not exist", []string{"check", "--role", "shop", store}, "", nil, nil, ExitFailure},
-		{"check of no file", []string{"check", valid + "-none"}, "", nil, nil, ExitSettings},
+		{"check for a role with a required setting missing", []string{"check", "--role", "store", valid}, "", nil, nil, ExitSettings},
+		{"check for an unknown role", []string{"check", "--role", "shop", store}, "", nil, nil, ExitFailure},
+		{"check of a missing file", []string{"check", valid + "-none"}, "", nil, nil, ExitSettings},
 		{"unknown command", []string{"nosuch"}, "", nil, nil, ExitFailure},
 		{"run", []string{"store"}, store, nil, nil, 0},
 		{"run without settings", []string{"store"}, "", nil, nil, ExitSettings},
-		{"run with wrong settings", []string{"store"}, wrong, nil, nil, ExitSettings},
-		{"run with too few settings", []string{"store"}, valid, nil, nil, ExitSettings},
+		{"run with invalid settings", []string{"store"}, wrong, nil, nil, ExitSettings},
+		{"run with a required setting missing", []string{"store"}, valid, nil, nil, ExitSettings},
 		{"start fails", []string{"store"}, store, failed, nil, ExitFailure},
 		{"run fails", []string{"store"}, store, nil, failed, ExitFailure},
 		{"run fails by a settings error", []string{"store"}, store, nil, fmt.Errorf("x: %w", settingsError{failed}), ExitSettings},
--- a/internal/platform/lifecycle.go
+++ b/internal/platform/lifecycle.go
@@ -13,20 +13,20 @@
 
 // Process is a role that runs as a process.
 type Process interface {
-	// Run serves until ctx ends, answers what it has read by then, and returns.
+	// Run serves until ctx is cancelled, answers the requests read by then, and returns.
 	Run(ctx context.Context) error
-	// Reload applies the settings that may change while the process runs.
+	// Reload applies the settings that can change at run time.
 	Reload(*settings.Settings)
 }
 
-// Start opens the state of a process. It may take as long as the disk does, and
-// gives up once ctx ends, with the error of ctx.
+// Start opens the state of a process. It may block on the disk; it returns the
+// error of ctx once ctx is cancelled.
 type Start func(ctx context.Context, set *settings.Settings, logger *log.Logger) (Process, error)
 
-// Lifecycle runs one process of a role from its start to its end. It is the only
-// owner of the process's signals and of its settings file, for its whole life:
-// they start the end of a process, but nothing may cut that end short. What each
-// signal does in each phase is in lifecycleState.
+// Lifecycle runs the process of a role from start to exit. It is the only owner
+// of the process's signals and settings file until the process exits: a signal
+// starts the shutdown, and none interrupts it. lifecycleState defines the effect
+// of each signal in each phase.
 type Lifecycle struct {
 	Role    string
 	Signals Signals
@@ -35,13 +35,13 @@
 	Start        Start
 	Log          *log.Logger
 
-	state    lifecycleState // of the goroutine of Run
+	state    lifecycleState // used only by the goroutine of Run
 	lastRead []byte         // the content of the settings file that was applied
 	process  Process        // nil until it has started
 }
 
-// NewLifecycle makes the lifecycle of a process, whose settings file is the one
-// that PathVariable names.
+// NewLifecycle returns a Lifecycle that reads the settings file named by
+// PathVariable.
 func NewLifecycle(role string, signals Signals, start Start, logger *log.Logger) (*Lifecycle, error) {
 	if role == "" || signals == nil || start == nil || logger == nil {
 		return nil, errors.New("platform: the lifecycle of a process needs a role, signals, a start and a log")
@@ -49,15 +49,15 @@
 	return &Lifecycle{Role: role, Signals: signals, ReadSettings: readSettingsFile, Start: start, Log: logger}, nil
 }
 
-// outcome is what a part of the process's life ended with.
+// outcome is the result of starting or of running a process.
 type outcome struct {
-	process Process // of the start
+	process Process // set by the start only
 	err     error
 }
 
-// Run reads the settings, starts the process, serves, and returns when the
-// process has ended. A process that is stopped while it starts ends without an
-// error: it holds no requests yet.
+// Run reads the settings, starts the process, and returns when the process has
+// ended. If it is stopped while starting, Run returns no error, since the process
+// has not accepted any request yet.
 func (l *Lifecycle) Run() error {
 	raw, err := l.ReadSettings()
 	if err != nil {
@@ -85,14 +85,14 @@
 	return nil
 }
 
-// start opens the state. It returns no process if it was stopped meanwhile.
+// start opens the state. It returns a nil process if it was stopped while starting.
 func (l *Lifecycle) start(ctx context.Context, cancel context.CancelFunc, set *settings.Settings) (Process, error) {
 	done := make(chan outcome, 1)
 	go func() {
 		process, err := l.Start(ctx, set, l.Log)
 		done <- outcome{process, err}
 	}()
-	// A disk that does not answer may hold the start for ever.
+	// An unresponsive disk may block the start indefinitely.
 	last := l.handleEventsUntil(done, settingsPollInterval(set), cancel, func() <-chan time.Time { return time.After(startAbortTimeout(set)) })
 	if l.state.phase == draining && (last.err != nil || last.process == nil) {
 		l.Log.Printf("platform: stopped while starting")
@@ -104,9 +104,9 @@
 	return last.process, nil
 }
 
-// handleEventsUntil handles signals and changes of the settings file until a part of the
-// process's life is over. Once the process is to stop, that may take as long as
-// giveUp says; nil is without a bound.
+// handleEventsUntil handles signals and changes of the settings file until done
+// delivers an outcome. Once the process is draining, it waits no longer than the
+// timer that newAbortTimer starts; nil means no bound.
 func (l *Lifecycle) handleEventsUntil(done <-chan outcome, interval time.Duration, cancel context.CancelFunc, newAbortTimer func() <-chan time.Time) outcome {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -132,7 +132,7 @@
 	}
 }
 
-// perform does what the state machine asks for.
+// perform carries out an action of the state machine.
 func (l *Lifecycle) perform(a action, cancel context.CancelFunc) {
 	switch a {
 	case actionNone:
@@ -142,7 +142,7 @@
 	case actionApplySettings:
 		l.applySettings()
 	case actionPostponeReload:
-		l.Log.Printf("platform: the settings are read again once started")
+		l.Log.Printf("platform: settings reload postponed until the process has started")
 		l.rememberSettings() // logged once for each change
 	case actionIgnoreReload:
 		l.Log.Printf("platform: the settings are not read again: the process is stopping")
@@ -152,8 +152,9 @@
 	}
 }
 
-// settingsChanged reports whether the settings file has another content than the
-// one read last. A file that cannot be read is being replaced.
+// settingsChanged reports whether the content of the settings file differs from
+// what was last read. A file that cannot be read counts as unchanged, since it is
+// probably being replaced.
 func (l *Lifecycle) settingsChanged() bool {
 	raw, err := l.ReadSettings()
 	return err == nil && !bytes.Equal(raw, l.lastRead)
@@ -165,8 +166,8 @@
 	}
 }
 
-// applySettings reads the file and applies it. If it is wrong, that is logged and
-// the old settings stay in force.
+// applySettings reads the settings file and applies it. If the file is invalid, it
+// logs the error and keeps the current settings.
 func (l *Lifecycle) applySettings() {
 	raw, err := l.ReadSettings()
 	if err != nil {
@@ -185,11 +186,11 @@
 	l.Log.Printf("platform: settings read again")
 }
 
-// settingsPollInterval is the time between two looks at the settings file.
+// settingsPollInterval is how often the settings file is checked for changes.
 func settingsPollInterval(set *settings.Settings) time.Duration { return set.Contact() / 4 }
 
-// startAbortTimeout is how long a start that was stopped may go on: a disk that
-// answers lets it end in order, one that does not must not hold the process.
+// startAbortTimeout bounds how long a stopped start may take to return: it lets the
+// start end cleanly on a working disk, and the process exit despite a hung one.
 func startAbortTimeout(set *settings.Settings) time.Duration {
 	return settings.Seconds(set.Timers.GraceS) / 8
 }
--- a/internal/platform/lifecycle_test.go
+++ b/internal/platform/lifecycle_test.go
@@ -15,7 +15,7 @@
 	"saltreel/internal/settings"
 )
 
-// recordedProcess notes what its lifecycle does with it.
+// recordedProcess records how its lifecycle uses it.
 type recordedProcess struct {
 	drainTime time.Duration
 
@@ -51,7 +51,7 @@
 	return len(p.reloads)
 }
 
-// lifecycleTest is a lifecycle whose signals and settings file the test writes.
+// lifecycleTest is a Lifecycle whose signals and settings file the test controls.
 type lifecycleTest struct {
 	*Lifecycle
 	signals chan os.Signal
@@ -76,7 +76,7 @@
 	return test
 }
 
-// write changes the settings file.
+// write appends lines to the settings file; a later line overrides an earlier one.
 func (l *lifecycleTest) write(extra string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,7 +104,7 @@
 		}
 		l.write("zone=running\n") // without a signal
 		time.Sleep(2 * time.Second)
-		l.write("timers.contact-ms=soon\n") // wrong: the old ones stay in force
+		l.write("timers.contact-ms=soon\n") // invalid: the current settings stay in force
 		l.signals <- syscall.SIGHUP
 		l.signals <- syscall.SIGPIPE
 		time.Sleep(2 * time.Second)
@@ -129,15 +129,15 @@
 func TestStopWhileStartingEndsTheProcess(t *testing.T) {
 	failed := errors.New("no such disk")
 	for name, c := range map[string]struct {
-		takes   time.Duration // of the start, once it is stopped
+		takes   time.Duration // by the start to return after the stop
 		process Process
 		err     error
 		most    time.Duration
 	}{
-		"the start gives up":         {0, nil, context.Canceled, 0},
-		"the start fails meanwhile":  {0, nil, failed, 0},
-		"the disk never answers":     {time.Hour, nil, failed, 750 * time.Millisecond},
-		"the start succeeds at last": {100 * time.Millisecond, &recordedProcess{}, nil, 100 * time.Millisecond},
+		"the start is cancelled":         {0, nil, context.Canceled, 0},
+		"the start fails after the stop": {0, nil, failed, 0},
+		"the disk never answers":         {time.Hour, nil, failed, 750 * time.Millisecond},
+		"the start succeeds at last":     {100 * time.Millisecond, &recordedProcess{}, nil, 100 * time.Millisecond},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			l := newLifecycleTest(t, func(ctx context.Context, _ *settings.Settings, _ *log.Logger) (Process, error) {
@@ -151,12 +151,12 @@
 				t.Errorf("%s: ended with %v", name, err)
 			}
 			if took := time.Since(began) - time.Second; took > c.most {
-				t.Errorf("%s: ended %v after it was stopped", name, took)
+				t.Errorf("%s: ended %v after the stop", name, took)
 			}
 			if p, ok := c.process.(*recordedProcess); ok && !p.hasEnded() {
-				t.Errorf("%s: the process did not end in order", name)
+				t.Errorf("%s: the process was not shut down gracefully", name)
 			}
-			time.Sleep(c.takes) // for the start that was given up
+			time.Sleep(c.takes) // let the abandoned start return
 		})
 	}
 }
--- a/internal/platform/listeners.go
+++ b/internal/platform/listeners.go
@@ -8,18 +8,18 @@
 	"saltreel/internal/settings"
 )
 
-// Listeners are the sockets of a process that serves clients.
+// Listeners holds the listening sockets of a process that serves clients.
 type Listeners struct {
-	Internal  net.Listener // for our own processes
+	Internal  net.Listener // for calls between Saltreel processes
 	Clients   net.Listener
-	Readiness net.Listener // for the platform
+	Readiness net.Listener // for the platform's readiness probe
 }
 
 // Listen opens the listeners of a process that serves clients.
 func Listen(listen httpwire.Listen, set *settings.Settings) (opened Listeners, err error) {
 	opened.Internal, err = listen(set.InternalAddress())
 	if err != nil {
-		return opened, fmt.Errorf("listen for our own processes: %w", err)
+		return opened, fmt.Errorf("listen for internal calls: %w", err)
 	}
 	opened.Clients, err = listen(set.Listeners.DataPlane)
 	if err != nil {
--- a/internal/platform/phase.go
+++ b/internal/platform/phase.go
@@ -1,47 +1,48 @@
 package platform
 
-// phase is a part of the life of a process.
+// phase is a phase in the life cycle of a process.
 type phase int
 
 const (
-	starting phase = iota // its state is being opened; it serves nobody yet
+	starting phase = iota // opening its state; not serving yet
 	running
-	draining // it answers what it has read, and ends
+	draining // answering the requests already read before exiting
 )
 
 func (p phase) String() string { return [...]string{"starting", "running", "draining"}[p] }
 
-// event is what happens to a process from outside, or in its own course.
+// event is an input of the state machine: a signal, a settings change or a
+// completed start.
 type event int
 
 const (
 	eventStop           event = iota // SIGTERM or SIGINT
-	eventReload                      // SIGHUP: the settings file is to be read again
-	eventSettingsChange              // the content of the settings file is another one
+	eventReload                      // SIGHUP: reload the settings file
+	eventSettingsChange              // the content of the settings file has changed
 	eventStarted                     // the state is open
 )
 
-// action is what the lifecycle is to do about an event.
+// action is what the lifecycle does in response to an event.
 type action int
 
 const (
 	actionNone           action = iota
-	actionDrain                 // let the process end in order
+	actionDrain                 // start a graceful shutdown
 	actionApplySettings         // read the settings file and apply it
-	actionPostponeReload        // apply the settings once started
-	actionIgnoreReload          // the process ends: new settings have no effect
-	actionIgnoreStop            // it drains already
+	actionPostponeReload        // apply the settings once the process has started
+	actionIgnoreReload          // the process is stopping: new settings have no effect
+	actionIgnoreStop            // it is already draining
 )
 
-// lifecycleState is the state machine of a process: a phase, and what is to be
-// done once the process has started. It does no I/O; Lifecycle feeds it and
+// lifecycleState is the state machine of a process: its phase, and whether a reload
+// is pending until it has started. It does no I/O; Lifecycle passes it events and
 // performs its actions.
 type lifecycleState struct {
 	phase         phase
 	reloadPending bool
 }
 
-// step applies an event and returns what is to be done about it.
+// step applies an event and returns the resulting action.
 func (s *lifecycleState) step(e event) action {
 	switch e {
 	case eventStop:
@@ -76,7 +77,7 @@
 
 func (s *lifecycleState) started() action {
 	if s.phase != starting {
-		return actionNone // it was stopped meanwhile
+		return actionNone // stopped while starting
 	}
 	s.phase = running
 	if !s.reloadPending {
--- a/internal/platform/readiness.go
+++ b/internal/platform/readiness.go
@@ -9,8 +9,8 @@
 	"saltreel/internal/httpwire"
 )
 
-// ServeReadiness answers the readiness probe until ctx ends: 200 if ready returns
-// nil, else 503 with the text of the error.
+// ServeReadiness answers the readiness probe until ctx is cancelled: 200 if ready
+// returns nil, otherwise 503 with the text of the error.
 func ServeReadiness(ctx context.Context, listener net.Listener, ready func() error) error {
 	server := &httpwire.Server{
 		Limits: func() httpwire.Limits { return httpwire.Limits{HeaderBytes: 8 << 10, BodyBytes: 1} },
--- a/internal/platform/settings_file.go
+++ b/internal/platform/settings_file.go
@@ -9,14 +9,14 @@
 	"saltreel/internal/settings"
 )
 
-// PathVariable is the environment variable with the path of the settings file.
+// PathVariable is the environment variable that holds the path of the settings file.
 const PathVariable = "SALTREEL_BOOT"
 
 // Path returns the path of the settings file.
 func Path() (string, error) {
 	path := os.Getenv(PathVariable)
 	if path == "" {
-		return "", errors.New("the variable " + PathVariable + " does not name a settings file")
+		return "", errors.New("environment variable " + PathVariable + " is not set; it must hold the path of the settings file")
 	}
 	return path, nil
 }
@@ -34,7 +34,7 @@
 	return raw, nil
 }
 
-// parseSettings reads settings and checks them for a role.
+// parseSettings parses settings and validates them for a role.
 func parseSettings(raw []byte, role string) (*settings.Settings, error) {
 	set, err := settings.Parse(string(raw))
 	if err != nil {
@@ -43,8 +43,7 @@
 	return set, set.Require(role)
 }
 
-// limitMemory sets the memory limit of the Go runtime to half of the memory that
-// the settings allow.
+// limitMemory sets the memory limit of the Go runtime to half of limits.memory-mb.
 func limitMemory(set *settings.Settings) {
 	if set.Limits.MemoryMb > 0 {
 		debug.SetMemoryLimit(set.Limits.MemoryMb << 20 / 2)
--- a/internal/platform/signals.go
+++ b/internal/platform/signals.go
@@ -7,41 +7,39 @@
 	"syscall"
 )
 
-// SignalSource is where a process gets its signals from. Tests replace it by one
-// that takes the default action of the operating system for each signal that
-// nobody is registered for.
+// SignalSource delivers signals to a process. Tests replace it with one that
+// simulates the operating system's default action for unregistered signals.
 type SignalSource interface {
-	// Notify relays the signals to c from now on.
+	// Notify registers c to receive the given signals.
 	Notify(c chan<- os.Signal, signals ...os.Signal)
 }
 
-// handledSignals are those that a process of a role never leaves to their
-// default action, which ends the process. SIGPIPE is among them for a write to a
-// standard error that nobody reads any more: the Go runtime lets it end the
-// process unless somebody is registered for it.
+// handledSignals are the signals whose default action, terminating the process,
+// never applies to a process of a role. SIGPIPE is included because the Go runtime
+// otherwise terminates the process on a write to a standard error whose reader has
+// gone.
 var handledSignals = []os.Signal{syscall.SIGTERM, os.Interrupt, syscall.SIGHUP, syscall.SIGPIPE}
 
-// signalBuffer holds the signals of a moment in which nobody receives. The
-// runtime drops what does not fit; more of the same kind say nothing new.
+// signalBuffer is the capacity for signals that have not been received yet. The
+// runtime drops signals that do not fit; repeats of a signal carry no information.
 const signalBuffer = 64
 
-// Signals are the signals that a process gets.
+// Signals delivers the signals sent to a process.
 type Signals <-chan os.Signal
 
-// CatchSignals registers for all signals that a process of a role handles. It is
-// the first thing that a program does: until then they have their default
-// action. They are never given back: whatever remains to be done when a process
-// ends must not be cut short by a signal.
+// CatchSignals registers for all signals that a process of a role handles. A
+// program calls it first, since signals have their default action until then. They
+// are never unregistered, so that no signal interrupts the shutdown.
 func CatchSignals() Signals { return RegisterSignals(osSignals{}) }
 
-// RegisterSignals is CatchSignals for any source.
+// RegisterSignals is CatchSignals for a given source.
 func RegisterSignals(source SignalSource) Signals {
 	c := make(chan os.Signal, signalBuffer)
 	source.Notify(c, handledSignals...)
 	return c
 }
 
-// StopContext returns a context that ends at SIGTERM or SIGINT.
+// StopContext returns a context that is cancelled on SIGTERM or SIGINT.
 func StopContext(signals Signals) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
@@ -59,12 +57,12 @@
 	return ctx, cancel
 }
 
-// osSignals is the operating system as a SignalSource.
+// osSignals is the SignalSource of the operating system.
 type osSignals struct{}
 
 func (osSignals) Notify(c chan<- os.Signal, signals ...os.Signal) { signal.Notify(c, signals...) }
 
-// eventOf is the event that a signal stands for; ok is false if it has no effect.
+// eventOf returns the event for a signal; ok is false if the signal has no effect.
 func eventOf(s os.Signal) (e event, ok bool) {
 	switch s {
 	case syscall.SIGTERM, os.Interrupt:
