--- a/internal/rpc/call_bench_test.go
+++ b/internal/rpc/call_bench_test.go
@@ -10,8 +10,8 @@
 	"saltreel/internal/httpwire"
 )
 
-// BenchmarkPost measures a small call between two of the system's own processes,
-// both sides together, over a pipe and over loopback.
+// BenchmarkPost measures a small call between two processes, client and server
+// side together, over a pipe and over loopback.
 func BenchmarkPost(b *testing.B) {
 	type heartbeat struct {
 		Name     string `json:"name"`
@@ -47,8 +47,8 @@
 	}
 }
 
-// BenchmarkCall measures a call over loopback by the size of its body, both sides
-// together, with the kernel's part.
+// BenchmarkCall measures a call over loopback by the size of its body, client and
+// server side together, including the time in the kernel.
 func BenchmarkCall(b *testing.B) {
 	for _, size := range []int{0, 1 << 10, 64 << 10} {
 		b.Run(map[int]string{0: "empty", 1 << 10: "1KiB", 64 << 10: "64KiB"}[size], func(b *testing.B) {
--- a/internal/rpc/calls.go
+++ b/internal/rpc/calls.go
@@ -1,6 +1,6 @@
-// Package rpc makes and answers the calls between the system's own processes:
-// JSON over HTTP/1.1, each call with a path, an identifier and the time that its
-// caller still waits. docs/calls.md lists the calls.
+// Package rpc implements calls between Saltreel processes: JSON over HTTP/1.1, each
+// call with a path, an identifier and the remaining timeout of its caller.
+// docs/calls.md lists the calls.
 package rpc
 
 import (
@@ -14,15 +14,15 @@
 	"time"
 )
 
-// headerCall carries the identifier of a call: a random number, a space, and how
-// many milliseconds the caller still waits. The response repeats the value. The
-// wait is a duration, not a point in time, since clocks differ.
+// headerCall carries the identifier of a call: a random number, a space, and the
+// caller's remaining timeout in milliseconds. The response echoes the value. The
+// timeout is a duration, not a point in time, since clocks differ.
 const headerCall = "Call"
 
-// Idempotent holds the calls that the client may send again by itself when an
-// idle connection breaks before any response. docs/calls.md gives the reasons.
-// The others are sent again only by their callers, who know that the outcome of
-// the first call is indeterminate.
+// Idempotent holds the calls that the client may retry by itself when an idle
+// connection breaks before any response. docs/calls.md gives the reasons. Other
+// calls are retried only by their callers, which know that the outcome of the first
+// attempt is indeterminate.
 var Idempotent = map[string]bool{
 	"/accept":         true,
 	"/ballot":         true,
@@ -49,16 +49,17 @@
 	"/view":           true,
 }
 
-// skipsClosedCheck holds the calls of which there are most. Whether their caller has
-// closed the connection is not checked: the check is a system call, and a late
-// call of these kinds has no effect (docs/calls.md).
+// skipsClosedCheck holds the most frequent calls. The server does not check whether
+// their caller has closed the connection, since the check costs a system call and a
+// late call of these kinds has no effect (docs/calls.md).
 var skipsClosedCheck = map[string]bool{"/copy": true, "/grant": true, "/news": true}
 
-// callIDBytes are enough random bytes that no two calls on one connection, and
-// no two of which one arrives late, have the same identifier, over all restarts.
+// callIDBytes is the number of random bytes in an identifier: enough that no two
+// calls on one connection, and no late and current call, share an identifier, also
+// across restarts.
 const callIDBytes = 6
 
-// newCallID makes the value of headerCall for one attempt of a call.
+// newCallID returns the value of headerCall for one attempt of a call.
 func newCallID(ctx context.Context) string {
 	var random [8]byte
 	binary.LittleEndian.PutUint64(random[:], rand.Uint64())
@@ -72,8 +73,8 @@
 
 var errInvalidTimeout = errors.New("the call does not say how long its caller waits")
 
-// parseCallerTimeout reads from a call's identifier how long its caller waits. Calls
-// without a deadline do not say.
+// parseCallerTimeout parses the caller's remaining timeout from a call's identifier.
+// limited is false for a call without a deadline, which carries no timeout.
 func parseCallerTimeout(callID string) (wait time.Duration, limited bool, err error) {
 	_, milliseconds, limited := strings.Cut(callID, " ")
 	if !limited {
--- a/internal/rpc/calls_test.go
+++ b/internal/rpc/calls_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// docs/calls.md lists the calls that are served, and says which of them may be
-// sent again, as the code does.
+// Guards against docs/calls.md and the code disagreeing on which calls are served
+// and which of them may be retried.
 func TestCallsPageMatchesIdempotentCalls(t *testing.T) {
 	page, err := os.ReadFile("../../docs/calls.md")
 	if err != nil {
@@ -85,11 +85,11 @@
 			t.Fatalf("%q waits %v %v %v", id, wait, limited, err)
 		}
 		if seen[random] {
-			t.Fatalf("%q is there twice", random)
+			t.Fatalf("duplicate identifier %q", random)
 		}
 		seen[random] = true
 	}
 	if id := newCallID(t.Context()); strings.Contains(id, " ") {
-		t.Errorf("a call without a deadline waits: %q", id)
+		t.Errorf("identifier of a call without a deadline has a timeout: %q", id)
 	}
 }
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -13,8 +13,8 @@
 	"saltreel/internal/httpwire"
 )
 
-// Client calls the system's own processes over a pool of connections, and
-// counts its calls.
+// Client calls other Saltreel processes over a connection pool and counts its
+// calls.
 type Client struct {
 	*httpwire.Pool
 
@@ -25,7 +25,7 @@
 // traffic counts the calls to one path and the bytes of their bodies, both ways.
 type traffic struct{ calls, bytes int }
 
-// NewClient makes a client on a pool.
+// NewClient returns a Client that uses pool.
 func NewClient(pool *httpwire.Pool) *Client { return &Client{Pool: pool} }
 
 func (c *Client) countCall(path string, bytes int) {
@@ -43,8 +43,8 @@
 	t.bytes += bytes
 }
 
-// Traffic describes, for a log line, the calls since Traffic was last called, by
-// path, and how many connections are open.
+// Traffic formats for a log line the number of open connections and, by path, the
+// calls since the previous call of Traffic. It resets the counts.
 func (c *Client) Traffic() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,9 +56,8 @@
 	return summary
 }
 
-// Send sends a call to one of the system's own processes and reads its response,
-// whatever its status. The call is identified, and only a response that repeats
-// its identifier counts.
+// Send sends a call to another Saltreel process and returns the response, whatever
+// its status. Only a response that echoes the identifier of the call is accepted.
 func (c *Client) Send(ctx context.Context, addr, path string, body []byte) (*httpwire.ClientResponse, error) {
 	a, err := c.Do(ctx, addr, &httpwire.Call{
 		Method:     http.MethodPost,
@@ -80,16 +79,17 @@
 	return a, nil
 }
 
-// Call sends in as JSON, followed by raw on a new line unless that is nil, and
-// reads JSON into out unless that is nil. Errors are of type *httpwire.Error, and
-// wrap a *StatusError if there was a response of another status than 2xx.
+// Call sends in as JSON, followed by raw on a new line unless raw is nil, and
+// decodes the JSON of the response into out unless out is nil. Errors are of type
+// *httpwire.Error, and wrap a *StatusError if the status of the response is not
+// 2xx.
 func (c *Client) Call(ctx context.Context, addr, path string, in any, raw []byte, out any) error {
 	_, err := c.CallRaw(ctx, addr, path, in, raw, out)
 	return err
 }
 
-// CallRaw is Call for a response that has raw bytes behind its JSON, which it
-// returns.
+// CallRaw is like Call, and returns the raw bytes that follow the JSON of the
+// response.
 func (c *Client) CallRaw(ctx context.Context, addr, path string, in any, raw []byte, out any) ([]byte, error) {
 	body, err := json.Marshal(in)
 	if err != nil {
--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -14,15 +14,15 @@
 	"saltreel/internal/httpwire"
 )
 
-// peer is the far end of a connection whose responses the test writes itself.
+// peer is the server side of a connection; the test writes its responses.
 type peer struct {
 	net.Conn
 	reader     *bufio.Reader
-	connection int    // which of the connections it is, from 1 on
+	connection int    // number of the connection, starting at 1
 	callID     string // of the last call that was read
 }
 
-// read reads the next call; it reports false once the connection is closed.
+// read reads the next call. It returns false once the connection is closed.
 func (p *peer) read() bool {
 	r, err := http.ReadRequest(p.reader)
 	if err != nil {
@@ -33,14 +33,15 @@
 	return true
 }
 
-// respond writes raw at once, with the identifier of the call in place of CALL-ID.
+// respond writes raw in a single write, replacing CALL-ID by the identifier of the
+// call.
 func (p *peer) respond(raw string) {
 	_, _ = p.Write([]byte(strings.ReplaceAll(raw, "CALL-ID", p.callID)))
 }
 
 const valid = "HTTP/1.1 200 OK\r\nCall: CALL-ID\r\nContent-Length: 2\r\n\r\n{}"
 
-// newPeerClient makes a client whose every connection leads to a peer.
+// newPeerClient returns a client that runs script as the peer of each connection.
 func newPeerClient(t *testing.T, script func(p *peer)) *Client {
 	t.Helper()
 	connections := 0
@@ -58,7 +59,7 @@
 	return client
 }
 
-// call makes a call that waits for a second.
+// call makes a call with a timeout of one second.
 func call(t *testing.T, client *Client, path string) error {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -84,7 +85,7 @@
 		"two lengths":      {strings.Replace(valid, "\r\n\r\n", "\r\nContent-Length: 1\r\n\r\n", 1), false},
 		"no length":        {strings.Replace(valid, "Content-Length: 2", "Connection: close", 1), false},
 		"chunks cut short": {"HTTP/1.1 200 OK\r\nCall: CALL-ID\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n", false},
-		"a byte behind":    {valid + "\n", false},
+		"trailing byte":    {valid + "\n", false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			client := newPeerClient(t, func(p *peer) {
@@ -166,7 +167,7 @@
 			}
 		},
 		"replayed on the next connection": func(p *peer) {
-			if p.connection == 1 { // no response in time
+			if p.connection == 1 { // no response before the timeout
 				p.read()
 				first = p.callID
 				p.read()
@@ -218,7 +219,7 @@
 	}
 }
 
-// cancelOnRead cancels a context as soon as a response arrives.
+// cancelOnRead cancels a context on each read from the connection.
 type cancelOnRead struct {
 	net.Conn
 	cancel func()
--- a/internal/rpc/errors.go
+++ b/internal/rpc/errors.go
@@ -5,17 +5,16 @@
 	"fmt"
 )
 
-// StatusError is the error of a call that was answered with a status other than
-// 2xx.
+// StatusError is the error of a call whose response has a status other than 2xx.
 type StatusError struct {
 	Code int    // the HTTP status
-	Text string // the body, without surrounding space
+	Text string // the body, with surrounding white space trimmed
 }
 
 func (s *StatusError) Error() string { return fmt.Sprintf("answered %d %s", s.Code, s.Text) }
 
-// StatusCode returns the status of the StatusError that err wraps, or 0 if it
-// wraps none: then there was no response.
+// StatusCode returns the status of the StatusError that err wraps, or 0 if there is
+// none, which means that no response was received.
 func StatusCode(err error) int {
 	var s *StatusError
 	if errors.As(err, &s) {
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -9,15 +9,15 @@
 	"saltreel/internal/httpwire"
 )
 
-// Mux answers the calls of the system's own processes by their path.
+// Mux dispatches calls between Saltreel processes to handlers by path.
 type Mux map[string]httpwire.Handler
 
-// Handle answers one call and repeats its identifier. A call whose caller has
-// closed the connection, or waits no longer, is not begun; one that has begun
-// has a context that ends with the caller's wait.
+// Handle handles one call and echoes its identifier in the response. It does not
+// run a call whose caller has closed the connection or timed out. The context of
+// the handler expires at the caller's timeout.
 func (m Mux) Handle(ctx context.Context, r *httpwire.Request) *httpwire.Response {
 	if r.Conn != nil && !skipsClosedCheck[r.URL.Path] && r.Conn.ClientClosed() {
-		return nil // nobody would read a response
+		return nil // the caller would not read a response
 	}
 	callID := r.Header.Get(headerCall)
 	wait, limited, err := parseCallerTimeout(callID)
@@ -54,10 +54,10 @@
 	return jsonPart, raw
 }
 
-// Handler makes a handler of a function of JSON to JSON. An error is answered
-// with the first code but 0 that codes give it, else with that of the StatusError
-// that it wraps, else with 500. So the errors of a package are mapped to statuses
-// in one function, here at the boundary of the call.
+// Handler adapts a function that takes and returns JSON to an HTTP handler. The
+// status of an error is the first non-zero result of codes, else that of the
+// StatusError that it wraps, else 500. Each package thus maps its errors to
+// statuses in a single function.
 func Handler[In, Out any](f func(ctx context.Context, in *In, raw []byte) (*Out, error), codes ...func(error) int) httpwire.Handler {
 	return RawHandler(func(ctx context.Context, in *In, raw []byte) (*Out, []byte, error) {
 		out, err := f(ctx, in, raw)
@@ -65,8 +65,8 @@
 	}, codes...)
 }
 
-// RawHandler is Handler for a function that returns raw bytes too. They follow the
-// JSON on a new line.
+// RawHandler is like Handler for a function that also returns raw bytes, which
+// follow the JSON of the response on a new line.
 func RawHandler[In, Out any](f func(ctx context.Context, in *In, raw []byte) (*Out, []byte, error), codes ...func(error) int) httpwire.Handler {
 	return func(ctx context.Context, r *httpwire.Request) *httpwire.Response {
 		jsonPart, raw := SplitBody(r.Body)
@@ -87,7 +87,7 @@
 		if rawOut != nil {
 			body = append(append(body, '\n'), rawOut...)
 		}
-		// Without the header fields that only others than our own processes need.
+		// No Content-Type: callers within the system do not need it.
 		return &httpwire.Response{Status: 200, Body: body}
 	}
 }
@@ -105,5 +105,6 @@
 	return httpwire.Problem(500, err.Error())
 }
 
-// Ping answers that the process runs.
+// Ping is a handler function that returns an empty result, to show that the process
+// is running.
 func Ping(context.Context, *struct{}, []byte) (*struct{}, error) { return &struct{}{}, nil }
--- a/internal/rpc/server_test.go
+++ b/internal/rpc/server_test.go
@@ -18,7 +18,7 @@
 	"saltreel/internal/httpwire"
 )
 
-// dialServer returns the near end of a pipe whose far end the server serves.
+// dialServer returns the client side of a pipe whose other side s serves.
 func dialServer(ctx context.Context, s *httpwire.Server) net.Conn {
 	near, far := net.Pipe()
 	go s.ServeConn(ctx, far)
@@ -41,7 +41,7 @@
 		if after := <-ended; after < time.Second || after > time.Second+time.Millisecond {
 			t.Errorf("the handler ended after %v", after)
 		}
-		// A request that was read after its caller stopped waiting does not begin.
+		// A request that is complete only after its caller's timeout is not run.
 		c := dialServer(t.Context(), s)
 		_, _ = io.WriteString(c, "POST /wait HTTP/1.1\r\nHost: h\r\nCall: abc 20\r\nContent-Length: 2\r\n\r\n{")
 		time.Sleep(21 * time.Millisecond)
@@ -90,7 +90,8 @@
 		ran.Add(1)
 		return &httpwire.Response{Status: 200, Body: []byte("{}")}
 	}}.Handle}
-	// The caller closes before the server, as if frozen, reads its call.
+	// The caller closes the connection before the server reads the call, as happens
+	// when the server process was suspended.
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -128,11 +129,11 @@
 		err  error
 		want int
 	}{
-		"the first function that knows it": {fmt.Errorf("read: %w", notFound), 404},
-		"the second one":                   {conflict, 409},
-		"a status error":                   {fmt.Errorf("read: %w", &StatusError{Code: 421}), 421},
-		"an error that nobody knows":       {io.EOF, 500},
-		"success":                          {nil, 200},
+		"mapped by the first function":  {fmt.Errorf("read: %w", notFound), 404},
+		"mapped by the second function": {conflict, 409},
+		"a status error":                {fmt.Errorf("read: %w", &StatusError{Code: 421}), 421},
+		"an unmapped error":             {io.EOF, 500},
+		"success":                       {nil, 200},
 	} {
 		handler := Handler(func(context.Context, *struct{}, []byte) (*struct{}, error) { return &struct{}{}, c.err }, byPackage, byOther)
 		if got := handler(t.Context(), &httpwire.Request{}); got.Status != c.want {
@@ -148,11 +149,11 @@
 		received     time.Time
 		want         int
 	}{
-		"served":              {"/ping", "abc 1000", time.Now(), 200},
-		"without a deadline":  {"/ping", "abc", time.Time{}, 200},
-		"unknown path":        {"/pong", "abc 1000", time.Now(), 404},
-		"expired":             {"/ping", "abc 1000", time.Now().Add(-2 * time.Second), 503},
-		"a wait that is none": {"/ping", "abc soon", time.Now(), 400},
+		"served":             {"/ping", "abc 1000", time.Now(), 200},
+		"without a deadline": {"/ping", "abc", time.Time{}, 200},
+		"unknown path":       {"/pong", "abc 1000", time.Now(), 404},
+		"expired":            {"/ping", "abc 1000", time.Now().Add(-2 * time.Second), 503},
+		"an invalid timeout": {"/ping", "abc soon", time.Now(), 400},
 	} {
 		r := &httpwire.Request{Request: httptest.NewRequest("POST", c.path, nil), Received: c.received}
 		r.Header.Set(headerCall, c.callID)
