--- a/internal/httpwire/call.go
+++ b/internal/httpwire/call.go
@@ -10,22 +10,22 @@
 // Call is a request to send.
 type Call struct {
 	Method, Target, Host string
-	Header               []string // names and values in turn
+	Header               []string // alternating names and values
 	Body                 []byte
-	// EchoHeader names a header field by which the call is identified: a response
-	// counts only if it repeats the field as it was sent. Empty: any counts.
+	// EchoHeader names the header field that identifies the call: a response is
+	// accepted only if it echoes the value sent. Empty: any response is accepted.
 	EchoHeader string
-	// NewID makes the value of EchoHeader anew for each attempt. Only our own
-	// processes answer such calls, so their responses are checked more strictly:
-	// with a length, and nothing behind it. Nil: Header holds the value.
+	// NewID returns a new value of EchoHeader for each attempt. Only Saltreel
+	// processes answer such calls, so the response is checked more strictly: it must
+	// have a length, and no bytes may follow it. Nil: Header holds the value.
 	NewID      func(ctx context.Context) string
-	Idempotent bool // may be sent again once when an idle connection breaks before any response
+	Idempotent bool // may be retried when an idle connection breaks before any response
 }
 
-// isInternal reports whether the call goes to one of the system's own processes.
+// isInternal reports whether the call goes to another Saltreel process.
 func (c *Call) isInternal() bool { return c.NewID != nil }
 
-// id is the value of the header field EchoHeader for the next attempt.
+// id returns the value of the header field EchoHeader for the next attempt.
 func (c *Call) id(ctx context.Context) string {
 	if c.isInternal() {
 		return c.NewID(ctx)
@@ -38,9 +38,9 @@
 	return ""
 }
 
-// encode returns the request of one attempt.
+// encode returns the encoded request of one attempt.
 func (c *Call) encode(id string) []byte {
-	const headRoom = 512 // enough for the head of nearly all calls
+	const headRoom = 512 // fits the head of nearly all calls
 	raw := make([]byte, 0, headRoom+len(c.Body))
 	raw = append(raw, c.Method...)
 	raw = append(raw, ' ')
@@ -70,36 +70,36 @@
 	return append(raw, "\r\n"...)
 }
 
-// ClientResponse is the response to a call, its body read.
+// ClientResponse is the response to a call, with its complete body.
 type ClientResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Error says at which step and at which peer a call failed.
+// Error is the error of a call, with the step that failed and the peer.
 type Error struct {
 	Step, Peer string
-	Sent       bool // whether any byte of the request may have arrived
+	Sent       bool // whether the peer may have received any byte of the request
 	Err        error
 	Reused     bool // the connection had been idle and broke before any response
 }
 
-// Steps at which a call fails.
+// Steps of a call, as named in Error.Step.
 const (
 	stepDial     = "dial"
 	stepWrite    = "write"
 	stepWait     = "wait" // for the first byte of the response
 	stepRead     = "read"
-	stepMatch    = "match answer" // the response is not that to the call
+	stepMatch    = "match response" // the response must belong to the call
 	stepReadBody = "read body"
 )
 
 func (e *Error) Error() string { return e.Step + " " + e.Peer + ": " + e.Err.Error() }
 func (e *Error) Unwrap() error { return e.Err }
 
-// NotSent reports whether it is certain that the peer received nothing of the
-// call, so that it did not run.
+// NotSent reports whether the peer certainly received no byte of the call, and so
+// did not execute it.
 func NotSent(err error) bool {
 	var e *Error
 	return errors.As(err, &e) && !e.Sent
--- a/internal/httpwire/conn.go
+++ b/internal/httpwire/conn.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// How much is read, and for how long, behind the last response of a connection
-// before it is closed.
+// Bounds on what is read after the last response of a connection before it is
+// closed.
 const (
 	lingerTime  = 500 * time.Millisecond
-	lingerBytes = 8 << 20 // twice the largest body that any listener takes
+	lingerBytes = 8 << 20 // twice the largest body that any listener accepts
 )
 
-// Conn is a client's connection. Its methods are for the handler of its current
-// request, except that the server may limit its reads.
+// Conn is a client connection. Its methods may be called only by the handler of its
+// current request, except that the server may set its read deadline.
 type Conn struct {
 	net.Conn
 	server   *Server
 	reader   *bufio.Reader
 	resume   <-chan struct{} // nil: reads are not paused
 	draining chan struct{}   // closed when the server shuts down
-	users    map[string]bool // two at most
+	users    map[string]bool // at most two
 
-	cancelHandlers context.CancelFunc // ends the context of its handlers; guarded by the server's lock
+	cancelHandlers context.CancelFunc // cancels the context of its handlers; guarded by server.mu
 }
 
 func newConn(s *Server, conn net.Conn) *Conn {
@@ -39,8 +39,8 @@
 	}
 }
 
-// AddUser notes that a user sends on the connection, and reports whether more
-// than one has.
+// AddUser records that a user sends on the connection, and reports whether more than
+// one user does.
 func (c *Conn) AddUser(user string) bool {
 	if c.users == nil {
 		c.users = map[string]bool{}
@@ -51,26 +51,25 @@
 	return len(c.users) > 1
 }
 
-// PauseReads stops reads from the connection after the current response until resume
-// is closed or the server shuts down.
+// PauseReads stops reading from the connection after the current response until
+// resume is closed or the server shuts down.
 func (c *Conn) PauseReads(resume <-chan struct{}) { c.resume = resume }
 
-// ClientClosed reports whether the client has closed the connection behind its
-// request, as far as its machine has said so. A process that was frozen, or
-// reached only after a network partition, finds such requests; the system's own
-// processes never close one direction only.
+// ClientClosed reports whether the client is known to have closed the connection
+// after its request. Such requests are found after the server process was suspended
+// or a network partition healed. Saltreel processes never half-close a connection.
 func (c *Conn) ClientClosed() bool {
 	return c.reader.Buffered() == 0 && isClosedByPeer(c.Conn)
 }
 
-// serve answers requests until the connection ends.
+// serve handles requests until the connection ends.
 func (c *Conn) serve(ctx context.Context) {
 	w := bufio.NewWriterSize(c.Conn, bufferSize)
 	for c.serveRequest(ctx, w) {
 	}
 }
 
-// serveRequest answers one request, and reports whether another may follow.
+// serveRequest handles one request and reports whether another may follow.
 func (c *Conn) serveRequest(ctx context.Context, w *bufio.Writer) (more bool) {
 	if !c.waitWhilePaused(ctx) {
 		return false
@@ -99,7 +98,7 @@
 	return !last
 }
 
-// handle has the handler answer a request.
+// handle calls the handler, and OnPanic if the handler panics.
 func (c *Conn) handle(ctx context.Context, request *Request) (response *Response) {
 	if c.server.OnPanic != nil {
 		defer func() {
@@ -111,7 +110,7 @@
 	return c.server.Handle(ctx, request)
 }
 
-// waitWhilePaused reports false if ctx ends while reads from the connection are paused.
+// waitWhilePaused waits until reads are resumed. It returns false if ctx ends first.
 func (c *Conn) waitWhilePaused(ctx context.Context) bool {
 	if c.resume == nil {
 		return true
@@ -126,9 +125,9 @@
 	return true
 }
 
-// awaitRequest waits for the first byte of a request. It reports false when the
-// connection ends, is idle for too long, or the server has stopped, and nothing has
-// arrived by then.
+// awaitRequest waits for the first byte of a request. It returns false if the
+// connection ends, the idle timeout expires or the server stops before a byte has
+// arrived.
 func (c *Conn) awaitRequest(idleTimeout time.Duration) bool {
 	if c.reader.Buffered() == 0 && !c.awaitWhileIdle(idleTimeout) && !c.hasArrived() {
 		return false
@@ -137,12 +136,13 @@
 	return true
 }
 
-// awaitWhileIdle waits for the first byte of a request as an idle connection.
+// awaitWhileIdle marks the connection idle and waits for the first byte of a request.
 func (c *Conn) awaitWhileIdle(idleTimeout time.Duration) bool {
 	if idleTimeout > 0 {
 		c.limitRead(time.Now().Add(idleTimeout))
 	}
-	// Only then idle: a shutdown interrupts the reads of idle connections.
+	// Mark idle only after setting the deadline: a shutdown interrupts the reads of
+	// idle connections by setting theirs.
 	if !c.server.setIdle(c, true) {
 		return false
 	}
@@ -150,16 +150,16 @@
 	return err == nil
 }
 
-// hasArrived reports whether the client has sent something that was not read when
-// the wait for it ended.
+// hasArrived reports whether data from the client arrived by the time the wait for
+// it ended.
 func (c *Conn) hasArrived() bool {
 	_ = c.SetReadDeadline(time.Now().Add(deadlineSlack)) // fails on a closed connection, as the read does
 	_, err := c.reader.Peek(1)
 	return err == nil
 }
 
-// reject answers a request that cannot be served, if it is known why, and lets
-// the client read that before the connection is closed.
+// reject sends the error response for a request that was rejected, and lets the
+// client read it before the connection is closed. Other errors get no response.
 func (c *Conn) reject(w *bufio.Writer, err error, limits Limits) {
 	var rejected *rejectedError
 	if !errors.As(err, &rejected) {
@@ -172,36 +172,36 @@
 	c.lingeringClose()
 }
 
-// closeAfterResponse ends a connection with its last response: it tells the
-// client so, and reads what the client sent meanwhile.
+// closeAfterResponse half-closes the connection after its last response and reads
+// what the client has sent in the meantime.
 func (c *Conn) closeAfterResponse() {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
-		return // the client would not learn before the close that the connection ends
+		return // without a half-close, the client cannot learn that the connection ends
 	}
 	c.lingeringClose()
 }
 
-// lingeringClose reads some of what the client still sends: closing with unread
-// bytes resets the connection, and the client could lose the response.
+// lingeringClose discards a bounded amount of what the client still sends: closing a
+// connection with unread bytes resets it, and the client could lose the response.
 func (c *Conn) lingeringClose() {
-	_ = c.SetReadDeadline(time.Now().Add(lingerTime))  // not bounded by a shutdown, whose answers these are
-	_, _ = io.CopyN(io.Discard, c.reader, lingerBytes) // the connection ends in any case
+	_ = c.SetReadDeadline(time.Now().Add(lingerTime))  // not bounded by a shutdown, so that its last responses arrive
+	_, _ = io.CopyN(io.Discard, c.reader, lingerBytes) // the connection is closed in any case
 }
 
-// limitRead sets the deadline of reads; the zero time removes it. A shutdown
-// bounds all of them. An error means that the connection is closed, which the
-// next read reports.
+// limitRead sets the read deadline, bounded by that of a shutdown; the zero time
+// removes it. An error means that the connection is closed, which the next read
+// reports.
 func (c *Conn) limitRead(deadline time.Time) {
 	_ = c.SetReadDeadline(c.server.readDeadline(deadline))
 }
 
-// interruptRead ends the read under way.
+// interruptRead makes the current read fail with a time-out.
 func (c *Conn) interruptRead() { _ = c.SetReadDeadline(time.Now()) }
 
-// limitWrite bounds the writing of a response: a client that does not read is
-// waited for no longer than one that does not send. As for limitRead, an error
-// shows in the next write.
+// limitWrite sets the write deadline of a response: the idle timeout also applies to
+// a client that does not read. An error means that the connection is closed, which
+// the next write reports.
 func (c *Conn) limitWrite(limits Limits) {
 	if limits.IdleTimeout > 0 {
 		_ = c.SetWriteDeadline(time.Now().Add(limits.IdleTimeout))
--- a/internal/httpwire/exchange.go
+++ b/internal/httpwire/exchange.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// keepAliveShare is the part of the idle time that a peer announces after which
-// a connection is not used any more, so that a call does not meet its end.
+// keepAliveShare is the fraction of a peer's announced idle timeout after which a
+// connection is no longer used, so that a call does not race with the peer's close.
 const keepAliveShare = 0.8
 
 // exchange sends one attempt of a call and reads its response. began reports
-// whether any byte of a response came.
+// whether any byte of a response was received.
 func (c *clientConn) exchange(ctx context.Context, call *Call) (response *ClientResponse, began bool, err error) {
 	if err := ctx.Err(); err != nil {
 		return nil, false, &Error{Step: stepWrite, Err: err}
@@ -26,12 +26,12 @@
 		c.applyDeadline(deadline)
 	}
 	stop := context.AfterFunc(ctx, func() {
-		if !errors.Is(ctx.Err(), context.DeadlineExceeded) { // which the connection has itself
+		if !errors.Is(ctx.Err(), context.DeadlineExceeded) { // the connection has the deadline itself
 			c.applyDeadline(time.Unix(1, 0))
 		}
 	})
-	// If that function has begun, it may yet take effect: the connection must not
-	// carry the next call.
+	// If that function has started, it may still set the deadline, so the connection
+	// must not be reused.
 	defer func() { c.detached = stop() }()
 	id := call.id(ctx)
 	if _, err := c.Write(call.encode(id)); err != nil {
@@ -44,12 +44,12 @@
 	return response, true, err
 }
 
-// deadlineSlack is by how much the deadline of a call may be noticed late by a process
-// that runs. One that was without the processor notices it later, and the answer
-// may have arrived meanwhile: it has deadlineSlack again to be read.
+// deadlineSlack is the delay with which a running process may notice the deadline
+// of a call. A process that was not scheduled notices it later, and the response may
+// have arrived in the meantime: it gets another deadlineSlack to be read.
 const deadlineSlack = 10 * time.Millisecond
 
-// awaitResponse waits for the first byte of a response until the context ends.
+// awaitResponse waits for the first byte of a response until ctx ends.
 func (c *clientConn) awaitResponse(ctx context.Context) error {
 	_, err := c.reader.Peek(1)
 	deadline, ok := ctx.Deadline()
@@ -70,21 +70,22 @@
 	if err != nil {
 		return nil, &Error{Step: stepRead, Sent: true, Err: err}
 	}
-	// The body of a response to another call must not even be read: its length
-	// says nothing about this connection's bytes.
+	// Match before reading the body: the length of a response to another call is not
+	// valid for the bytes on this connection.
 	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 	if err := matchHead(call, id, response.Header, framed); err != nil {
 		return nil, &Error{Step: stepMatch, Sent: true, Err: err}
 	}
 	body, err := io.ReadAll(response.Body)
-	_ = response.Body.Close() // all of it was read, or its error is reported
+	_ = response.Body.Close() // the body was read completely, or the error is reported
 	if err != nil {
 		return nil, &Error{Step: stepReadBody, Sent: true, Err: err}
 	}
-	// A faulty handler may answer twice; what it has done is done. Our own
-	// processes never do, so whoever answered was not one of them.
+	// A faulty external handler may send two responses; the first one counts, since
+	// the call was executed. Saltreel processes never do so, so for an internal call
+	// the responder was not one of them.
 	if n := c.reader.Buffered(); call.isInternal() && n > 0 {
-		return nil, &Error{Step: stepMatch, Sent: true, Err: fmt.Errorf("%d bytes stand behind the answer", n)}
+		return nil, &Error{Step: stepMatch, Sent: true, Err: fmt.Errorf("%d unexpected bytes after the response", n)}
 	}
 	if response.Close || !framed {
 		response.Header.Set("Connection", "close")
@@ -92,7 +93,7 @@
 	return &ClientResponse{Status: response.StatusCode, Header: response.Header, Body: body}, nil
 }
 
-// readFinalHead reads the head of the response and those of 1xx before it.
+// readFinalHead skips 1xx responses and reads the head of the final response.
 func (c *clientConn) readFinalHead(method string) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
@@ -102,9 +103,9 @@
 	}
 }
 
-var errNoLength = errors.New("the answer has no length")
+var errNoLength = errors.New("the response has no length")
 
-// matchHead checks that a response is that to the call.
+// matchHead checks that a response belongs to the call.
 func matchHead(call *Call, id string, header http.Header, framed bool) error {
 	if call.EchoHeader != "" {
 		if got := header.Values(call.EchoHeader); len(got) != 1 || got[0] != id {
@@ -117,8 +118,8 @@
 	return nil
 }
 
-// prepareReuse reports whether the connection may carry another call, and until
-// when. A positive expire is its idle time, unless the peer announces one.
+// prepareReuse reports whether the connection may carry another call, and sets its
+// expiry. A positive expire is the idle timeout unless the peer announces one.
 func (c *clientConn) prepareReuse(response *ClientResponse, expire time.Duration) bool {
 	if strings.EqualFold(response.Header.Get("Connection"), "close") || c.reader.Buffered() > 0 {
 		return false
@@ -135,8 +136,8 @@
 	return c.SetDeadline(time.Time{}) == nil
 }
 
-// announcedTimeout reads the idle time, less a margin, from a Keep-Alive field
-// such as "timeout=5, max=100". The last one counts.
+// announcedTimeout parses the idle timeout from a Keep-Alive field such as
+// "timeout=5, max=100" and reduces it by a margin. The last timeout counts.
 func announcedTimeout(keepAlive string) (timeout time.Duration, ok bool) {
 	for part := range strings.SplitSeq(keepAlive, ",") {
 		value, isTimeout := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
--- a/internal/httpwire/network.go
+++ b/internal/httpwire/network.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// Dial opens a connection to a host:port.
+// Dial opens a connection to a host:port address.
 type Dial func(ctx context.Context, addr string) (net.Conn, error)
 
-// Listen opens a listener at a host:port.
+// Listen opens a listener on a host:port address.
 type Listen func(addr string) (net.Listener, error)
 
-// Network is how a process reaches others and is reached. Tests replace it.
+// Network opens outgoing connections and listeners. Tests substitute it.
 type Network struct {
 	Dial   Dial
 	Listen Listen
 }
 
-// TCP is the operating system's network. On an idle connection, keep-alive probes
-// detect within about four seconds that the peer's machine is unreachable.
+// TCP returns the Network of the operating system. On an idle connection, keep-alive
+// probes detect an unreachable peer host within about four seconds.
 func TCP() Network {
 	dialer := net.Dialer{KeepAliveConfig: net.KeepAliveConfig{
 		Enable:   true,
@@ -38,17 +38,17 @@
 	}
 }
 
-// ConnectionRefused reports whether the peer's machine answered that no process
-// listens there.
+// ConnectionRefused reports whether the peer's host refused the connection, as it
+// does when no process listens on the port.
 func ConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// closeConnection closes a connection or listener of which nothing more is
-// expected. An error of Close says nothing then: whatever was written either was
-// acknowledged by a response or counts as not received.
+// closeConnection closes a connection or listener that is no longer used. It
+// ignores the error of Close: data written was either acknowledged by a response or
+// counts as not received.
 func closeConnection(c io.Closer) { _ = c.Close() }
 
-// isReusable reports whether an idle connection is open and has nothing to read. An
-// unsolicited response must not be read as that to the next call. A connection
+// isReusable reports whether an idle connection is open and has no unread data: an
+// unsolicited response must not be taken for that to the next call. A connection
 // that cannot be checked counts as reusable.
 func isReusable(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
@@ -67,9 +67,8 @@
 	return err == nil && reusable
 }
 
-// isClosedByPeer reports whether the peer has closed the connection, as far as
-// its machine has said so, and left nothing to read. A connection that cannot be
-// checked counts as open.
+// isClosedByPeer reports whether a FIN or RST from the peer has been received and
+// no data is left to read. A connection that cannot be checked counts as open.
 func isClosedByPeer(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// Pool keeps connections to peers open between calls. The zero value but for
-// Network is ready for use.
+// Pool keeps connections to peers open between calls. Only Network must be set
+// before use.
 type Pool struct {
 	Network     Network
-	MaxIdle     int           // idle connections for one peer; 0: defaultMaxIdle
-	IdleTimeout time.Duration // an idle connection older than this is not used; 0: as the peer's Keep-Alive says
-	DialTimeout time.Duration // how long opening a connection may take; 0: as long as the call
+	MaxIdle     int           // maximum idle connections per peer; 0: defaultMaxIdle
+	IdleTimeout time.Duration // maximum idle time unless the peer's Keep-Alive announces one; 0: no limit
+	DialTimeout time.Duration // 0: until the deadline of the call
 
 	mu   sync.Mutex
 	idle map[string][]*clientConn // by address
@@ -24,8 +24,8 @@
 
 const defaultMaxIdle = 8
 
-// Do sends a call and reads the complete response. The context must end. Errors
-// are of type *Error.
+// Do sends a call and reads the complete response. The context must have a deadline
+// or be cancelled eventually. Errors are of type *Error.
 func (p *Pool) Do(ctx context.Context, addr string, call *Call) (*ClientResponse, error) {
 	sent := false
 	for {
@@ -53,7 +53,7 @@
 	}
 }
 
-// Connect opens a connection to a peer for a later call, unless an idle one is there.
+// Connect opens a connection to a peer for a later call, unless there is an idle one.
 func (p *Pool) Connect(ctx context.Context, addr string) error {
 	c, err := p.connect(ctx, addr)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// connect returns an idle connection, or else a new one.
+// connect returns an idle connection, or opens one if there is none.
 func (p *Pool) connect(ctx context.Context, addr string) (*clientConn, error) {
 	if c := p.acquireIdle(addr); c != nil {
 		return c, nil
@@ -81,8 +81,8 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReaderSize(conn, bufferSize)}, nil
 }
 
-// acquireIdle returns the idle connection that was used last, since the others
-// are more likely to have expired; nil if none is usable.
+// acquireIdle returns the most recently used idle connection, since the others are
+// more likely to have expired, or nil if none is usable.
 func (p *Pool) acquireIdle(addr string) *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,7 +101,8 @@
 	}
 }
 
-// release makes a connection idle after a call, or closes it.
+// release returns a connection to the pool after a call, or closes it if it cannot
+// be reused.
 func (p *Pool) release(addr string, c *clientConn, response *ClientResponse) {
 	if c.detached && c.prepareReuse(response, p.IdleTimeout) {
 		p.addIdle(addr, c)
@@ -179,6 +180,6 @@
 	net.Conn
 	reader   *bufio.Reader
 	expires  time.Time // while idle; zero: never
-	reused   bool      // it has carried a call
-	detached bool      // the end of the last call's context does not affect it any more
+	reused   bool      // has carried a call
+	detached bool      // the context of the last call can no longer affect it
 }
--- a/internal/httpwire/response.go
+++ b/internal/httpwire/response.go
@@ -7,15 +7,15 @@
 	"strconv"
 )
 
-// Response is what a handler answers.
+// Response is the response of a handler.
 type Response struct {
 	Status int
-	Header []string // names and values in turn
+	Header []string // alternating names and values
 	Body   []byte
-	Close  bool // the connection ends with this response
+	Close  bool // close the connection after this response
 }
 
-// JSON makes a response with a JSON body.
+// JSON returns a response with a JSON body.
 func JSON(status int, v any) *Response {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -24,12 +24,12 @@
 	return &Response{Status: status, Header: []string{"Content-Type", "application/json"}, Body: body}
 }
 
-// Problem makes a response with a JSON body that says what is wrong.
+// Problem returns a response with a JSON body that describes an error.
 func Problem(status int, reason string) *Response {
 	return JSON(status, map[string]string{"error-text": reason})
 }
 
-// writeTo writes the response. The head goes through the writer's own buffer.
+// writeTo writes and flushes the response. The head is built in the buffer of w.
 func (r *Response) writeTo(w *bufio.Writer, last, withBody bool) error {
 	head := w.AvailableBuffer()
 	head = append(head, "HTTP/1.1 "...)
