--- a/internal/httpwire/connections_bench_test.go
+++ b/internal/httpwire/connections_bench_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// BenchmarkConnections measures the memory that an open connection takes at the
-// server once it has carried a call. The other end holds a bare connection only.
+// BenchmarkConnections measures the server's memory per open connection that has
+// carried a call. The client side is a plain net.Conn, so that it adds little.
 func BenchmarkConnections(b *testing.B) {
 	const n = 1000
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/httpwire/network_test.go
+++ b/internal/httpwire/network_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// tcpPair returns both ends of a connection over loopback.
+// tcpPair returns both ends of a loopback TCP connection.
 func tcpPair(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -38,13 +38,13 @@
 		"with a byte to read":     {func(_, far net.Conn) { _, _ = far.Write([]byte("x")) }, false, false},
 		"closed by the peer":      {func(_, far net.Conn) { closeConnection(far) }, false, true},
 		"closed here":             {func(near, _ net.Conn) { closeConnection(near) }, false, true},
-		"closed behind a byte":    {func(_, far net.Conn) { _, _ = far.Write([]byte("x")); closeConnection(far) }, false, false},
+		"closed after a byte":     {func(_, far net.Conn) { _, _ = far.Write([]byte("x")); closeConnection(far) }, false, false},
 		"closed in one direction": {func(_, far net.Conn) { _ = far.(*net.TCPConn).CloseWrite() }, false, true},
 		"reset by the peer":       {func(_, far net.Conn) { _ = far.(*net.TCPConn).SetLinger(0); closeConnection(far) }, false, true},
 	} {
 		near, far := tcpPair(t)
 		c.change(near, far)
-		// What the peer did arrives a moment later.
+		// The peer's change takes a moment to arrive.
 		deadline := time.Now().Add(5 * time.Second)
 		for (isReusable(near) != c.reusable || isClosedByPeer(near) != c.closed) && time.Now().Before(deadline) {
 			time.Sleep(time.Millisecond)
--- a/internal/httpwire/parse.go
+++ b/internal/httpwire/parse.go
@@ -13,20 +13,20 @@
 	"time"
 )
 
-// maxTrailers bounds the trailer fields after a chunked body.
+// maxTrailers limits the number of trailer fields after a chunked body.
 const maxTrailers = 64
 
-// Request is one complete request, its body read.
+// Request is a request with its complete body.
 type Request struct {
 	*http.Request
 	Body     []byte
 	Conn     *Conn
-	Received time.Time // when its first byte was there
+	Received time.Time // when its first byte was available
 	Read     time.Time // when its last byte was read
 }
 
-// rejectedError says why a request is not served. The client receives its reason
-// before the connection closes.
+// rejectedError is the error of a request that is not served. The client receives
+// its status and reason before the connection is closed.
 type rejectedError struct {
 	status int
 	reason string
@@ -64,7 +64,7 @@
 		return nil, errBody
 	}
 	if strings.EqualFold(parsed.Header.Get("Expect"), "100-continue") {
-		_, _ = io.WriteString(c.Conn, "HTTP/1.1 100 Continue\r\n\r\n") // a failure shows in the reading of the body
+		_, _ = io.WriteString(c.Conn, "HTTP/1.1 100 Continue\r\n\r\n") // reading the body reports a failure
 	}
 	if limits.BodyTimeout > 0 {
 		c.limitRead(time.Now().Add(limits.BodyTimeout))
@@ -77,8 +77,8 @@
 	return &Request{Request: parsed, Body: body, Conn: c, Received: received, Read: time.Now()}, nil
 }
 
-// rejectTimeout makes a time-out a rejection. A request that was not read
-// completely never runs.
+// rejectTimeout converts a time-out into a rejection. A request that was not read
+// completely is never executed.
 func rejectTimeout(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return errTooSlow
@@ -86,8 +86,8 @@
 	return err
 }
 
-// readHead reads up to the empty line behind the header. Empty lines before the
-// request line are dropped.
+// readHead reads up to and including the empty line after the header. It skips empty
+// lines before the request line.
 func readHead(r *bufio.Reader, limit int) ([]byte, error) {
 	var head []byte
 	for {
@@ -104,7 +104,7 @@
 		}
 		if len(head) == len(line) {
 			head = head[:0]
-		} else if head[len(head)-len(line)-1] == '\n' { // else it is the end of a line longer than the buffer
+		} else if head[len(head)-len(line)-1] == '\n' { // otherwise line is the end of a line longer than the buffer
 			return head, nil
 		}
 	}
@@ -132,8 +132,8 @@
 	return request, nil
 }
 
-// checkHead rejects what two readers could understand in two ways: ambiguous
-// lines, and ambiguous lengths of the body (request smuggling).
+// checkHead rejects heads that two parsers could interpret differently (request
+// smuggling): ambiguous lines and ambiguous body lengths.
 func checkHead(head []byte) error {
 	var framing framing
 	for isRequestLine := true; len(head) > 0; isRequestLine = false {
@@ -167,10 +167,10 @@
 	return line, nil
 }
 
-// framing counts the fields that say where the body ends.
+// framing counts the header fields that define the length of the body.
 type framing struct{ lengths, encodings int }
 
-// addField checks a line of the header, and counts it if it is about framing.
+// addField checks a header line, and counts it if it defines the body length.
 func (f *framing) addField(line []byte) error {
 	if line[0] == ' ' || line[0] == '\t' {
 		return badRequest("a header line is folded")
@@ -193,8 +193,8 @@
 	return nil
 }
 
-// checkLength admits digits only: other readers may or may not accept a sign,
-// a space or a list.
+// checkLength accepts digits only, since parsers differ on whether they accept a
+// sign, a space or a list.
 func checkLength(value []byte) error {
 	for _, b := range value {
 		if b < '0' || b > '9' {
@@ -214,7 +214,7 @@
 	return nil
 }
 
-// readBody reads the body that the head announces; nil if there is none.
+// readBody reads the body that the head declares, or returns nil if there is none.
 func readBody(r *bufio.Reader, head *http.Request, limit int) ([]byte, error) {
 	if len(head.TransferEncoding) > 0 {
 		return readChunks(r, limit)
@@ -227,7 +227,7 @@
 	return body, err
 }
 
-// readChunks reads a chunked body with its trailers, which are dropped.
+// readChunks reads a chunked body and discards its trailers.
 func readChunks(r *bufio.Reader, limit int) ([]byte, error) {
 	chunks := httputil.NewChunkedReader(r)
 	if limit > 0 {
--- a/internal/httpwire/parse_test.go
+++ b/internal/httpwire/parse_test.go
@@ -12,7 +12,7 @@
 func TestCheckHead(t *testing.T) {
 	for name, c := range map[string]struct {
 		lines string // of the header
-		want  string // the reason of the rejection; empty: admitted
+		want  string // the reason of the rejection; empty: accepted
 	}{
 		"no fields":                {"", ""},
 		"a length":                 {"Content-Length: 2\r\n", ""},
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestReadHeadEndsBehindTheEmptyLine(t *testing.T) {
+func TestReadHeadEndsAfterTheEmptyLine(t *testing.T) {
 	long := "X: " + strings.Repeat("x", 3*bufferSize) + "\r\n"
 	for name, c := range map[string]struct{ raw, want, rest string }{
 		"one":                         {"GET / HTTP/1.1\r\n\r\nnext", "GET / HTTP/1.1\r\n\r\n", "next"},
@@ -56,7 +56,8 @@
 			t.Errorf("%s: read %q, left %q: %v", name, head, rest, err)
 		}
 	}
-	// The line break of a long line may be all that the buffer's last part holds.
+	// A long line may be split so that the last read returns only its line break,
+	// which must not be taken for the empty line that ends the head.
 	exact := "X: " + strings.Repeat("x", bufferSize-3) + "\r\n"
 	raw := "GET / HTTP/1.1\r\n" + exact + "\r\n"
 	r := bufio.NewReaderSize(strings.NewReader(raw), bufferSize)
--- a/internal/httpwire/pool_test.go
+++ b/internal/httpwire/pool_test.go
@@ -82,8 +82,9 @@
 	}
 }
 
-// stalledConn is a connection of a process that was without the processor: it
-// notices its first deadline late, and the answer is there by then, or not.
+// stalledConn simulates a connection of a process that was not scheduled: its first
+// read returns the time-out late by the given duration. The response, if any, is
+// available to the second read.
 type stalledConn struct {
 	net.Conn
 	late     time.Duration
@@ -114,16 +115,16 @@
 	return copy(b, c.answer), io.EOF
 }
 
-func TestAnswerIsReadWhenTheDeadlineWasNoticedLate(t *testing.T) {
+func TestResponseIsReadWhenTheDeadlineWasNoticedLate(t *testing.T) {
 	const answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct {
 		late     time.Duration
 		answer   string
 		answered bool
 	}{
-		"late, and the answer is there": {deadlineSlack, answer, true},
-		"late, and there is none":       {deadlineSlack, "", false},
-		"noticed in time":               {deadlineSlack - 1, answer, false},
+		"late, response available": {deadlineSlack, answer, true},
+		"late, no response":        {deadlineSlack, "", false},
+		"in time":                  {deadlineSlack - 1, answer, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			conn := &stalledConn{late: c.late, answer: c.answer}
@@ -158,7 +159,7 @@
 	}
 }
 
-// newEchoPool makes a pool whose peers answer each call with the given header.
+// newEchoPool returns a pool whose peers respond to each call with the given header.
 func newEchoPool(t *testing.T, header string) (pool *Pool, dials *int) {
 	t.Helper()
 	dials = new(int)
--- a/internal/httpwire/server.go
+++ b/internal/httpwire/server.go
@@ -1,7 +1,7 @@
-// Package httpwire speaks HTTP/1.1 on connections: a server that reads requests
-// strictly, so that no two readers understand one in two ways (RFC 9112, section
-// 6.3), and a pool of client connections that matches responses to calls. Both
-// use bufio and net/http's readers of single messages.
+// Package httpwire implements HTTP/1.1 on connections: a server that parses requests
+// strictly, to rule out request smuggling (RFC 9112, section 6.3), and a pool of
+// client connections that matches responses to calls. Both use bufio and the message
+// parsers of net/http.
 package httpwire
 
 import (
@@ -13,50 +13,50 @@
 )
 
 const (
-	// bufferSize is that of a connection's buffers, one each way, in bytes.
+	// bufferSize is the size in bytes of a connection's read and write buffers.
 	bufferSize = 4096
-	// acceptRetryDelay is the wait after a failed Accept, for instance when there
-	// are too many open files.
+	// acceptRetryDelay is the delay after a failed Accept, for instance because of
+	// too many open files.
 	acceptRetryDelay = 50 * time.Millisecond
-	// defaultShutdownGracePeriod is Server.ShutdownGracePeriod where it is not set.
+	// defaultShutdownGracePeriod is Server.ShutdownGracePeriod if that is zero.
 	defaultShutdownGracePeriod = 200 * time.Millisecond
 )
 
-// Handler answers one request. A nil response closes the connection without one.
-// When ctx ends, for instance since the server shuts down, it answers at once by
-// what it knows.
+// Handler handles one request. A nil response closes the connection without a
+// response. When ctx ends, for instance because the server shuts down, the handler
+// must return immediately, with a response based on what is known by then.
 type Handler func(ctx context.Context, r *Request) *Response
 
-// Limits bound what the server reads. Zero means no bound.
+// Limits bounds what the server reads. Zero means no bound.
 type Limits struct {
 	HeaderBytes, BodyBytes                  int
 	HeaderTimeout, IdleTimeout, BodyTimeout time.Duration
 }
 
-// Server answers requests on the connections of a listener, on each in order.
+// Server handles requests on the connections of a listener, in order on each
+// connection.
 type Server struct {
 	Handle Handler
-	Limits func() Limits // asked for each request; nil: no bounds
-	// OnPanic answers a request whose handler panicked. Nil: the panic ends the
-	// process, as is right where the handler may have left shared state half
-	// changed.
+	Limits func() Limits // called for each request; nil: no bounds
+	// OnPanic returns the response to a request whose handler panicked. Nil: the
+	// panic terminates the process, which is needed where the handler may have left
+	// shared state inconsistent.
 	OnPanic func(r *Request, reason any) *Response
-	// ShutdownGracePeriod is how long the answers may take that Shutdown asks for when its
-	// context ends; 0: defaultAnswerTime.
+	// ShutdownGracePeriod is how long handlers may take to respond after the context
+	// of Shutdown has ended; 0: defaultShutdownGracePeriod.
 	ShutdownGracePeriod time.Duration
 
 	mu         sync.Mutex
-	conns      map[*Conn]bool // true while idle
+	conns      map[*Conn]bool // value: whether the connection is idle
 	closing    bool           // responses carry Connection: close
 	stopped    bool           // no connection is accepted, none becomes idle
-	readCutoff time.Time      // no request is read for longer; zero: no bound
+	readCutoff time.Time      // read deadline of all requests; zero: none
 	listener   net.Listener
-	active     sync.WaitGroup // counts conns
+	active     sync.WaitGroup // one per connection being served
 }
 
-// Serve accepts connections until the listener is closed. When ctx ends, it
-// closes the listener and all connections at once; Shutdown lets the requests
-// that were read finish first.
+// Serve accepts connections until the listener is closed. When ctx ends, it closes
+// the listener and all connections immediately; for a graceful end, use Shutdown.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	s.mu.Lock()
 	s.listener = l
@@ -90,7 +90,7 @@
 	}
 }
 
-// ServeConn answers requests on one connection until it ends, and closes it.
+// ServeConn handles requests on one connection until it ends, and closes it.
 func (s *Server) ServeConn(ctx context.Context, conn net.Conn) {
 	if c := s.track(conn); c != nil {
 		s.serveTracked(ctx, c)
@@ -127,8 +127,8 @@
 	closeConnection(c)
 }
 
-// setCancelHandlers registers the cancel function of the context of a connection's handlers, which
-// Shutdown may do before that of Serve ends.
+// setCancelHandlers registers the cancel function of a connection's handlers, which
+// Shutdown may call before the context of Serve ends.
 func (s *Server) setCancelHandlers(c *Conn, cancel context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,19 +138,19 @@
 	}
 }
 
-// StopKeepAlives lets every response from now on close its connection.
+// StopKeepAlives makes the server close each connection after its next response.
 func (s *Server) StopKeepAlives() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closing = true
 }
 
-// Shutdown accepts no more connections, closes the idle ones, resumes the paused
-// ones, and waits until the others have finished their request. When ctx ends,
-// the contexts of the handlers end too, so that they answer at once by what they
-// know, and requests that have not come whole are rejected; connections are
-// closed without an answer only if that takes longer than AnswerTime. It may be
-// called again, and then waits as well.
+// Shutdown stops accepting connections, closes the idle ones, resumes the paused
+// ones, and waits until the others have finished their request. When ctx ends, the
+// contexts of the handlers are cancelled, so that they respond immediately, and
+// incomplete requests are rejected; connections that take longer than
+// ShutdownGracePeriod after that are closed without a response. Shutdown may be
+// called repeatedly; each call waits.
 func (s *Server) Shutdown(ctx context.Context) {
 	s.stop()
 	done := make(chan struct{})
@@ -181,7 +181,7 @@
 	return defaultShutdownGracePeriod
 }
 
-// stop begins a shutdown. Only the first call has an effect.
+// stop starts a shutdown. Only the first call has an effect.
 func (s *Server) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,7 +201,7 @@
 	}
 }
 
-// cancelRequests ends the contexts of the handlers and the reading of requests.
+// cancelRequests cancels the contexts of the handlers and stops reading requests.
 func (s *Server) cancelRequests() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,7 +214,7 @@
 	}
 }
 
-// closeAll closes every connection, whatever it does.
+// closeAll closes every connection, idle or not.
 func (s *Server) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -225,8 +225,8 @@
 	}
 }
 
-// setIdle marks a connection as idle or in use. It reports false if the server
-// has stopped, so that the connection must not become idle.
+// setIdle marks a connection as idle or in use. It returns false if the server has
+// stopped, in which case the connection must not become idle.
 func (s *Server) setIdle(c *Conn, idle bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -237,8 +237,8 @@
 	return true
 }
 
-// readDeadline is the deadline of a read: the given one, zero for none, or the
-// end of all reading.
+// readDeadline returns the earlier of the wanted deadline and readCutoff; zero means
+// no deadline.
 func (s *Server) readDeadline(wanted time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/httpwire/server_test.go
+++ b/internal/httpwire/server_test.go
@@ -15,7 +15,7 @@
 )
 
 // serveRaw sends raw bytes to a server. It returns the status of each response and,
-// unless the server has a handler, what requests were handled.
+// unless the server has a handler, the requests that were handled.
 func serveRaw(t *testing.T, s *Server, raw string) (statuses []int, handled []string) {
 	t.Helper()
 	s.Limits = func() Limits {
@@ -123,7 +123,7 @@
 	}
 }
 
-// client is the far end of a connection to a server.
+// client is the client side of a connection to a server.
 type client struct {
 	t      *testing.T
 	conn   net.Conn
@@ -145,7 +145,8 @@
 	}
 }
 
-// status reads one response; 0 if the connection ended without one.
+// status reads one response and returns its status, or 0 if the connection ended
+// without one.
 func (c *client) status() int {
 	r, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
@@ -155,8 +156,8 @@
 	return r.StatusCode
 }
 
-// startRequest sends bytes to a server on a connection of its own, and returns the
-// status of its response once the server has read them.
+// startRequest sends raw on a new connection. It returns once the server has read
+// it, with a channel that delivers the status of the response.
 func startRequest(t *testing.T, s *Server, raw string) <-chan int {
 	t.Helper()
 	c := connectTo(t, s)
@@ -169,7 +170,7 @@
 
 const plainRequest = "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi"
 
-// untilDone is a handler that takes as long as it may.
+// untilDone is a handler that responds only when its context ends.
 func untilDone(ctx context.Context, _ *Request) *Response {
 	<-ctx.Done()
 	return &Response{Status: 503}
@@ -181,8 +182,8 @@
 	s.Shutdown(ctx)
 }
 
-// When the time of a shutdown is over, handlers are told so, and what they answer
-// still goes out.
+// Guards against requests that get no response because their handler is still
+// running when the context of Shutdown ends.
 func TestShutdownAnswersEveryRequestThatWasRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &Server{Handle: untilDone}
@@ -198,8 +199,9 @@
 	})
 }
 
-// A request that has not come whole in time is rejected: it never runs.
-func TestShutdownRejectsARequestThatIsNotWhole(t *testing.T) {
+// Guards against executing a request that is still incomplete when the context of
+// Shutdown ends.
+func TestShutdownRejectsAnIncompleteRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &Server{Handle: untilDone}
 		status := startRequest(t, s, plainRequest[:len(plainRequest)-1])
@@ -210,8 +212,8 @@
 	})
 }
 
-// A request that became whole while the server shuts down is answered too.
-func TestShutdownAnswersARequestThatBecomesWholeMeanwhile(t *testing.T) {
+// Guards against dropping a request that becomes complete during a shutdown.
+func TestShutdownAnswersARequestCompletedDuringShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &Server{Handle: untilDone}
 		c := connectTo(t, s)
@@ -227,8 +229,8 @@
 	})
 }
 
-// A request that has arrived and was not read when the server stops is answered,
-// on an idle connection as well as on a paused one.
+// Guards against dropping a request that has arrived but was not read when the
+// server stops, on an idle connection as well as on a paused one.
 func TestShutdownAnswersARequestThatHasArrived(t *testing.T) {
 	for name, paused := range map[string]bool{"idle": false, "paused": true} {
 		t.Run(name, func(t *testing.T) {
@@ -253,7 +255,7 @@
 	synctest.Wait()
 	second := func() { _, _ = io.WriteString(c.conn, plainRequest) }
 	if paused {
-		go second() // a pipe has no buffer: this waits
+		go second() // blocks until read, since a pipe has no buffer
 	} else {
 		time.AfterFunc(deadlineSlack/2, second)
 	}
@@ -266,8 +268,8 @@
 	}
 }
 
-// A handler that ignores the end of its context does not hold the process.
-func TestShutdownEndsWithoutAHandlerThatDoesNot(t *testing.T) {
+// Guards against a handler that ignores its context blocking the shutdown.
+func TestShutdownDoesNotWaitForAStuckHandler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
 		s := &Server{ShutdownGracePeriod: 300 * time.Millisecond, Handle: func(context.Context, *Request) *Response {
@@ -299,14 +301,14 @@
 	})
 }
 
-func TestPanicOfAHandlerIsAnsweredWhereTheServerSaysSo(t *testing.T) {
+func TestOnPanicAnswersAPanickingHandler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &Server{
-			Handle:  func(context.Context, *Request) *Response { panic("a fault of the program") },
+			Handle:  func(context.Context, *Request) *Response { panic("programming error") },
 			OnPanic: func(_ *Request, reason any) *Response { return Problem(502, reason.(string)) },
 		}
 		c := connectTo(t, s)
-		for range 2 { // the connection goes on
+		for range 2 { // the connection stays open
 			c.send(plainRequest)
 			if got := c.status(); got != 502 {
 				t.Errorf("answered %d", got)
@@ -316,7 +318,7 @@
 	})
 }
 
-// halfCloser is a connection that notes how it is closed.
+// halfCloser is a connection that records how it is closed.
 type halfCloser struct {
 	net.Conn
 	mu    sync.Mutex
@@ -349,8 +351,8 @@
 	return c.Conn.Close()
 }
 
-// Closing with unread bytes resets the connection, and the client could lose the
-// last response. So what it sends meanwhile is read first.
+// Guards against the loss of the last response: closing a connection with unread
+// bytes resets it, so the server must read what the client has sent before closing.
 func TestLastResponseIsNotLostByAReset(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &Server{Handle: func(context.Context, *Request) *Response { return &Response{Status: 200, Close: true} }}
@@ -362,7 +364,7 @@
 		if got := c.status(); got != 200 {
 			t.Fatalf("answered %d", got)
 		}
-		c.send(plainRequest) // which the client sent before it had read that
+		c.send(plainRequest) // as if sent before the client had read the response
 		closeConnection(near)
 		synctest.Wait()
 		conn.mu.Lock()
