--- a/internal/httpwire/pool_test.go
+++ b/internal/httpwire/pool_test.go
@@ -88,7 +88,7 @@
 type stalledConn struct {
 	net.Conn
 	late     time.Duration
-	answer   string
+	response string
 	deadline time.Time
 	stalled  bool
 }
@@ -108,31 +108,31 @@
 		time.Sleep(time.Until(c.deadline) + c.late)
 		return 0, os.ErrDeadlineExceeded
 	}
-	if c.answer == "" {
+	if c.response == "" {
 		time.Sleep(time.Until(c.deadline))
 		return 0, os.ErrDeadlineExceeded
 	}
-	return copy(b, c.answer), io.EOF
+	return copy(b, c.response), io.EOF
 }
 
 func TestResponseIsReadWhenTheDeadlineWasNoticedLate(t *testing.T) {
-	const answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+	const response = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct {
 		late     time.Duration
-		answer   string
-		answered bool
+		response string
+		succeeds bool
 	}{
-		"late, response available": {deadlineSlack, answer, true},
+		"late, response available": {deadlineSlack, response, true},
 		"late, no response":        {deadlineSlack, "", false},
-		"in time":                  {deadlineSlack - 1, answer, false},
+		"in time":                  {deadlineSlack - 1, response, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			conn := &stalledConn{late: c.late, answer: c.answer}
+			conn := &stalledConn{late: c.late, response: c.response}
 			pool := &Pool{Network: Network{Dial: func(context.Context, string) (net.Conn, error) { return conn, nil }}}
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
 			_, err := pool.Do(ctx, "h:1", &Call{Method: "POST", Target: "/x", Host: "h"})
-			if (err == nil) != c.answered || err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+			if (err == nil) != c.succeeds || err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("%s: %v", name, err)
 			}
 		})
--- a/internal/platform/lifecycle.go
+++ b/internal/platform/lifecycle.go
@@ -44,7 +44,7 @@
 // PathVariable.
 func NewLifecycle(role string, signals Signals, start Start, logger *log.Logger) (*Lifecycle, error) {
 	if role == "" || signals == nil || start == nil || logger == nil {
-		return nil, errors.New("platform: the lifecycle of a process needs a role, signals, a start and a log")
+		return nil, errors.New("platform: the lifecycle of a process requires a role, signals, a start function and a logger")
 	}
 	return &Lifecycle{Role: role, Signals: signals, ReadSettings: readSettingsFile, Start: start, Log: logger}, nil
 }
