--- a/internal/rpc/errors.go
+++ b/internal/rpc/errors.go
@@ -11,7 +11,7 @@
 	Text string // the body, with surrounding white space trimmed
 }
 
-func (s *StatusError) Error() string { return fmt.Sprintf("status %d: %s", s.Code, s.Text) }
+func (s *StatusError) Error() string { return fmt.Sprintf("answered %d %s", s.Code, s.Text) }
 
 // StatusCode returns the status of the StatusError that err wraps, or 0 if there is
 // none, which means that no response was received.
