--- a/internal/httpwire/pool_test.go
+++ b/internal/httpwire/pool_test.go
@@ -239,6 +239,6 @@
 	}
 	pool.CloseIdle("h:1")
 	if pool.ConnectionsTo("h:1") != 0 || pool.Connections() != 0 {
-		t.Errorf("%d open, %d in total after Forget", pool.ConnectionsTo("h:1"), pool.Connections())
+		t.Errorf("%d open, %d in total after CloseIdle", pool.ConnectionsTo("h:1"), pool.Connections())
 	}
 }
