--- a/internal/httpwire/pool_test.go
+++ b/internal/httpwire/pool_test.go
@@ -28,8 +28,8 @@
 		}}}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		call := &Call{Method: "GET", Target: "/", Host: "h", Header: []string{"Id", "mine"}, Repeats: "Id"}
-		if a, err := pool.Do(ctx, "h:1", call); err == nil || NotSent(err) || pool.Open("h:1") != 0 {
+		call := &Call{Method: "GET", Target: "/", Host: "h", Header: []string{"Id", "mine"}, EchoHeader: "Id"}
+		if a, err := pool.Do(ctx, "h:1", call); err == nil || NotSent(err) || pool.ConnectionsTo("h:1") != 0 {
 			t.Errorf("response to another call: %+v %v", a, err)
 		}
 		if _, err := pool.Do(ctx, "h:1", call); err != nil || dials != 2 {
@@ -49,8 +49,8 @@
 		"empty post":      {Call{Method: "POST", Target: "/a", Host: "h"}, "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"},
 		"body":            {Call{Method: "POST", Target: "/a", Host: "h", Body: []byte("hi")}, "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi"},
 		"get with a body": {Call{Method: "GET", Target: "/a", Host: "h", Body: []byte("hi")}, "GET /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi"},
-		"header":          {Call{Method: "GET", Target: "/a", Host: "h", Header: []string{"A", "1", "B", "2"}, Repeats: "A"}, "GET /a HTTP/1.1\r\nHost: h\r\nA: 1\r\nB: 2\r\n\r\n"},
-		"internal":        {Call{Method: "GET", Target: "/a", Host: "h", Repeats: "Id", NewID: newID}, "GET /a HTTP/1.1\r\nHost: h\r\nId: id-1\r\n\r\n"},
+		"header":          {Call{Method: "GET", Target: "/a", Host: "h", Header: []string{"A", "1", "B", "2"}, EchoHeader: "A"}, "GET /a HTTP/1.1\r\nHost: h\r\nA: 1\r\nB: 2\r\n\r\n"},
+		"internal":        {Call{Method: "GET", Target: "/a", Host: "h", EchoHeader: "Id", NewID: newID}, "GET /a HTTP/1.1\r\nHost: h\r\nId: id-1\r\n\r\n"},
 	} {
 		if got := string(c.call.encode(c.call.id(t.Context()))); got != c.want {
 			t.Errorf("%s: %q, not %q", name, got, c.want)
@@ -59,8 +59,8 @@
 }
 
 func TestMatchHead(t *testing.T) {
-	external := &Call{Repeats: "Id"}
-	internal := &Call{Repeats: "Id", NewID: func(context.Context) string { return "" }}
+	external := &Call{EchoHeader: "Id"}
+	internal := &Call{EchoHeader: "Id", NewID: func(context.Context) string { return "" }}
 	for name, c := range map[string]struct {
 		call   *Call
 		ids    []string
@@ -82,12 +82,13 @@
 	}
 }
 
-// stalledConn is a connection of a process that was without the processor: it
-// notices its first deadline late, and the answer is there by then, or not.
+// stalledConn simulates a connection of a process that was not scheduled: its first
+// read returns the time-out late by the given duration. The response, if any, is
+// available to the second read.
 type stalledConn struct {
 	net.Conn
 	late     time.Duration
-	answer   string
+	response string
 	deadline time.Time
 	stalled  bool
 }
@@ -107,31 +108,31 @@
 		time.Sleep(time.Until(c.deadline) + c.late)
 		return 0, os.ErrDeadlineExceeded
 	}
-	if c.answer == "" {
+	if c.response == "" {
 		time.Sleep(time.Until(c.deadline))
 		return 0, os.ErrDeadlineExceeded
 	}
-	return copy(b, c.answer), io.EOF
+	return copy(b, c.response), io.EOF
 }
 
-func TestAnswerIsReadWhenTheDeadlineWasNoticedLate(t *testing.T) {
-	const answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+func TestResponseIsReadWhenTheDeadlineWasNoticedLate(t *testing.T) {
+	const response = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct {
 		late     time.Duration
-		answer   string
-		answered bool
+		response string
+		succeeds bool
 	}{
-		"late, and the answer is there": {lateTimer, answer, true},
-		"late, and there is none":       {lateTimer, "", false},
-		"noticed in time":               {lateTimer - 1, answer, false},
+		"late, response available": {deadlineSlack, response, true},
+		"late, no response":        {deadlineSlack, "", false},
+		"in time":                  {deadlineSlack - 1, response, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			conn := &stalledConn{late: c.late, answer: c.answer}
+			conn := &stalledConn{late: c.late, response: c.response}
 			pool := &Pool{Network: Network{Dial: func(context.Context, string) (net.Conn, error) { return conn, nil }}}
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
 			_, err := pool.Do(ctx, "h:1", &Call{Method: "POST", Target: "/x", Host: "h"})
-			if (err == nil) != c.answered || err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+			if (err == nil) != c.succeeds || err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("%s: %v", name, err)
 			}
 		})
@@ -158,7 +159,7 @@
 	}
 }
 
-// newEchoPool makes a pool whose peers answer each call with the given header.
+// newEchoPool returns a pool whose peers respond to each call with the given header.
 func newEchoPool(t *testing.T, header string) (pool *Pool, dials *int) {
 	t.Helper()
 	dials = new(int)
@@ -179,7 +180,7 @@
 		}()
 		return near, nil
 	}}}
-	t.Cleanup(func() { pool.Forget("h:1") })
+	t.Cleanup(func() { pool.CloseIdle("h:1") })
 	return pool, dials
 }
 
@@ -227,17 +228,17 @@
 		}
 		conns = append(conns, c)
 	}
-	if pool.Open("h:1") != 3 || pool.Connections() != 3 {
-		t.Errorf("%d open, %d in total", pool.Open("h:1"), pool.Connections())
+	if pool.ConnectionsTo("h:1") != 3 || pool.Connections() != 3 {
+		t.Errorf("%d open, %d in total", pool.ConnectionsTo("h:1"), pool.Connections())
 	}
 	for _, c := range conns {
 		pool.addIdle("h:1", c)
 	}
-	if pool.Open("h:1") != 2 || pool.Connections() != 2 {
-		t.Errorf("%d open, %d in total, of which 2 may be idle", pool.Open("h:1"), pool.Connections())
+	if pool.ConnectionsTo("h:1") != 2 || pool.Connections() != 2 {
+		t.Errorf("%d open, %d in total, of which 2 may be idle", pool.ConnectionsTo("h:1"), pool.Connections())
 	}
-	pool.Forget("h:1")
-	if pool.Open("h:1") != 0 || pool.Connections() != 0 {
-		t.Errorf("%d open, %d in total after Forget", pool.Open("h:1"), pool.Connections())
+	pool.CloseIdle("h:1")
+	if pool.ConnectionsTo("h:1") != 0 || pool.Connections() != 0 {
+		t.Errorf("%d open, %d in total after CloseIdle", pool.ConnectionsTo("h:1"), pool.Connections())
 	}
 }
