--- a/internal/configuration/patch_test.go
+++ b/internal/configuration/patch_test.go
@@ -21,18 +21,18 @@
 			`{"revision":9,"upsert":{"route-table":[{"name":"d"},{"name":"a","priority":2}]},"withdraw":{"route-table":["b","never"]}}`,
 			`{"limits":{"subscriptions":5},"revision":9,"route-table":[{"name":"a","priority":2},{"name":"c"},{"name":"d"}],"unknown":{"x":1}}`, "",
 		},
-		"an item that is withdrawn and upserted stays": {
+		"an item that is withdrawn and upserted is kept": {
 			`{"revision":1,"tenant-table":[{"name":"t","api-keys":["k"]}]}`,
 			`{"revision":2,"upsert":{"tenant-table":[{"name":"t","api-keys":["l"]}]},"withdraw":{"tenant-table":["t"]}}`,
 			`{"revision":2,"tenant-table":[{"name":"t","api-keys":["l"]}]}`, "",
 		},
 		"a group is replaced": {current, `{"revision":8,"upsert":{"limits":{"subscriptions":6}}}`,
 			`{"limits":{"subscriptions":6},"revision":8,"route-table":[{"name":"a","new":1},{"name":"b","retention-s":35.0},{"name":"c"}],"unknown":{"x":1}}`, ""},
-		"on nothing":            {"", `{"revision":1,"upsert":{"route-table":[{"name":"a"}]}}`, `{"revision":1,"route-table":[{"name":"a"}]}`, ""},
+		"no configuration yet":  {"", `{"revision":1,"upsert":{"route-table":[{"name":"a"}]}}`, `{"revision":1,"route-table":[{"name":"a"}]}`, ""},
 		"not JSON":              {current, `{"revision":9,`, "", "cannot be parsed"},
 		"no revision":           {current, `{}`, "", "revision is missing"},
-		"an item without name":  {current, `{"revision":9,"upsert":{"route-table":[{}]}}`, "", "no name"},
-		"an item is no object":  {current, `{"revision":9,"upsert":{"route-table":[7]}}`, "", "route-table"},
+		"item without a name":   {current, `{"revision":9,"upsert":{"route-table":[{}]}}`, "", "no name"},
+		"item is not an object": {current, `{"revision":9,"upsert":{"route-table":[7]}}`, "", "route-table"},
 		"no table of that name": {current, `{"revision":9,"withdraw":{"limits":["a"]}}`, "", "not a list"},
 	} {
 		var before []byte
