--- a/internal/edge/admission.go
+++ b/internal/edge/admission.go
@@ -29,10 +29,10 @@
 	if problem != nil {
 		return problem
 	}
-	began := time.Now()
+	start := time.Now()
 	response := e.admit(ctx, r, table, m, route)
-	waited := time.Since(began) + r.Read.Sub(r.Received)
-	e.throttle(r, m, route, waited, response)
+	waitTime := time.Since(start) + r.Read.Sub(r.Received)
+	e.throttle(r, m, route, waitTime, response)
 	return response
 }
 
@@ -48,22 +48,22 @@
 
 // throttle records what a request used. Over a limit, the answer goes out at once
 // and names the throttle time X; then reads from the connection stop for as long.
-func (e *Edge) throttle(r *httpwire.Request, m *client.Message, route *configuration.Route, waited time.Duration, response *httpwire.Response) {
-	worked := time.Since(r.Received) - waited
-	x, by := e.quotas.RecordRequest(m.Tenant, route.Name, len(r.Body), worked, m.Throttle)
+func (e *Edge) throttle(r *httpwire.Request, m *client.Message, route *configuration.Route, waitTime time.Duration, response *httpwire.Response) {
+	processingTime := time.Since(r.Received) - waitTime
+	throttleTime, limitingQuota := e.quotas.RecordRequest(m.Tenant, route.Name, len(r.Body), processingTime, m.Throttle)
 	shared := r.Conn.Shared(m.Tenant)
-	if x <= 0 {
+	if throttleTime <= 0 {
 		return
 	}
-	response.Header = append(response.Header, "Saltreel-Throttle-Ms", strconv.FormatInt(min(x, quota.Window).Milliseconds(), 10))
+	response.Header = append(response.Header, "Saltreel-Throttle-Ms", strconv.FormatInt(min(throttleTime, quota.Window).Milliseconds(), 10))
 	if !shared { // a hold would make other tenants wait
-		r.Conn.Hold(by.Throttle(x))
+		r.Conn.Hold(limitingQuota.Throttle(throttleTime))
 	}
 }
 
 // admit decides on a message and forwards it to the stores.
 func (e *Edge) admit(ctx context.Context, r *httpwire.Request, table *configuration.Table, m *client.Message, route *configuration.Route) *httpwire.Response {
-	ctx, cancel := context.WithDeadline(ctx, r.Received.Add(e.timing.messageDeadline(m.Deadline)))
+	ctx, cancel := context.WithDeadline(ctx, r.Received.Add(e.timing.messageTimeout(m.Deadline)))
 	defer cancel()
 	if tenant := table.Tenant(m.Tenant); tenant != nil && tenant.RatePerS > 0 {
 		if refusal := e.checkRate(ctx, tenant, m, route); refusal != nil {
@@ -89,9 +89,9 @@
 	if wait := e.leases.Acquire(ctx, tenant); wait > 0 {
 		// The connection is held until the next lease only: the tenant is
 		// still owed its limit, also on the connections it has.
-		x := max(wait, e.leases.ThrottleTime(tenant, e.quotas.AcceptedMessages.Rate(m.Tenant, route.Name)))
-		m.Throttle = min(wait, x)
-		return withRetryAfter(httpwire.Problem(429, "tenant "+m.Tenant+" is over its limit"), x)
+		throttleTime := max(wait, e.leases.ThrottleTime(tenant, e.quotas.AcceptedMessages.Rate(m.Tenant, route.Name)))
+		m.Throttle = min(wait, throttleTime)
+		return withRetryAfter(httpwire.Problem(429, "tenant "+m.Tenant+" is over its limit"), throttleTime)
 	}
 	return nil
 }
--- a/internal/edge/candidates.go
+++ b/internal/edge/candidates.go
@@ -14,7 +14,7 @@
 	tierRegion                 // ... in its region
 	tierRemote                 // ... elsewhere
 	tierUnderReplicated        // backups are missing: the primary declines for now
-	tiers
+	tierCount
 )
 
 // candidatePartitions lists the partitions that may have a message, the nearest
@@ -34,7 +34,7 @@
 		return []int{int(ring.Hash("order", r.Tenant, r.OrderKey) % n)}
 	}
 	first := int(ring.Hash(r.ID) % n)
-	var byTier [tiers][]int
+	var byTier [tierCount][]int
 	for i := range p.Partitions {
 		candidate := (first + i) % len(p.Partitions)
 		tier := tierOf(p, candidate, set)
--- a/internal/edge/candidates_test.go
+++ b/internal/edge/candidates_test.go
@@ -36,8 +36,8 @@
 	return p
 }
 
-// primaries names the stores that lead partitions.
-func primaries(p *placement.Placement, partitions []int) []string {
+// primaryNames names the stores that lead partitions.
+func primaryNames(p *placement.Placement, partitions []int) []string {
 	var names []string
 	for _, i := range partitions {
 		names = append(names, p.Partitions[i].Primary)
@@ -68,7 +68,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			p := testPlacement(test.stores, test.underReplicated...)
-			got := primaries(p, candidatePartitions(p, testSettings(), &configuration.Route{}, nil, &partition.Record{ID: "one"}))
+			got := primaryNames(p, candidatePartitions(p, testSettings(), &configuration.Route{}, nil, &partition.Record{ID: "one"}))
 			for _, tier := range test.tiers {
 				if len(got) < len(tier) {
 					t.Fatalf("candidates end before %v", tier)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -36,7 +36,7 @@
 
 // New makes the process; Run starts it.
 func New(set *settings.Settings, network httpwire.Network, logger *log.Logger) *Edge {
-	timing := timing{contact: set.Contact(), grace: settings.Seconds(set.Timers.GraceS)}
+	timing := timing{contactTimeout: set.Contact(), grace: settings.Seconds(set.Timers.GraceS)}
 	e := &Edge{
 		set:     set,
 		timing:  timing,
@@ -44,7 +44,7 @@
 		network: network,
 		node:    node.New(node.Config{Settings: set, Role: "edge", Network: network, Log: logger}),
 		quotas:  admission.NewQuotas(set.ProcessorShare()),
-		stalled: newStalledPrimaries(timing.stallMemory()),
+		stalled: newStalledPrimaries(timing.stallRetention()),
 	}
 	e.leases = ratelimit.NewLeases(e.node.Client, e.node.Placement, set.Contact())
 	return e
@@ -77,7 +77,7 @@
 	defer stopServing()
 	publisher := e.node.Publisher()
 	internal := &httpwire.Server{Handle: rpc.Mux{"/news": publisher.Handle}.Handle}
-	clients := &httpwire.Server{Handle: e.handle, Limits: e.limits, OnPanic: e.answerPanic, AnswerTime: e.timing.answerTime()}
+	clients := &httpwire.Server{Handle: e.handle, Limits: e.limits, OnPanic: e.answerPanic, AnswerTime: e.timing.answerTimeout()}
 	var tasks sync.WaitGroup
 	for _, task := range []func(){
 		func() { _ = internal.Serve(serving, listeners.Internal) },
@@ -120,7 +120,7 @@
 	if t := e.node.Table(); t != nil && t.Limits != nil {
 		configured = t.Limits
 	}
-	contact := e.timing.contact.Milliseconds()
+	contact := e.timing.contactTimeout.Milliseconds()
 	headerTimeout := milliseconds(positiveOr(configured.HeaderTimeoutMs, contact))
 	return httpwire.Limits{
 		HeaderBytes:   int(positiveOr(configured.MaxHeaderBytes, 16<<10)),
@@ -132,11 +132,11 @@
 }
 
 // positiveOr gives v, or the default where v is not set.
-func positiveOr(v, byDefault int64) int64 {
+func positiveOr(v, defaultValue int64) int64 {
 	if v > 0 {
 		return v
 	}
-	return byDefault
+	return defaultValue
 }
 
 func milliseconds(v int64) time.Duration { return time.Duration(v) * time.Millisecond }
--- a/internal/edge/forward.go
+++ b/internal/edge/forward.go
@@ -53,8 +53,8 @@
 			e.stalled.clear(target)
 			return target, nil
 		}
-		if final := e.handleFailure(ctx, &f, p, target, err); final != nil {
-			return 0, final
+		if finalErr := e.handleFailure(ctx, &f, p, target, err); finalErr != nil {
+			return 0, finalErr
 		}
 		timeutil.SleepUntil(ctx, e.retryDelay(&f, p), placementChanged)
 		if ctx.Err() != nil {
@@ -132,7 +132,7 @@
 // recordFailure notes what a failed attempt says about where the message may go:
 // to another store only if the one that was asked certainly lacks it.
 func (f *forwarding) recordFailure(outcome attemptOutcome, target int, primary string) {
-	if !outcome.certain() {
+	if !outcome.certainlyNotAccepted() {
 		f.pinned = target
 		return
 	}
--- a/internal/edge/forward_test.go
+++ b/internal/edge/forward_test.go
@@ -65,7 +65,7 @@
 		t.Errorf("pinned to %d, want 3: the first attempt may have reached the store", f.pinned)
 	}
 	var indeterminate *indeterminateError
-	if err := f.deadlineError(answered(421)); !errors.As(err, &indeterminate) {
+	if err := f.deadlineError(statusError(421)); !errors.As(err, &indeterminate) {
 		t.Errorf("at the deadline %T, want an indeterminateError", err)
 	}
 }
@@ -74,7 +74,7 @@
 	f := newForwarding()
 	f.recordFailure(attemptDeclined, 3, "store")
 	var notAccepted *notAcceptedError
-	if err := f.deadlineError(answered(503)); !errors.As(err, &notAccepted) {
+	if err := f.deadlineError(statusError(503)); !errors.As(err, &notAccepted) {
 		t.Errorf("at the deadline %T, want a notAcceptedError", err)
 	}
 }
@@ -120,7 +120,7 @@
 }
 
 func TestRetryDelay(t *testing.T) {
-	e := &Edge{set: testSettings(), timing: timing{contact: 2 * time.Second}}
+	e := &Edge{set: testSettings(), timing: timing{contactTimeout: 2 * time.Second}}
 	several := testPlacement([]string{"1-1-a", "1-1-b"})
 	single := testPlacement([]string{"1-1-a"})
 	for _, test := range []struct {
@@ -153,18 +153,18 @@
 	set.InternalPortRange = []int32{8000, 8001}
 	set.Timers = &settings.Timers{ContactMs: float64(contact.Milliseconds())}
 	e := &Edge{
-		set: set, timing: timing{contact: contact}, log: logger,
+		set: set, timing: timing{contactTimeout: contact}, log: logger,
 		node:    node.New(node.Config{Settings: set, Role: "edge", Network: httpwire.TCP(), Log: logger}),
 		stalled: newStalledPrimaries(time.Hour),
 	}
 	if p != nil {
-		publish(t, e, p)
+		publishPlacement(t, e, p)
 	}
 	return e
 }
 
-// publish gives the edge a placement, whose Version must rise.
-func publish(t *testing.T, e *Edge, p *placement.Placement) {
+// publishPlacement gives the edge a placement, whose Version must rise.
+func publishPlacement(t *testing.T, e *Edge, p *placement.Placement) {
 	t.Helper()
 	raw, err := json.Marshal(p)
 	if err != nil {
@@ -187,7 +187,7 @@
 
 	same := testPlacement([]string{"1-1-a", "1-1-a"})
 	same.Version = 2
-	publish(t, e, same)
+	publishPlacement(t, e, same)
 	select {
 	case <-cancelled:
 		t.Fatal("cancelled by a placement that leaves the partition where it was")
@@ -196,7 +196,7 @@
 
 	moved := testPlacement([]string{"1-1-b", "1-1-b"})
 	moved.Version = 3
-	publish(t, e, moved)
+	publishPlacement(t, e, moved)
 	select {
 	case <-cancelled:
 	case <-ctx.Done():
--- a/internal/edge/outcome.go
+++ b/internal/edge/outcome.go
@@ -98,8 +98,8 @@
 	attemptUnanswered
 )
 
-// certain tells whether the message is certainly not on the store that was asked.
-func (o attemptOutcome) certain() bool {
+// certainlyNotAccepted tells whether the message is certainly not on the store that was asked.
+func (o attemptOutcome) certainlyNotAccepted() bool {
 	return o == attemptMisdirected || o == attemptDeclined || o == attemptNotSent
 }
 
--- a/internal/edge/outcome_test.go
+++ b/internal/edge/outcome_test.go
@@ -10,13 +10,13 @@
 	"saltreel/internal/rpc"
 )
 
-// answered is the error of a call that the store answered with a status.
-func answered(code int) error {
+// statusError is the error of a call that the store statusError with a status.
+func statusError(code int) error {
 	return &httpwire.Error{Step: "/accept", Sent: true, Err: &rpc.StatusError{Code: code, Text: "text"}}
 }
 
-// unanswered is the error of a call that has no answer, wrapped as rpc wraps it.
-func unanswered(sent bool) error {
+// transportError is the error of a call that has no answer, wrapped as rpc wraps it.
+func transportError(sent bool) error {
 	return fmt.Errorf("/accept: %w", &httpwire.Error{Step: "step", Sent: sent, Err: syscall.ECONNREFUSED})
 }
 
@@ -28,23 +28,23 @@
 		certain bool // that the store does not have the message
 	}{
 		{"accepted", nil, attemptAccepted, false},
-		{"id of another tenant", answered(409), attemptIDConflict, false},
-		{"not the primary", answered(421), attemptMisdirected, true},
-		{"no room or backups", answered(503), attemptDeclined, true},
-		{"nothing was sent", unanswered(false), attemptNotSent, true},
-		{"sent, no answer", unanswered(true), attemptUnanswered, false},
+		{"id of another tenant", statusError(409), attemptIDConflict, false},
+		{"not the primary", statusError(421), attemptMisdirected, true},
+		{"no room or backups", statusError(503), attemptDeclined, true},
+		{"nothing was sent", transportError(false), attemptNotSent, true},
+		{"sent, no answer", transportError(true), attemptUnanswered, false},
 		{"an error that says nothing of the call", errors.New("unknown"), attemptUnanswered, false},
-		{"backups did not answer in time", answered(504), attemptIndeterminate, false},
-		{"fault of the store", answered(500), attemptIndeterminate, false},
-		{"a client error that no store gives", answered(400), attemptIndeterminate, false},
+		{"backups did not answer in time", statusError(504), attemptIndeterminate, false},
+		{"fault of the store", statusError(500), attemptIndeterminate, false},
+		{"a client error that no store gives", statusError(400), attemptIndeterminate, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			outcome := classifyAttempt(test.err)
 			if outcome != test.outcome {
 				t.Errorf("outcome %d, want %d", outcome, test.outcome)
 			}
-			if outcome.certain() != test.certain {
-				t.Errorf("certain %v, want %v", outcome.certain(), test.certain)
+			if outcome.certainlyNotAccepted() != test.certain {
+				t.Errorf("certain %v, want %v", outcome.certainlyNotAccepted(), test.certain)
 			}
 		})
 	}
@@ -64,7 +64,7 @@
 		{"certain", &notAcceptedError{cause}, 503, "the message was not taken: no store could take the message: cause"},
 		{"certain, wrapped", fmt.Errorf("wrapped: %w", &notAcceptedError{cause}), 503, "the message was not taken: wrapped: no store could take the message: cause"},
 		{"unclear", &indeterminateError{cause}, 504, "no store answered in time: cause"},
-		{"unclear after a certain attempt", &indeterminateError{answered(503)}, 504, "no store answered in time: " + answered(503).Error()},
+		{"unclear after a certain attempt", &indeterminateError{statusError(503)}, 504, "no store answered in time: " + statusError(503).Error()},
 		{"unforeseen error", cause, 504, "cause"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -80,7 +80,7 @@
 }
 
 func TestForwardErrorsWrapTheirCause(t *testing.T) {
-	cause := answered(503)
+	cause := statusError(503)
 	for _, err := range []error{&notAcceptedError{cause}, &indeterminateError{cause}} {
 		if rpc.StatusCode(err) != 503 {
 			t.Errorf("%T: status %d of the cause, want 503", err, rpc.StatusCode(err))
--- a/internal/edge/primary_watch.go
+++ b/internal/edge/primary_watch.go
@@ -13,21 +13,21 @@
 // reported, and once another store leads the partition the call is cancelled.
 func (e *Edge) watchPrimary(ctx context.Context, cancelCall context.CancelFunc, partition int, p *placement.Placement) (stop func()) {
 	done := make(chan struct{})
-	asked := &p.Partitions[partition]
+	assigned := &p.Partitions[partition]
 	go func() {
 		stallTimer := time.NewTimer(e.timing.stallTimeout())
 		defer stallTimer.Stop()
 		for {
 			placementChanged := e.node.PlacementChanged()
-			if e.node.Placement().Partitions[partition].Primary != asked.Primary {
+			if e.node.Placement().Partitions[partition].Primary != assigned.Primary {
 				cancelCall()
 				return
 			}
 			select {
 			case <-placementChanged:
 			case <-stallTimer.C:
-				e.stalled.add(partition, asked.Epoch)
-				e.node.ReportFailure(asked.Primary, false)
+				e.stalled.add(partition, assigned.Epoch)
+				e.node.ReportFailure(assigned.Primary, false)
 			case <-done:
 				return
 			case <-ctx.Done():
@@ -41,7 +41,7 @@
 // stalledPrimaries remembers for a while which partitions had a primary that did
 // not answer, and in which epoch.
 type stalledPrimaries struct {
-	memory time.Duration
+	retention time.Duration
 
 	mu          sync.Mutex
 	byPartition map[int]stalledPrimary
@@ -52,8 +52,8 @@
 	since time.Time
 }
 
-func newStalledPrimaries(memory time.Duration) stalledPrimaries {
-	return stalledPrimaries{memory: memory, byPartition: map[int]stalledPrimary{}}
+func newStalledPrimaries(retention time.Duration) stalledPrimaries {
+	return stalledPrimaries{retention: retention, byPartition: map[int]stalledPrimary{}}
 }
 
 // add notes that the primary of a partition's epoch does not answer.
@@ -76,5 +76,5 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	stalled, ok := s.byPartition[partition]
-	return ok && stalled.epoch == epoch && time.Since(stalled.since) < s.memory
+	return ok && stalled.epoch == epoch && time.Since(stalled.since) < s.retention
 }
--- a/internal/edge/primary_watch_test.go
+++ b/internal/edge/primary_watch_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestStalledPrimaries(t *testing.T) {
-	const memory = 100 * time.Millisecond
+	const retention = 100 * time.Millisecond
 	for _, test := range []struct {
 		name      string
 		epoch     int64 // that is asked about; 5 stalled
@@ -17,15 +17,15 @@
 		want      bool
 	}{
 		{"just now", 5, 0, false, 1, true},
-		{"just before it is forgotten", 5, memory - 1, false, 1, true},
-		{"forgotten", 5, memory, false, 1, false},
+		{"just before it is forgotten", 5, retention - 1, false, 1, true},
+		{"forgotten", 5, retention, false, 1, false},
 		{"answered since", 5, 0, true, 1, false},
 		{"in a newer epoch", 6, 0, false, 1, false},
 		{"another partition", 5, 0, false, 2, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newStalledPrimaries(memory)
+				s := newStalledPrimaries(retention)
 				s.add(1, 5)
 				time.Sleep(test.after)
 				if test.answered {
--- a/internal/edge/query.go
+++ b/internal/edge/query.go
@@ -30,7 +30,7 @@
 	if !ok {
 		return httpwire.Problem(404, "no such message")
 	}
-	ctx, cancel := context.WithTimeout(ctx, e.timing.queryDeadline())
+	ctx, cancel := context.WithTimeout(ctx, e.timing.queryTimeout())
 	defer cancel()
 	answer, err := e.queryPrimary(ctx, "/"+kind, store.MessageQuery{Partition: partition, ID: id, Tenant: tenant, Host: r.Host})
 	if err != nil {
