--- a/internal/store/calls.go
+++ b/internal/store/calls.go
@@ -17,7 +17,7 @@
 // handleHandover stops partitions so that their backups may become primary, and
 // answers with those that have stopped.
 func (s *Store) handleHandover(ctx context.Context, in *placement.HandoverRequest, _ []byte) (*placement.HandoverRequest, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.timing.handover())
+	ctx, cancel := context.WithTimeout(ctx, s.timing.handoverTimeout())
 	defer cancel()
 	return &placement.HandoverRequest{Partitions: s.partitions.PrepareHandover(ctx, in.Partitions, s.workload.Idle)}, nil
 }
--- a/internal/store/messages.go
+++ b/internal/store/messages.go
@@ -62,7 +62,7 @@
 	}
 	scheduler, err := delivery.New(delivery.Config{
 		Partitions:    host.Partitions,
-		Pool:          &httpwire.Pool{Network: host.Network, DialTimeout: m.timing.dial()},
+		Pool:          &httpwire.Pool{Network: host.Network, DialTimeout: m.timing.dialTimeout()},
 		Settings:      host.Settings,
 		Log:           host.Log,
 		Table:         host.Node.Table,
@@ -133,7 +133,7 @@
 
 // find returns a message to the tenant that sent it.
 func (m *messages) find(ctx context.Context, in *MessageQuery) (*partition.Record, error) {
-	ctx, cancel := context.WithTimeout(ctx, m.timing.lookup())
+	ctx, cancel := context.WithTimeout(ctx, m.timing.lookupTimeout())
 	defer cancel()
 	r, err := m.partitions.Find(ctx, in.Partition, in.ID)
 	if err != nil {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -84,7 +84,7 @@
 		Log:      logger,
 		Healthy:  func() bool { return s.partitions.Health() == nil },
 	})
-	if err := s.waitForDisk(ctx); err != nil {
+	if err := s.openPartitionsWithRetry(ctx); err != nil {
 		return nil, err
 	}
 	workload, err := newWorkload(Host{Settings: set, Log: logger, Network: network, Node: s.node, Partitions: s.partitions})
@@ -99,9 +99,9 @@
 	return s, nil
 }
 
-// waitForDisk opens the partitions, as soon as the disk works.
-func (s *Store) waitForDisk(ctx context.Context) error {
-	for logged := false; ; timeutil.Sleep(ctx, s.timing.diskRetry()) {
+// openPartitionsWithRetry opens the partitions, as soon as the disk works.
+func (s *Store) openPartitionsWithRetry(ctx context.Context) error {
+	for logged := false; ; timeutil.Sleep(ctx, s.timing.diskRetryInterval()) {
 		err := s.openPartitions()
 		var disk *partition.DiskError
 		switch {
@@ -145,7 +145,7 @@
 func (s *Store) newLimiter() error {
 	limiter, err := ratelimit.NewLimiter(ratelimit.LimiterConfig{
 		Allowance:         s.settings.Timers.QuotaAllowance / 2,
-		ReconcileInterval: s.timing.limiterInterval(),
+		ReconcileInterval: s.timing.limiterReconcileInterval(),
 		Table:             s.node.Table,
 		Partitions:        s.partitionCount,
 		IsOwner:           s.partitions.MayDeliver,
@@ -175,9 +175,9 @@
 // calls are the calls that a store serves, those of its workload among them.
 // docs/calls.md lists them.
 func (s *Store) calls() rpc.Mux {
-	source := s.node.Publisher()
+	publisher := s.node.Publisher()
 	calls := rpc.Mux{
-		"/news":     source.Handle,
+		"/news":     publisher.Handle,
 		"/ping":     rpc.Handler(s.handlePing, statusCode),
 		"/copy":     rpc.Handler(s.partitions.HandleBatch, statusCode),
 		"/digest":   rpc.Handler(s.partitions.HandleDigest, statusCode),
@@ -203,32 +203,32 @@
 	tasks.Go(func() { _ = server.Serve(serving, listener) })
 	tasks.Go(func() { s.node.Run(serving) })
 	tasks.Go(func() { s.limiter.Run(serving) })
-	written := make(chan error, 1)
-	tasks.Go(func() { written <- s.partitions.Run(serving) })
+	partitionsDone := make(chan error, 1)
+	tasks.Go(func() { partitionsDone <- s.partitions.Run(serving) })
 	delivering, stopDeliveries := context.WithCancel(serving)
 	defer stopDeliveries()
-	delivered := s.startDeliveries(delivering)
+	deliveriesDone := s.startDeliveries(delivering)
 	s.log.Printf("store: started, disk %s", s.partitions.DiskID())
 	select {
 	case <-ctx.Done():
 		s.drain()
-	case err := <-written:
+	case err := <-partitionsDone:
 		s.log.Printf("store: stopping: %v", err)
-		s.workload.EndBy(time.Now().Add(s.timing.deliveries()))
-		written <- err
+		s.workload.EndBy(time.Now().Add(s.timing.deliveryDrainTimeout()))
+		partitionsDone <- err
 	}
 	stopDeliveries()
-	s.finishDeliveries(delivered)
+	s.finishDeliveries(deliveriesDone)
 	s.shutdown(server)
 	stopServing()
 	tasks.Wait()
 	s.log.Printf("store: ended")
-	return <-written
+	return <-partitionsDone
 }
 
 // startDeliveries delivers until ctx ends. The channel is closed when no delivery
 // is in flight any more, which may be later than the end of the process.
-func (s *Store) startDeliveries(ctx context.Context) (delivered <-chan struct{}) {
+func (s *Store) startDeliveries(ctx context.Context) (deliveriesDone <-chan struct{}) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -240,9 +240,9 @@
 // finishDeliveries waits for the deliveries in flight, and until the backups have their
 // outcomes. Those that take longer are broken off, and made again by the next primary:
 // no answer is read whose outcome would be lost with this process.
-func (s *Store) finishDeliveries(delivered <-chan struct{}) {
-	<-delivered
-	ctx, cancel := context.WithTimeout(context.Background(), s.timing.flush())
+func (s *Store) finishDeliveries(deliveriesDone <-chan struct{}) {
+	<-deliveriesDone
+	ctx, cancel := context.WithTimeout(context.Background(), s.timing.flushTimeout())
 	defer cancel()
 	if err := s.partitions.Flush(ctx); err != nil {
 		s.log.Printf("store: %v", err)
@@ -253,10 +253,10 @@
 // all its partitions to other stores, or the time for it is over.
 func (s *Store) drain() {
 	s.node.Drain()
-	deadline := time.Now().Add(s.timing.drain())
-	s.workload.EndBy(deadline.Add(s.timing.deliveries()))
+	deadline := time.Now().Add(s.timing.drainTimeout())
+	s.workload.EndBy(deadline.Add(s.timing.deliveryDrainTimeout()))
 	for s.partitions.HasAssignedPartitions() && time.Now().Before(deadline) {
-		time.Sleep(s.timing.drainPoll())
+		time.Sleep(s.timing.drainPollInterval())
 	}
 	all, pending := s.partitions.Count()
 	s.log.Printf("store: stopping, holds partitions: %v, %d records, %d pending", s.partitions.HasAssignedPartitions(), all, pending)
@@ -264,7 +264,7 @@
 
 // shutdown lets the server answer what it has read.
 func (s *Store) shutdown(server *httpwire.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), s.timing.shutdown())
+	ctx, cancel := context.WithTimeout(context.Background(), s.timing.shutdownTimeout())
 	defer cancel()
 	server.Shutdown(ctx)
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -22,9 +22,9 @@
 	"saltreel/internal/settings"
 )
 
-// newStore makes a store without a network that is primary of partition 0, and
+// newTestStore makes a store without a network that is primary of partition 0, and
 // needs no backups.
-func newStore(t *testing.T) *Store {
+func newTestStore(t *testing.T) *Store {
 	t.Helper()
 	set := &settings.Settings{
 		NodeName: "me", IpAddress: "10.0.0.1", InternalPortRange: []int32{7100},
@@ -75,7 +75,7 @@
 }
 
 func TestAcceptedMessageIsFoundByItsTenant(t *testing.T) {
-	s := newStore(t)
+	s := newTestStore(t)
 	for _, id := range []string{"pending", "complete", "dead"} {
 		if got := accept(t, s, 0, id); got.Status != 200 {
 			t.Fatalf("accept of %s: %d %s", id, got.Status, got.Body)
@@ -110,13 +110,13 @@
 }
 
 func TestAcceptElsewhereIsMisdirected(t *testing.T) {
-	if got := accept(t, newStore(t), 1, "a"); got.Status != 421 {
+	if got := accept(t, newTestStore(t), 1, "a"); got.Status != 421 {
 		t.Errorf("answered %d %s", got.Status, got.Body)
 	}
 }
 
 func TestUnreadableCallIsRejected(t *testing.T) {
-	s := newStore(t)
+	s := newTestStore(t)
 	for _, path := range []string{"/accept", "/status", "/body", "/grant", "/handover"} {
 		if got := call(t, s, path, []int{1}, nil); got.Status != 400 {
 			t.Errorf("%s: %d %s", path, got.Status, got.Body)
@@ -125,20 +125,20 @@
 }
 
 func TestPingAnswersWhileTheDiskWorks(t *testing.T) {
-	if got := call(t, newStore(t), "/ping", struct{}{}, nil); got.Status != 200 {
+	if got := call(t, newTestStore(t), "/ping", struct{}{}, nil); got.Status != 200 {
 		t.Errorf("answered %d %s", got.Status, got.Body)
 	}
 }
 
 func TestGrantNeedsAConfiguration(t *testing.T) {
-	got := call(t, newStore(t), "/grant", ratelimit.QuotaLeaseRequest{Partitions: 1}, nil)
+	got := call(t, newTestStore(t), "/grant", ratelimit.QuotaLeaseRequest{Partitions: 1}, nil)
 	if got.Status != 503 || !bytes.Contains(got.Body, []byte("no configuration is known here")) {
 		t.Errorf("answered %d %s", got.Status, got.Body)
 	}
 }
 
 func TestHandoverStopsDeliveries(t *testing.T) {
-	s := newStore(t)
+	s := newTestStore(t)
 	eventually(t, "the primary may deliver", func() bool { return s.partitions.MayDeliver(0) })
 	got := call(t, s, "/handover", placement.HandoverRequest{Partitions: map[int]int64{0: 1}}, nil)
 	if got.Status != 200 || string(got.Body) != `{"partitions":{"0":1}}` || s.partitions.MayDeliver(0) {
--- a/internal/store/timing.go
+++ b/internal/store/timing.go
@@ -17,34 +17,34 @@
 	return timing{contactTimeout: set.Contact(), grace: settings.Seconds(set.Timers.GraceS)}
 }
 
-// dial is how long opening a connection to an endpoint may take.
-func (t timing) dial() time.Duration { return t.contactTimeout / 16 }
+// dialTimeout is how long opening a connection to an endpoint may take.
+func (t timing) dialTimeout() time.Duration { return t.contactTimeout / 16 }
 
-// limiterInterval is how often the limiter follows the placement: once in a round
+// limiterReconcileInterval is how often the limiter follows the placement: once in a round
 // of the edges' leases.
-func (t timing) limiterInterval() time.Duration { return t.contactTimeout / 16 }
+func (t timing) limiterReconcileInterval() time.Duration { return t.contactTimeout / 16 }
 
-// lookup is how long finding a message may take, its backups included.
-func (t timing) lookup() time.Duration { return t.contactTimeout / 4 }
+// lookupTimeout is how long finding a message may take, its backups included.
+func (t timing) lookupTimeout() time.Duration { return t.contactTimeout / 4 }
 
-// handover is how long a partition may be frozen for deliveries in flight to end.
-func (t timing) handover() time.Duration { return t.contactTimeout * 3 / 4 }
+// handoverTimeout is how long a partition may be frozen for deliveries in flight to end.
+func (t timing) handoverTimeout() time.Duration { return t.contactTimeout * 3 / 4 }
 
-// drain is how long handing over the partitions may take. The rest of the grace
+// drainTimeout is how long handing over the partitions may take. The rest of the grace
 // period is for the deliveries in flight and the calls.
-func (t timing) drain() time.Duration { return t.grace * 3 / 4 }
+func (t timing) drainTimeout() time.Duration { return t.grace * 3 / 4 }
 
-// drainPoll is how often it is looked whether they are handed over.
-func (t timing) drainPoll() time.Duration { return t.contactTimeout / 200 }
+// drainPollInterval is how often it is looked whether they are handed over.
+func (t timing) drainPollInterval() time.Duration { return t.contactTimeout / 200 }
 
-// deliveries is how long the deliveries in flight may take after that.
-func (t timing) deliveries() time.Duration { return t.grace / 16 }
+// deliveryDrainTimeout is how long the deliveryDrainTimeout in flight may take after that.
+func (t timing) deliveryDrainTimeout() time.Duration { return t.grace / 16 }
 
-// flush is how long the backups may take after that to have all outcomes.
-func (t timing) flush() time.Duration { return t.grace / 16 }
+// flushTimeout is how long the backups may take after that to have all outcomes.
+func (t timing) flushTimeout() time.Duration { return t.grace / 16 }
 
-// diskRetry is how often it is tried to open a disk that does not work.
-func (t timing) diskRetry() time.Duration { return t.contactTimeout / 40 }
+// diskRetryInterval is how often it is tried to open a disk that does not work.
+func (t timing) diskRetryInterval() time.Duration { return t.contactTimeout / 40 }
 
-// shutdown is how long the answers to the calls that were read may take.
-func (t timing) shutdown() time.Duration { return t.grace / 16 }
+// shutdownTimeout is how long the answers to the calls that were read may take.
+func (t timing) shutdownTimeout() time.Duration { return t.grace / 16 }
