--- a/cmd/saltreel-data/main.go
+++ b/cmd/saltreel-data/main.go
@@ -34,7 +34,7 @@
 			return gateway.New(set, httpwire.TCP(), logger), nil
 		}),
 		platform.RoleCommand("broker", "Run a broker: durable topics, their order, what gateways follow", signals, func(ctx context.Context, set *settings.Settings, logger *log.Logger) (platform.Process, error) {
-			return store.NewWith(ctx, set, httpwire.TCP(), logger, broker.NewWorkload)
+			return store.NewWithWorkload(ctx, set, httpwire.TCP(), logger, broker.NewWorkload)
 		}),
 		platform.CheckCommand("edge", "store", "gateway", "broker"),
 		platform.HandlesSignals(&cobra.Command{Use: "sink ADDRESS", Short: "Run a handler that takes every message and prints it, for trying things out", Args: cobra.ExactArgs(1),
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -81,7 +81,7 @@
 }
 
 // NewWorkload makes the broker of a store.
-func NewWorkload(host store.Host) (store.Workload, error) {
+func NewWorkload(host store.WorkloadConfig) (store.Workload, error) {
 	return New(Config{
 		Partitions:     host.Partitions,
 		Log:            host.Log,
@@ -105,8 +105,8 @@
 // ApplyEvent implements store.Workload: a broker needs nothing but its partitions.
 func (b *Broker) ApplyEvent(journal.Event) {}
 
-// EndBy implements store.Workload: nothing here takes long.
-func (b *Broker) EndBy(time.Time) {}
+// SetShutdownDeadline implements store.Workload: nothing here takes long.
+func (b *Broker) SetShutdownDeadline(time.Time) {}
 
 // Idle implements store.Workload: nothing of a partition is in flight but accepts,
 // which a handover waits for itself.
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -264,7 +264,7 @@
 		case "gateway":
 			return gateway.New(set, network, logger), nil
 		case "broker":
-			return store.NewWith(ctx, set, network, logger, broker.NewWorkload)
+			return store.NewWithWorkload(ctx, set, network, logger, broker.NewWorkload)
 		default:
 			return operator.NewCore(set, network, logger)
 		}
--- a/internal/store/messages.go
+++ b/internal/store/messages.go
@@ -53,7 +53,7 @@
 	deliveryBytes *quota.Manager
 }
 
-func newMessages(host Host) (Workload, error) {
+func newMessages(host WorkloadConfig) (Workload, error) {
 	m := &messages{
 		timing:        newTiming(host.Settings),
 		node:          host.Node,
@@ -89,8 +89,8 @@
 	tasks.Wait()
 }
 
-// EndBy implements Workload.
-func (m *messages) EndBy(end time.Time) { m.scheduler.SetShutdownDeadline(end) }
+// SetShutdownDeadline implements Workload.
+func (m *messages) SetShutdownDeadline(end time.Time) { m.scheduler.SetShutdownDeadline(end) }
 
 // ApplyEvent implements Workload.
 func (m *messages) ApplyEvent(e journal.Event) {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -32,9 +32,9 @@
 	// Run consumes the events of the partitions until ctx ends, then waits for what is
 	// in flight.
 	Run(ctx context.Context)
-	// EndBy says when the process is to end: nothing begins any more that may take
+	// SetShutdownDeadline says when the process is to end: nothing begins any more that may take
 	// longer, and what is in flight then is broken off.
-	EndBy(end time.Time)
+	SetShutdownDeadline(end time.Time)
 	// ApplyEvent follows what the control plane distributes.
 	ApplyEvent(e journal.Event)
 	// Idle reports whether nothing of a partition is in flight, so that it may be
@@ -42,8 +42,8 @@
 	Idle(partition int) bool
 }
 
-// Host is what a Workload may use of its store.
-type Host struct {
+// WorkloadConfig is what a Workload may use of its store.
+type WorkloadConfig struct {
 	Settings   *settings.Settings
 	Log        *log.Logger
 	Network    httpwire.Network
@@ -66,11 +66,11 @@
 // New opens the disk and makes the process of a store of deferred messages. While
 // the disk does not work, it tries again until ctx ends.
 func New(ctx context.Context, set *settings.Settings, network httpwire.Network, logger *log.Logger) (*Store, error) {
-	return NewWith(ctx, set, network, logger, newMessages)
+	return NewWithWorkload(ctx, set, network, logger, newMessages)
 }
 
-// NewWith is New for a store with another workload.
-func NewWith(ctx context.Context, set *settings.Settings, network httpwire.Network, logger *log.Logger, newWorkload func(Host) (Workload, error)) (*Store, error) {
+// NewWithWorkload is New for a store with another workload.
+func NewWithWorkload(ctx context.Context, set *settings.Settings, network httpwire.Network, logger *log.Logger, newWorkload func(WorkloadConfig) (Workload, error)) (*Store, error) {
 	s := &Store{
 		settings: set,
 		timing:   newTiming(set),
@@ -87,7 +87,7 @@
 	if err := s.openPartitionsWithRetry(ctx); err != nil {
 		return nil, err
 	}
-	workload, err := newWorkload(Host{Settings: set, Log: logger, Network: network, Node: s.node, Partitions: s.partitions})
+	workload, err := newWorkload(WorkloadConfig{Settings: set, Log: logger, Network: network, Node: s.node, Partitions: s.partitions})
 	if err != nil {
 		return nil, err
 	}
@@ -214,7 +214,7 @@
 		s.drain()
 	case err := <-partitionsDone:
 		s.log.Printf("store: stopping: %v", err)
-		s.workload.EndBy(time.Now().Add(s.timing.deliveryDrainTimeout()))
+		s.workload.SetShutdownDeadline(time.Now().Add(s.timing.deliveryDrainTimeout()))
 		partitionsDone <- err
 	}
 	stopDeliveries()
@@ -254,7 +254,7 @@
 func (s *Store) drain() {
 	s.node.Drain()
 	deadline := time.Now().Add(s.timing.drainTimeout())
-	s.workload.EndBy(deadline.Add(s.timing.deliveryDrainTimeout()))
+	s.workload.SetShutdownDeadline(deadline.Add(s.timing.deliveryDrainTimeout()))
 	for s.partitions.HasAssignedPartitions() && time.Now().Before(deadline) {
 		time.Sleep(s.timing.drainPollInterval())
 	}
