--- a/internal/node/background.go
+++ b/internal/node/background.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// background runs short tasks that nobody waits for, until it is stopped.
-type background struct {
+// backgroundTasks runs short tasks that nobody waits for, until it is stopped.
+type backgroundTasks struct {
 	ctx    context.Context // of the tasks
 	cancel context.CancelFunc
 
@@ -14,13 +14,13 @@
 	tasks sync.WaitGroup
 }
 
-func newBackground() background {
+func newBackgroundTasks() backgroundTasks {
 	ctx, cancel := context.WithCancel(context.Background())
-	return background{ctx: ctx, cancel: cancel}
+	return backgroundTasks{ctx: ctx, cancel: cancel}
 }
 
 // start runs a task, unless stop was called.
-func (b *background) start(task func()) {
+func (b *backgroundTasks) start(task func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.ctx.Err() == nil {
@@ -29,7 +29,7 @@
 }
 
 // stop cancels the tasks and waits for their end.
-func (b *background) stop() {
+func (b *backgroundTasks) stop() {
 	b.mu.Lock()
 	b.cancel()
 	b.mu.Unlock()
--- a/internal/node/configuration_view.go
+++ b/internal/node/configuration_view.go
@@ -74,14 +74,14 @@
 // WaitForPlacement waits until a configuration and a placement are known, for
 // timeout at most, and tells whether they are.
 func (v *configurationView) WaitForPlacement(ctx context.Context, timeout time.Duration) bool {
-	if v.known() {
+	if v.complete() {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	ticker := time.NewTicker(v.pollInterval)
 	defer ticker.Stop()
-	for !v.known() {
+	for !v.complete() {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -91,4 +91,4 @@
 	return true
 }
 
-func (v *configurationView) known() bool { return v.Table() != nil && v.Placement() != nil }
+func (v *configurationView) complete() bool { return v.Table() != nil && v.Placement() != nil }
--- a/internal/node/configuration_view_test.go
+++ b/internal/node/configuration_view_test.go
@@ -25,13 +25,13 @@
 	return journal.Event{Key: key, Value: raw}
 }
 
-func testView() *configurationView {
+func newTestView() *configurationView {
 	v := newConfigurationView(log.New(io.Discard, "", 0), time.Millisecond)
 	return &v
 }
 
 func TestPlacementEventClosesPlacementChanged(t *testing.T) {
-	v := testView()
+	v := newTestView()
 	before := v.PlacementChanged()
 	v.applyEvent(event(t, distribution.KeyPlacement, placement.Placement{Version: 7}))
 	select {
@@ -50,11 +50,11 @@
 }
 
 func TestUnreadableConfigurationIsIgnored(t *testing.T) {
-	v := testView()
-	inForce := &configuration.Table{}
-	v.table.Store(inForce)
+	v := newTestView()
+	current := &configuration.Table{}
+	v.table.Store(current)
 	v.applyEvent(event(t, distribution.KeyConfiguration, []byte("no configuration")))
-	if v.Table() != inForce {
+	if v.Table() != current {
 		t.Error("the configuration in force was replaced")
 	}
 }
@@ -74,7 +74,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				v := testView()
+				v := newTestView()
 				if test.configured > 0 {
 					time.AfterFunc(test.configured-time.Microsecond, func() { v.table.Store(&configuration.Table{}) })
 				}
--- a/internal/node/failure_report.go
+++ b/internal/node/failure_report.go
@@ -27,11 +27,11 @@
 	c.address = address
 }
 
-// reportRate bounds the failure reports of a node. When much is slow at once,
+// reportLimiter bounds the failure reports of a node. When much is slow at once,
 // hundreds of nodes suspect dozens of others: each then reports one of them in an
 // interval. Where a machine answers that no process listens, the report is sure
 // and waits only for an earlier one of the same node.
-type reportRate struct {
+type reportLimiter struct {
 	interval time.Duration
 
 	mu         sync.Mutex
@@ -39,12 +39,12 @@
 	last       time.Time
 }
 
-func newReportRate(interval time.Duration) reportRate {
-	return reportRate{interval: interval, lastByNode: map[string]time.Time{}}
+func newReportLimiter(interval time.Duration) reportLimiter {
+	return reportLimiter{interval: interval, lastByNode: map[string]time.Time{}}
 }
 
 // allow tells whether a node may be reported now, and if so counts the report.
-func (r *reportRate) allow(node string, refused bool) bool {
+func (r *reportLimiter) allow(node string, refused bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
@@ -64,7 +64,7 @@
 // listens. While the controller is not known, or does not answer, all cores get
 // the report. Reports that come too often are dropped.
 func (n *Node) ReportFailure(node string, refused bool) {
-	if !n.reportRate.allow(node, refused) {
+	if !n.reportLimiter.allow(node, refused) {
 		return
 	}
 	report := placement.FailureReport{Node: node, Refused: refused}
@@ -107,18 +107,18 @@
 // are asked one after the other, the last known controller first, until one accepts the
 // report; the error is that of the last one asked.
 func (n *Node) ReportInSync(ctx context.Context, report placement.InSyncReport) error {
-	var last error
+	var lastErr error
 	for _, core := range append([]string{n.controller.get()}, n.Cores()...) {
 		if core == "" {
 			continue
 		}
-		last = n.sendInSync(ctx, core, report)
-		if last == nil {
+		lastErr = n.sendInSync(ctx, core, report)
+		if lastErr == nil {
 			n.controller.set(core)
 			return nil
 		}
 	}
-	return last
+	return lastErr
 }
 
 func (n *Node) sendInSync(ctx context.Context, core string, report placement.InSyncReport) error {
--- a/internal/node/failure_report_test.go
+++ b/internal/node/failure_report_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestReportRate(t *testing.T) {
+func TestReportLimiter(t *testing.T) {
 	const interval = 100 * time.Millisecond
 	type report struct {
 		after   time.Duration // since the one before
@@ -39,7 +39,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				rate := newReportRate(interval)
+				rate := newReportLimiter(interval)
 				for i, r := range test.reports {
 					time.Sleep(r.after)
 					if got := rate.allow(r.node, r.refused); got != r.allowed {
@@ -52,7 +52,7 @@
 }
 
 func TestBackgroundStartsNothingAfterStop(t *testing.T) {
-	b := newBackground()
+	b := newBackgroundTasks()
 	ran := make(chan struct{}, 2)
 	b.start(func() {
 		<-b.ctx.Done() // stop cancels it and waits
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -15,22 +15,22 @@
 // watchersPerNode is how many cores a node sends its heartbeats to.
 const watchersPerNode = 2
 
-// heartbeats is what differs between the heartbeats of a node.
-type heartbeats struct {
-	sendNow  chan struct{} // holds a value when the next one shall be sent at once
-	retrying *atomic.Bool  // a retry waits for its time
+// heartbeatState is what differs between the heartbeatState of a node.
+type heartbeatState struct {
+	sendNow      chan struct{} // holds a value when the next one shall be sent at once
+	retryPending *atomic.Bool  // a retry waits for its time
 
 	mu       sync.Mutex
 	sequence int64
 	draining bool
 }
 
-func newHeartbeats() heartbeats {
-	return heartbeats{sendNow: make(chan struct{}, 1), retrying: &atomic.Bool{}}
+func newHeartbeatState() heartbeatState {
+	return heartbeatState{sendNow: make(chan struct{}, 1), retryPending: &atomic.Bool{}}
 }
 
 // next gives the next heartbeat of a node.
-func (h *heartbeats) next(self membership.Node) membership.Node {
+func (h *heartbeatState) next(self membership.Node) membership.Node {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.sequence++
@@ -39,14 +39,14 @@
 	return self
 }
 
-func (h *heartbeats) setDraining() {
+func (h *heartbeatState) setDraining() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.draining = true
 }
 
-// sendSoon has the next heartbeat sent without waiting for its time.
-func (h *heartbeats) sendSoon() {
+// requestImmediate has the next heartbeat sent without waiting for its time.
+func (h *heartbeatState) requestImmediate() {
 	select {
 	case h.sendNow <- struct{}{}:
 	default:
@@ -58,11 +58,11 @@
 func (n *Node) runHeartbeats(ctx context.Context) {
 	ticker := time.NewTicker(n.timing.heartbeatInterval(n.self.Role))
 	defer ticker.Stop()
-	lastTraffic := time.Now()
+	lastTrafficLog := time.Now()
 	var acknowledged atomic.Bool // some watcher got one
 	for {
-		if time.Since(lastTraffic) > n.timing.trafficInterval() {
-			lastTraffic = time.Now()
+		if time.Since(lastTrafficLog) > n.timing.trafficInterval() {
+			lastTrafficLog = time.Now()
 			n.logTraffic()
 		}
 		heartbeat := n.heartbeats.next(n.self)
@@ -98,10 +98,10 @@
 		acknowledged.Store(true)
 		return
 	}
-	if n.self.Role == "store" && !acknowledged.Load() && httpwire.ConnectionRefused(err) && n.heartbeats.retrying.CompareAndSwap(false, true) {
+	if n.self.Role == "store" && !acknowledged.Load() && httpwire.ConnectionRefused(err) && n.heartbeats.retryPending.CompareAndSwap(false, true) {
 		timeutil.Sleep(ctx, n.timing.startupRetryDelay())
-		n.heartbeats.retrying.Store(false)
-		n.heartbeats.sendSoon()
+		n.heartbeats.retryPending.Store(false)
+		n.heartbeats.requestImmediate()
 	}
 }
 
--- a/internal/node/heartbeat_test.go
+++ b/internal/node/heartbeat_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestHeartbeatSequenceRisesAndDrainingStays(t *testing.T) {
-	h := newHeartbeats()
+	h := newHeartbeatState()
 	self := membership.Node{Name: "store-1", Incarnation: "one"}
 	for sequence := int64(1); sequence <= 4; sequence++ {
 		if sequence == 3 {
@@ -58,12 +58,12 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var tasks sync.WaitGroup
 		tasks.Go(func() { n.runHeartbeats(ctx) })
-		time.Sleep(4 * n.timing.contact)
+		time.Sleep(4 * n.timing.contactTimeout)
 		cancel()
 		tasks.Wait()
 		n.background.stop()
-		ordinary := 4 * n.timing.contact / n.timing.heartbeatInterval("store")
-		retries := 4 * n.timing.contact / n.timing.startupRetryDelay()
+		ordinary := 4 * n.timing.contactTimeout / n.timing.heartbeatInterval("store")
+		retries := 4 * n.timing.contactTimeout / n.timing.startupRetryDelay()
 		if got := time.Duration(dials.Load()); got > ordinary+retries+2 || got < retries/2 {
 			t.Errorf("%d heartbeats were tried, at most %d are due", got, ordinary+retries)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -59,10 +59,10 @@
 	watchClient *rpc.Client // to the parent in the distribution tree
 	subscriber  *distribution.Subscriber
 
-	heartbeats heartbeats
-	controller controllerAddress
-	reportRate reportRate
-	background background
+	heartbeats    heartbeatState
+	controller    controllerAddress
+	reportLimiter reportLimiter
+	background    backgroundTasks
 }
 
 // New makes a node that knows neither a configuration nor a placement yet. It
@@ -70,7 +70,7 @@
 func New(config Config) *Node {
 	config.check()
 	set := config.Settings
-	timing := timing{contact: set.Contact()}
+	timing := timing{contactTimeout: set.Contact()}
 	incarnation := rand.Text()
 	n := &Node{
 		configurationView: newConfigurationView(config.Log, timing.placementPollInterval()),
@@ -81,9 +81,9 @@
 		timing:            timing,
 		healthy:           config.Healthy,
 		watchClient:       rpc.NewClient(&httpwire.Pool{Network: config.Network, DialTimeout: timing.watchDialTimeout()}),
-		heartbeats:        newHeartbeats(),
-		reportRate:        newReportRate(timing.reportInterval()),
-		background:        newBackground(),
+		heartbeats:        newHeartbeatState(),
+		reportLimiter:     newReportLimiter(timing.reportInterval()),
+		background:        newBackgroundTasks(),
 	}
 	n.self = membership.Node{
 		Name: set.NodeName, Role: config.Role, Address: set.InternalAddress(),
@@ -98,7 +98,7 @@
 func (n *Node) newSubscriber() *distribution.Subscriber {
 	return distribution.NewSubscriber(distribution.SubscriberConfig{
 		Self: n.self, Journal: n.Journal, Client: n.watchClient,
-		Seeds: n.Settings.CoreAddresses(), ContactTimeout: n.timing.contact, Log: n.log,
+		Seeds: n.Settings.CoreAddresses(), ContactTimeout: n.timing.contactTimeout, Log: n.log,
 	})
 }
 
@@ -141,5 +141,5 @@
 // and has the next one sent at once.
 func (n *Node) Drain() {
 	n.heartbeats.setDraining()
-	n.heartbeats.sendSoon()
+	n.heartbeats.requestImmediate()
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -62,7 +62,7 @@
 // The heartbeats of stores come four times as often, since they are replaced
 // sooner. Each call may last for two intervals.
 func TestHeartbeatTimingFollowsContactBoundAndRole(t *testing.T) {
-	timing := timing{contact: 1600 * time.Millisecond}
+	timing := timing{contactTimeout: 1600 * time.Millisecond}
 	for _, test := range []struct {
 		role              string
 		interval, timeout time.Duration
