--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -17,14 +17,14 @@
 	retention        time.Duration
 	deferrablePrefix string
 
-	mu        sync.Mutex
-	number    uint64 // of the last event
-	latest    map[string]*Event
-	log       []*Event // by number; holds superseded events until the next compaction
-	digest    digest
-	observers []func(Event)
-	changed   chan struct{} // closed at the next event
-	urgent    chan struct{} // closed at the next event that is not deferrable
+	mu          sync.Mutex
+	number      uint64 // of the last event
+	latest      map[string]*Event
+	log         []*Event // by number; holds superseded events until the next compaction
+	digest      digest
+	subscribers []func(Event)
+	changed     chan struct{} // closed at the next event
+	urgent      chan struct{} // closed at the next event that is not deferrable
 }
 
 // New makes an empty journal. Source must differ between incarnations of a
@@ -50,7 +50,7 @@
 	for _, e := range j.eventsAfterLocked(0) {
 		f(*e)
 	}
-	j.observers = append(j.observers, f)
+	j.subscribers = append(j.subscribers, f)
 }
 
 func (j *Journal) isUrgent(e *Event) bool {
@@ -77,8 +77,8 @@
 	j.digest.toggle(bucket, &e)
 	j.latest[e.Key] = &e
 	j.log = append(j.log, &e)
-	for _, observe := range j.observers {
-		observe(e)
+	for _, notify := range j.subscribers {
+		notify(e)
 	}
 	close(j.changed)
 	j.changed = make(chan struct{})
@@ -126,13 +126,13 @@
 func (j *Journal) EventsSince(source string, number uint64, readerDigest []byte, wants func(Event) bool) (page Page, urgent bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	known := source == j.source && number <= j.number
-	if !known {
+	sameSource := source == j.source && number <= j.number
+	if !sameSource {
 		number = 0
 	}
 	page = Page{Source: j.source, Number: j.number}
 	for _, e := range j.eventsAfterLocked(number) {
-		if !known && j.digest.agrees(readerDigest, e) {
+		if !sameSource && j.digest.agrees(readerDigest, e) {
 			continue
 		}
 		if wants != nil && !wants(*e) {
@@ -174,8 +174,8 @@
 // eventsAfterLocked are the events with a higher number that are the newest of
 // their key, in order.
 func (j *Journal) eventsAfterLocked(number uint64) (events []*Event) {
-	from, _ := slices.BinarySearchFunc(j.log, number+1, func(e *Event, n uint64) int { return cmp.Compare(e.number, n) })
-	for _, e := range j.log[from:] {
+	start, _ := slices.BinarySearchFunc(j.log, number+1, func(e *Event, n uint64) int { return cmp.Compare(e.number, n) })
+	for _, e := range j.log[start:] {
 		if j.latest[e.Key] == e {
 			events = append(events, e)
 		}
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestAppendRefusesOldVersions(t *testing.T) {
+func TestAppendRejectsOldVersions(t *testing.T) {
 	j := New("a", time.Hour, "")
 	for _, c := range []struct {
 		major int64
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestPageHoldsWhatAReaderLacks(t *testing.T) {
+func TestPageHoldsEventsMissingFromReader(t *testing.T) {
 	j := New("a", time.Hour, "")
 	for i := range 5 {
 		j.Append(event(fmt.Sprint("node/", i), 1, "1"))
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestObserversSeePastAndNewEventsInOrder(t *testing.T) {
+func TestSubscribersSeePastAndNewEventsInOrder(t *testing.T) {
 	j := New("a", time.Hour, "")
 	j.Append(event("a", 1, "1"))
 	j.Append(event("b", 1, "1"))
