--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -90,27 +90,27 @@
 // watch waits for events that the subscriber wants. Urgent ones are sent at
 // once; the others wait until the oldest of them is BatchDelay old, and go with
 // any urgent one. Once waitOver fires it answers with what there is.
-func (p *Publisher) watch(ctx context.Context, request *WatchRequest, waitOver <-chan time.Time) *httpwire.Response {
-	expired := false
+func (p *Publisher) watch(ctx context.Context, request *WatchRequest, waitExpired <-chan time.Time) *httpwire.Response {
+	respondNow := false
 	for {
 		changed, urgentChange := p.config.Journal.Changes()
 		page, urgent := p.config.Journal.EventsSince(request.Source, request.Number, request.Digest, request.wants)
-		var batchComplete <-chan time.Time
+		var batchDue <-chan time.Time
 		if len(page.Events) > 0 {
 			remaining := p.config.BatchDelay - time.Since(page.Oldest())
 			if urgent || remaining <= 0 {
-				expired = true
+				respondNow = true
 			}
-			batchComplete, changed = time.After(remaining), urgentChange
+			batchDue, changed = time.After(remaining), urgentChange
 		}
-		if expired || page.Source != request.Source {
+		if respondNow || page.Source != request.Source {
 			return &httpwire.Response{Status: 200, Body: page.Encode()}
 		}
 		select {
 		case <-changed:
-		case <-batchComplete:
-		case <-waitOver:
-			expired = true
+		case <-batchDue:
+		case <-waitExpired:
+			respondNow = true
 		case <-ctx.Done():
 			return httpwire.Problem(503, "stopping")
 		}
@@ -125,9 +125,9 @@
 	if p.config.UpToDate == nil {
 		return true
 	}
-	for began := time.Now(); !p.config.UpToDate(); {
+	for start := time.Now(); !p.config.UpToDate(); {
 		changed, _ := p.config.Journal.Changes()
-		remaining := p.config.UpToDateWait - time.Since(began)
+		remaining := p.config.UpToDateWait - time.Since(start)
 		if remaining <= 0 || ctx.Err() != nil {
 			return false
 		}
--- a/internal/distribution/publisher_test.go
+++ b/internal/distribution/publisher_test.go
@@ -14,8 +14,8 @@
 	"saltreel/internal/membership"
 )
 
-// newFleetJournal holds a number of nodes and a placement.
-func newFleetJournal(source string, nodes int) *journal.Journal {
+// newTestJournal holds a number of nodes and a placement.
+func newTestJournal(source string, nodes int) *journal.Journal {
 	j := journal.New(source, time.Hour, PrefixNode)
 	for i := range nodes {
 		appendNode(j, fmt.Sprint("edge-", i), 1)
@@ -45,7 +45,7 @@
 // of the fleet; one that holds nothing receives everything.
 func TestNewParentSendsOnlyTheDifference(t *testing.T) {
 	for _, nodes := range []int{30, 300} {
-		parent, child := newFleetJournal("parent", nodes), newFleetJournal("child", nodes)
+		parent, child := newTestJournal("parent", nodes), newTestJournal("child", nodes)
 		for i := range 5 {
 			appendNode(parent, fmt.Sprint("new-", i), 1)
 		}
@@ -92,7 +92,7 @@
 func TestEventsThatAreNotUrgentAreBatched(t *testing.T) {
 	for _, nodes := range []int{20, 200} {
 		synctest.Test(t, func(t *testing.T) {
-			j := newFleetJournal("parent", 1)
+			j := newTestJournal("parent", 1)
 			p := NewPublisher(PublisherConfig{Journal: j, MaxWait: time.Minute, BatchDelay: 100 * time.Millisecond})
 			pages, events := 0, 0
 			last := watch(t, p, WatchRequest{})
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -76,7 +76,7 @@
 func (s *Subscriber) SuspectParent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.poll.cancel != nil && time.Since(s.suspected) > s.timing.avoidance() {
+	if s.poll.cancel != nil && time.Since(s.suspected) > s.timing.failedParentBackoff() {
 		s.suspected = time.Now()
 		s.poll.suspected = true
 		s.poll.cancel()
@@ -101,7 +101,7 @@
 func (s *Subscriber) UpToDate() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.noParent && !s.lastResponse.IsZero() && time.Since(s.lastResponse) < s.timing.maxAge()
+	return !s.noParent && !s.lastResponse.IsZero() && time.Since(s.lastResponse) < s.timing.maxResponseAge()
 }
 
 func (s *Subscriber) parents() []string {
@@ -113,14 +113,14 @@
 // Run follows parents until ctx ends. It may be called once.
 func (s *Subscriber) Run(ctx context.Context) {
 	s.journal.Subscribe(s.applyEvent)
-	f := &following{Subscriber: s, failedAt: map[string]time.Time{}}
+	loop := &pollLoop{Subscriber: s, failedAt: map[string]time.Time{}}
 	for ctx.Err() == nil {
-		if parent := f.chooseParent(); parent != "" {
-			f.pollOnce(ctx, parent)
+		if parent := loop.selectParent(); parent != "" {
+			loop.pollOnce(ctx, parent)
 			continue
 		}
 		s.setNoParent()
-		clear(f.failedAt)
+		clear(loop.failedAt)
 		timeutil.Sleep(ctx, s.timing.retryDelay())
 	}
 }
@@ -166,7 +166,7 @@
 	return s.poll.suspected
 }
 
-func (s *Subscriber) noteResponse() {
+func (s *Subscriber) recordResponse() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastResponse = time.Now()
--- a/internal/distribution/subscriber_test.go
+++ b/internal/distribution/subscriber_test.go
@@ -32,9 +32,9 @@
 	if server == nil {
 		return nil, io.EOF
 	}
-	near, far := net.Pipe()
-	go server.ServeConn(context.WithoutCancel(ctx), far)
-	return near, nil
+	clientConn, serverConn := net.Pipe()
+	go server.ServeConn(context.WithoutCancel(ctx), serverConn)
+	return clientConn, nil
 }
 
 func (n *network) remove(addr string) {
@@ -53,17 +53,17 @@
 func TestSubscriberChangesParentAfterFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const contact = 4 * time.Second
-		source := newFleetJournal("core", 3)
+		source := newTestJournal("core", 3)
 		publisher := NewPublisher(PublisherConfig{Journal: source, MaxWait: contact / 2, BatchDelay: contact / 32})
 		serve := func() *httpwire.Server {
 			return &httpwire.Server{Handle: rpc.Mux{watchPath: publisher.Handle}.Handle}
 		}
 		net := &network{servers: map[string]*httpwire.Server{"core-1:1": serve(), "core-2:1": serve()}}
 		var lines strings.Builder
-		own := journal.New("store", time.Hour, PrefixNode)
+		ownJournal := journal.New("store", time.Hour, PrefixNode)
 		client := rpc.NewClient(&httpwire.Pool{Network: httpwire.Network{Dial: net.dial}})
 		s := NewSubscriber(SubscriberConfig{
-			Self: membership.Node{Name: "store-1", Role: roleStore, Zone: "a"}, Journal: own, Client: client,
+			Self: membership.Node{Name: "store-1", Role: roleStore, Zone: "a"}, Journal: ownJournal, Client: client,
 			Seeds: []string{"core-1:1", "core-2:1"}, ContactTimeout: contact, Log: log.New(&lines, "", 0),
 		})
 		if s.UpToDate() {
@@ -73,7 +73,7 @@
 		done := make(chan struct{})
 		go func() { s.Run(ctx); close(done) }()
 		synctest.Wait()
-		if !s.UpToDate() || !own.NotEmpty() {
+		if !s.UpToDate() || !ownJournal.NotEmpty() {
 			t.Error("not up to date after the first response")
 		}
 		first := net.dials[0]
@@ -100,7 +100,7 @@
 func TestConfigurationIsChecked(t *testing.T) {
 	for name, construct := range map[string]func(){
 		"a publisher without a journal": func() { NewPublisher(PublisherConfig{MaxWait: time.Second}) },
-		"a publisher without a bound":   func() { NewPublisher(PublisherConfig{Journal: newFleetJournal("j", 0)}) },
+		"a publisher without a bound":   func() { NewPublisher(PublisherConfig{Journal: newTestJournal("j", 0)}) },
 		"an empty subscriber":           func() { NewSubscriber(SubscriberConfig{}) },
 	} {
 		func() {
--- a/internal/distribution/timing.go
+++ b/internal/distribution/timing.go
@@ -15,18 +15,18 @@
 // pollTimeout leaves room for the transfer behind the long poll.
 func (t timing) pollTimeout() time.Duration { return t.pollWait() + t.contactTimeout/8 }
 
-// maxAge is how old the last response may be for a subscriber to be up to date:
+// maxResponseAge is how old the last response may be for a subscriber to be up to date:
 // two long polls and some, and well below the contact time-out, since those who
 // follow this node must be able to go elsewhere in time.
-func (t timing) maxAge() time.Duration { return t.contactTimeout * 5 / 8 }
+func (t timing) maxResponseAge() time.Duration { return t.contactTimeout * 5 / 8 }
 
-// avoidance is how long a parent that failed is not asked again.
-func (t timing) avoidance() time.Duration { return t.contactTimeout / 2 }
+// failedParentBackoff is how long a parent that failed is not asked again.
+func (t timing) failedParentBackoff() time.Duration { return t.contactTimeout / 2 }
 
-// nextChoice is when the parent is chosen anew although it answers. Were it
+// reselectTime is when the parent is chosen anew although it answers. Were it
 // chosen with each node that joins or leaves, the tree would not become stable
 // while many do. It is jittered so that nodes do not move at the same time.
-func (t timing) nextChoice(now time.Time) time.Time {
+func (t timing) reselectTime(now time.Time) time.Time {
 	return now.Add(t.contactTimeout/4 - rand.N(t.contactTimeout/16))
 }
 
--- a/internal/distribution/timing_test.go
+++ b/internal/distribution/timing_test.go
@@ -12,15 +12,15 @@
 		if timing.pollWait() >= timing.pollTimeout() {
 			t.Errorf("%v: a poll is cancelled before its wait is over", contactTimeout)
 		}
-		if 2*timing.pollWait() >= timing.maxAge() || timing.maxAge() >= contactTimeout {
-			t.Errorf("%v: up to date for %v with polls of %v", contactTimeout, timing.maxAge(), timing.pollWait())
+		if 2*timing.pollWait() >= timing.maxResponseAge() || timing.maxResponseAge() >= contactTimeout {
+			t.Errorf("%v: up to date for %v with polls of %v", contactTimeout, timing.maxResponseAge(), timing.pollWait())
 		}
-		if timing.avoidance() <= timing.pollTimeout() {
+		if timing.failedParentBackoff() <= timing.pollTimeout() {
 			t.Errorf("%v: a parent is asked again before another one could answer", contactTimeout)
 		}
 		now := time.Now()
 		for range 100 {
-			if wait := timing.nextChoice(now).Sub(now); wait <= contactTimeout*3/16 || wait > contactTimeout/4 {
+			if wait := timing.reselectTime(now).Sub(now); wait <= contactTimeout*3/16 || wait > contactTimeout/4 {
 				t.Fatalf("%v: the next choice is after %v", contactTimeout, wait)
 			}
 			if delay := timing.retryDelay(); delay < contactTimeout/80 || delay >= contactTimeout/40 {
--- a/internal/distribution/tree.go
+++ b/internal/distribution/tree.go
@@ -25,7 +25,7 @@
 
 // orderedCores lists the cores of the node's zone, then all others.
 func orderedCores(self membership.Node, nodes map[string]membership.Node, seeds []string) []string {
-	var near, far []string
+	var sameZone, otherZones []string
 	known := map[string]bool{}
 	for _, n := range nodes {
 		if n.Role != roleCore {
@@ -33,19 +33,19 @@
 		}
 		known[n.Address] = true
 		if n.Zone == self.Zone {
-			near = append(near, n.Address)
+			sameZone = append(sameZone, n.Address)
 		} else {
-			far = append(far, n.Address)
+			otherZones = append(otherZones, n.Address)
 		}
 	}
-	slices.Sort(near)
-	slices.Sort(far)
+	slices.Sort(sameZone)
+	slices.Sort(otherZones)
 	for _, seed := range seeds {
 		if !known[seed] {
-			far = append(far, seed)
+			otherZones = append(otherZones, seed)
 		}
 	}
-	return slices.Concat(rotate(near, self.Name), rotate(far, self.Name))
+	return slices.Concat(rotate(sameZone, self.Name), rotate(otherZones, self.Name))
 }
 
 // rotate starts a list at a place that depends on the node's name only. So nodes
