--- a/internal/edge/admission.go
+++ b/internal/edge/admission.go
@@ -15,7 +15,7 @@
 	"saltreel/internal/quota"
 )
 
-// handle answers one request of a client: a query or a message.
+// handle serves one client request: a query or a message.
 func (e *Edge) handle(ctx context.Context, r *httpwire.Request) *httpwire.Response {
 	if !e.node.WaitForPlacement(ctx, e.timing.placementWait()) {
 		return withRetryAfter(httpwire.Problem(503, "no configuration is known here yet"), quota.Window)
@@ -36,9 +36,9 @@
 	return response
 }
 
-// answerPanic answers a request whose handler panicked. An edge keeps nothing
-// between requests that the other requests depend on, so it goes on. The message
-// may have been accepted.
+// answerPanic responds to a request whose handler panicked. An edge keeps no state
+// between requests that other requests depend on, so the process continues. The
+// message may have been accepted.
 func (e *Edge) answerPanic(r *httpwire.Request, reason any) *httpwire.Response {
 	e.log.Printf("edge: panic at %s %s: %v\n%s", r.Method, r.URL.Path, reason, debug.Stack())
 	response := httpwire.Problem(http.StatusBadGateway, "an internal error; the message may have been accepted")
@@ -46,8 +46,9 @@
 	return response
 }
 
-// throttle records what a request used. Over a limit, the answer goes out at once
-// and names the throttle time X; then reads from the connection stop for as long.
+// throttle records the resource usage of a request. If a quota is exceeded, the
+// response is sent at once with the throttle time in a header, and reads from the
+// connection are suspended for that time.
 func (e *Edge) throttle(r *httpwire.Request, m *client.Message, route *configuration.Route, waitTime time.Duration, response *httpwire.Response) {
 	processingTime := time.Since(r.Received) - waitTime
 	throttleTime, limitingQuota := e.quotas.RecordRequest(m.Tenant, route.Name, len(r.Body), processingTime, m.Throttle)
@@ -56,12 +57,12 @@
 		return
 	}
 	response.Header = append(response.Header, "Saltreel-Throttle-Ms", strconv.FormatInt(min(throttleTime, quota.Window).Milliseconds(), 10))
-	if !shared { // a hold would make other tenants wait
+	if !shared { // holding a shared connection would delay other tenants
 		r.Conn.Hold(limitingQuota.Throttle(throttleTime))
 	}
 }
 
-// admit decides on a message and forwards it to the stores.
+// admit checks the tenant's rate limit and forwards the message to a store.
 func (e *Edge) admit(ctx context.Context, r *httpwire.Request, table *configuration.Table, m *client.Message, route *configuration.Route) *httpwire.Response {
 	ctx, cancel := context.WithDeadline(ctx, r.Received.Add(e.timing.messageTimeout(m.Deadline)))
 	defer cancel()
@@ -81,14 +82,15 @@
 	return &httpwire.Response{Status: 202, Header: []string{"Saltreel-Message-Name", client.Name(number, m.ID)}}
 }
 
-// checkRate uses up one message of the tenant's limit. It gives the 429 where the
-// tenant is over it, else nil. What is asked is recorded, then checked. The limit
-// binds over all nodes, so here a lease decides, and X follows from what was granted.
+// checkRate consumes one message of the tenant's rate limit. It returns a 429
+// response if the tenant exceeds the limit, else nil. Demand is recorded before it is
+// checked. The limit applies across all nodes, so a lease decides here, and the
+// throttle time is derived from the rate that was granted.
 func (e *Edge) checkRate(ctx context.Context, tenant *configuration.Tenant, m *client.Message, route *configuration.Route) *httpwire.Response {
 	m.Throttle = e.quotas.AcceptedMessages.Record(m.Tenant, route.Name, 1)
 	if wait := e.leases.Acquire(ctx, tenant); wait > 0 {
-		// The connection is held until the next lease only: the tenant is
-		// still owed its limit, also on the connections it has.
+		// The connection is held only until the next lease: the tenant is still
+		// entitled to its limit, including on its existing connections.
 		throttleTime := max(wait, e.leases.ThrottleTime(tenant, e.quotas.AcceptedMessages.Rate(m.Tenant, route.Name)))
 		m.Throttle = min(wait, throttleTime)
 		return withRetryAfter(httpwire.Problem(429, "tenant "+m.Tenant+" is over its limit"), throttleTime)
@@ -96,8 +98,8 @@
 	return nil
 }
 
-// withRetryAfter adds when the client should come back, in whole seconds and at
-// least one.
+// withRetryAfter adds a Retry-After header with the wait rounded up to whole
+// seconds, at least one.
 func withRetryAfter(response *httpwire.Response, wait time.Duration) *httpwire.Response {
 	seconds := int(math.Max(1, math.Ceil(wait.Seconds())))
 	response.Header = append(response.Header, "Retry-After", strconv.Itoa(seconds))
--- a/internal/edge/admission_test.go
+++ b/internal/edge/admission_test.go
@@ -29,10 +29,10 @@
 func TestMessageDeadline(t *testing.T) {
 	timing := timing{contactTimeout: 2 * time.Second}
 	for _, test := range []struct{ asked, want time.Duration }{
-		{0, 960 * time.Millisecond}, // none: half of the contact bound
+		{0, 960 * time.Millisecond}, // none: half of the contact timeout
 		{-time.Second, 960 * time.Millisecond},
 		{100 * time.Millisecond, 96 * time.Millisecond},
-		{10 * time.Second, 9600 * time.Millisecond}, // above the contact bound as well
+		{10 * time.Second, 9600 * time.Millisecond}, // above the contact timeout as well
 	} {
 		if got := timing.messageTimeout(test.asked); got != test.want {
 			t.Errorf("asked %v: %v, want %v", test.asked, got, test.want)
--- a/internal/edge/candidates.go
+++ b/internal/edge/candidates.go
@@ -8,20 +8,20 @@
 	"saltreel/internal/settings"
 )
 
-// Tiers of the partitions that may have a message, the best first.
+// Tiers of the candidate partitions of a message, most preferred first.
 const (
 	tierZone            = iota // the primary is in the edge's zone
 	tierRegion                 // ... in its region
 	tierRemote                 // ... elsewhere
-	tierUnderReplicated        // backups are missing: the primary declines for now
+	tierUnderReplicated        // backups are missing, so the primary declines messages for now
 	tierCount
 )
 
-// candidatePartitions lists the partitions that may have a message, the nearest
-// first and within a tier from one that the message's id names on, so that the
-// messages of an edge are distributed over all. Where only one partition may have the
-// message, because one node paces a service or orders a key, it is alone in the
-// list. The list is empty if there are no partitions.
+// candidatePartitions lists the partitions that may store a message, the nearest
+// tier first. Within a tier the order starts at a partition derived from the message
+// ID, so that an edge distributes its messages over all of them. If a single node has
+// to pace the service or to order the key, its partition is the only candidate. The
+// list is empty if there are no partitions.
 func candidatePartitions(p *placement.Placement, set *settings.Settings, route *configuration.Route, service *configuration.Service, r *partition.Record) []int {
 	n := uint64(len(p.Partitions))
 	if n == 0 {
@@ -47,7 +47,7 @@
 	return ordered
 }
 
-// tierOf gives the tier of a partition, as an edge with these settings sees it.
+// tierOf returns the tier of a partition for an edge with the given settings.
 func tierOf(p *placement.Placement, candidate int, set *settings.Settings) int {
 	assigned := &p.Partitions[candidate]
 	if len(assigned.Backups) < int(set.FaultTolerance.HostFailures) {
@@ -64,8 +64,8 @@
 	}
 }
 
-// allDeclined tells whether each store that leads a candidate also leads a
-// partition that declined, so that none is left to be asked.
+// allDeclined reports whether every store that is primary of a candidate is also
+// primary of a partition that declined, so that no store is left to try.
 func allDeclined(p *placement.Placement, declined map[int]bool, candidates []int) bool {
 	stores := map[string]bool{}
 	for i := range declined {
--- a/internal/edge/candidates_test.go
+++ b/internal/edge/candidates_test.go
@@ -15,12 +15,13 @@
 	"saltreel/internal/settings"
 )
 
-// testSettings are those of an edge in zone-1 of region-1 that may lose a host.
+// testSettings returns the settings of an edge in zone-1 of region-1 that tolerates
+// one host failure.
 func testSettings() *settings.Settings {
 	return &settings.Settings{Zone: "zone-1", Region: "region-1", FaultTolerance: &settings.FaultTolerance{HostFailures: 1}}
 }
 
-// testPlacement gives each of the named stores a partition, in their order.
+// testPlacement assigns one partition to each of the named stores, in their order.
 // Store "ZONE-REGION-NAME" is in zone-ZONE of region-REGION. Partitions whose
 // store is under-replicated have no backup, the others one.
 func testPlacement(stores []string, underReplicated ...string) *placement.Placement {
@@ -36,7 +37,7 @@
 	return p
 }
 
-// primaryNames names the stores that lead partitions.
+// primaryNames returns the names of the primaries of partitions.
 func primaryNames(p *placement.Placement, partitions []int) []string {
 	var names []string
 	for _, i := range partitions {
@@ -133,7 +134,7 @@
 }
 
 func TestAllDeclined(t *testing.T) {
-	// Store a leads two partitions, b and c one each.
+	// Store a is primary of two partitions, b and c of one each.
 	p := testPlacement([]string{"1-1-a", "1-1-b", "1-1-c", "1-1-a"})
 	for _, test := range []struct {
 		name       string
@@ -160,7 +161,7 @@
 	}
 }
 
-// BenchmarkCandidates orders the partitions that may have one message.
+// BenchmarkCandidates measures ordering the candidate partitions of one message.
 func BenchmarkCandidates(b *testing.B) {
 	for _, n := range []int{6, 18, 60, 133} {
 		b.Run(fmt.Sprintf("stores=%d", n), func(b *testing.B) {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,5 +1,5 @@
-// Package edge owns the role of an edge machine: it admits the messages of
-// clients, forwards them to the stores, and answers queries about them.
+// Package edge implements the edge role: it admits the messages of clients, forwards
+// them to the stores, and answers queries about them.
 package edge
 
 import (
@@ -20,7 +20,7 @@
 	"saltreel/internal/settings"
 )
 
-// Edge is the process of one edge machine.
+// Edge is an edge process.
 type Edge struct {
 	set     *settings.Settings
 	timing  timing
@@ -31,10 +31,10 @@
 
 	quotas   *admission.Quotas
 	stalled  stalledPrimaries
-	stopping atomic.Bool // no new connections are wanted
+	stopping atomic.Bool // readiness is withdrawn
 }
 
-// New makes the process; Run starts it.
+// New returns an edge that is not running yet; Run starts it.
 func New(set *settings.Settings, network httpwire.Network, logger *log.Logger) *Edge {
 	timing := timing{contactTimeout: set.Contact(), grace: settings.Seconds(set.Timers.GraceS)}
 	e := &Edge{
@@ -50,10 +50,10 @@
 	return e
 }
 
-// Reload applies the settings that may change while the process runs.
+// Reload applies the settings that can change at run time.
 func (e *Edge) Reload(s *settings.Settings) { e.node.Reload(s) }
 
-// ready tells why the process wants no new connections; nil if it does.
+// ready returns nil if the process accepts new connections, else the reason why not.
 func (e *Edge) ready() error {
 	switch {
 	case e.stopping.Load():
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// Run serves until ctx ends, answers the requests that were read by then, and
-// returns. The error is that of a listener that cannot be opened.
+// Run serves until ctx ends, responds to the requests that were read by then, and
+// returns. It returns an error only if a listener cannot be opened.
 func (e *Edge) Run(ctx context.Context) error {
 	listeners, err := platform.Listen(e.network.Listen, e.set)
 	if err != nil {
@@ -99,10 +99,10 @@
 	return nil
 }
 
-// drainClients ends the service for clients: the process is not ready any more,
-// but serves until the platform has noticed; then the requests that were read are
-// answered, and connections on hold are released. What takes longer than the
-// shutdown may is answered by what is known of it: 503 or 504.
+// drainClients stops serving clients. It withdraws readiness but keeps serving until
+// the platform has noticed; then it responds to the requests that were read and
+// releases held connections. A request that exceeds the shutdown timeout gets 503 or
+// 504, depending on whether its message may have been accepted.
 func (e *Edge) drainClients(clients *httpwire.Server) {
 	e.stopping.Store(true)
 	e.node.Drain()
@@ -113,8 +113,8 @@
 	clients.Shutdown(ctx)
 }
 
-// limits are those of the configuration; where it has none, or before it is
-// known, narrow ones.
+// limits returns the HTTP limits of the configuration, with conservative defaults
+// for those that it does not set or before it is known.
 func (e *Edge) limits() httpwire.Limits {
 	configured := &configuration.Limits{}
 	if t := e.node.Table(); t != nil && t.Limits != nil {
@@ -131,7 +131,7 @@
 	}
 }
 
-// positiveOr gives v, or the default where v is not set.
+// positiveOr returns v, or the default if v is not set.
 func positiveOr(v, defaultValue int64) int64 {
 	if v > 0 {
 		return v
--- a/internal/edge/forward.go
+++ b/internal/edge/forward.go
@@ -12,27 +12,27 @@
 	"saltreel/internal/timeutil"
 )
 
-// noPartition stands for no partition.
+// noPartition means that no partition is selected.
 const noPartition = -1
 
-// forwarding is the way of one message to a store that accepts it.
+// forwarding is the state of forwarding one message, over all attempts.
 type forwarding struct {
 	route    *configuration.Route
 	service  *configuration.Service
 	record   *partition.Record
-	delay    time.Duration // from received until the message is due
+	delay    time.Duration // from receipt until the message is due
 	received time.Time
 
-	// pinned is the partition whose store may have accepted the message: no other
-	// may get it, or it would run twice. noPartition while none may have.
+	// pinned is the partition whose store may have accepted the message. Sending it
+	// to another one could run it twice. noPartition if no store may have it.
 	pinned   int
-	avoided  map[string]bool // primaries that were asked and certainly lack the message
-	declined map[int]bool    // partitions that can accept nothing now
+	avoided  map[string]bool // primaries that were tried and certainly lack the message
+	declined map[int]bool    // partitions that cannot accept messages now
 }
 
-// forward brings a message to as many disks as may be lost and one more. It
-// returns the partition that has it. Errors are errIDConflict, *notAcceptedError
-// and *indeterminateError.
+// forward stores a message on one more disk than the number of disk failures to
+// tolerate. It returns the partition that accepted it, or errIDConflict, a
+// *notAcceptedError or an *indeterminateError.
 func (e *Edge) forward(ctx context.Context, route *configuration.Route, service *configuration.Service, r *partition.Record, delay time.Duration, received time.Time) (int, error) {
 	f := forwarding{
 		route: route, service: service, record: r, delay: delay, received: received,
@@ -63,9 +63,9 @@
 	}
 }
 
-// choosePartition gives the partition for the next attempt, or noPartition if
-// there are none: the first candidate whose primary neither was asked in vain nor
-// stalls, else the first.
+// choosePartition returns the partition for the next attempt: the first candidate
+// whose primary is neither avoided nor stalled, else the first candidate. It returns
+// noPartition if there are no candidates.
 func (e *Edge) choosePartition(f *forwarding, p *placement.Placement) int {
 	if f.pinned != noPartition {
 		return f.pinned
@@ -83,7 +83,7 @@
 	return candidates[0]
 }
 
-// attempt makes one call to the primary of a partition.
+// attempt sends the message once to the primary of a partition.
 func (e *Edge) attempt(ctx context.Context, f *forwarding, p *placement.Placement, target int) error {
 	address := p.Stores[p.Partitions[target].Primary].Address
 	callCtx, cancel := context.WithTimeout(ctx, e.timing.attemptTimeout())
@@ -103,9 +103,9 @@
 	}, f.record.Body, nil)
 }
 
-// handleFailure draws the conclusions from a failed attempt. It returns the error
-// of the forward where another attempt would not help, else nil. An attempt that
-// ended with its request says nothing about the primary.
+// handleFailure processes a failed attempt. It returns the final error if another
+// attempt would not help, else nil. An attempt that was cut off by the deadline of the
+// request is no evidence of a failed primary, so it is not reported.
 func (e *Edge) handleFailure(ctx context.Context, f *forwarding, p *placement.Placement, target int, err error) error {
 	outcome := classifyAttempt(err)
 	if outcome == attemptIDConflict {
@@ -123,14 +123,14 @@
 	case outcome == attemptUnanswered:
 		e.node.ReportFailure(primary, false)
 	}
-	if len(f.avoided) >= len(p.Stores) { // all were asked: begin again
+	if len(f.avoided) >= len(p.Stores) { // all stores were tried: start over
 		clear(f.avoided)
 	}
 	return nil
 }
 
-// recordFailure notes what a failed attempt says about where the message may go:
-// to another store only if the one that was asked certainly lacks it.
+// recordFailure restricts where the message may be sent next: to another store only
+// if the one that was tried certainly lacks it.
 func (f *forwarding) recordFailure(outcome attemptOutcome, target int, primary string) {
 	if !outcome.certainlyNotAccepted() {
 		f.pinned = target
@@ -142,14 +142,15 @@
 	}
 }
 
-// declinedByAll tells whether no store is left that may accept the message, by
-// the placement of this moment.
+// declinedByAll reports whether, by the current placement, no store is left that
+// may accept the message.
 func (e *Edge) declinedByAll(f *forwarding) bool {
 	p := e.node.Placement()
 	return allDeclined(p, f.declined, candidatePartitions(p, e.set, f.route, f.service, f.record))
 }
 
-// retryDelay is 0 where the next attempt goes to another store.
+// retryDelay returns the delay before the next attempt; 0 if that goes to another
+// store.
 func (e *Edge) retryDelay(f *forwarding, p *placement.Placement) time.Duration {
 	if f.pinned == noPartition && len(f.avoided) > 0 && len(candidatePartitions(p, e.set, f.route, f.service, f.record)) > 1 {
 		return 0
@@ -157,7 +158,7 @@
 	return e.timing.forwardRetryDelay()
 }
 
-// deadlineError is the error of a forward whose time is over.
+// deadlineError returns the error of a forward whose deadline has passed.
 func (f *forwarding) deadlineError(last error) error {
 	if f.pinned != noPartition {
 		return &indeterminateError{cause: last}
--- a/internal/edge/forward_test.go
+++ b/internal/edge/forward_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// Another store may get the message only while each that was asked certainly
-// lacks it.
+// A message may be sent to another store only if every store tried before certainly
+// lacks it; otherwise it could run twice.
 func TestFailurePinsMessageUnlessStoreCertainlyLacksIt(t *testing.T) {
 	for _, test := range []struct {
 		name              string
@@ -89,7 +89,7 @@
 		want    int
 	}{
 		{"nearest", noPartition, nil, nil, 1},
-		{"not one that was asked in vain", noPartition, []string{"1-1-b"}, nil, 2},
+		{"not one that was tried before", noPartition, []string{"1-1-b"}, nil, 2},
 		{"not one that stalls", noPartition, nil, map[int]int64{1: 1}, 2},
 		{"one that stalled in an earlier epoch", noPartition, nil, map[int]int64{1: 0}, 1},
 		{"neither", noPartition, []string{"2-1-c"}, map[int]int64{1: 1}, 0},
@@ -143,8 +143,8 @@
 	}
 }
 
-// newTestEdge makes an edge that knows a placement, or none if that is nil, and calls
-// nobody.
+// newTestEdge returns an edge that knows the placement, if not nil, and makes no
+// calls.
 func newTestEdge(t *testing.T, contact time.Duration, p *placement.Placement) *Edge {
 	t.Helper()
 	logger := log.New(io.Discard, "", 0)
--- a/internal/edge/outcome.go
+++ b/internal/edge/outcome.go
@@ -7,8 +7,8 @@
 	"saltreel/internal/rpc"
 )
 
-// notAcceptedError says that it is certain that no store accepted the message or
-// ever will.
+// notAcceptedError means that certainly no store has accepted the message or will
+// accept it later.
 type notAcceptedError struct {
 	cause error // of the last attempt; nil if there was none
 }
@@ -19,7 +19,7 @@
 
 func (e *notAcceptedError) Unwrap() error { return e.cause }
 
-// indeterminateError says that a store may have accepted the message.
+// indeterminateError means that a store may have accepted the message.
 type indeterminateError struct {
 	cause error // of the last attempt
 }
@@ -28,7 +28,7 @@
 
 func (e *indeterminateError) Unwrap() error { return e.cause }
 
-// errIDConflict says that the id belongs to a message of another tenant.
+// errIDConflict means that the ID belongs to a message of another tenant.
 var errIDConflict = errors.New("the attempt id is in use")
 
 func withCause(text string, cause error) string {
@@ -39,17 +39,16 @@
 }
 
 // forwardErrorStatus maps the error of a forward to the status and the text for
-// the client. Only this function decides that, since each status is a
-// promise:
+// the client. The mapping is kept in one place because each status is a guarantee to
+// the client:
 //
 //   - 400, 408, 421, 429, 503: the message was not accepted and never will be, so
-//     the client may send it anew. Given here are 400 where the id is another
-//     tenant's, and 503; 429 is given by checkRate and 408 by httpwire, both before
-//     a store was asked; no edge gives 421.
-//   - 502, 504: unclear. The message may have been accepted; only under the same
-//     id may the client send it again without it running twice. A forward ends
-//     with 504. It is also what any other error gets: an error that nobody thought
-//     of must promise nothing.
+//     the client may resend it under any ID. This function returns 400 if the ID
+//     belongs to another tenant, and 503; checkRate returns 429 and httpwire 408,
+//     both before a store is called. An edge never returns 421.
+//   - 502, 504: indeterminate. The message may have been accepted; the client must
+//     reuse its ID when it resends it, or it may run twice. A forward ends with 504,
+//     and so does any unexpected error, since nothing can be guaranteed for it.
 func forwardErrorStatus(err error) (status int, text string) {
 	var notAccepted *notAcceptedError
 	switch {
@@ -62,7 +61,7 @@
 	}
 }
 
-// forwardErrorResponse answers a client whose message could not be forwarded.
+// forwardErrorResponse builds the response for a message that could not be forwarded.
 func (e *Edge) forwardErrorResponse(id string, err error) *httpwire.Response {
 	status, text := forwardErrorStatus(err)
 	response := httpwire.Problem(status, text)
@@ -76,34 +75,35 @@
 	return response
 }
 
-// attemptOutcome is what one call to a primary says about the message.
+// attemptOutcome classifies the result of one /accept call to a primary.
 type attemptOutcome int
 
 const (
-	// attemptAccepted: as many disks as asked for hold the message.
+	// attemptAccepted: the required number of disks hold the message.
 	attemptAccepted attemptOutcome = iota
 	// attemptIDConflict: the id belongs to a message of another tenant.
 	attemptIDConflict
 	// attemptMisdirected: the store is not the primary or cannot write; it did not
 	// accept the message.
 	attemptMisdirected
-	// attemptDeclined: the primary cannot accept messages now, for want of backups
-	// or of room; it did not accept this one.
+	// attemptDeclined: the primary cannot accept messages now, for lack of backups
+	// or of space; it did not accept this one.
 	attemptDeclined
-	// attemptNotSent: the store got nothing of the call.
+	// attemptNotSent: no part of the call was sent to the store.
 	attemptNotSent
-	// attemptIndeterminate: the store answered, but not whether it has the message.
+	// attemptIndeterminate: the response does not tell whether the store has the
+	// message.
 	attemptIndeterminate
-	// attemptUnanswered: the call was sent and not answered.
+	// attemptUnanswered: the call was sent but got no response.
 	attemptUnanswered
 )
 
-// certainlyNotAccepted tells whether the message is certainly not on the store that was asked.
+// certainlyNotAccepted reports whether the called store certainly lacks the message.
 func (o attemptOutcome) certainlyNotAccepted() bool {
 	return o == attemptMisdirected || o == attemptDeclined || o == attemptNotSent
 }
 
-// classifyAttempt tells what the error of an /accept call means.
+// classifyAttempt maps the error of an /accept call to its outcome.
 func classifyAttempt(err error) attemptOutcome {
 	if err == nil {
 		return attemptAccepted
--- a/internal/edge/outcome_test.go
+++ b/internal/edge/outcome_test.go
@@ -15,7 +15,7 @@
 	return &httpwire.Error{Step: "/accept", Sent: true, Err: &rpc.StatusError{Code: code, Text: "text"}}
 }
 
-// transportError is the error of a call that has no answer, wrapped as rpc wraps it.
+// transportError returns the error of a call without a response, wrapped as by rpc.
 func transportError(sent bool) error {
 	return fmt.Errorf("/accept: %w", &httpwire.Error{Step: "step", Sent: sent, Err: syscall.ECONNREFUSED})
 }
@@ -50,7 +50,7 @@
 	}
 }
 
-// The texts are part of the answers to clients.
+// The texts are part of the responses to clients.
 func TestForwardErrorStatus(t *testing.T) {
 	cause := errors.New("cause")
 	for _, test := range []struct {
--- a/internal/edge/primary_watch.go
+++ b/internal/edge/primary_watch.go
@@ -8,9 +8,10 @@
 	"saltreel/internal/placement"
 )
 
-// watchPrimary watches over a call to the primary of a partition until stop is
-// called or ctx ends: a store that does not answer soon counts as stalled and is
-// reported, and once another store leads the partition the call is cancelled.
+// watchPrimary monitors a call to the primary of a partition until stop is called or
+// ctx ends. A primary that does not respond within the stall timeout is marked as
+// stalled and reported as failed. If another store becomes primary of the partition,
+// the call is cancelled.
 func (e *Edge) watchPrimary(ctx context.Context, cancelCall context.CancelFunc, partition int, p *placement.Placement) (stop func()) {
 	done := make(chan struct{})
 	assigned := &p.Partitions[partition]
@@ -38,8 +39,8 @@
 	return func() { close(done) }
 }
 
-// stalledPrimaries remembers for a while which partitions had a primary that did
-// not answer, and in which epoch.
+// stalledPrimaries records for the retention time which partitions had a primary
+// that did not respond, and in which epoch.
 type stalledPrimaries struct {
 	retention time.Duration
 
@@ -56,22 +57,22 @@
 	return stalledPrimaries{retention: retention, byPartition: map[int]stalledPrimary{}}
 }
 
-// add notes that the primary of a partition's epoch does not answer.
+// add marks the primary of a partition in the given epoch as stalled.
 func (s *stalledPrimaries) add(partition int, epoch int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.byPartition[partition] = stalledPrimary{epoch, time.Now()}
 }
 
-// clear notes that a partition's primary answered.
+// clear removes the mark of a partition whose primary responded.
 func (s *stalledPrimaries) clear(partition int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.byPartition, partition)
 }
 
-// contains tells whether new messages should rather go elsewhere: the primary of
-// this epoch stalled a short time ago.
+// contains reports whether the primary of the given epoch stalled within the
+// retention time, so that new messages should prefer other partitions.
 func (s *stalledPrimaries) contains(partition int, epoch int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/edge/query.go
+++ b/internal/edge/query.go
@@ -15,12 +15,12 @@
 	"saltreel/internal/timeutil"
 )
 
-// errUnknownPartition says that the placement at hand does not have the partition
-// that the name of a message says.
+// errUnknownPartition means that the known placement lacks the partition that the
+// message name refers to.
 var errUnknownPartition = errors.New("the partition of the message is not known here")
 
-// answerQuery answers a query about a message: for its state (kind "status") or
-// its body (kind "body").
+// answerQuery serves a query for the state (kind "status") or the body (kind "body")
+// of a message.
 func (e *Edge) answerQuery(ctx context.Context, r *httpwire.Request, table *configuration.Table, kind, name string) *httpwire.Response {
 	tenant, ok := queryTenant(table, r.Header.Get("Saltreel-Key"))
 	if !ok {
@@ -40,8 +40,9 @@
 	return queryResponse(kind, answer)
 }
 
-// queryTenant gives the name of the tenant that asks; "" where the configuration
-// has no tenants and the client no key. It is not ok if the key is unknown.
+// queryTenant returns the name of the tenant that the key belongs to, or "" if the
+// configuration has no tenants and the request no key. ok is false if the key is
+// unknown.
 func queryTenant(table *configuration.Table, key string) (name string, ok bool) {
 	if tenant := table.TenantOfKey(key); tenant != nil {
 		return tenant.Name, true
@@ -49,7 +50,7 @@
 	return "", key == "" && len(table.TenantTable) == 0
 }
 
-// queryResponse turns the final answer of a store into that for the client.
+// queryResponse converts the final response of a store to the response for the client.
 func queryResponse(kind string, answer *httpwire.Answer) *httpwire.Response {
 	if answer.Status != 200 {
 		return httpwire.Problem(answer.Status, strings.TrimSpace(string(answer.Body)))
@@ -64,11 +65,11 @@
 	return httpwire.JSON(200, client.Status(status.State, status.Seal))
 }
 
-// queryPrimary asks the primary of a message's partition, whoever that is, until
-// it gives a final answer (200, 404 or 410) or ctx ends. The error is then that of
-// the last attempt. It is errUnknownPartition where the placement at hand lacks the
-// partition, as that of an edge that just started may: only its store could say
-// that there is no such message.
+// queryPrimary queries the current primary of the message's partition until it
+// returns a final response (200, 404 or 410) or ctx ends, in which case the error is
+// that of the last attempt. It returns errUnknownPartition if the known placement
+// lacks the partition, as may happen just after the start of an edge: only the store
+// can tell that the message does not exist.
 func (e *Edge) queryPrimary(ctx context.Context, path string, query store.MessageQuery) (*httpwire.Answer, error) {
 	body, err := json.Marshal(query)
 	if err != nil {
@@ -112,5 +113,5 @@
 	return e.node.Client.Send(ctx, address, path, body)
 }
 
-// isFinal tells whether a store's answer to a query will not change by asking again.
+// isFinal reports whether repeating a query cannot change the store's response.
 func isFinal(status int) bool { return status == 200 || status == 404 || status == 410 }
--- a/internal/edge/query_test.go
+++ b/internal/edge/query_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// An edge that does not know the partition of a message never says that there is
-// no such message.
+// An edge that does not know the partition of a message must respond with 503, not
+// 404: the message may exist.
 func TestQueryOfAnUnknownPartitionIsUnavailable(t *testing.T) {
 	p := testPlacement([]string{"1-1-a", "1-1-b"})
 	p.Version = 1
