--- a/internal/handler/deliver.go
+++ b/internal/handler/deliver.go
@@ -15,7 +15,7 @@
 type Delivery struct {
 	Address  string
 	Instance string // expected at the address; empty for a fixed endpoint
-	ID       string // of the message; empty fields below are not sent
+	ID       string // message ID; empty fields below are not sent
 	Tenant   string
 	OrderKey string
 	Method   string
@@ -23,19 +23,19 @@
 	Host     string
 	Type     string // of the body
 	Body     []byte
-	Timeout  time.Duration // also sent, as the handler's deadline
+	Timeout  time.Duration // also sent to the handler as its deadline
 }
 
-// Result is the outcome of an attempt with its circumstances.
+// Result is the outcome of an attempt with its details.
 type Result struct {
 	Outcome             Outcome
 	Seal                string
 	Status              int   // 0: there was no response
-	Err                 error // why there was none
-	IdleConnectionBroke bool  // only an idle connection broke, which says nothing about the handler
+	Err                 error // why there was no response
+	IdleConnectionBroke bool  // a reused idle connection broke, which is no evidence of a failed handler
 }
 
-// Deliver makes the attempt and waits for its outcome.
+// Deliver sends the message and waits for the outcome.
 func Deliver(ctx context.Context, pool *httpwire.Pool, d Delivery) Result {
 	ctx, cancel := context.WithTimeout(ctx, d.Timeout)
 	defer cancel()
@@ -50,7 +50,7 @@
 	}
 }
 
-// call makes the request. Its response must repeat the attempt's identifier.
+// call builds the request. The response must echo the attempt ID.
 func (d *Delivery) call() *httpwire.Call {
 	call := &httpwire.Call{
 		Method:  d.Method,
--- a/internal/handler/instance.go
+++ b/internal/handler/instance.go
@@ -1,6 +1,6 @@
-// Package handler is the system's side of the application processes, the
-// handlers, that run messages: the heartbeats by which they register, and the
-// delivery of messages to them.
+// Package handler implements the interface to handlers, the application processes
+// that execute messages: the heartbeats by which they register, and the delivery of
+// messages to them.
 package handler
 
 import (
@@ -10,10 +10,10 @@
 	"net"
 )
 
-// States that a handler reports of itself.
+// States that a handler reports in its heartbeats.
 const (
 	Ready    = "ready"
-	Draining = "draining" // it wants no more messages
+	Draining = "draining" // it accepts no more messages
 )
 
 // Instance is one incarnation of a handler, as its heartbeats describe it.
@@ -23,14 +23,14 @@
 	Address  string `json:"address"` // host:port
 	Zone     string `json:"zone"`
 	Revision string `json:"revision"`       // of the application
-	Slots    int    `json:"slots"`          // how many messages it runs at the same time
+	Slots    int    `json:"slots"`          // how many messages it executes concurrently
 	State    string `json:"oper-state"`     // Ready or Draining
-	WarmupMs int64  `json:"warmup-left-ms"` // how long it still warms up, in milliseconds
-	CallSeq  int64  `json:"call-seq"`       // of the heartbeat; a higher one supersedes a lower one
+	WarmupMs int64  `json:"warmup-left-ms"` // remaining warm-up time in milliseconds
+	CallSeq  int64  `json:"call-seq"`       // sequence number of the heartbeat; the highest one is current
 }
 
-// ParseHeartbeat reads and checks the heartbeat of the instance id. Its errors are
-// for the handler to read.
+// ParseHeartbeat decodes and validates the heartbeat of an instance. Its errors are
+// returned to the handler.
 func ParseHeartbeat(id string, body []byte) (Instance, error) {
 	var in Instance
 	if err := json.Unmarshal(body, &in); err != nil {
--- a/internal/handler/outcome.go
+++ b/internal/handler/outcome.go
@@ -6,7 +6,7 @@
 	"saltreel/internal/httpwire"
 )
 
-// Outcome is what became of one attempt to deliver a message.
+// Outcome is the result of one attempt to deliver a message.
 type Outcome int
 
 // The outcomes of an attempt.
@@ -16,7 +16,7 @@
 	Failed                       // it ran and failed; a later attempt may succeed
 	NotExecuted                  // the handler declined before running it
 	WrongInstance                // another instance answers at the address
-	Indeterminate                // indeterminate: it may have run
+	Indeterminate                // the message may have run
 	NoResponse                   // no response in time, or no connection
 )
 
@@ -24,7 +24,7 @@
 	return [...]string{"done", "refused", "failed", "not executed", "wrong instance", "indeterminate", "no response"}[o]
 }
 
-// Headers of deliveries and their responses, as published.
+// Headers of deliveries and their responses; part of the public interface.
 const (
 	headerAttemptID      = "Saltreel-Attempt-Id"
 	headerDeadline       = "Saltreel-Deadline-Ms"
@@ -32,7 +32,7 @@
 	headerOrderKey       = "Saltreel-Order-Key"
 	headerExpectInstance = "Saltreel-Expect-Instance"
 	headerSeal           = "Saltreel-Server-Seal"  // proof that the handler ran the message
-	headerNotExecuted    = "Saltreel-Not-Executed" // present: it did not
+	headerNotExecuted    = "Saltreel-Not-Executed" // set if the handler did not run the message
 )
 
 // outcomeOf classifies a complete response.
--- a/internal/handler/sink.go
+++ b/internal/handler/sink.go
@@ -10,8 +10,8 @@
 	"saltreel/internal/httpwire"
 )
 
-// Sink serves a handler for trials on addr until ctx ends: it prints every
-// message to out, and answers with a seal.
+// Sink serves a handler for manual testing on addr until ctx ends: it prints every
+// message to out, and responds with a seal.
 func Sink(ctx context.Context, network httpwire.Network, addr string, out io.Writer) error {
 	listener, err := network.Listen(addr)
 	if err != nil {
@@ -28,7 +28,7 @@
 		return &httpwire.Response{Status: 200}
 	}
 	id := r.Header.Get(headerAttemptID)
-	// A message that cannot be printed is answered all the same.
+	// A failure to print does not fail the message.
 	_, _ = fmt.Fprintf(out, "%s %s%s of tenant %q, message %s: %q\n", r.Method, r.Host, r.RequestURI, r.Header.Get(headerTenant), id, r.Body)
 	return &httpwire.Response{Status: 200, Header: []string{headerSeal, rand.Text(), headerAttemptID, id}}
 }
--- a/internal/store/calls.go
+++ b/internal/store/calls.go
@@ -6,7 +6,7 @@
 	"saltreel/internal/placement"
 )
 
-// handlePing answers that the process runs and its disk works.
+// handlePing succeeds if the process runs and its disk works.
 func (s *Store) handlePing(context.Context, *struct{}, []byte) (*struct{}, error) {
 	if err := s.partitions.Health(); err != nil {
 		return nil, &UnhealthyError{Err: err}
@@ -14,8 +14,8 @@
 	return &struct{}{}, nil
 }
 
-// handleHandover stops partitions so that their backups may become primary, and
-// answers with those that have stopped.
+// handleHandover stops partitions so that their backups can become primary, and
+// returns those that have stopped.
 func (s *Store) handleHandover(ctx context.Context, in *placement.HandoverRequest, _ []byte) (*placement.HandoverRequest, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.timing.handoverTimeout())
 	defer cancel()
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -8,9 +8,9 @@
 	"saltreel/internal/ratelimit"
 )
 
-// Errors of the calls that a store answers itself.
+// Errors of the calls that this package handles.
 var (
-	// ErrNoSuchMessage means that the tenant has no message of that id.
+	// ErrNoSuchMessage means that the tenant has no message with that ID.
 	ErrNoSuchMessage = errors.New("no such message")
 	// ErrBodyDeleted means that the message is complete, so its body was deleted.
 	ErrBodyDeleted = errors.New("the message is complete; its body is gone")
@@ -21,12 +21,11 @@
 
 func (e *UnhealthyError) Error() string { return e.Err.Error() }
 
-// Unwrap returns what is wrong with the disk.
+// Unwrap returns the disk error.
 func (e *UnhealthyError) Unwrap() error { return e.Err }
 
-// statusCode maps the errors of the calls that a store serves to the status codes
-// of their answers, those of package partition among them; 0 leaves an error to
-// rpc.Handler.
+// statusCode maps the errors of the calls that a store serves, including those of
+// package partition, to status codes; 0 leaves the error to rpc.Handler.
 func statusCode(err error) int {
 	var unhealthy *UnhealthyError
 	var notOwner *ratelimit.NotOwnerError
--- a/internal/store/messages.go
+++ b/internal/store/messages.go
@@ -17,8 +17,8 @@
 	"saltreel/internal/settings"
 )
 
-// AcceptRequest hands a message to the primary of its partition; the body follows
-// the JSON.
+// AcceptRequest asks the primary of a partition to accept a message; the body of the
+// message follows the JSON.
 type AcceptRequest struct {
 	Partition int              `json:"partition"`
 	Message   partition.Record `json:"message"`
@@ -26,10 +26,10 @@
 	WaitMs    int64            `json:"wait"` // how long the edge waits
 }
 
-// AcceptResponse says that enough disks hold the message.
+// AcceptResponse confirms that the required number of disks hold the message.
 type AcceptResponse struct{}
 
-// MessageQuery asks for a message of a tenant.
+// MessageQuery requests the state or the body of a message of a tenant.
 type MessageQuery struct {
 	Partition int    `json:"partition"`
 	ID        string `json:"id"`
@@ -37,14 +37,14 @@
 	Host      string `json:"host"`
 }
 
-// MessageStatus says how far a message is.
+// MessageStatus is the processing state of a message.
 type MessageStatus struct {
 	State partition.State `json:"state"`
 	Seal  string          `json:"seal,omitempty"` // of its handler, once it is complete
 }
 
 // messages is the workload of deferred messages: it accepts them, delivers them to
-// handlers, and answers questions about them.
+// handlers, and serves queries about them.
 type messages struct {
 	timing        timing
 	node          *node.Node
@@ -116,9 +116,10 @@
 	return &AcceptResponse{}, m.partitions.Accept(ctx, in.Partition, &r)
 }
 
-// retention is how long a message is retained from now on; 0 if its route does
-// not say. The client sent it a little earlier, and a time of day that jumps over
-// a restart may not end it too soon, so the contact timeout is added.
+// retention returns how long a message is retained from now on; 0 if its route sets
+// no retention. The contact timeout is added because the client sent the message
+// earlier, and so that a wall clock that jumps across a restart does not end the
+// retention too early.
 func (m *messages) retention(r *partition.Record) time.Duration {
 	table := m.node.Table()
 	if table == nil {
@@ -131,7 +132,7 @@
 	return settings.Seconds(route.RetentionS) + m.timing.contactTimeout
 }
 
-// find returns a message to the tenant that sent it.
+// find returns a message if the tenant of the query sent it.
 func (m *messages) find(ctx context.Context, in *MessageQuery) (*partition.Record, error) {
 	ctx, cancel := context.WithTimeout(ctx, m.timing.lookupTimeout())
 	defer cancel()
@@ -153,7 +154,7 @@
 	return &MessageStatus{r.State, r.Seal}, nil
 }
 
-// handleBody answers with the body itself instead of JSON.
+// handleBody responds with the raw body of the message instead of JSON.
 func (m *messages) handleBody(ctx context.Context, request *httpwire.Request) *httpwire.Response {
 	var body []byte
 	response := rpc.Handler(func(ctx context.Context, in *MessageQuery, _ []byte) (*struct{}, error) {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,7 +1,7 @@
-// Package store is the process of a storage machine: it holds partitions, accepts
-// messages for those that it is primary of, and answers the calls of the system's
-// other processes. What is done with the messages is a Workload: this package has
-// that of deferred messages, package broker that of topics.
+// Package store implements the store process: it stores partitions, accepts messages
+// for those that it is primary of, and serves the calls of the system's other
+// processes. A Workload defines how the messages are processed: this package
+// implements that of deferred messages, package broker that of topics.
 package store
 
 import (
@@ -24,25 +24,24 @@
 	"saltreel/internal/timeutil"
 )
 
-// Workload is what a store does with the messages of the partitions that it is
-// primary of.
+// Workload processes the messages of the partitions that a store is primary of.
 type Workload interface {
-	// Calls are the calls about messages that it serves. docs/calls.md lists them.
+	// Calls returns the handlers of the workload's calls. docs/calls.md lists them.
 	Calls() rpc.Mux
-	// Run consumes the events of the partitions until ctx ends, then waits for what is
-	// in flight.
+	// Run consumes the events of the partitions until ctx ends, then waits for the
+	// operations in flight.
 	Run(ctx context.Context)
-	// SetShutdownDeadline says when the process is to end: nothing begins any more that may take
-	// longer, and what is in flight then is broken off.
+	// SetShutdownDeadline sets the time at which the process ends. Operations that may
+	// take longer are not started any more, and those in flight then are cancelled.
 	SetShutdownDeadline(end time.Time)
-	// ApplyEvent follows what the control plane distributes.
+	// ApplyEvent applies an event that the control plane distributes.
 	ApplyEvent(e journal.Event)
-	// Idle reports whether nothing of a partition is in flight, so that it may be
+	// Idle reports whether a partition has no operations in flight, so that it can be
 	// handed over.
 	Idle(partition int) bool
 }
 
-// WorkloadConfig is what a Workload may use of its store.
+// WorkloadConfig holds the parts of a store that a Workload may use.
 type WorkloadConfig struct {
 	Settings   *settings.Settings
 	Log        *log.Logger
@@ -51,7 +50,7 @@
 	Partitions *partition.Manager
 }
 
-// Store is the process of one storage machine.
+// Store is a store process.
 type Store struct {
 	settings   *settings.Settings
 	timing     timing
@@ -63,13 +62,13 @@
 	limiter    *ratelimit.Limiter
 }
 
-// New opens the disk and makes the process of a store of deferred messages. While
-// the disk does not work, it tries again until ctx ends.
+// New opens the disk and returns a store of deferred messages. If the disk does not
+// work, New retries until ctx ends.
 func New(ctx context.Context, set *settings.Settings, network httpwire.Network, logger *log.Logger) (*Store, error) {
 	return NewWithWorkload(ctx, set, network, logger, newMessages)
 }
 
-// NewWithWorkload is New for a store with another workload.
+// NewWithWorkload is like New, but with the given workload.
 func NewWithWorkload(ctx context.Context, set *settings.Settings, network httpwire.Network, logger *log.Logger, newWorkload func(WorkloadConfig) (Workload, error)) (*Store, error) {
 	s := &Store{
 		settings: set,
@@ -99,7 +98,7 @@
 	return s, nil
 }
 
-// openPartitionsWithRetry opens the partitions, as soon as the disk works.
+// openPartitionsWithRetry opens the partitions. It retries disk errors until ctx ends.
 func (s *Store) openPartitionsWithRetry(ctx context.Context) error {
 	for logged := false; ; timeutil.Sleep(ctx, s.timing.diskRetryInterval()) {
 		err := s.openPartitions()
@@ -118,7 +117,7 @@
 	}
 }
 
-// openPartitions reads the disk, whose health and identity are the node's.
+// openPartitions loads the partitions from disk and sets the node's disk ID.
 func (s *Store) openPartitions() error {
 	set := s.settings
 	partitions, err := partition.New(partition.Config{
@@ -156,15 +155,15 @@
 	return err
 }
 
-// applyEvent follows what the control plane distributes.
+// applyEvent applies an event that the control plane distributes.
 func (s *Store) applyEvent(e journal.Event) {
 	if e.Key == distribution.KeyPlacement {
-		s.partitions.ApplyPlacement(*s.node.Placement()) // which the node has just decoded
+		s.partitions.ApplyPlacement(*s.node.Placement()) // the node subscribed earlier and has decoded it
 	}
 	s.workload.ApplyEvent(e)
 }
 
-// partitionCount is how many partitions there are; 0 before the placement is known.
+// partitionCount returns the number of partitions; 0 before the placement is known.
 func (s *Store) partitionCount() int {
 	if p := s.node.Placement(); p != nil {
 		return len(p.Partitions)
@@ -172,8 +171,8 @@
 	return 0
 }
 
-// calls are the calls that a store serves, those of its workload among them.
-// docs/calls.md lists them.
+// calls returns the handlers of the calls that a store serves, including those of its
+// workload. docs/calls.md lists them.
 func (s *Store) calls() rpc.Mux {
 	publisher := s.node.Publisher()
 	calls := rpc.Mux{
@@ -189,8 +188,8 @@
 	return calls
 }
 
-// Run serves until ctx ends, hands its partitions over, answers the calls that it
-// has read, and returns. If the disk fails for good, it hands nothing over.
+// Run serves until ctx ends, hands over its partitions, responds to the calls that
+// were read, and returns. After a permanent disk failure it hands nothing over.
 func (s *Store) Run(ctx context.Context) error {
 	listener, err := s.network.Listen(s.settings.InternalAddress())
 	if err != nil {
@@ -226,8 +225,8 @@
 	return <-partitionsDone
 }
 
-// startDeliveries delivers until ctx ends. The channel is closed when no delivery
-// is in flight any more, which may be later than the end of the process.
+// startDeliveries runs the workload until ctx ends. The channel is closed when no
+// delivery is in flight any more.
 func (s *Store) startDeliveries(ctx context.Context) (deliveriesDone <-chan struct{}) {
 	done := make(chan struct{})
 	go func() {
@@ -237,9 +236,10 @@
 	return done
 }
 
-// finishDeliveries waits for the deliveries in flight, and until the backups have their
-// outcomes. Those that take longer are broken off, and made again by the next primary:
-// no answer is read whose outcome would be lost with this process.
+// finishDeliveries waits for the deliveries in flight and for the replication of their
+// outcomes to the backups. Deliveries that exceed the shutdown deadline are cancelled
+// and repeated by the next primary: no response is read whose outcome would be lost
+// with this process.
 func (s *Store) finishDeliveries(deliveriesDone <-chan struct{}) {
 	<-deliveriesDone
 	ctx, cancel := context.WithTimeout(context.Background(), s.timing.flushTimeout())
@@ -249,8 +249,8 @@
 	}
 }
 
-// drain announces that this store ends, and waits until the controller has given
-// all its partitions to other stores, or the time for it is over.
+// drain announces the shutdown of this store, and waits until the controller has
+// reassigned all its partitions to other stores or the drain timeout expires.
 func (s *Store) drain() {
 	s.node.Drain()
 	deadline := time.Now().Add(s.timing.drainTimeout())
@@ -262,12 +262,12 @@
 	s.log.Printf("store: stopping, holds partitions: %v, %d records, %d pending", s.partitions.HasAssignedPartitions(), all, pending)
 }
 
-// shutdown lets the server answer what it has read.
+// shutdown lets the server respond to the calls that it has read.
 func (s *Store) shutdown(server *httpwire.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.timing.shutdownTimeout())
 	defer cancel()
 	server.Shutdown(ctx)
 }
 
-// Reload applies those settings that may change while the process runs.
+// Reload applies the settings that can change at run time.
 func (s *Store) Reload(set *settings.Settings) { s.node.Reload(set) }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -22,7 +22,7 @@
 	"saltreel/internal/settings"
 )
 
-// newTestStore makes a store without a network that is primary of partition 0, and
+// newTestStore returns a store without a network that is primary of partition 0 and
 // needs no backups.
 func newTestStore(t *testing.T) *Store {
 	t.Helper()
@@ -53,7 +53,7 @@
 	return s
 }
 
-// call makes a call of the store as its caller sends it: JSON, then raw bytes.
+// call sends a call to the store in its wire format: JSON, then raw bytes.
 func call(t *testing.T, s *Store, path string, in any, raw []byte) *httpwire.Response {
 	t.Helper()
 	body, err := json.Marshal(in)
@@ -67,7 +67,7 @@
 	return s.calls().Handle(t.Context(), &httpwire.Request{Request: request, Body: body, Received: time.Now()})
 }
 
-// accept hands a message of tenant "one" to the store.
+// accept sends a message of tenant "one" to the store.
 func accept(t *testing.T, s *Store, n int, id string) *httpwire.Response {
 	t.Helper()
 	r := partition.Record{ID: id, Tenant: "one", Host: "h", Target: "/"}
