--- a/internal/edge/outcome_test.go
+++ b/internal/edge/outcome_test.go
@@ -10,7 +10,7 @@
 	"saltreel/internal/rpc"
 )
 
-// statusError is the error of a call that the store statusError with a status.
+// statusError returns the error of a call to which the store responded with a status.
 func statusError(code int) error {
 	return &httpwire.Error{Step: "/accept", Sent: true, Err: &rpc.StatusError{Code: code, Text: "text"}}
 }
