--- a/internal/node/background.go
+++ b/internal/node/background.go
@@ -5,12 +5,12 @@
 	"sync"
 )
 
-// backgroundTasks runs short tasks that nobody waits for, until it is stopped.
+// backgroundTasks runs short fire-and-forget tasks until it is stopped.
 type backgroundTasks struct {
 	ctx    context.Context // of the tasks
 	cancel context.CancelFunc
 
-	mu    sync.Mutex // no task starts while ctx is cancelled
+	mu    sync.Mutex // serializes start with stop, so that no task starts after ctx is cancelled
 	tasks sync.WaitGroup
 }
 
@@ -28,7 +28,7 @@
 	}
 }
 
-// stop cancels the tasks and waits for their end.
+// stop cancels the tasks and waits until they have ended.
 func (b *backgroundTasks) stop() {
 	b.mu.Lock()
 	b.cancel()
--- a/internal/node/configuration_view.go
+++ b/internal/node/configuration_view.go
@@ -13,8 +13,8 @@
 	"saltreel/internal/placement"
 )
 
-// configurationView is the newest configuration and placement that this node
-// knows, folded from the events of its journal.
+// configurationView holds the newest configuration and placement that this node
+// knows, maintained from the events of its journal.
 type configurationView struct {
 	log          *log.Logger
 	pollInterval time.Duration // of WaitForPlacement
@@ -23,15 +23,15 @@
 	placement atomic.Pointer[placement.Placement]
 
 	mu               sync.Mutex
-	placementChanged chan struct{} // closed and replaced at each placement
+	placementChanged chan struct{} // closed and replaced with each new placement
 }
 
 func newConfigurationView(logger *log.Logger, pollInterval time.Duration) configurationView {
 	return configurationView{log: logger, pollInterval: pollInterval, placementChanged: make(chan struct{})}
 }
 
-// applyEvent folds one event of the journal. A configuration that cannot be
-// parsed is logged, and the one before stays in force.
+// applyEvent applies one event of the journal. A configuration that cannot be parsed
+// is logged, and the previous one stays in force.
 func (v *configurationView) applyEvent(e journal.Event) {
 	switch e.Key {
 	case distribution.KeyConfiguration:
@@ -56,14 +56,14 @@
 	v.placementChanged = make(chan struct{})
 }
 
-// Table gives the newest configuration known; nil before the first.
+// Table returns the newest known configuration; nil before the first one.
 func (v *configurationView) Table() *configuration.Table { return v.table.Load() }
 
-// Placement gives the newest placement known; nil before the first.
+// Placement returns the newest known placement; nil before the first one.
 func (v *configurationView) Placement() *placement.Placement { return v.placement.Load() }
 
-// PlacementChanged gives a channel that is closed when the next placement comes.
-// A caller that reads the placement before it asks for the channel may miss one
+// PlacementChanged returns a channel that is closed when the next placement arrives.
+// A caller that reads the placement before it gets the channel may miss a placement
 // in between, so it must bound its wait.
 func (v *configurationView) PlacementChanged() <-chan struct{} {
 	v.mu.Lock()
@@ -71,8 +71,8 @@
 	return v.placementChanged
 }
 
-// WaitForPlacement waits until a configuration and a placement are known, for
-// timeout at most, and tells whether they are.
+// WaitForPlacement waits until a configuration and a placement are known, at most for
+// timeout, and reports whether they are.
 func (v *configurationView) WaitForPlacement(ctx context.Context, timeout time.Duration) bool {
 	if v.complete() {
 		return true
--- a/internal/node/configuration_view_test.go
+++ b/internal/node/configuration_view_test.go
@@ -15,7 +15,7 @@
 	"saltreel/internal/placement"
 )
 
-// event is a journal event as the cores write them.
+// event returns a journal event in the form that the cores write.
 func event(t *testing.T, key string, value any) journal.Event {
 	t.Helper()
 	raw, err := json.Marshal(value)
--- a/internal/node/failure_report.go
+++ b/internal/node/failure_report.go
@@ -8,8 +8,8 @@
 	"saltreel/internal/placement"
 )
 
-// controllerAddress remembers the core that last answered as the controller, the
-// one that reassigns partitions; "" while it is not known.
+// controllerAddress caches the address of the core that last responded as the
+// controller, which reassigns partitions; "" while it is not known.
 type controllerAddress struct {
 	mu      sync.Mutex
 	address string
@@ -27,10 +27,10 @@
 	c.address = address
 }
 
-// reportLimiter bounds the failure reports of a node. When much is slow at once,
-// hundreds of nodes suspect dozens of others: each then reports one of them in an
-// interval. Where a machine answers that no process listens, the report is sure
-// and waits only for an earlier one of the same node.
+// reportLimiter limits the rate of the failure reports that a node sends. In a
+// widespread slowdown, hundreds of nodes suspect dozens of others; each then sends one
+// report per interval. A refused connection is proof that no process listens, so such
+// a report is limited only by earlier reports about the same node.
 type reportLimiter struct {
 	interval time.Duration
 
@@ -43,7 +43,8 @@
 	return reportLimiter{interval: interval, lastByNode: map[string]time.Time{}}
 }
 
-// allow tells whether a node may be reported now, and if so counts the report.
+// allow reports whether a failure of the node may be reported now, and if so counts
+// the report.
 func (r *reportLimiter) allow(node string, refused bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,17 +60,17 @@
 	return true
 }
 
-// ReportFailure reports to the controller that a node cannot be reached, without
-// waiting for the answer; refused says that its machine answered that no process
-// listens. While the controller is not known, or does not answer, all cores get
-// the report. Reports that come too often are dropped.
+// ReportFailure reports to the controller that a node is unreachable, without waiting
+// for the response; refused means that its machine refused the connection. If the
+// controller is not known or does not respond, the report is sent to all cores.
+// Reports above the rate limit are dropped.
 func (n *Node) ReportFailure(node string, refused bool) {
 	if !n.reportLimiter.allow(node, refused) {
 		return
 	}
 	report := placement.FailureReport{Node: node, Refused: refused}
 	controller := n.controller.get()
-	n.subscriber.SuspectParent() // it may be the node, or cut off like it
+	n.subscriber.SuspectParent() // the parent may be the failed node, or unreachable like it
 	if controller == "" {
 		n.reportToAllCores(report)
 		return
@@ -82,8 +83,8 @@
 	})
 }
 
-// reportToAllCores sends a failure report to each core and remembers the one that
-// answers as the controller.
+// reportToAllCores sends a failure report to each core and caches the address of the
+// one that responds as the controller.
 func (n *Node) reportToAllCores(report placement.FailureReport) {
 	for _, core := range n.Cores() {
 		n.background.start(func() {
@@ -94,7 +95,8 @@
 	}
 }
 
-// sendFailureReport tells whether the core answered as the controller.
+// sendFailureReport sends a failure report to a core and reports whether it responded
+// as the controller.
 func (n *Node) sendFailureReport(core string, report placement.FailureReport) bool {
 	ctx, cancel := context.WithTimeout(n.background.ctx, n.timing.reportTimeout())
 	defer cancel()
@@ -103,9 +105,9 @@
 	return err == nil && response.Controller
 }
 
-// ReportInSync reports to the controller which replicas are in sync. The cores
-// are asked one after the other, the last known controller first, until one accepts the
-// report; the error is that of the last one asked.
+// ReportInSync reports to the controller which replicas are in sync. It tries the
+// cores one after the other, the last known controller first, until one accepts the
+// report; the error is that of the last core tried.
 func (n *Node) ReportInSync(ctx context.Context, report placement.InSyncReport) error {
 	var lastErr error
 	for _, core := range append([]string{n.controller.get()}, n.Cores()...) {
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -15,10 +15,10 @@
 // watchersPerNode is how many cores a node sends its heartbeats to.
 const watchersPerNode = 2
 
-// heartbeatState is what differs between the heartbeatState of a node.
+// heartbeatState is the part of a node's heartbeats that changes between them.
 type heartbeatState struct {
-	sendNow      chan struct{} // holds a value when the next one shall be sent at once
-	retryPending *atomic.Bool  // a retry waits for its time
+	sendNow      chan struct{} // holds a value if the next heartbeat is to be sent at once
+	retryPending *atomic.Bool  // a startup retry is scheduled
 
 	mu       sync.Mutex
 	sequence int64
@@ -29,7 +29,7 @@
 	return heartbeatState{sendNow: make(chan struct{}, 1), retryPending: &atomic.Bool{}}
 }
 
-// next gives the next heartbeat of a node.
+// next returns the next heartbeat of a node.
 func (h *heartbeatState) next(self membership.Node) membership.Node {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -45,7 +45,8 @@
 	h.draining = true
 }
 
-// requestImmediate has the next heartbeat sent without waiting for its time.
+// requestImmediate requests that the next heartbeat is sent without waiting for the
+// interval.
 func (h *heartbeatState) requestImmediate() {
 	select {
 	case h.sendNow <- struct{}{}:
@@ -53,13 +54,13 @@
 	}
 }
 
-// runHeartbeats sends a heartbeat to the watchers in each interval, until ctx
-// ends, and logs the traffic now and then.
+// runHeartbeats sends a heartbeat to the watchers once per interval until ctx ends,
+// and logs the traffic periodically.
 func (n *Node) runHeartbeats(ctx context.Context) {
 	ticker := time.NewTicker(n.timing.heartbeatInterval(n.self.Role))
 	defer ticker.Stop()
 	lastTrafficLog := time.Now()
-	var acknowledged atomic.Bool // some watcher got one
+	var acknowledged atomic.Bool // a watcher has acknowledged a heartbeat
 	for {
 		if time.Since(lastTrafficLog) > n.timing.trafficInterval() {
 			lastTrafficLog = time.Now()
@@ -78,8 +79,8 @@
 	}
 }
 
-// watchers gives the addresses of the cores that watch this node, by their order
-// on the ring; none while it is not healthy.
+// watchers returns the addresses of the cores that watch this node, in ring order;
+// none while it is not healthy.
 func (n *Node) watchers() []string {
 	if n.healthy != nil && !n.healthy() {
 		return nil
@@ -87,9 +88,9 @@
 	return ring.Watchers(n.self.Name, n.Cores(), watchersPerNode)
 }
 
-// sendHeartbeat sends one heartbeat to one watcher. Stores and cores start
-// together; a store whose first heartbeat finds no process there tries again
-// soon, since edges wait for the stores.
+// sendHeartbeat sends one heartbeat to one watcher. Stores and cores may start at the
+// same time: a store whose first heartbeats are refused retries after a short delay,
+// since edges wait for the stores.
 func (n *Node) sendHeartbeat(ctx context.Context, watcher string, heartbeat membership.Node, acknowledged *atomic.Bool) {
 	callCtx, cancel := context.WithTimeout(ctx, n.timing.heartbeatTimeout(n.self.Role))
 	defer cancel()
--- a/internal/node/heartbeat_test.go
+++ b/internal/node/heartbeat_test.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// A store whose cores are not up yet tries again soon, but not ever more often.
+// A store whose cores refuse connections at startup retries its heartbeat soon, but
+// the retries of several watchers and intervals must not multiply.
 func TestRetriesOfTheFirstHeartbeatDoNotAddUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var dials atomic.Int64
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
-// Package node owns what every process of the data plane does as a member of
-// the system: it watches the configuration and the placement and distributes
-// them further, sends heartbeats to the cores, and reports failures to them.
+// Package node implements what all processes of the data plane have in common: a node
+// watches the configuration and the placement and distributes them to other nodes,
+// sends heartbeats to the cores, and reports failures to them.
 package node
 
 import (
@@ -17,19 +17,19 @@
 	"saltreel/internal/settings"
 )
 
-// Config says what a node is made of. All fields but Healthy are required.
+// Config configures a node. All fields but Healthy are required.
 type Config struct {
 	Settings *settings.Settings
 	Role     string // as heartbeats name it: "edge" or "store"
 	Network  httpwire.Network
 	Log      *log.Logger
-	// Healthy tells whether to send heartbeats; nil: always. A store whose disk
-	// fails sends none, so it is replaced like one that is down.
+	// Healthy reports whether to send heartbeats; nil: always. A store whose disk
+	// fails sends none, so that it is replaced like one that is down.
 	Healthy func() bool
 }
 
-// check panics if a required field is missing: that is a fault of the program,
-// since settings are checked when they are loaded.
+// check panics if a required field is missing, which is a programming error: settings
+// are validated when they are loaded.
 func (c *Config) check() {
 	switch {
 	case c.Settings == nil:
@@ -43,8 +43,8 @@
 	}
 }
 
-// Node is this process as a member of the system. Its methods may be called by
-// several goroutines at once.
+// Node is this process as a member of the system. Its methods are safe for concurrent
+// use.
 type Node struct {
 	configurationView
 
@@ -54,7 +54,7 @@
 
 	log         *log.Logger
 	timing      timing
-	self        membership.Node // but for what differs between heartbeats
+	self        membership.Node // without the fields that change between heartbeats
 	healthy     func() bool
 	watchClient *rpc.Client // to the parent in the distribution tree
 	subscriber  *distribution.Subscriber
@@ -65,8 +65,8 @@
 	background    backgroundTasks
 }
 
-// New makes a node that knows neither a configuration nor a placement yet. It
-// panics if a required field of the Config is missing.
+// New returns a node that does not know a configuration or a placement yet. It panics
+// if a required field of the Config is missing.
 func New(config Config) *Node {
 	config.check()
 	set := config.Settings
@@ -94,7 +94,7 @@
 	return n
 }
 
-// newSubscriber makes the subscriber that brings the node's journal up to date.
+// newSubscriber returns the subscriber that keeps the node's journal up to date.
 func (n *Node) newSubscriber() *distribution.Subscriber {
 	return distribution.NewSubscriber(distribution.SubscriberConfig{
 		Self: n.self, Journal: n.Journal, Client: n.watchClient,
@@ -102,7 +102,7 @@
 	})
 }
 
-// Publisher makes the handler of the watch requests of the nodes below this one
+// Publisher returns a publisher that serves the watch requests of this node's children
 // in the distribution tree.
 func (n *Node) Publisher() *distribution.Publisher {
 	return distribution.NewPublisher(distribution.PublisherConfig{
@@ -110,12 +110,11 @@
 	})
 }
 
-// SetDisk gives the identity of the disk that heartbeats name. It must be called
-// before Run.
+// SetDisk sets the disk ID that heartbeats contain. It must be called before Run.
 func (n *Node) SetDisk(id string) { n.self.Disk = id }
 
-// Run subscribes and sends heartbeats until ctx ends, then waits for the reports
-// under way, which it cancels.
+// Run subscribes and sends heartbeats until ctx ends, then cancels the reports in
+// flight and waits until they have ended.
 func (n *Node) Run(ctx context.Context) {
 	var tasks sync.WaitGroup
 	tasks.Go(func() { n.subscriber.Run(ctx) })
@@ -124,12 +123,12 @@
 	n.background.stop()
 }
 
-// Reload applies the settings that may change while the process runs: the
-// addresses of the seeds.
+// Reload applies the settings that can change at run time: the addresses of the
+// seeds.
 func (n *Node) Reload(s *settings.Settings) { n.subscriber.SetSeeds(s.CoreAddresses()) }
 
-// Cores gives the internal addresses of the cores that are known, or of the
-// seeds before any is.
+// Cores returns the internal addresses of the known cores, or those of the seeds
+// before any core is known.
 func (n *Node) Cores() []string {
 	if known := n.subscriber.KnownCores(); len(known) > 0 {
 		return known
@@ -137,8 +136,8 @@
 	return n.Settings.CoreAddresses()
 }
 
-// Drain says in all heartbeats from now on that this process is about to end,
-// and has the next one sent at once.
+// Drain marks this node as draining in all further heartbeats and sends the next one
+// at once.
 func (n *Node) Drain() {
 	n.heartbeats.setDraining()
 	n.heartbeats.requestImmediate()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -11,7 +11,7 @@
 	"saltreel/internal/settings"
 )
 
-// testConfig is a complete Config of a store with a contact bound of 1600 ms.
+// testConfig returns a complete Config of a store with a contact timeout of 1600 ms.
 func testConfig() Config {
 	return Config{
 		Settings: &settings.Settings{
@@ -59,8 +59,8 @@
 	}
 }
 
-// The heartbeats of stores come four times as often, since they are replaced
-// sooner. Each call may last for two intervals.
+// Stores send heartbeats four times as often as other roles, since they are replaced
+// sooner. Each call may take two intervals.
 func TestHeartbeatTimingFollowsContactBoundAndRole(t *testing.T) {
 	timing := timing{contactTimeout: 1600 * time.Millisecond}
 	for _, test := range []struct {
