--- a/internal/journal/digest.go
+++ b/internal/journal/digest.go
@@ -6,20 +6,21 @@
 	"strings"
 )
 
-// digest summarizes which versions a journal holds: keys are divided into
-// buckets, and each bucket is the exclusive or of the hashes of its events. Two
-// journals that agree on a bucket need not exchange its events.
+// digest summarizes which versions a journal holds: keys are hashed into buckets, and
+// the value of a bucket is the XOR of the hashes of its events. Two journals with equal
+// buckets need not exchange the events in them.
 type digest [digestBuckets]uint64
 
-// The first buckets are for keys that are not of the form kind/name: they are
-// few and have large values, and must not be sent because of one of the many.
+// The first digestSingleBuckets buckets are reserved for keys that are not of the form
+// kind/name. These are few and have large values, which must not be resent because one
+// of the many other keys in the same bucket differs.
 const (
 	digestBuckets       = 256
 	digestSingleBuckets = 16
 	digestBytes         = 8 * digestBuckets
 )
 
-// digestBucket is the bucket that counts the event's key.
+// digestBucket returns the bucket of the event's key.
 func (e Event) digestBucket() int {
 	h := hash(e.Key, Version{})
 	if strings.Contains(e.Key, "/") {
@@ -28,11 +29,11 @@
 	return int(h % digestSingleBuckets)
 }
 
-// toggle adds an event to its bucket, or removes it if it is in there.
+// toggle adds an event to its bucket, or removes it if the bucket includes it.
 func (d *digest) toggle(bucket int, e *Event) { d[bucket] ^= hash(e.Key, e.Version) }
 
-// agrees reports whether another journal's encoded digest has the same content in
-// the bucket of the event.
+// agrees reports whether another journal's encoded digest has the same value in the
+// bucket of the event.
 func (d *digest) agrees(encoded []byte, e *Event) bool {
 	if len(encoded) != digestBytes {
 		return false
@@ -49,7 +50,7 @@
 	return out
 }
 
-// hash is part of the calls between processes: all versions must agree on it.
+// hash is part of the protocol between processes: all versions must compute it alike.
 func hash(key string, v Version) uint64 {
 	raw := []byte(key)
 	raw = binary.BigEndian.AppendUint64(raw, uint64(v.Major))
--- a/internal/journal/event.go
+++ b/internal/journal/event.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Version orders the events of one key; Major decides before Minor. What the
-// two count is up to the owner of the key.
+// Version orders the events of one key; Major takes precedence over Minor. Their
+// meaning is up to the owner of the key.
 type Version struct {
 	Major int64 `json:"major"`
 	Minor int64 `json:"minor,omitempty"`
@@ -22,27 +22,27 @@
 	Key      string          `json:"key"`
 	Version  Version         `json:"version"`
 	Value    json.RawMessage `json:"value"`
-	Scope    string          `json:"scope,omitempty"` // whom it concerns; empty for all
+	Scope    string          `json:"scope,omitempty"` // the zone that receives it; empty for all
 	number   uint64          // its position in the journal
 	appended time.Time
-	encoded  []byte // as JSON, once a reader has asked for it
+	encoded  []byte // cached JSON; set when a reader first requests the event
 }
 
 // IsDeleted reports whether the event is a tombstone, that is, deletes its key.
 func (e Event) IsDeleted() bool { return len(e.Value) == 0 || string(e.Value) == "null" }
 
-// Decode reads the value of an event as JSON. The value of a tombstone, or one
-// that cannot be read, is the zero value.
+// Decode decodes the JSON value of an event. It returns the zero value for a tombstone;
+// of a malformed value it returns the part that could be decoded.
 func Decode[T any](e Event) T {
 	var v T
 	if !e.IsDeleted() {
-		_ = json.Unmarshal(e.Value, &v) // what can be read of it is all there is
+		_ = json.Unmarshal(e.Value, &v) // a partial result is used
 	}
 	return v
 }
 
-// Encode makes the value of an event. It panics for a type that JSON cannot
-// express, which is an error of the program.
+// Encode encodes the value of an event as JSON. It panics for a type that JSON cannot
+// represent, which is a programming error.
 func Encode(v any) json.RawMessage {
 	raw, err := json.Marshal(v)
 	if err != nil {
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,6 +1,6 @@
-// Package journal holds the events of one process in memory. Of each key only the
-// newest event counts, so a reader that lacks some needs only the newest of each
-// key to have the same state. Tombstones are dropped after a retention time.
+// Package journal keeps the events of one process in memory. Only the newest event of
+// each key is relevant, so a reader needs only those to reach the same state.
+// Tombstones are dropped after a retention time.
 package journal
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Journal is the events of one process.
+// Journal is an in-memory event log with the newest event of each key.
 type Journal struct {
 	source           string
 	retention        time.Duration
@@ -27,10 +27,10 @@
 	urgent      chan struct{} // closed at the next event that is not deferrable
 }
 
-// New makes an empty journal. Source must differ between incarnations of a
-// process, since numbers start anew. Tombstones are dropped once they are older
-// than retention. Events of keys with deferrablePrefix are not urgent; with an
-// empty prefix all events are.
+// New returns an empty journal. source must differ between incarnations of a process,
+// since event numbers restart. Tombstones are dropped once they are older than
+// retention. Events of keys with deferrablePrefix are not urgent; with an empty prefix
+// all events are.
 func New(source string, retention time.Duration, deferrablePrefix string) *Journal {
 	return &Journal{
 		source:           source,
@@ -42,8 +42,8 @@
 	}
 }
 
-// Subscribe calls f for all events that there are and then for each new one, in
-// order, with the journal locked: f must not call it.
+// Subscribe calls f for the newest event of each key and then for each new event, in
+// order. The journal is locked during the calls, so f must not use it.
 func (j *Journal) Subscribe(f func(Event)) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -86,8 +86,8 @@
 		close(j.urgent)
 		j.urgent = make(chan struct{})
 	}
-	// Twice the keys keeps the cost for each event constant; the constant keeps
-	// a small journal from being compacted all the time.
+	// A limit of twice the number of keys makes the amortized cost per event constant;
+	// the added constant avoids frequent compactions of a small journal.
 	if len(j.log) > 2*len(j.latest)+digestBuckets {
 		j.compactLocked()
 	}
@@ -119,10 +119,10 @@
 	return Event{}, false
 }
 
-// EventsSince returns the events with a higher number that a reader wants (nil: all),
-// and whether any of them is urgent. If source is another journal's, number says
-// nothing: then the page holds all events except those that the reader's digest,
-// if it sent one, shows to be there.
+// EventsSince returns the events with a higher number that the reader wants (nil:
+// all), and whether any of them is urgent. If number does not refer to this journal,
+// the page holds all events except those that the reader already has according to its
+// digest, if it sent one.
 func (j *Journal) EventsSince(source string, number uint64, readerDigest []byte, wants func(Event) bool) (page Page, urgent bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -147,9 +147,8 @@
 	return page, urgent
 }
 
-// Changes returns channels that are closed at the next event, and at the next
-// urgent one. A reader asks for them before it looks for events, so that it
-// misses none.
+// Changes returns channels that are closed at the next event and at the next urgent
+// event. A reader must call it before EventsSince, so that it misses no event.
 func (j *Journal) Changes() (changed, urgent <-chan struct{}) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -163,15 +162,15 @@
 	return len(j.latest) > 0
 }
 
-// Digest summarizes what this journal holds, so that another one can leave it
-// out of a page.
+// Digest returns a summary of this journal's events, so that another journal can omit
+// them from a page.
 func (j *Journal) Digest() []byte {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.digest.encode()
 }
 
-// eventsAfterLocked are the events with a higher number that are the newest of
+// eventsAfterLocked returns the events with a higher number that are the newest of
 // their key, in order.
 func (j *Journal) eventsAfterLocked(number uint64) (events []*Event) {
 	start, _ := slices.BinarySearchFunc(j.log, number+1, func(e *Event, n uint64) int { return cmp.Compare(e.number, n) })
--- a/internal/journal/journal_bench_test.go
+++ b/internal/journal/journal_bench_test.go
@@ -23,7 +23,7 @@
 	return j
 }
 
-// BenchmarkAppend appends one event to a journal that holds n keys.
+// BenchmarkAppend measures appending one event to a journal with n keys.
 func BenchmarkAppend(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("keys=%d", n), func(b *testing.B) {
@@ -53,7 +53,7 @@
 	}
 }
 
-// BenchmarkDigest makes the digest that a reader sends.
+// BenchmarkDigest measures encoding the digest that a reader sends.
 func BenchmarkDigest(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("keys=%d", n), func(b *testing.B) {
@@ -66,7 +66,7 @@
 	}
 }
 
-// BenchmarkDelta makes the page for a reader that lacks one event of n.
+// BenchmarkDelta measures the page for a reader that lacks one of n events.
 func BenchmarkDelta(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("keys=%d", n), func(b *testing.B) {
@@ -80,7 +80,7 @@
 	}
 }
 
-// BenchmarkFullPage makes the page for a reader that has nothing, and loads it.
+// BenchmarkFullPage measures encoding and loading the page for an empty reader.
 func BenchmarkFullPage(b *testing.B) {
 	for _, n := range sizes {
 		j := newFilledJournal(n)
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -75,16 +75,16 @@
 		wants  func(Event) bool
 		want   []string
 	}{
-		"a new reader":                      {"", 0, nil, nil, all},
-		"a reader with the first three":     {"a", 3, nil, nil, all[3:]},
-		"a reader with everything":          {"a", 5, nil, nil, nil},
-		"a number that the journal has not": {"a", 6, nil, nil, all},
-		"a reader of another journal":       {"b", 3, nil, nil, all},
-		"the digest of an equal journal":    {"b", 3, same.Digest(), nil, nil},
-		"the digest of an empty journal":    {"b", 3, New("c", 0, "").Digest(), nil, all},
-		"a digest of another length":        {"b", 3, []byte{1}, nil, all},
-		"the digest of a reader in step":    {"a", 3, same.Digest(), nil, all[3:]},
-		"a filter":                          {"", 0, nil, func(e Event) bool { return e.Key == "node/2" }, all[2:3]},
+		"a new reader":                       {"", 0, nil, nil, all},
+		"a reader with the first three":      {"a", 3, nil, nil, all[3:]},
+		"a reader with everything":           {"a", 5, nil, nil, nil},
+		"a number beyond the last event":     {"a", 6, nil, nil, all},
+		"a reader of another journal":        {"b", 3, nil, nil, all},
+		"the digest of an equal journal":     {"b", 3, same.Digest(), nil, nil},
+		"the digest of an empty journal":     {"b", 3, New("c", 0, "").Digest(), nil, all},
+		"a digest of another length":         {"b", 3, []byte{1}, nil, all},
+		"the digest of an up-to-date reader": {"a", 3, same.Digest(), nil, all[3:]},
+		"a filter":                           {"", 0, nil, func(e Event) bool { return e.Key == "node/2" }, all[2:3]},
 	} {
 		page, _ := j.EventsSince(c.source, c.number, c.digest, c.wants)
 		if got := keys(page); !slices.Equal(got, c.want) || page.Source != "a" || page.Number != 5 {
@@ -93,7 +93,7 @@
 	}
 }
 
-// Page.Encode writes by hand what encoding/json would write.
+// Page.Encode does not use encoding/json for the page; its output must be the same.
 func TestPageEncodingIsJSON(t *testing.T) {
 	j := New(`quoted "source"`, time.Hour, "")
 	j.Append(event("a", 1, `{"x":1}`))
@@ -171,7 +171,7 @@
 	}
 }
 
-// Digests travel between processes of different versions: how they are computed
+// Digests are exchanged between processes of different versions, so their computation
 // must not change.
 func TestDigestOfAKnownEvent(t *testing.T) {
 	for key, want := range map[string]struct {
--- a/internal/journal/page.go
+++ b/internal/journal/page.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Page is a part of a journal as a reader receives it: the newest event of each
-// key whose number is above the one that the reader had.
+// Page is the part of a journal that a reader receives: the newest event of each key
+// with a number above the reader's last one.
 type Page struct {
 	Source string  `json:"source"` // of the journal
 	Number uint64  `json:"number"` // of the journal's last event
 	Events []Event `json:"events"`
 }
 
-// Encode returns the page as JSON. The events that Since returned are encoded
-// once for all readers.
+// Encode returns the page as JSON. Events returned by EventsSince are encoded once for
+// all readers.
 func (p Page) Encode() []byte {
 	out := append([]byte(`{"source":`), Encode(p.Source)...)
 	out = append(out, `,"number":`...)
@@ -32,6 +32,6 @@
 	return append(out, "]}"...)
 }
 
-// Oldest is when the first event of the page, which must not be empty, was
-// appended.
+// Oldest returns when the first event of the page was appended. The page must not be
+// empty.
 func (p Page) Oldest() time.Time { return p.Events[0].appended }
