--- a/internal/distribution/keys.go
+++ b/internal/distribution/keys.go
@@ -1,15 +1,14 @@
 package distribution
 
-// Keys of the events that processes exchange, and prefixes of those of which
-// there are many.
+// Keys and key prefixes of the events that processes exchange.
 const (
 	KeyConfiguration = "configuration"
 	KeyPlacement     = "placement"
-	PrefixInstance   = "instance/" // and the identifier of a handler
-	PrefixNode       = "node/"     // and the name of a process of the system
+	PrefixInstance   = "instance/" // followed by the instance ID of a handler
+	PrefixNode       = "node/"     // followed by the name of a node
 )
 
-// Roles of nodes, as far as the distribution depends on them.
+// Roles of nodes that the distribution distinguishes.
 const (
 	roleCore  = "core"
 	roleEdge  = "edge"
--- a/internal/distribution/poll_loop.go
+++ b/internal/distribution/poll_loop.go
@@ -7,23 +7,24 @@
 	"saltreel/internal/journal"
 )
 
-// pollLoop is the state of Subscriber.Run, which alone uses it.
+// pollLoop is the state of Subscriber.Run. Only its goroutine uses it.
 type pollLoop struct {
 	*Subscriber
-	parent     string               // that answered last; empty after it failed
-	reselectAt time.Time            // when a parent that answers is chosen anew
+	parent     string               // that responded last; empty after it failed
+	reselectAt time.Time            // when to reselect the parent although it responds
 	failedAt   map[string]time.Time // by address
 	position   position
 }
 
-// position is up to where the journal of one parent was read.
+// position is the read position in the journal of one parent.
 type position struct {
 	parent string
 	source string
 	number uint64
 }
 
-// selectParent returns the address to poll next, or none if all of them failed.
+// selectParent returns the address to poll next, or "" if all candidates failed
+// recently.
 func (l *pollLoop) selectParent() string {
 	if l.parent != "" && !l.recentlyFailed(l.parent) && !time.Now().After(l.reselectAt) {
 		return l.parent
@@ -37,7 +38,7 @@
 	return ""
 }
 
-// recentlyFailed reports whether a parent failed so recently that it is not asked.
+// recentlyFailed reports whether a parent is in the backoff time after a failure.
 func (l *pollLoop) recentlyFailed(parent string) bool {
 	return time.Since(l.failedAt[parent]) <= l.timing.failedParentBackoff()
 }
@@ -64,8 +65,9 @@
 	l.recordResponse()
 }
 
-// request asks for what follows the position in the parent's journal. A parent
-// that was not asked before leaves out what the digest shows to be here.
+// request returns the request for the events after the position in the parent's
+// journal. For a new parent it contains a digest instead, so that the parent omits the
+// events that this node already has.
 func (l *pollLoop) request(parent string) WatchRequest {
 	request := WatchRequest{WaitMs: l.timing.pollWait().Milliseconds(), Zone: l.self.Zone, Role: l.self.Role}
 	if parent == l.position.parent {
@@ -77,8 +79,8 @@
 	return request
 }
 
-// recordFailure avoids a parent for a while. One whose call was cancelled on
-// purpose is not reported as lost.
+// recordFailure starts the backoff time of a parent. If the call was cancelled on
+// purpose, the parent is not logged as lost.
 func (l *pollLoop) recordFailure(parent string, err error, cancelled bool) {
 	if !cancelled && parent == l.parent {
 		l.log.Printf("distribution: parent lost: %v", err)
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -14,19 +14,19 @@
 // watchPath is the path of the call by which a subscriber watches a publisher.
 const watchPath = "/news"
 
-// WatchRequest asks for the events after a position in a publisher's journal.
+// WatchRequest requests the events after a position in a publisher's journal.
 type WatchRequest struct {
-	Source string `json:"source"` // of the journal that Number refers to; empty if this publisher was never asked
+	Source string `json:"source"` // of the journal that Number refers to; empty in the first request to this publisher
 	Number uint64 `json:"number"`
 	WaitMs int64  `json:"wait-ms"`          // how long the subscriber waits for an event, in milliseconds
-	Digest []byte `json:"digest,omitempty"` // what the subscriber holds, if it never asked this publisher
+	Digest []byte `json:"digest,omitempty"` // of the subscriber's journal, in the first request to this publisher
 	Zone   string `json:"zone,omitempty"`   // of the subscriber
 	Role   string `json:"role,omitempty"`   // of the subscriber
 }
 
-// wants reports whether an event concerns the subscriber: of the nodes, the
-// cores and those of its own zone, from which its tree is derived; handlers,
-// unless it is an edge, which delivers nothing and has no stores below it.
+// wants reports whether the subscriber needs an event. It needs the cores and the
+// nodes of its own zone, from which its tree is derived. It needs handler instances
+// unless it is an edge, which delivers no messages and has no stores below it.
 func (r *WatchRequest) wants(e journal.Event) bool {
 	if r.Role == roleEdge && strings.HasPrefix(e.Key, PrefixInstance) {
 		return false
@@ -34,39 +34,38 @@
 	return e.Scope == "" || r.Zone == "" || e.Scope == r.Zone
 }
 
-// PublisherConfig is what a Publisher needs.
+// PublisherConfig configures a Publisher.
 type PublisherConfig struct {
 	Journal *journal.Journal
-	MaxWait time.Duration // bounds a long poll, whatever the subscriber asks for
-	// BatchDelay is how long events that are not urgent are gathered. Where
-	// hundreds of nodes start at once, sending each of them every other one
-	// separately would take a response for each pair.
+	MaxWait time.Duration // upper limit of a long poll, whatever the subscriber requests
+	// BatchDelay is how long non-urgent events are batched. If hundreds of nodes start
+	// at once, unbatched events would take a separate response for each pair of nodes.
 	BatchDelay time.Duration
-	// UpToDate reports whether this process itself receives events. Nil: always.
+	// UpToDate reports whether this process itself receives events; nil: always.
 	UpToDate func() bool
-	// UpToDateWait is how long a request waits until UpToDate. A core that just
-	// started would be asked by all nodes again and again if it refused at once.
+	// UpToDateWait is how long a request waits until UpToDate. If a starting core
+	// rejected requests at once, all nodes would keep retrying.
 	UpToDateWait time.Duration
-	// Warming reports that this process became up to date only just now. Then
-	// edges, which can do nothing without stores, are answered after those.
-	// Nil: never.
+	// Warming reports whether this process became up to date only recently; nil:
+	// never. Responses to edges are then delayed, so that the stores, which edges
+	// depend on, are served first.
 	Warming func() bool
 }
 
 // Publisher answers watch requests from a journal.
 type Publisher struct{ config PublisherConfig }
 
-// NewPublisher makes a publisher. It panics if the journal or MaxWait is missing,
-// which is an error of the program.
+// NewPublisher returns a publisher. It panics if the journal or MaxWait is missing,
+// which is a programming error.
 func NewPublisher(config PublisherConfig) *Publisher {
 	if config.Journal == nil || config.MaxWait <= 0 {
-		panic("distribution: a publisher needs a journal and a bound of its long polls")
+		panic("distribution: PublisherConfig requires Journal and MaxWait")
 	}
 	return &Publisher{config: config}
 }
 
-// Handle answers one watch request; it waits until there is an event, the
-// subscriber's wait is over, or ctx ends.
+// Handle serves one watch request. It waits until there is an event, the subscriber's
+// wait expires, or ctx ends.
 func (p *Publisher) Handle(ctx context.Context, r *httpwire.Request) *httpwire.Response {
 	var request WatchRequest
 	if err := json.Unmarshal(r.Body, &request); err != nil {
@@ -87,9 +86,9 @@
 	return httpwire.Problem(503, "this node is not up to date itself")
 }
 
-// watch waits for events that the subscriber wants. Urgent ones are sent at
-// once; the others wait until the oldest of them is BatchDelay old, and go with
-// any urgent one. Once waitOver fires it answers with what there is.
+// watch waits for events that the subscriber wants. Urgent events are sent at once,
+// together with any others. The others wait until the oldest of them is BatchDelay
+// old. When waitExpired fires, watch responds with the events at hand.
 func (p *Publisher) watch(ctx context.Context, request *WatchRequest, waitExpired <-chan time.Time) *httpwire.Response {
 	respondNow := false
 	for {
--- a/internal/distribution/publisher_test.go
+++ b/internal/distribution/publisher_test.go
@@ -14,7 +14,7 @@
 	"saltreel/internal/membership"
 )
 
-// newTestJournal holds a number of nodes and a placement.
+// newTestJournal returns a journal with a number of nodes and a placement.
 func newTestJournal(source string, nodes int) *journal.Journal {
 	j := journal.New(source, time.Hour, PrefixNode)
 	for i := range nodes {
@@ -41,8 +41,8 @@
 	return page
 }
 
-// A node that changes its parent receives about what it lacks, whatever the size
-// of the fleet; one that holds nothing receives everything.
+// A node that changes its parent receives little more than the events it lacks,
+// regardless of the number of nodes; a node without events receives all of them.
 func TestNewParentSendsOnlyTheDifference(t *testing.T) {
 	for _, nodes := range []int{30, 300} {
 		parent, child := newTestJournal("parent", nodes), newTestJournal("child", nodes)
@@ -65,8 +65,9 @@
 	}
 }
 
-// A node receives the cores and the nodes of its own zone, an edge no handlers:
-// what each receives does not grow with the number of zones.
+// A node receives the cores and only the other nodes of its own zone, and an edge no
+// handlers: the events for a node must not grow with the stores and edges of other
+// zones.
 func TestEventsAreFilteredByZoneAndRole(t *testing.T) {
 	j := journal.New("parent", time.Hour, PrefixNode)
 	for _, z := range []string{"z1", "z2", "z3"} {
@@ -87,8 +88,8 @@
 	}
 }
 
-// Nodes that join within the batch delay are sent together; a placement is sent
-// at once, and the nodes that waited go with it.
+// Nodes that join within the batch delay are sent together; a placement is sent at
+// once, along with the pending nodes.
 func TestEventsThatAreNotUrgentAreBatched(t *testing.T) {
 	for _, nodes := range []int{20, 200} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -1,6 +1,7 @@
-// Package distribution carries events from the cores to all processes: the
-// nodes of a zone form a tree, and each follows the journal of its parent by
-// long polls. A subscriber follows, a publisher is followed; most nodes are both.
+// Package distribution propagates events from the cores to all processes. The nodes
+// of a zone form a tree, in which each node reads the journal of its parent by long
+// polls. A Subscriber polls a parent, a Publisher serves children; most nodes have
+// both.
 package distribution
 
 import (
@@ -18,12 +19,12 @@
 	"saltreel/internal/timeutil"
 )
 
-// SubscriberConfig is what a Subscriber needs.
+// SubscriberConfig configures a Subscriber.
 type SubscriberConfig struct {
 	Self           membership.Node
 	Journal        *journal.Journal // to which the events are appended
 	Client         *rpc.Client
-	Seeds          []string      // internal addresses of cores, as the last resort
+	Seeds          []string      // internal addresses of cores, tried last
 	ContactTimeout time.Duration // after which a process without contact counts as failed
 	Log            *log.Logger
 }
@@ -41,22 +42,22 @@
 	nodes        map[string]membership.Node // by name
 	cores        map[string]string          // addresses, by name
 	lastResponse time.Time
-	noParent     bool // none of the parents answers
-	poll         poll // the call under way
+	noParent     bool // no parent responds
+	poll         poll // the call in flight
 	suspected    time.Time
 }
 
-// poll is a call to a parent that is under way.
+// poll is a call to a parent that is in flight.
 type poll struct {
-	cancel    context.CancelFunc // nil: there is none
-	suspected bool               // it was cancelled since its parent was suspected
+	cancel    context.CancelFunc // nil: no call is in flight
+	suspected bool               // the call was cancelled because its parent was suspected
 }
 
-// NewSubscriber makes a subscriber. It panics if the journal, the client, the
-// log or the contact time-out is missing, which is an error of the program.
+// NewSubscriber returns a subscriber. It panics if the journal, the client, the log or
+// the contact timeout is missing, which is a programming error.
 func NewSubscriber(config SubscriberConfig) *Subscriber {
 	if config.Journal == nil || config.Client == nil || config.Log == nil || config.ContactTimeout <= 0 {
-		panic("distribution: a subscriber needs a journal, a client, a log and a contact time-out")
+		panic("distribution: SubscriberConfig requires Journal, Client, Log and ContactTimeout")
 	}
 	return &Subscriber{
 		self:    config.Self,
@@ -70,9 +71,9 @@
 	}
 }
 
-// SuspectParent says that events seem to be late. Another parent is asked at
-// once, but only once within the time for which the previous one is avoided:
-// asking all cores in turn would not help.
+// SuspectParent reports that events seem to be late. It cancels the current poll, so
+// that another parent is polled at once. It has an effect only once per
+// failedParentBackoff, since trying all cores in turn would not help.
 func (s *Subscriber) SuspectParent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,21 +84,21 @@
 	}
 }
 
-// SetSeeds replaces the addresses of last resort.
+// SetSeeds replaces the addresses of the seeds.
 func (s *Subscriber) SetSeeds(cores []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seeds = cores
 }
 
-// KnownCores lists the internal addresses of the cores that events named, sorted.
+// KnownCores returns the internal addresses of the cores known from events, sorted.
 func (s *Subscriber) KnownCores() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Sorted(maps.Values(s.cores))
 }
 
-// UpToDate reports whether a parent answered recently.
+// UpToDate reports whether a parent responded recently.
 func (s *Subscriber) UpToDate() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +111,7 @@
 	return parents(s.self, s.nodes, s.seeds)
 }
 
-// Run follows parents until ctx ends. It may be called once.
+// Run polls parents until ctx ends. It must be called only once.
 func (s *Subscriber) Run(ctx context.Context) {
 	s.journal.Subscribe(s.applyEvent)
 	loop := &pollLoop{Subscriber: s, failedAt: map[string]time.Time{}}
@@ -125,7 +126,7 @@
 	}
 }
 
-// applyEvent maintains the nodes from which the parents are derived.
+// applyEvent maintains the set of nodes from which the parents are derived.
 func (s *Subscriber) applyEvent(e journal.Event) {
 	name, ok := strings.CutPrefix(e.Key, PrefixNode)
 	if !ok || name == "" {
--- a/internal/distribution/subscriber_test.go
+++ b/internal/distribution/subscriber_test.go
@@ -17,7 +17,7 @@
 	"saltreel/internal/rpc"
 )
 
-// network leads each address to its server; addresses without one refuse.
+// network connects each address to its server; dialing any other address fails.
 type network struct {
 	mu      sync.Mutex
 	servers map[string]*httpwire.Server
--- a/internal/distribution/timing.go
+++ b/internal/distribution/timing.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// timing derives the intervals of a subscriber from the contact time-out,
-// the time after which a process without contact counts as failed.
+// timing derives the intervals of a subscriber from the contact timeout, the time
+// after which a process without contact counts as failed.
 type timing struct{ contactTimeout time.Duration }
 
-// pollWait is the long poll of a subscriber: several fit into maxAge.
+// pollWait is the wait of a long poll: two fit into maxResponseAge.
 func (t timing) pollWait() time.Duration { return t.contactTimeout / 4 }
 
-// pollTimeout leaves room for the transfer behind the long poll.
+// pollTimeout bounds a long poll including the transfer of the response.
 func (t timing) pollTimeout() time.Duration { return t.pollWait() + t.contactTimeout/8 }
 
-// maxResponseAge is how old the last response may be for a subscriber to be up to date:
-// two long polls and some, and well below the contact time-out, since those who
-// follow this node must be able to go elsewhere in time.
+// maxResponseAge is the maximum age of the last response for a subscriber to be up to
+// date: more than two long polls, and well below the contact timeout, since the
+// children of this node must be able to change to another parent in time.
 func (t timing) maxResponseAge() time.Duration { return t.contactTimeout * 5 / 8 }
 
-// failedParentBackoff is how long a parent that failed is not asked again.
+// failedParentBackoff is how long a failed parent is not polled again.
 func (t timing) failedParentBackoff() time.Duration { return t.contactTimeout / 2 }
 
-// reselectTime is when the parent is chosen anew although it answers. Were it
-// chosen with each node that joins or leaves, the tree would not become stable
-// while many do. It is jittered so that nodes do not move at the same time.
+// reselectTime returns when to reselect the parent although it responds. Reselecting
+// whenever a node joins or leaves would keep the tree unstable while many do. The time
+// is jittered so that nodes do not change their parents simultaneously.
 func (t timing) reselectTime(now time.Time) time.Time {
 	return now.Add(t.contactTimeout/4 - rand.N(t.contactTimeout/16))
 }
 
-// retryDelay is the wait, jittered, after no parent answered.
+// retryDelay returns the jittered delay after no parent responded.
 func (t timing) retryDelay() time.Duration {
 	return t.contactTimeout/80 + rand.N(t.contactTimeout/80)
 }
--- a/internal/distribution/timing_test.go
+++ b/internal/distribution/timing_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// The intervals of a subscriber depend on each other.
+// The intervals of a subscriber must be consistent with each other for any contact
+// timeout.
 func TestTiming(t *testing.T) {
 	for _, contactTimeout := range []time.Duration{100 * time.Millisecond, 4 * time.Second, time.Minute} {
 		timing := timing{contactTimeout}
--- a/internal/distribution/tree.go
+++ b/internal/distribution/tree.go
@@ -8,13 +8,13 @@
 	"saltreel/internal/ring"
 )
 
-// fanOut is how many children a node has in the tree of its zone.
+// fanOut is the maximum number of children of a node in the tree of its zone.
 const fanOut = 3
 
-// parents orders the addresses that a node may follow: its parent in the tree
-// of its zone, then the cores of its zone, then the other cores and those seeds
-// that no event named. The nodes of a zone derive the same tree from the same
-// members; the node at its root has no parent but the cores.
+// parents returns the addresses that a node may poll, in order of preference: its
+// parent in the tree of its zone, then the cores of its zone, then the other cores and
+// the seeds not known from events. All nodes of a zone derive the same tree from the
+// same members; the root polls the cores.
 func parents(self membership.Node, nodes map[string]membership.Node, seeds []string) []string {
 	candidates := orderedCores(self, nodes, seeds)
 	if parent, ok := treeParent(zoneMembers(self, nodes), self.Name); ok {
@@ -23,7 +23,7 @@
 	return candidates
 }
 
-// orderedCores lists the cores of the node's zone, then all others.
+// orderedCores returns the cores of the node's zone, then all others.
 func orderedCores(self membership.Node, nodes map[string]membership.Node, seeds []string) []string {
 	var sameZone, otherZones []string
 	known := map[string]bool{}
@@ -48,9 +48,10 @@
 	return slices.Concat(rotate(sameZone, self.Name), rotate(otherZones, self.Name))
 }
 
-// rotate starts a list at a place that depends on the node's name only. So nodes
-// spread over the cores, and each returns to the same one: a change of the
-// parent transfers everything that the two journals do not have in common.
+// rotate rotates a list by an offset that depends only on the node's name. This
+// spreads the nodes over the cores, and each node returns to the same core. That
+// matters because a change of the parent transfers all events by which the two
+// journals differ.
 func rotate(list []string, name string) []string {
 	if len(list) < 2 {
 		return list
@@ -59,8 +60,8 @@
 	return slices.Concat(list[start:], list[:start])
 }
 
-// zoneMembers are the node and the others of its zone that form its tree, from
-// the root on. Stores come first, since they need events soonest.
+// zoneMembers returns the members of the tree of the node's zone, including the node,
+// starting at the root. Stores come first, since their events are the most urgent.
 func zoneMembers(self membership.Node, nodes map[string]membership.Node) []membership.Node {
 	members := []membership.Node{self}
 	for _, n := range nodes {
@@ -80,8 +81,8 @@
 	return members
 }
 
-// treeParent is the parent of a node in the tree of which the members are listed
-// level by level; the root has none.
+// treeParent returns the parent of a node in the tree whose members are listed level
+// by level; the root has none.
 func treeParent(members []membership.Node, name string) (membership.Node, bool) {
 	i := slices.IndexFunc(members, func(n membership.Node) bool { return n.Name == name })
 	if i <= 0 {
--- a/internal/distribution/tree_test.go
+++ b/internal/distribution/tree_test.go
@@ -31,7 +31,7 @@
 		"the root follows a core":          {stores[0], append(slices.Clone(stores), core("core-a", "a")), nil, []string{"core-a:1"}},
 		"the first level follows the root": {stores[3], append(slices.Clone(stores), core("core-a", "a")), nil, []string{"store-1:1", "core-a:1"}},
 		"the second level":                 {stores[4], append(slices.Clone(stores), core("core-a", "a")), nil, []string{"store-2:1", "core-a:1"}},
-		"an edge stands behind the stores": {node("edge-0", roleEdge, "a"), stores[:1], nil, []string{"store-1:1"}},
+		"an edge comes after the stores":   {node("edge-0", roleEdge, "a"), stores[:1], nil, []string{"store-1:1"}},
 		"another zone is no parent":        {node("edge-0", roleEdge, "b"), stores, nil, nil},
 		"a draining node is no parent":     {stores[0], []membership.Node{draining}, nil, nil},
 	} {
@@ -69,7 +69,7 @@
 	}
 }
 
-// Where a zone has several cores, the root of its tree does not move between them.
+// If a zone has several cores, the root of its tree must not alternate between them.
 func TestCoreOfTheZoneIsChosenConsistently(t *testing.T) {
 	self := membership.Node{Name: "store-1", Role: roleStore, Zone: "a"}
 	nodes := map[string]membership.Node{}
--- a/internal/handler/handler_test.go
+++ b/internal/handler/handler_test.go
@@ -51,12 +51,12 @@
 		want Outcome
 		kept bool
 	}{
-		"not sent":               {&httpwire.Error{Err: errors.New("refused")}, NoResponse, false},
-		"time-out of the socket": {&httpwire.Error{Sent: true, Err: os.ErrDeadlineExceeded}, NoResponse, false},
-		"time-out of the call":   {&httpwire.Error{Sent: true, Err: context.DeadlineExceeded}, NoResponse, false},
-		"broken":                 {&httpwire.Error{Sent: true, Err: errors.New("reset")}, Indeterminate, false},
-		"broken while idle":      {&httpwire.Error{Sent: true, Reused: true, Err: errors.New("reset")}, Indeterminate, true},
-		"of another kind":        {errors.New("unknown"), Indeterminate, false},
+		"not sent":              {&httpwire.Error{Err: errors.New("refused")}, NoResponse, false},
+		"timeout of the socket": {&httpwire.Error{Sent: true, Err: os.ErrDeadlineExceeded}, NoResponse, false},
+		"timeout of the call":   {&httpwire.Error{Sent: true, Err: context.DeadlineExceeded}, NoResponse, false},
+		"broken":                {&httpwire.Error{Sent: true, Err: errors.New("reset")}, Indeterminate, false},
+		"broken while idle":     {&httpwire.Error{Sent: true, Reused: true, Err: errors.New("reset")}, Indeterminate, true},
+		"of another kind":       {errors.New("unknown"), Indeterminate, false},
 	} {
 		err := fmt.Errorf("deliver: %w", c.err)
 		if got := failedResult(err); got.Outcome != c.want || got.IdleConnectionBroke != c.kept || !errors.Is(got.Err, c.err) {
