--- a/internal/edge/forward_test.go
+++ b/internal/edge/forward_test.go
@@ -163,7 +163,8 @@
 	return e
 }
 
-// publishPlacement gives the edge a placement, whose Version must rise.
+// publishPlacement appends a placement to the journal of the edge. Its Version must be
+// higher than that of the previous one.
 func publishPlacement(t *testing.T, e *Edge, p *placement.Placement) {
 	t.Helper()
 	raw, err := json.Marshal(p)
--- a/internal/edge/primary_watch_test.go
+++ b/internal/edge/primary_watch_test.go
@@ -10,10 +10,10 @@
 	const retention = 100 * time.Millisecond
 	for _, test := range []struct {
 		name      string
-		epoch     int64 // that is asked about; 5 stalled
+		epoch     int64 // queried; the stalled one is 5
 		after     time.Duration
-		answered  bool // before that
-		partition int  // 1 stalled
+		answered  bool // the primary responded before the query
+		partition int  // queried; the stalled one is 1
 		want      bool
 	}{
 		{"just now", 5, 0, false, 1, true},
--- a/internal/handler/outcome.go
+++ b/internal/handler/outcome.go
@@ -15,7 +15,7 @@
 	Refused                      // the handler will never run it
 	Failed                       // it ran and failed; a later attempt may succeed
 	NotExecuted                  // the handler declined before running it
-	WrongInstance                // another instance answers at the address
+	WrongInstance                // another instance responded at the address
 	Indeterminate                // the message may have run
 	NoResponse                   // no response in time, or no connection
 )
--- a/internal/node/failure_report_test.go
+++ b/internal/node/failure_report_test.go
@@ -9,7 +9,7 @@
 func TestReportLimiter(t *testing.T) {
 	const interval = 100 * time.Millisecond
 	type report struct {
-		after   time.Duration // since the one before
+		after   time.Duration // since the previous report
 		node    string
 		refused bool
 		allowed bool
--- a/internal/node/timing.go
+++ b/internal/node/timing.go
@@ -34,7 +34,7 @@
 // and before a report about any node that did not refuse a connection.
 func (t timing) reportInterval() time.Duration { return t.contactTimeout / 20 }
 
-// reportTimeout bounds one failure report. The controller answers it before it
+// reportTimeout bounds one failure report. The controller responds before it
 // probes the node.
 func (t timing) reportTimeout() time.Duration { return t.contactTimeout / 8 }
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -226,7 +226,7 @@
 }
 
 // startDeliveries runs the workload until ctx ends. The channel is closed when no
-// delivery is in flight any more.
+// delivery is in flight any more, which may be after the process has ended.
 func (s *Store) startDeliveries(ctx context.Context) (deliveriesDone <-chan struct{}) {
 	done := make(chan struct{})
 	go func() {
