--- a/internal/edge/admission.go
+++ b/internal/edge/admission.go
@@ -48,17 +48,17 @@
 
 // throttle records the resource usage of a request. If a quota is exceeded, the
 // response is sent at once with the throttle time in a header, and reads from the
-// connection are suspended for that time.
+// connection are paused for that time.
 func (e *Edge) throttle(r *httpwire.Request, m *client.Message, route *configuration.Route, waitTime time.Duration, response *httpwire.Response) {
 	processingTime := time.Since(r.Received) - waitTime
 	throttleTime, limitingQuota := e.quotas.RecordRequest(m.Tenant, route.Name, len(r.Body), processingTime, m.Throttle)
-	shared := r.Conn.Shared(m.Tenant)
+	shared := r.Conn.AddUser(m.Tenant)
 	if throttleTime <= 0 {
 		return
 	}
 	response.Header = append(response.Header, "Saltreel-Throttle-Ms", strconv.FormatInt(min(throttleTime, quota.Window).Milliseconds(), 10))
-	if !shared { // holding a shared connection would delay other tenants
-		r.Conn.Hold(limitingQuota.Throttle(throttleTime))
+	if !shared { // pausing a shared connection would delay other tenants
+		r.Conn.PauseReads(limitingQuota.Throttle(throttleTime))
 	}
 }
 
@@ -89,8 +89,8 @@
 func (e *Edge) checkRate(ctx context.Context, tenant *configuration.Tenant, m *client.Message, route *configuration.Route) *httpwire.Response {
 	m.Throttle = e.quotas.AcceptedMessages.Record(m.Tenant, route.Name, 1)
 	if wait := e.leases.Acquire(ctx, tenant); wait > 0 {
-		// The connection is held only until the next lease: the tenant is still
-		// entitled to its limit, including on its existing connections.
+		// Reads from the connection are paused only until the next lease: the tenant
+		// is still entitled to its limit, including on its existing connections.
 		throttleTime := max(wait, e.leases.ThrottleTime(tenant, e.quotas.AcceptedMessages.Rate(m.Tenant, route.Name)))
 		m.Throttle = min(wait, throttleTime)
 		return withRetryAfter(httpwire.Problem(429, "tenant "+m.Tenant+" is over its limit"), throttleTime)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -77,7 +77,7 @@
 	defer stopServing()
 	publisher := e.node.Publisher()
 	internal := &httpwire.Server{Handle: rpc.Mux{"/news": publisher.Handle}.Handle}
-	clients := &httpwire.Server{Handle: e.handle, Limits: e.limits, OnPanic: e.answerPanic, AnswerTime: e.timing.answerTimeout()}
+	clients := &httpwire.Server{Handle: e.handle, Limits: e.limits, OnPanic: e.answerPanic, ShutdownGracePeriod: e.timing.answerTimeout()}
 	var tasks sync.WaitGroup
 	for _, task := range []func(){
 		func() { _ = internal.Serve(serving, listeners.Internal) },
@@ -101,8 +101,8 @@
 
 // drainClients stops serving clients. It withdraws readiness but keeps serving until
 // the platform has noticed; then it responds to the requests that were read and
-// releases held connections. A request that exceeds the shutdown timeout gets 503 or
-// 504, depending on whether its message may have been accepted.
+// resumes reads from paused connections. A request that exceeds the shutdown timeout
+// gets 503 or 504, depending on whether its message may have been accepted.
 func (e *Edge) drainClients(clients *httpwire.Server) {
 	e.stopping.Store(true)
 	e.node.Drain()
--- a/internal/edge/query.go
+++ b/internal/edge/query.go
@@ -51,7 +51,7 @@
 }
 
 // queryResponse converts the final response of a store to the response for the client.
-func queryResponse(kind string, answer *httpwire.Answer) *httpwire.Response {
+func queryResponse(kind string, answer *httpwire.ClientResponse) *httpwire.Response {
 	if answer.Status != 200 {
 		return httpwire.Problem(answer.Status, strings.TrimSpace(string(answer.Body)))
 	}
@@ -70,7 +70,7 @@
 // that of the last attempt. It returns errUnknownPartition if the known placement
 // lacks the partition, as may happen just after the start of an edge: only the store
 // can tell that the message does not exist.
-func (e *Edge) queryPrimary(ctx context.Context, path string, query store.MessageQuery) (*httpwire.Answer, error) {
+func (e *Edge) queryPrimary(ctx context.Context, path string, query store.MessageQuery) (*httpwire.ClientResponse, error) {
 	body, err := json.Marshal(query)
 	if err != nil {
 		return nil, fmt.Errorf("encode %s: %w", path, err)
@@ -107,7 +107,7 @@
 	}
 }
 
-func (e *Edge) sendQuery(ctx context.Context, address, path string, body []byte) (*httpwire.Answer, error) {
+func (e *Edge) sendQuery(ctx context.Context, address, path string, body []byte) (*httpwire.ClientResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, e.timing.queryAttemptTimeout())
 	defer cancel()
 	return e.node.Client.Send(ctx, address, path, body)
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// Pool keeps connections to peers open between calls. The zero value but for
-// Network is ready for use.
+// Pool keeps connections to peers open between calls. Only Network must be set
+// before use.
 type Pool struct {
 	Network     Network
-	MaxIdle     int           // idle connections for one peer; 0: defaultMaxIdle
-	IdleTimeout time.Duration // an idle connection older than this is not used; 0: as the peer's Keep-Alive says
-	DialTimeout time.Duration // how long opening a connection may take; 0: as long as the call
+	MaxIdle     int           // maximum idle connections per peer; 0: defaultMaxIdle
+	IdleTimeout time.Duration // maximum idle time unless the peer's Keep-Alive announces one; 0: no limit
+	DialTimeout time.Duration // 0: until the deadline of the call
 
 	mu   sync.Mutex
 	idle map[string][]*clientConn // by address
@@ -24,19 +24,19 @@
 
 const defaultMaxIdle = 8
 
-// Do sends a call and reads the complete response. The context must end. Errors
-// are of type *Error.
-func (p *Pool) Do(ctx context.Context, addr string, call *Call) (*Answer, error) {
+// Do sends a call and reads the complete response. The context must have a deadline
+// or be cancelled eventually. Errors are of type *Error.
+func (p *Pool) Do(ctx context.Context, addr string, call *Call) (*ClientResponse, error) {
 	sent := false
 	for {
 		c, err := p.connect(ctx, addr)
 		if err != nil {
 			return nil, &Error{Step: stepDial, Peer: addr, Sent: sent, Err: err}
 		}
-		answer, began, err := c.exchange(ctx, call)
+		response, began, err := c.exchange(ctx, call)
 		if err == nil {
-			p.release(addr, c, answer)
-			return answer, nil
+			p.release(addr, c, response)
+			return response, nil
 		}
 		p.discard(addr, c)
 		brokeIdle := c.reused && !began
@@ -53,7 +53,7 @@
 	}
 }
 
-// Connect opens a connection to a peer for a later call, unless an idle one is there.
+// Connect opens a connection to a peer for a later call, unless there is an idle one.
 func (p *Pool) Connect(ctx context.Context, addr string) error {
 	c, err := p.connect(ctx, addr)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// connect returns an idle connection, or else a new one.
+// connect returns an idle connection, or opens one if there is none.
 func (p *Pool) connect(ctx context.Context, addr string) (*clientConn, error) {
 	if c := p.acquireIdle(addr); c != nil {
 		return c, nil
@@ -81,8 +81,8 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReaderSize(conn, bufferSize)}, nil
 }
 
-// acquireIdle returns the idle connection that was used last, since the others
-// are more likely to have expired; nil if none is usable.
+// acquireIdle returns the most recently used idle connection, since the others are
+// more likely to have expired, or nil if none is usable.
 func (p *Pool) acquireIdle(addr string) *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,7 +93,7 @@
 		}
 		c := list[len(list)-1]
 		p.idle[addr] = list[:len(list)-1]
-		if !c.isExpired() && isQuiet(c.Conn) {
+		if !c.isExpired() && isReusable(c.Conn) {
 			return c
 		}
 		p.open[addr]--
@@ -101,9 +101,10 @@
 	}
 }
 
-// release makes a connection idle after a call, or closes it.
-func (p *Pool) release(addr string, c *clientConn, answer *Answer) {
-	if c.detached && c.prepareReuse(answer, p.IdleTimeout) {
+// release returns a connection to the pool after a call, or closes it if it cannot
+// be reused.
+func (p *Pool) release(addr string, c *clientConn, response *ClientResponse) {
+	if c.detached && c.prepareReuse(response, p.IdleTimeout) {
 		p.addIdle(addr, c)
 		return
 	}
@@ -145,8 +146,8 @@
 	}
 }
 
-// Open returns the number of connections to a peer, idle or in use.
-func (p *Pool) Open(addr string) int {
+// ConnectionsTo returns the number of connections to a peer, idle or in use.
+func (p *Pool) ConnectionsTo(addr string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open[addr]
@@ -163,8 +164,8 @@
 	return total
 }
 
-// Forget closes the idle connections to a peer.
-func (p *Pool) Forget(addr string) {
+// CloseIdle closes the idle connections to a peer.
+func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[addr] {
@@ -179,6 +180,6 @@
 	net.Conn
 	reader   *bufio.Reader
 	expires  time.Time // while idle; zero: never
-	reused   bool      // it has carried a call
-	detached bool      // the end of the last call's context does not affect it any more
+	reused   bool      // has carried a call
+	detached bool      // the context of the last call can no longer affect it
 }
