--- a/internal/journal/event.go
+++ b/internal/journal/event.go
@@ -31,12 +31,12 @@
 // IsDeleted reports whether the event is a tombstone, that is, deletes its key.
 func (e Event) IsDeleted() bool { return len(e.Value) == 0 || string(e.Value) == "null" }
 
-// Decode decodes the JSON value of an event. It returns the zero value for a tombstone;
-// of a malformed value it returns the part that could be decoded.
+// Decode decodes the JSON value of an event. It returns the zero value for a tombstone
+// or malformed JSON; fields of another type than that of T are left zero.
 func Decode[T any](e Event) T {
 	var v T
 	if !e.IsDeleted() {
-		_ = json.Unmarshal(e.Value, &v) // a partial result is used
+		_ = json.Unmarshal(e.Value, &v) // the part that could be decoded is used
 	}
 	return v
 }
