--- a/internal/distribution/publisher_test.go
+++ b/internal/distribution/publisher_test.go
@@ -14,8 +14,8 @@
 	"saltreel/internal/membership"
 )
 
-// newFleetJournal holds a number of nodes and a placement.
-func newFleetJournal(source string, nodes int) *journal.Journal {
+// newTestJournal returns a journal with a number of nodes and a placement.
+func newTestJournal(source string, nodes int) *journal.Journal {
 	j := journal.New(source, time.Hour, PrefixNode)
 	for i := range nodes {
 		appendNode(j, fmt.Sprint("edge-", i), 1)
@@ -41,11 +41,11 @@
 	return page
 }
 
-// A node that changes its parent receives about what it lacks, whatever the size
-// of the fleet; one that holds nothing receives everything.
+// A node that changes its parent receives little more than the events it lacks,
+// regardless of the number of nodes; a node without events receives all of them.
 func TestNewParentSendsOnlyTheDifference(t *testing.T) {
 	for _, nodes := range []int{30, 300} {
-		parent, child := newFleetJournal("parent", nodes), newFleetJournal("child", nodes)
+		parent, child := newTestJournal("parent", nodes), newTestJournal("child", nodes)
 		for i := range 5 {
 			appendNode(parent, fmt.Sprint("new-", i), 1)
 		}
@@ -65,8 +65,9 @@
 	}
 }
 
-// A node receives the cores and the nodes of its own zone, an edge no handlers:
-// what each receives does not grow with the number of zones.
+// A node receives the cores and only the other nodes of its own zone, and an edge no
+// handlers: the events for a node must not grow with the stores and edges of other
+// zones.
 func TestEventsAreFilteredByZoneAndRole(t *testing.T) {
 	j := journal.New("parent", time.Hour, PrefixNode)
 	for _, z := range []string{"z1", "z2", "z3"} {
@@ -87,12 +88,12 @@
 	}
 }
 
-// Nodes that join within the batch delay are sent together; a placement is sent
-// at once, and the nodes that waited go with it.
+// Nodes that join within the batch delay are sent together; a placement is sent at
+// once, along with the pending nodes.
 func TestEventsThatAreNotUrgentAreBatched(t *testing.T) {
 	for _, nodes := range []int{20, 200} {
 		synctest.Test(t, func(t *testing.T) {
-			j := newFleetJournal("parent", 1)
+			j := newTestJournal("parent", 1)
 			p := NewPublisher(PublisherConfig{Journal: j, MaxWait: time.Minute, BatchDelay: 100 * time.Millisecond})
 			pages, events := 0, 0
 			last := watch(t, p, WatchRequest{})
--- a/internal/node/background.go
+++ b/internal/node/background.go
@@ -5,22 +5,22 @@
 	"sync"
 )
 
-// background runs short tasks that nobody waits for, until it is stopped.
-type background struct {
+// backgroundTasks runs short fire-and-forget tasks until it is stopped.
+type backgroundTasks struct {
 	ctx    context.Context // of the tasks
 	cancel context.CancelFunc
 
-	mu    sync.Mutex // no task starts while ctx is cancelled
+	mu    sync.Mutex // serializes start with stop, so that no task starts after ctx is cancelled
 	tasks sync.WaitGroup
 }
 
-func newBackground() background {
+func newBackgroundTasks() backgroundTasks {
 	ctx, cancel := context.WithCancel(context.Background())
-	return background{ctx: ctx, cancel: cancel}
+	return backgroundTasks{ctx: ctx, cancel: cancel}
 }
 
 // start runs a task, unless stop was called.
-func (b *background) start(task func()) {
+func (b *backgroundTasks) start(task func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.ctx.Err() == nil {
@@ -28,8 +28,8 @@
 	}
 }
 
-// stop cancels the tasks and waits for their end.
-func (b *background) stop() {
+// stop cancels the tasks and waits until they have ended.
+func (b *backgroundTasks) stop() {
 	b.mu.Lock()
 	b.cancel()
 	b.mu.Unlock()
