--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -36,7 +36,7 @@
 
 // New returns an edge that is not running yet; Run starts it.
 func New(set *settings.Settings, network httpwire.Network, logger *log.Logger) *Edge {
-	timing := timing{contactTimeout: set.Contact(), grace: settings.Seconds(set.Timers.GraceS)}
+	timing := timing{contactTimeout: set.ContactTimeout(), grace: settings.Seconds(set.Timers.GraceS)}
 	e := &Edge{
 		set:     set,
 		timing:  timing,
@@ -46,7 +46,7 @@
 		quotas:  admission.NewQuotas(set.ProcessorShare()),
 		stalled: newStalledPrimaries(timing.stallRetention()),
 	}
-	e.leases = ratelimit.NewLeases(e.node.Client, e.node.Placement, set.Contact())
+	e.leases = ratelimit.NewLeases(e.node.Client, e.node.Placement, set.ContactTimeout())
 	return e
 }
 
--- a/internal/edge/query.go
+++ b/internal/edge/query.go
@@ -44,7 +44,7 @@
 // configuration has no tenants and the request no key. ok is false if the key is
 // unknown.
 func queryTenant(table *configuration.Table, key string) (name string, ok bool) {
-	if tenant := table.TenantOfKey(key); tenant != nil {
+	if tenant := table.TenantByKey(key); tenant != nil {
 		return tenant.Name, true
 	}
 	return "", key == "" && len(table.TenantTable) == 0
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -70,7 +70,7 @@
 func New(config Config) *Node {
 	config.check()
 	set := config.Settings
-	timing := timing{contactTimeout: set.Contact()}
+	timing := timing{contactTimeout: set.ContactTimeout()}
 	incarnation := rand.Text()
 	n := &Node{
 		configurationView: newConfigurationView(config.Log, timing.placementPollInterval()),
--- a/internal/platform/lifecycle.go
+++ b/internal/platform/lifecycle.go
@@ -187,7 +187,7 @@
 }
 
 // settingsPollInterval is how often the settings file is checked for changes.
-func settingsPollInterval(set *settings.Settings) time.Duration { return set.Contact() / 4 }
+func settingsPollInterval(set *settings.Settings) time.Duration { return set.ContactTimeout() / 4 }
 
 // startAbortTimeout bounds how long a stopped start may take to return: it lets the
 // start end cleanly on a working disk, and the process exit despite a hung one.
