--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -81,12 +81,12 @@
 }
 
 // NewWorkload returns the broker as the workload of a store.
-func NewWorkload(host store.Host) (store.Workload, error) {
+func NewWorkload(config store.WorkloadConfig) (store.Workload, error) {
 	return New(Config{
-		Partitions:     host.Partitions,
-		Log:            host.Log,
-		ContactTimeout: host.Settings.Contact(),
-		Retransmit:     settings.Seconds(host.Settings.Timers.RetransmitS),
+		Partitions:     config.Partitions,
+		Log:            config.Log,
+		ContactTimeout: config.Settings.ContactTimeout(),
+		Retransmit:     settings.Seconds(config.Settings.Timers.RetransmitS),
 	})
 }
 
@@ -105,8 +105,9 @@
 // ApplyEvent implements store.Workload. A broker depends only on its partitions.
 func (b *Broker) ApplyEvent(journal.Event) {}
 
-// EndBy implements store.Workload. A broker has no long-running work to finish.
-func (b *Broker) EndBy(time.Time) {}
+// SetShutdownDeadline implements store.Workload. A broker has no long-running work to
+// finish.
+func (b *Broker) SetShutdownDeadline(time.Time) {}
 
 // Idle implements store.Workload. The only work in flight for a partition is accepts, for
 // which the handover itself waits.
--- a/internal/edge/query.go
+++ b/internal/edge/query.go
@@ -15,12 +15,12 @@
 	"saltreel/internal/timeutil"
 )
 
-// errUnknownPartition says that the placement at hand does not have the partition
-// that the name of a message says.
+// errUnknownPartition means that the known placement lacks the partition that the
+// message name refers to.
 var errUnknownPartition = errors.New("the partition of the message is not known here")
 
-// answerQuery answers a query about a message: for its state (kind "status") or
-// its body (kind "body").
+// answerQuery serves a query for the state (kind "status") or the body (kind "body")
+// of a message.
 func (e *Edge) answerQuery(ctx context.Context, r *httpwire.Request, table *configuration.Table, kind, name string) *httpwire.Response {
 	tenant, ok := queryTenant(table, r.Header.Get("Saltreel-Key"))
 	if !ok {
@@ -30,7 +30,7 @@
 	if !ok {
 		return httpwire.Problem(404, "no such message")
 	}
-	ctx, cancel := context.WithTimeout(ctx, e.timing.queryDeadline())
+	ctx, cancel := context.WithTimeout(ctx, e.timing.queryTimeout())
 	defer cancel()
 	answer, err := e.queryPrimary(ctx, "/"+kind, store.MessageQuery{Partition: partition, ID: id, Tenant: tenant, Host: r.Host})
 	if err != nil {
@@ -40,17 +40,18 @@
 	return queryResponse(kind, answer)
 }
 
-// queryTenant gives the name of the tenant that asks; "" where the configuration
-// has no tenants and the client no key. It is not ok if the key is unknown.
+// queryTenant returns the name of the tenant that the key belongs to, or "" if the
+// configuration has no tenants and the request no key. ok is false if the key is
+// unknown.
 func queryTenant(table *configuration.Table, key string) (name string, ok bool) {
-	if tenant := table.TenantOfKey(key); tenant != nil {
+	if tenant := table.TenantByKey(key); tenant != nil {
 		return tenant.Name, true
 	}
 	return "", key == "" && len(table.TenantTable) == 0
 }
 
-// queryResponse turns the final answer of a store into that for the client.
-func queryResponse(kind string, answer *httpwire.Answer) *httpwire.Response {
+// queryResponse converts the final response of a store to the response for the client.
+func queryResponse(kind string, answer *httpwire.ClientResponse) *httpwire.Response {
 	if answer.Status != 200 {
 		return httpwire.Problem(answer.Status, strings.TrimSpace(string(answer.Body)))
 	}
@@ -64,12 +65,12 @@
 	return httpwire.JSON(200, client.NewStatusResponse(status.State, status.Seal))
 }
 
-// queryPrimary asks the primary of a message's partition, whoever that is, until
-// it gives a final answer (200, 404 or 410) or ctx ends. The error is then that of
-// the last attempt. It is errUnknownPartition where the placement at hand lacks the
-// partition, as that of an edge that just started may: only its store could say
-// that there is no such message.
-func (e *Edge) queryPrimary(ctx context.Context, path string, query store.MessageQuery) (*httpwire.Answer, error) {
+// queryPrimary queries the current primary of the message's partition until it
+// returns a final response (200, 404 or 410) or ctx ends, in which case the error is
+// that of the last attempt. It returns errUnknownPartition if the known placement
+// lacks the partition, as may happen just after the start of an edge: only the store
+// can tell that the message does not exist.
+func (e *Edge) queryPrimary(ctx context.Context, path string, query store.MessageQuery) (*httpwire.ClientResponse, error) {
 	body, err := json.Marshal(query)
 	if err != nil {
 		return nil, fmt.Errorf("encode %s: %w", path, err)
@@ -106,11 +107,11 @@
 	}
 }
 
-func (e *Edge) sendQuery(ctx context.Context, address, path string, body []byte) (*httpwire.Answer, error) {
+func (e *Edge) sendQuery(ctx context.Context, address, path string, body []byte) (*httpwire.ClientResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, e.timing.queryAttemptTimeout())
 	defer cancel()
 	return e.node.Client.Send(ctx, address, path, body)
 }
 
-// isFinal tells whether a store's answer to a query will not change by asking again.
+// isFinal reports whether repeating a query cannot change the store's response.
 func isFinal(status int) bool { return status == 200 || status == 404 || status == 410 }
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -215,11 +215,11 @@
 // empty, may use it, and otherwise the reason for the rejection. If needsKey is false, clients
 // need no secret.
 func authorize(table *configuration.Table, name, secret string, needsKey bool) (*configuration.Route, linewire.Reason) {
-	space := table.Space(name)
+	space := table.TopicSpace(name)
 	if space == nil {
 		return nil, linewire.NoSpace
 	}
-	if needsKey && !space.PublicAccess && table.TenantOfKey(secret) == nil {
+	if needsKey && !space.PublicAccess && table.TenantByKey(secret) == nil {
 		return nil, linewire.Unauth
 	}
 	return space, ""
--- a/internal/handler/handler_test.go
+++ b/internal/handler/handler_test.go
@@ -39,7 +39,7 @@
 		"redirection":                   {302, seal, Indeterminate},
 		"not found":                     {404, nil, Indeterminate},
 	} {
-		if got := outcomeOf(&httpwire.Answer{Status: c.status, Header: c.header}); got != c.want {
+		if got := outcomeOf(&httpwire.ClientResponse{Status: c.status, Header: c.header}); got != c.want {
 			t.Errorf("%s: %v, not %v", name, got, c.want)
 		}
 	}
@@ -51,12 +51,12 @@
 		want Outcome
 		kept bool
 	}{
-		"not sent":               {&httpwire.Error{Err: errors.New("refused")}, NoResponse, false},
-		"time-out of the socket": {&httpwire.Error{Sent: true, Err: os.ErrDeadlineExceeded}, NoResponse, false},
-		"time-out of the call":   {&httpwire.Error{Sent: true, Err: context.DeadlineExceeded}, NoResponse, false},
-		"broken":                 {&httpwire.Error{Sent: true, Err: errors.New("reset")}, Indeterminate, false},
-		"broken while idle":      {&httpwire.Error{Sent: true, Reused: true, Err: errors.New("reset")}, Indeterminate, true},
-		"of another kind":        {errors.New("unknown"), Indeterminate, false},
+		"not sent":              {&httpwire.Error{Err: errors.New("refused")}, NoResponse, false},
+		"timeout of the socket": {&httpwire.Error{Sent: true, Err: os.ErrDeadlineExceeded}, NoResponse, false},
+		"timeout of the call":   {&httpwire.Error{Sent: true, Err: context.DeadlineExceeded}, NoResponse, false},
+		"broken":                {&httpwire.Error{Sent: true, Err: errors.New("reset")}, Indeterminate, false},
+		"broken while idle":     {&httpwire.Error{Sent: true, Reused: true, Err: errors.New("reset")}, Indeterminate, true},
+		"of another kind":       {errors.New("unknown"), Indeterminate, false},
 	} {
 		err := fmt.Errorf("deliver: %w", c.err)
 		if got := failedResult(err); got.Outcome != c.want || got.IdleConnectionBroke != c.kept || !errors.Is(got.Err, c.err) {
@@ -69,7 +69,7 @@
 	d := Delivery{ID: "m1", Tenant: "t", Instance: "i", Method: "POST", Target: "/a", Host: "h", Body: []byte("x"), Timeout: 2 * time.Second}
 	call := d.call()
 	want := []string{headerAttemptID, "m1", headerDeadline, "2000", headerTenant, "t", headerExpectInstance, "i"}
-	if !slices.Equal(call.Header, want) || call.Repeats != headerAttemptID || call.Idempotent {
+	if !slices.Equal(call.Header, want) || call.EchoHeader != headerAttemptID || call.Idempotent {
 		t.Errorf("%+v", call)
 	}
 }
@@ -103,7 +103,7 @@
 	r := &httpwire.Request{Request: httptest.NewRequest("POST", "http://h/a", nil), Body: []byte("hi")}
 	r.Header.Set(headerAttemptID, "m1")
 	got := sinkResponse(r, &out)
-	answer := &httpwire.Answer{Status: got.Status, Header: http.Header{}}
+	answer := &httpwire.ClientResponse{Status: got.Status, Header: http.Header{}}
 	for i := 0; i < len(got.Header); i += 2 {
 		answer.Header.Set(got.Header[i], got.Header[i+1])
 	}
--- a/internal/operator/serve.go
+++ b/internal/operator/serve.go
@@ -55,9 +55,9 @@
 	}
 	operatorServer := &Server{Core: core}
 	server := &httpwire.Server{
-		Handle:     core.ControlHandler(operatorServer.Handle),
-		Limits:     func() httpwire.Limits { return listenerLimits(set) },
-		AnswerTime: responseTimeout(set),
+		Handle:              core.ControlHandler(operatorServer.Handle),
+		Limits:              func() httpwire.Limits { return listenerLimits(set) },
+		ShutdownGracePeriod: responseTimeout(set),
 	}
 	// The core keeps running after ctx ends, until the listener has shut down.
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
@@ -92,9 +92,9 @@
 	return httpwire.Limits{
 		HeaderBytes:   16 << 10,
 		BodyBytes:     MaxConfigurationBytes,
-		HeaderTimeout: set.Contact(),
-		BodyTimeout:   2 * set.Contact(),
-		IdleTimeout:   8 * set.Contact(),
+		HeaderTimeout: set.ContactTimeout(),
+		BodyTimeout:   2 * set.ContactTimeout(),
+		IdleTimeout:   8 * set.ContactTimeout(),
 	}
 }
 
