--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -65,14 +65,14 @@
 	}
 	command, err := linewire.ReadCommand(c.reader)
 	c.lastReceived.Store(int64(c.gateway.uptime()))
-	var refused *linewire.ProtocolError
+	var protocolErr *linewire.ProtocolError
 	switch {
-	case errors.As(err, &refused):
-		c.gateway.logProtocolError(c, refused)
-		if refused.Verb != "" {
-			c.send(linewire.AppendReject(nil, refused.Verb, refused.Topic, refused.Number, refused.Reason))
+	case errors.As(err, &protocolErr):
+		c.gateway.logProtocolError(c, protocolErr)
+		if protocolErr.Verb != "" {
+			c.send(linewire.AppendReject(nil, protocolErr.Verb, protocolErr.Topic, protocolErr.Number, protocolErr.Reason))
 		}
-		return !refused.Fatal
+		return !protocolErr.Fatal
 	case err != nil:
 		return false
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -245,11 +245,11 @@
 	return g.leases.Acquire(ctx, tenant)
 }
 
-// logProtocolError logs a malformed command. Logging is rate-limited because a faulty client
+// logProtocolError logs an invalid command. Logging is rate-limited because a faulty client
 // may send nothing else.
-func (g *Gateway) logProtocolError(c *clientConn, refused *linewire.ProtocolError) {
+func (g *Gateway) logProtocolError(c *clientConn, protocolErr *linewire.ProtocolError) {
 	if n, ok := g.protocolErrors.allow(g.timing.contact); ok {
-		g.log.Printf("gateway: malformed command from %s (client %q): %v (%d such commands since the last log line)", c.conn.RemoteAddr(), c.clientName, refused, n)
+		g.log.Printf("gateway: invalid command from %s (client %q): %v (%d such commands since the last log line)", c.conn.RemoteAddr(), c.clientName, protocolErr, n)
 	}
 }
 
--- a/internal/linewire/command.go
+++ b/internal/linewire/command.go
@@ -133,7 +133,7 @@
 	}
 	for i, field := range fields {
 		if !isField(field) {
-			return c.malformed("invalid character in field")
+			return c.malformed("empty field or invalid character in field")
 		}
 		if field == "-" {
 			field = ""
--- a/internal/linewire/linewire_test.go
+++ b/internal/linewire/linewire_test.go
@@ -116,8 +116,8 @@
 		r := bufio.NewReader(bytes.NewReader(input))
 		for {
 			c, err := ReadCommand(r)
-			var refused *ProtocolError
-			if errors.As(err, &refused) && !refused.Fatal {
+			var protocolErr *ProtocolError
+			if errors.As(err, &protocolErr) && !protocolErr.Fatal {
 				continue
 			}
 			if err != nil {
