--- a/internal/broker/calls.go
+++ b/internal/broker/calls.go
@@ -10,10 +10,10 @@
 	"saltreel/internal/topic"
 )
 
-// handlePublish stores messages of a publisher, and answers when their outcome is
-// known or the gateway waits no longer.
+// handlePublish stores messages of a publisher. It responds when their outcomes are known or
+// the gateway's wait time is over.
 func (b *Broker) handlePublish(ctx context.Context, in *topic.PublishRequest, raw []byte) (*topic.PublishResponse, error) {
-	records, err := b.recordsOf(in, raw)
+	records, err := b.newRecords(in, raw)
 	if err != nil {
 		return nil, err
 	}
@@ -28,14 +28,14 @@
 			out.Outcomes = append(out.Outcomes, topic.Superseded)
 			continue
 		}
-		out.Outcomes = append(out.Outcomes, outcomeOf(errs[0]))
+		out.Outcomes = append(out.Outcomes, outcomeFromError(errs[0]))
 		errs = errs[1:]
 	}
 	return out, nil
 }
 
-// recordsOf makes the log entries of a request. Their times are this store's.
-func (b *Broker) recordsOf(in *topic.PublishRequest, raw []byte) ([]*partition.Record, error) {
+// newRecords returns the log records for a request. Their expiry is by this store's clock.
+func (b *Broker) newRecords(in *topic.PublishRequest, raw []byte) ([]*partition.Record, error) {
 	expires := b.config.Partitions.Now() + in.RetentionMs + b.timing.extraRetention().Milliseconds()
 	var records []*partition.Record
 	for _, m := range in.Messages {
@@ -51,8 +51,8 @@
 	return records, nil
 }
 
-// outcomeOf maps the error of an accept to the outcome for the publisher.
-func outcomeOf(err error) topic.Outcome {
+// outcomeFromError maps the error of an accept to the outcome for the publisher.
+func outcomeFromError(err error) topic.Outcome {
 	switch {
 	case err == nil:
 		return topic.Accepted
@@ -65,7 +65,7 @@
 	}
 }
 
-// handleFollow changes what a gateway follows.
+// handleFollow changes the set of topics that a gateway follows.
 func (b *Broker) handleFollow(_ context.Context, in *topic.FollowRequest, _ []byte) (*topic.FollowResponse, []byte, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -78,14 +78,14 @@
 		return &topic.FollowResponse{Unknown: true}, nil, nil
 	}
 	s.lastSeen = time.Now()
-	for _, name := range in.Drop {
+	for _, name := range in.Unfollow {
 		delete(s.topics, name)
 		b.topics.unfollow(name, s)
 	}
 	out := &topic.FollowResponse{}
-	bodies, size, bound := []byte{}, 0, answerBound(in.MaxBytes)
+	bodies, size, bound := []byte{}, 0, responseLimit(in.MaxBytes)
 	for _, f := range in.Follow {
-		state := topic.TopicState{Later: true}
+		state := topic.TopicState{Deferred: true}
 		if size < bound {
 			state = b.followLocked(s, f, in.MaxBacklog)
 		}
@@ -101,9 +101,9 @@
 	return out, bodies, nil
 }
 
-// followLocked makes a session follow a topic: it gets the messages up to End now
-// and later ones by its polls.
-func (b *Broker) followLocked(s *session, f topic.Followed, maxBacklog int) topic.TopicState {
+// followLocked adds a topic to a session. Messages up to End are returned now if requested;
+// later ones are returned by polls.
+func (b *Broker) followLocked(s *session, f topic.FollowedTopic, maxBacklog int) topic.TopicState {
 	if !b.topics.isReady(f.Partition) {
 		return topic.TopicState{NotReady: true}
 	}
@@ -112,16 +112,16 @@
 	t.followers[s] = true
 	b.setCountLocked(s, f.Topic, f.Subscribers)
 	state := topic.TopicState{End: t.end(), Floor: t.floor}
-	if f.Recent {
+	if f.Replay {
 		var newest []*partition.Record
 		state.Skipped, newest = newestWithin(partition.EntriesAfter(t.entries, f.After), maxBacklog)
-		state.Entries = entriesOf(newest)
+		state.Entries = newEntries(newest)
 	}
 	return state
 }
 
-// newestWithin returns the newest of records that have no more bytes than a bound, but for
-// a single one, and the position of the last that is left out. A bound of 0 is none.
+// newestWithin returns the newest records whose total size is within maxBytes, at least one,
+// and the position of the last omitted record. A limit of 0 means no limit.
 func newestWithin(records []*partition.Record, maxBytes int) (skipped partition.Position, newest []*partition.Record) {
 	if maxBytes <= 0 {
 		return partition.Position{}, records
@@ -136,15 +136,15 @@
 	return partition.Position{}, records
 }
 
-func entriesOf(records []*partition.Record) []topic.Entry {
+func newEntries(records []*partition.Record) []topic.Entry {
 	var entries []topic.Entry
 	for _, r := range records {
-		entries = append(entries, topic.EntryOf(r))
+		entries = append(entries, topic.NewEntry(r))
 	}
 	return entries
 }
 
-// handleRead answers with messages of a topic, for those who are far behind.
+// handleRead returns a page of a topic's messages, for subscribers that are far behind.
 func (b *Broker) handleRead(_ context.Context, in *topic.ReadRequest, _ []byte) (*topic.ReadResponse, []byte, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -156,13 +156,13 @@
 		return &topic.ReadResponse{}, []byte{}, nil
 	}
 	out := &topic.ReadResponse{End: t.end(), Floor: t.floor}
-	bodies, size, bound := []byte{}, 0, answerBound(in.MaxBytes)
+	bodies, size, bound := []byte{}, 0, responseLimit(in.MaxBytes)
 	for _, r := range partition.EntriesAfter(t.entries, in.After) {
 		size += entryBytes(r)
 		if size > bound && len(out.Entries) > 0 {
 			break
 		}
-		out.Entries = append(out.Entries, topic.EntryOf(r))
+		out.Entries = append(out.Entries, topic.NewEntry(r))
 		bodies = append(bodies, r.Body...)
 	}
 	return out, bodies, nil
@@ -180,7 +180,7 @@
 	t.subscribers[s] = subscribers
 }
 
-// handlePoll answers with the next messages of a session, as soon as there are any.
+// handlePoll returns the next messages of a session, waiting until there are any.
 func (b *Broker) handlePoll(ctx context.Context, in *topic.PollRequest, _ []byte) (*topic.PollResponse, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(in.WaitMs)*time.Millisecond)
 	defer cancel()
@@ -189,7 +189,7 @@
 		return &topic.PollResponse{Unknown: true}, nil, nil
 	}
 	for {
-		out, bodies, changed := b.nextOf(s, answerBound(in.MaxBytes), ctx.Err() != nil)
+		out, bodies, changed := b.nextPollResponse(s, responseLimit(in.MaxBytes), ctx.Err() != nil)
 		if out != nil {
 			return out, bodies, nil
 		}
@@ -200,40 +200,42 @@
 	}
 }
 
-// beginPoll returns the session that a poll is the next of; nil if there is none.
+// beginPoll returns the session for a poll, or nil if the session is unknown or the poll is
+// out of sequence.
 func (b *Broker) beginPoll(in *topic.PollRequest) *session {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.sessions[in.Gateway]
-	if s == nil || s.id != in.Session || s.ended || s.polling || in.Number != s.polled+1 {
+	if s == nil || s.id != in.Session || s.ended || s.polling || in.Number != s.lastPoll+1 {
 		return nil
 	}
-	s.polled = in.Number
+	s.lastPoll = in.Number
 	s.polling = true
 	return s
 }
 
-// nextOf returns the answer to the poll of a session; nil, and a channel that is
-// closed when to look again, if there is nothing to say and the poll may wait.
-func (b *Broker) nextOf(s *session, maxBytes int, waitIsOver bool) (*topic.PollResponse, []byte, <-chan struct{}) {
+// nextPollResponse returns the response to a poll of the session. If there is nothing to
+// return and the poll may wait, it returns nil and a channel that is closed when to check
+// again.
+func (b *Broker) nextPollResponse(s *session, maxBytes int, waitExpired bool) (*topic.PollResponse, []byte, <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !s.ended && !waitIsOver && len(s.outbox) == 0 && len(s.lost) == 0 {
+	if !s.ended && !waitExpired && len(s.outbox) == 0 && len(s.lostPartitions) == 0 {
 		return nil, nil, s.changed
 	}
 	s.polling = false
 	s.lastSeen = time.Now()
-	out := &topic.PollResponse{Unknown: s.ended, Lost: s.lost}
-	s.lost = nil
+	out := &topic.PollResponse{Unknown: s.ended, LostPartitions: s.lostPartitions}
+	s.lostPartitions = nil
 	bodies := []byte{}
 	for _, r := range s.take(maxBytes) {
-		out.Entries = append(out.Entries, topic.EntryOf(r))
+		out.Entries = append(out.Entries, topic.NewEntry(r))
 		bodies = append(bodies, r.Body...)
 	}
 	return out, bodies, nil
 }
 
-// handleCount answers how many subscribers a topic has.
+// handleCount returns the number of subscribers of a topic.
 func (b *Broker) handleCount(_ context.Context, in *topic.CountRequest, _ []byte) (*topic.CountResponse, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/edge/query.go
+++ b/internal/edge/query.go
@@ -62,7 +62,7 @@
 	if err := json.Unmarshal(answer.Body, &status); err != nil {
 		return httpwire.Problem(502, "the store's answer cannot be read")
 	}
-	return httpwire.JSON(200, client.Status(status.State, status.Seal))
+	return httpwire.JSON(200, client.NewStatusResponse(status.State, status.Seal))
 }
 
 // queryPrimary queries the current primary of the message's partition until it
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -15,19 +15,19 @@
 	"saltreel/internal/timeutil"
 )
 
-// clientConn is the connection of one client.
+// clientConn is the connection of a client.
 type clientConn struct {
 	gateway *Gateway
 	conn    net.Conn
 	reader  *bufio.Reader
 	outbox  *outbox
 
-	name   string // of the client; empty before its HELLO
-	secret string
+	clientName string // empty before HELLO
+	secret     string
 
-	lastReceived atomic.Int64  // time of the last message, in ns of the steady clock
-	unanswered   atomic.Int64  // messages to publish that have no answer yet
-	released     chan struct{} // closed when reads are held no longer, at the end
+	lastReceived     atomic.Int64  // monotonic time of the last command, in ns
+	pendingPublishes atomic.Int64  // publications not answered yet
+	closed           chan struct{} // closed when the connection ends, to resume throttled reads
 
 	mu            sync.Mutex
 	subscriptions map[string]*subscription // by topic
@@ -37,7 +37,7 @@
 func newClientConn(g *Gateway, conn net.Conn) *clientConn {
 	c := &clientConn{
 		gateway: g, conn: conn, reader: bufio.NewReader(conn),
-		released: make(chan struct{}), subscriptions: map[string]*subscription{},
+		closed: make(chan struct{}), subscriptions: map[string]*subscription{},
 	}
 	c.outbox = newOutbox(func() { g.hub.resumeBacklogs(c.currentSubscriptions()) })
 	return c
@@ -48,57 +48,57 @@
 	defer context.AfterFunc(ctx, func() { _ = c.conn.Close() })()
 	var writing sync.WaitGroup
 	writing.Go(func() {
-		c.outbox.run(c.conn, c.gateway.timing.write())
-		_ = c.conn.Close() // so that the reading ends too
+		c.outbox.run(c.conn, c.gateway.timing.writeTimeout())
+		_ = c.conn.Close() // unblocks the reader
 	})
 	for c.serveNext(ctx) {
 	}
-	c.end()
+	c.closeSubscriptions()
 	c.outbox.close()
 	writing.Wait()
 }
 
-// serveNext reads and handles one message. It reports whether another may follow.
+// serveNext reads and handles one command. It reports whether to continue.
 func (c *clientConn) serveNext(ctx context.Context) (more bool) {
 	if c.conn.SetReadDeadline(time.Now().Add(c.gateway.timing.idleTimeout())) != nil {
 		return false
 	}
 	command, err := linewire.ReadCommand(c.reader)
 	c.lastReceived.Store(int64(c.gateway.uptime()))
-	var refused *linewire.RefusedError
+	var protocolErr *linewire.ProtocolError
 	switch {
-	case errors.As(err, &refused):
-		c.gateway.logRefusal(c, refused)
-		if refused.Word != "" {
-			c.send(linewire.AppendReject(nil, refused.Word, refused.Topic, refused.Number, refused.Reason))
+	case errors.As(err, &protocolErr):
+		c.gateway.logProtocolError(c, protocolErr)
+		if protocolErr.Verb != "" {
+			c.send(linewire.AppendReject(nil, protocolErr.Verb, protocolErr.Topic, protocolErr.Number, protocolErr.Reason))
 		}
-		return !refused.Fatal
+		return !protocolErr.Fatal
 	case err != nil:
 		return false
 	}
 	return c.handle(ctx, command)
 }
 
-// handle handles one message of the client. It reports whether another may follow.
+// handle handles one command. It reports whether to continue.
 func (c *clientConn) handle(ctx context.Context, command *linewire.Command) (more bool) {
-	if command.Word == linewire.Ping {
+	if command.Verb == linewire.Ping {
 		c.send(linewire.AppendPong(nil))
 		return true
 	}
-	if command.Word == linewire.Hello {
+	if command.Verb == linewire.Hello {
 		return c.handleHello(ctx, command)
 	}
-	if c.name == "" {
-		c.refuse(command, linewire.Malformed) // nobody said HELLO
+	if c.clientName == "" {
+		c.sendReject(command, linewire.Malformed) // HELLO is required first
 		return false
 	}
 	table := c.gateway.node.Table()
 	space, reason := authorize(table, command.Topic, c.secret, c.gateway.settings.HasTenants())
-	if reason != "" && command.Word != linewire.Unsubscribe {
-		c.refuse(command, reason)
+	if reason != "" && command.Verb != linewire.Unsubscribe {
+		c.sendReject(command, reason)
 		return true
 	}
-	switch command.Word {
+	switch command.Verb {
 	case linewire.Subscribe:
 		c.handleSubscribe(command, table)
 	case linewire.Unsubscribe:
@@ -111,55 +111,55 @@
 	return true
 }
 
-func (c *clientConn) refuse(command *linewire.Command, reason linewire.Reason) {
-	c.send(linewire.AppendReject(nil, command.Word, command.Topic, command.Number, reason))
+func (c *clientConn) sendReject(command *linewire.Command, reason linewire.Reason) {
+	c.send(linewire.AppendReject(nil, command.Verb, command.Topic, command.Number, reason))
 }
 
-// handleHello learns who the client is.
+// handleHello identifies and authenticates the client.
 func (c *clientConn) handleHello(ctx context.Context, command *linewire.Command) (more bool) {
 	g := c.gateway
 	switch {
-	case c.name != "":
-		c.refuse(command, linewire.Malformed)
+	case c.clientName != "":
+		c.sendReject(command, linewire.Malformed)
 		return false
-	case g.stopping.Load() || !g.node.WaitForPlacement(ctx, g.timing.placementWait()) || !g.knowsBrokers():
-		c.refuse(command, linewire.Retry)
+	case g.stopping.Load() || !g.node.WaitForPlacement(ctx, g.timing.placementTimeout()) || !g.knowsBrokers():
+		c.sendReject(command, linewire.Retry)
 		return false
 	case g.settings.HasTenants() && command.Secret != "" && g.node.Table().TenantByKey(command.Secret) == nil:
-		c.refuse(command, linewire.Unauth)
+		c.sendReject(command, linewire.Unauth)
 		return true
 	}
-	c.name, c.secret = command.Client, command.Secret
-	g.clients.identify(c)
+	c.clientName, c.secret = command.Client, command.Secret
+	g.clients.register(c)
 	c.send(linewire.AppendHelloOK(nil))
 	return true
 }
 
 func (c *clientConn) handleSubscribe(command *linewire.Command, table *configuration.Table) {
-	s := &subscription{to: c, topic: command.Topic}
+	s := &subscription{client: c, topic: command.Topic}
 	if command.Cursor != "" {
-		cursor, ok := cursorOf(command.Cursor)
-		if !ok { // nobody was given this one, so nothing can have expired
-			c.refuse(command, linewire.Malformed)
+		cursor, ok := parseCursor(command.Cursor)
+		if !ok { // never issued by a gateway, so not expired
+			c.sendReject(command, linewire.Malformed)
 			return
 		}
 		s.resumes, s.cursor = true, cursor
 	}
 	former, ok := c.addSubscription(s, int(table.Limits.GetSubscriptions()))
 	if !ok {
-		c.refuse(command, linewire.Retry)
+		c.sendReject(command, linewire.Retry)
 		return
 	}
 	if former != nil {
 		c.gateway.hub.unsubscribe(former)
 	}
 	c.gateway.hub.subscribe(s)
-	// A configuration that came meanwhile was applied to the others.
+	// A configuration applied in the meantime did not cover this subscription.
 	c.gateway.reauthorize(s, c.secret)
 }
 
-// addSubscription notes a subscription. It returns the former one of the topic, or
-// false if there are too many; a limit of 0 is none.
+// addSubscription adds a subscription and returns the former one of the topic. It returns
+// false if the limit is reached or the connection has ended; a limit of 0 means no limit.
 func (c *clientConn) addSubscription(s *subscription, limit int) (former *subscription, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,9 +182,9 @@
 	c.send(linewire.AppendUnsubscribeOK(nil, command.Topic))
 }
 
-// handlePublish has a message published, unless the tenant is over its rate and the
-// number was not accepted before. Over another quota, reads from the connection stop for
-// the throttle time.
+// handlePublish publishes a message, unless the tenant is over its rate limit and the number
+// was not accepted before. If another quota is exceeded, reads from the connection are paused
+// for the throttle time.
 func (c *clientConn) handlePublish(ctx context.Context, command *linewire.Command, table *configuration.Table, space *configuration.Route) {
 	received := time.Now()
 	g := c.gateway
@@ -192,69 +192,70 @@
 		number:      command.Number,
 		body:        command.Body,
 		retentionMs: int64(space.RetentionS * 1000),
-		deadline:    received.Add(g.timing.publishAnswer(time.Duration(space.TimeoutMs) * time.Millisecond)),
+		deadline:    received.Add(g.timing.publishDeadline(time.Duration(space.TimeoutMs) * time.Millisecond)),
 	}
 	var throttle time.Duration
 	if tenant := table.TenantByKey(c.secret); tenant != nil {
 		m.tenant = tenant.Name
 		throttle = g.checkRate(ctx, tenant, space.Name, m.deadline)
 	}
-	c.unanswered.Add(1)
-	m.answer = func(frame []byte) {
+	c.pendingPublishes.Add(1)
+	m.respond = func(frame []byte) {
 		c.send(frame)
-		c.unanswered.Add(-1)
+		c.pendingPublishes.Add(-1)
 	}
 	if throttle > 0 {
-		g.publishers.refuse(publisherTopic{c.name, command.Topic}, m)
+		g.publishers.refuse(publisherTopic{c.clientName, command.Topic}, m)
 	} else {
-		g.publishers.add(publisherTopic{c.name, command.Topic}, m)
+		g.publishers.add(publisherTopic{c.clientName, command.Topic}, m)
 	}
-	c.hold(g.quotas.RecordRequest(c.quotaTenant(m.tenant), space.Name, len(command.Body), time.Since(received), throttle))
+	c.throttleReads(g.quotas.RecordRequest(c.quotaTenant(m.tenant), space.Name, len(command.Body), time.Since(received), throttle))
 }
 
-// quotaTenant is whom the quotas of this node count a client for: its tenant, or
-// itself in spaces that need none.
+// quotaTenant returns the name under which the quotas of this node account for the client:
+// that of its tenant, or its own in spaces with public access.
 func (c *clientConn) quotaTenant(tenant string) string {
 	if tenant != "" {
 		return tenant
 	}
-	return "client " + c.name
+	return "client " + c.clientName
 }
 
-// hold stops reads from the connection for the throttle time X of a quota, for as
-// long as the client can do without an answer to its PING.
-func (c *clientConn) hold(x time.Duration, by *quota.Manager) {
+// throttleReads pauses reads from the connection for the throttle time x of a quota, but no
+// longer than the client tolerates an unanswered PING.
+func (c *clientConn) throttleReads(x time.Duration, by *quota.Manager) {
 	if x <= 0 {
 		return
 	}
-	timer := time.NewTimer(c.gateway.timing.maxHold())
+	timer := time.NewTimer(c.gateway.timing.maxReadThrottle())
 	defer timer.Stop()
 	select {
 	case <-by.Throttle(x):
 	case <-timer.C:
-	case <-c.released:
+	case <-c.closed:
 	}
 }
 
-// handleCount answers how many subscribers a topic has, without holding up what
-// the client says next.
+// handleCount returns the number of subscribers of a topic, without blocking later commands of
+// the client.
 func (c *clientConn) handleCount(ctx context.Context, command *linewire.Command) {
 	g := c.gateway
 	g.caller.tasks.Go(func() {
-		ctx, cancel := context.WithTimeout(ctx, g.timing.countAnswer())
+		ctx, cancel := context.WithTimeout(ctx, g.timing.countTimeout())
 		defer cancel()
 		for ctx.Err() == nil {
 			if n, err := g.countSubscribers(ctx, command.Topic); err == nil {
 				c.send(linewire.AppendCount(nil, command.Topic, n))
 				return
 			}
-			timeutil.Sleep(ctx, g.timing.retry())
+			timeutil.Sleep(ctx, g.timing.retryDelay())
 		}
-		c.refuse(command, linewire.Retry)
+		c.sendReject(command, linewire.Retry)
 	})
 }
 
-// send implements subscriber. A client that asks on and takes no answers is closed.
+// send implements subscriber. A client that keeps sending requests without reading the
+// responses is disconnected.
 func (c *clientConn) send(frame []byte) {
 	if !c.outbox.add(frame) {
 		_ = c.conn.Close()
@@ -272,8 +273,7 @@
 // hasRoom implements subscriber.
 func (c *clientConn) hasRoom() bool { return c.outbox.hasRoom() }
 
-// reject implements subscriber: it answers a SUBSCRIBE, or ends a subscription
-// unasked.
+// reject implements subscriber. It rejects a SUBSCRIBE, or ends an accepted subscription.
 func (c *clientConn) reject(s *subscription, reason linewire.Reason) {
 	c.mu.Lock()
 	if c.subscriptions[s.topic] == s {
@@ -283,12 +283,12 @@
 	c.send(linewire.AppendReject(nil, linewire.Subscribe, s.topic, 0, reason))
 }
 
-// isPresent reports whether the client has said something lately.
+// isPresent implements subscriber. It reports whether the client has sent a command recently.
 func (c *clientConn) isPresent() bool {
-	return c.gateway.uptime()-time.Duration(c.lastReceived.Load()) <= c.gateway.timing.present()
+	return c.gateway.uptime()-time.Duration(c.lastReceived.Load()) <= c.gateway.timing.presenceTimeout()
 }
 
-// currentSubscriptions lists the subscriptions of the client.
+// currentSubscriptions returns the subscriptions of the client.
 func (c *clientConn) currentSubscriptions() []*subscription {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -299,12 +299,12 @@
 	return list
 }
 
-// end ends the subscriptions.
-func (c *clientConn) end() {
+// closeSubscriptions ends all subscriptions and removes the connection from the table.
+func (c *clientConn) closeSubscriptions() {
 	c.mu.Lock()
 	c.ended = true
 	c.mu.Unlock()
-	close(c.released)
+	close(c.closed)
 	for _, s := range c.currentSubscriptions() {
 		c.gateway.hub.unsubscribe(s)
 	}
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// clientTable is the connections of all clients.
+// clientTable holds all client connections.
 type clientTable struct {
 	mu     sync.Mutex
 	conns  map[*clientConn]bool
-	byName map[string]*clientConn // the newest of each client
+	byName map[string]*clientConn // the newest connection of each client
 }
 
 func newClientTable() clientTable {
@@ -19,27 +19,27 @@
 	t.conns[c] = true
 }
 
-// identify notes whose connection it is. An older one of the client, which it has
-// left, is closed.
-func (t *clientTable) identify(c *clientConn) {
+// register records the client name of a connection. An older connection of the same client,
+// which the client has abandoned, is closed.
+func (t *clientTable) register(c *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if former := t.byName[c.name]; former != nil {
+	if former := t.byName[c.clientName]; former != nil {
 		_ = former.conn.Close()
 	}
-	t.byName[c.name] = c
+	t.byName[c.clientName] = c
 }
 
 func (t *clientTable) remove(c *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.conns, c)
-	if t.byName[c.name] == c {
-		delete(t.byName, c.name)
+	if t.byName[c.clientName] == c {
+		delete(t.byName, c.clientName)
 	}
 }
 
-// all lists the connections.
+// all returns all connections.
 func (t *clientTable) all() []*clientConn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -13,19 +13,19 @@
 	"saltreel/internal/membership"
 )
 
-// neighbors is the other gateways that clients may be sent to.
-type neighbors struct {
+// peerGateways holds the other gateways, to which clients can be redirected.
+type peerGateways struct {
 	self  string
 	mu    sync.Mutex
 	nodes map[string]membership.Node // by name
 }
 
-func newNeighbors(self string) neighbors {
-	return neighbors{self: self, nodes: map[string]membership.Node{}}
+func newPeerGateways(self string) peerGateways {
+	return peerGateways{self: self, nodes: map[string]membership.Node{}}
 }
 
-// applyEvent follows the nodes of the zone.
-func (n *neighbors) applyEvent(e journal.Event) {
+// applyEvent updates the gateways from the nodes of the zone.
+func (n *peerGateways) applyEvent(e journal.Event) {
 	name, ok := strings.CutPrefix(e.Key, distribution.PrefixNode)
 	if !ok {
 		return
@@ -40,9 +40,9 @@
 	n.nodes[name] = node
 }
 
-// addresses lists where clients reach the other gateways: on all machines at the
-// same port.
-func (n *neighbors) addresses(port string) []string {
+// addresses returns the client addresses of the other gateways. The port is the same on all
+// machines.
+func (n *peerGateways) addresses(port string) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var addresses []string
@@ -55,37 +55,37 @@
 	return addresses
 }
 
-// drain sends the clients to other gateways, one after the other over the time
-// there is, and waits until they are gone. Those that stay are closed when they
-// have the answers that they wait for, or the time is over.
+// drain redirects the clients to other gateways, spread over the redirect period, and waits
+// until they have disconnected. Remaining connections are closed once their outstanding
+// publications are answered, or when the drain timeout expires.
 func (g *Gateway) drain() {
 	g.stopping.Store(true)
 	g.node.Drain()
-	deadline := time.Now().Add(g.timing.drain())
+	deadline := time.Now().Add(g.timing.drainTimeout())
 	g.redirectAll()
 	for _, c := range g.clients.all() {
-		for c.unanswered.Load() > 0 && time.Now().Before(deadline) {
-			time.Sleep(g.timing.retry())
+		for c.pendingPublishes.Load() > 0 && time.Now().Before(deadline) {
+			time.Sleep(g.timing.retryDelay())
 		}
 		c.outbox.close()
 	}
 	for len(g.clients.all()) > 0 && time.Now().Before(deadline) {
-		time.Sleep(g.timing.retry())
+		time.Sleep(g.timing.retryDelay())
 	}
 }
 
-// redirectAll sends the clients to the other gateways in turn.
+// redirectAll distributes the clients over the other gateways round-robin.
 func (g *Gateway) redirectAll() {
 	_, port, err := net.SplitHostPort(g.settings.Listeners.DataPlane)
 	if err != nil {
 		return
 	}
-	addresses := g.neighbors.addresses(port)
+	addresses := g.peers.addresses(port)
 	clients := g.clients.all()
 	if len(addresses) == 0 || len(clients) == 0 {
 		return
 	}
-	pause := g.timing.redirects() / time.Duration(len(clients))
+	pause := g.timing.redirectPeriod() / time.Duration(len(clients))
 	for i, c := range clients {
 		c.send(linewire.AppendRedirect(nil, addresses[i%len(addresses)]))
 		time.Sleep(pause)
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -10,83 +10,83 @@
 	"saltreel/internal/topic"
 )
 
-// link is what the gateway follows at one broker: a session of calls that change
-// what is followed, one at a time, and of polls, one at a time. If any of them
-// fails, the session ends and a new one begins, in which each topic is followed
-// from its last message on: so nothing is missed, whatever was lost on the way.
+// brokerLink follows topics at one broker. Its session consists of a sequence of follow calls
+// and a sequence of polls, each with at most one call in flight. If any call fails, the
+// session ends and a new one begins, which resumes each topic after its last received message.
+// So no message is missed, whatever was lost.
 //
-// The hub's mu guards all fields but the channels.
-type link struct {
+// hub.mu guards all fields except the channels.
+type brokerLink struct {
 	hub     *hub
-	store   string // the broker
+	store   string // name of the broker
 	address string
 
-	feeds     map[string]*feed // that this broker leads
-	pending   map[string]*feed // that are to join
-	drops     map[string]bool  // topics that are to be dropped
-	counts    map[string]int   // of subscribers, that are to be reported
-	notBefore time.Time        // no call is made earlier, after a failure
+	feeds        map[string]*feed // topics led by this broker
+	pending      map[string]*feed // topics that have to join
+	unfollows    map[string]bool  // topics to stop following
+	countUpdates map[string]int   // subscriber counts to report
+	notBefore    time.Time        // earliest time of the next call, after a failure
 
-	session session
-	wake    chan struct{} // holds a value when there may be something to do
-	reads   chan struct{} // holds a value for each page that is being read
+	session   session
+	wake      chan struct{} // receives a value when there may be work
+	readSlots chan struct{} // semaphore for concurrent page reads
 }
 
-// session is one session of a link.
+// session is a session of a brokerLink.
 type session struct {
 	id    string
-	begun bool               // the broker knows it
-	end   context.CancelFunc // of its polls; nil before they run
+	begun bool               // known to the broker
+	end   context.CancelFunc // cancels the polls; nil until they are started
 }
 
-func newLink(h *hub, store string) *link {
-	return &link{
+func newBrokerLink(h *hub, store string) *brokerLink {
+	return &brokerLink{
 		hub: h, store: store,
-		feeds: map[string]*feed{}, pending: map[string]*feed{}, drops: map[string]bool{}, counts: map[string]int{},
-		session: session{id: rand.Text()},
-		wake:    make(chan struct{}, 1),
-		reads:   make(chan struct{}, maxReads),
+		feeds: map[string]*feed{}, pending: map[string]*feed{}, unfollows: map[string]bool{}, countUpdates: map[string]int{},
+		session:   session{id: rand.Text()},
+		wake:      make(chan struct{}, 1),
+		readSlots: make(chan struct{}, maxReads),
 	}
 }
 
-func (l *link) wakeUp() {
+func (l *brokerLink) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// join has a feed of this broker join.
-func (l *link) join(f *feed) {
-	delete(l.drops, f.topic)
+// join requests that a feed of this broker joins.
+func (l *brokerLink) join(f *feed) {
+	delete(l.unfollows, f.topic)
 	l.pending[f.topic] = f
 	l.wakeUp()
 }
 
-// unfollow has the broker told that a feed is followed here no longer.
-func (l *link) unfollow(f *feed) {
+// unfollow requests that the broker stops sending the topic of a feed.
+func (l *brokerLink) unfollow(f *feed) {
 	delete(l.feeds, f.topic)
 	delete(l.pending, f.topic)
-	delete(l.counts, f.topic)
-	l.drops[f.topic] = true
+	delete(l.countUpdates, f.topic)
+	l.unfollows[f.topic] = true
 	l.wakeUp()
 }
 
-func (l *link) setCount(topic string, n int) {
-	l.counts[topic] = n
+func (l *brokerLink) setCount(topic string, n int) {
+	l.countUpdates[topic] = n
 	l.wakeUp()
 }
 
-// retryNow ends the delay after a failure.
-func (l *link) retryNow() {
+// retryNow cancels the delay after a failure.
+func (l *brokerLink) retryNow() {
 	if !l.notBefore.IsZero() {
 		l.notBefore = time.Time{}
 		l.wakeUp()
 	}
 }
 
-// run works off the link until ctx ends.
-func (l *link) run(ctx context.Context, caller *brokerCaller) {
+// run processes the requests of the link until ctx ends.
+func (l *brokerLink) run(ctx context.Context, caller *brokerCaller) {
 	defer l.reset("", nil)
 	for {
 		select {
@@ -103,32 +103,32 @@
 			if request == nil {
 				break
 			}
-			l.follow(ctx, caller, address, request)
+			l.sendFollow(ctx, caller, address, request)
 		}
 	}
 }
 
-// maxFollowed bounds the topics in one call.
+// maxFollowed limits the topics in one call.
 const maxFollowed = 512
 
-// nextRequest makes the next call; nil if there is nothing to say. If it is too
-// early for one, it returns how long to wait.
-func (l *link) nextRequest() (r *topic.FollowRequest, address string, delay time.Duration) {
+// nextRequest returns the next follow request, or nil if there is none. If it may not be sent
+// yet, it returns how long to wait.
+func (l *brokerLink) nextRequest() (r *topic.FollowRequest, address string, delay time.Duration) {
 	l.hub.mu.Lock()
 	defer l.hub.mu.Unlock()
 	if !l.session.begun && len(l.feeds) == 0 {
-		clear(l.drops) // a broker without a session follows nothing
-		clear(l.counts)
+		clear(l.unfollows) // a broker without a session follows nothing
+		clear(l.countUpdates)
 	}
-	if len(l.pending)+len(l.drops)+len(l.counts) == 0 {
+	if len(l.pending)+len(l.unfollows)+len(l.countUpdates) == 0 {
 		return nil, "", 0
 	}
 	if delay := time.Until(l.notBefore); delay > 0 {
 		return nil, "", delay
 	}
-	r = &topic.FollowRequest{Session: l.session.id, Begin: !l.session.begun, Counts: l.counts, MaxBytes: l.hub.answerBytes(), MaxBacklog: maxRecentBytes}
-	for name := range l.drops {
-		r.Drop = append(r.Drop, name)
+	r = &topic.FollowRequest{Session: l.session.id, Begin: !l.session.begun, Counts: l.countUpdates, MaxBytes: l.hub.responseBytes(), MaxBacklog: maxRecentBytes}
+	for name := range l.unfollows {
+		r.Unfollow = append(r.Unfollow, name)
 	}
 	for name, f := range l.pending {
 		if len(r.Follow) == maxFollowed {
@@ -137,15 +137,15 @@
 		delete(l.pending, name)
 		r.Follow = append(r.Follow, f.joinRequest(f.subscribers()))
 	}
-	l.drops, l.counts = map[string]bool{}, map[string]int{}
+	l.unfollows, l.countUpdates = map[string]bool{}, map[string]int{}
 	return r, l.address, 0
 }
 
-// follow makes one call and takes over the answer.
-func (l *link) follow(ctx context.Context, caller *brokerCaller, address string, r *topic.FollowRequest) {
+// sendFollow makes one follow call and applies the response.
+func (l *brokerLink) sendFollow(ctx context.Context, caller *brokerCaller, address string, r *topic.FollowRequest) {
 	var out topic.FollowResponse
 	r.Gateway = caller.gateway
-	raw, err := caller.call(ctx, l.store, address, topic.PathFollow, l.hub.timing.follow(), r, nil, &out)
+	raw, err := caller.call(ctx, l.store, address, topic.PathFollow, l.hub.timing.followTimeout(), r, nil, &out)
 	if err == nil {
 		err = out.SetBodies(raw)
 	}
@@ -162,42 +162,42 @@
 		return
 	}
 	for i, state := range out.Topics {
-		l.joinedLocked(r.Follow[i].Topic, state)
+		l.applyTopicStateLocked(r.Follow[i].Topic, state)
 	}
 	if !l.session.begun {
 		l.session.begun = true
 		polls, end := context.WithCancel(ctx)
 		l.session.end = end
-		caller.tasks.Go(func() { l.poll(polls, caller, r.Session) })
+		caller.tasks.Go(func() { l.pollLoop(polls, caller, r.Session) })
 	}
 }
 
-// joinedLocked takes over where a topic stands.
-func (l *link) joinedLocked(name string, state topic.TopicState) {
+// applyTopicStateLocked applies the state of a topic from a follow response.
+func (l *brokerLink) applyTopicStateLocked(name string, state topic.TopicState) {
 	f := l.feeds[name]
 	if f == nil {
 		return
 	}
-	if state.NotReady || state.Later {
+	if state.NotReady || state.Deferred {
 		f.rejoin()
 		l.pending[name] = f
 		if state.NotReady {
-			l.notBefore = time.Now().Add(l.hub.timing.retry())
+			l.notBefore = time.Now().Add(l.hub.timing.retryDelay())
 		}
 		return
 	}
-	if f.joined(state) {
+	if f.applyJoin(state) {
 		l.pending[name] = f
 	}
 }
 
-// errUnknownSession says that the broker does not know a session, or not as the
-// gateway does: it restarted, or a call was lost.
-var errUnknownSession = errors.New("the broker does not know it")
+// errUnknownSession reports that the broker does not know the session, or is at another point
+// of it: the broker restarted, or a call was lost.
+var errUnknownSession = errors.New("session unknown to the broker")
 
-// reset ends a session, unless it has ended already: all feeds join again. cause is
-// what failed; nil at the end of the process.
-func (l *link) reset(id string, cause error) {
+// reset ends a session, unless it has already ended, and makes all feeds join again. cause is
+// the failure, or nil when the process ends.
+func (l *brokerLink) reset(id string, cause error) {
 	l.hub.mu.Lock()
 	defer l.hub.mu.Unlock()
 	if id != "" && l.session.id != id {
@@ -207,28 +207,28 @@
 		l.session.end()
 	}
 	if cause != nil && l.session.begun {
-		l.hub.log.Printf("gateway: the session with %s ended: %v", l.store, cause)
+		l.hub.log.Printf("gateway: session with broker %s ended: %v", l.store, cause)
 	}
 	l.session = session{id: rand.Text()}
-	l.notBefore = time.Now().Add(l.hub.timing.retry())
+	l.notBefore = time.Now().Add(l.hub.timing.retryDelay())
 	for name, f := range l.feeds {
 		f.rejoin()
 		l.pending[name] = f
 	}
-	clear(l.drops)
-	clear(l.counts)
+	clear(l.unfollows)
+	clear(l.countUpdates)
 	l.wakeUp()
 }
 
-// poll takes the messages of a session until it ends.
-func (l *link) poll(ctx context.Context, caller *brokerCaller, id string) {
+// pollLoop receives the messages of a session until it ends.
+func (l *brokerLink) pollLoop(ctx context.Context, caller *brokerCaller, id string) {
 	for number := int64(1); ctx.Err() == nil; number++ {
 		var out topic.PollResponse
 		request := topic.PollRequest{
 			Gateway: caller.gateway, Session: id, Number: number,
-			WaitMs: l.hub.timing.pollWait().Milliseconds(), MaxBytes: l.hub.answerBytes(),
+			WaitMs: l.hub.timing.pollWait().Milliseconds(), MaxBytes: l.hub.responseBytes(),
 		}
-		raw, err := caller.call(ctx, l.store, l.currentAddress(), topic.PathPoll, l.hub.timing.poll(), request, nil, &out)
+		raw, err := caller.call(ctx, l.store, l.currentAddress(), topic.PathPoll, l.hub.timing.pollTimeout(), request, nil, &out)
 		if err == nil {
 			_, err = topic.SetBodies(out.Entries, raw)
 		}
@@ -243,14 +243,14 @@
 	}
 }
 
-func (l *link) currentAddress() string {
+func (l *brokerLink) currentAddress() string {
 	l.hub.mu.Lock()
 	defer l.hub.mu.Unlock()
 	return l.address
 }
 
-// deliver gives the messages of a poll to their feeds.
-func (l *link) deliver(id string, out *topic.PollResponse) {
+// deliver passes the messages of a poll to their feeds.
+func (l *brokerLink) deliver(id string, out *topic.PollResponse) {
 	l.hub.mu.Lock()
 	defer l.hub.mu.Unlock()
 	if l.session.id != id {
@@ -261,19 +261,19 @@
 			l.join(f)
 		}
 	}
-	for _, number := range out.Lost {
+	for _, number := range out.LostPartitions {
 		l.rejoinPartition(number)
 	}
 }
 
-// rejoinPartition has all feeds of a partition join, after a delay: the placement
-// that names another broker may be on its way.
-func (l *link) rejoinPartition(number int) {
+// rejoinPartition makes all feeds of a partition join after a delay, because the placement
+// that names the new broker may not have arrived yet.
+func (l *brokerLink) rejoinPartition(number int) {
 	for _, f := range l.feeds {
 		if f.partition == number {
 			f.rejoin()
 			l.join(f)
-			l.notBefore = time.Now().Add(l.hub.timing.retry())
+			l.notBefore = time.Now().Add(l.hub.timing.retryDelay())
 		}
 	}
 }
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -12,34 +12,33 @@
 	"saltreel/internal/topic"
 )
 
-// publication is one message of a client. publishers.mu guards it, but for what
-// does not change.
+// publication is a message published by a client. publishers.mu guards the fields that change.
 type publication struct {
 	number      int64
 	body        []byte
 	tenant      string
 	retentionMs int64
 
-	answer   func(frame []byte) // nil while the client waits for none
-	deadline time.Time          // of the answer
+	respond  func(frame []byte) // sends the response; nil if the client does not wait for one
+	deadline time.Time          // deadline of the response
 }
 
-// publisherTopic is a client on one topic.
+// publisherTopic identifies the publications of one client on one topic.
 type publisherTopic struct{ publisher, topic string }
 
-// publishers brings messages to the brokers: those of one client on one topic in
-// order, all that wait in one call. A client that waits no longer gets UNKNOWN, and
-// sends the same number again; its message stays in its place meanwhile, so that
-// later ones do not overtake it.
+// publishers forwards publications to the brokers. The publications of one client on one topic
+// are sent in order, and all that are queued are sent in one call. If the response deadline
+// passes, the client gets UNKNOWN and retransmits the same number; meanwhile the message keeps
+// its place in the queue, so that later ones do not overtake it.
 type publishers struct {
 	hub    *hub
 	caller *brokerCaller
-	ctx    context.Context // of the calls
+	ctx    context.Context // parent context of the calls
 
-	refusals chan struct{} // holds a value for each number that a broker is asked to refuse
+	refusals chan struct{} // semaphore for concurrent refuse calls
 
 	mu     sync.Mutex
-	queues map[publisherTopic][]*publication // an entry exists while a goroutine works it off
+	queues map[publisherTopic][]*publication // an entry exists while a goroutine processes it
 }
 
 func newPublishers(ctx context.Context, h *hub, caller *brokerCaller) *publishers {
@@ -50,19 +49,19 @@
 	}
 }
 
-// maxQueued bounds the messages of one client on one topic that wait. Clients have
-// a few at a time.
+// maxQueued limits the queued messages of one client on one topic. Clients normally have only
+// a few in flight.
 const maxQueued = 256
 
-// add queues a message, which is answered when its outcome is known, or at its
-// deadline. One that waits already gets the new answer in place of the former.
+// add queues a message, which is answered when its outcome is known or at its deadline. If the
+// number is already queued, the new response replaces the former.
 func (p *publishers) add(from publisherTopic, m *publication) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	queue, running := p.queues[from]
 	if i := slices.IndexFunc(queue, func(q *publication) bool { return q.number == m.number }); i >= 0 {
 		queue[i].reply(unknownFrame(from, m.number))
-		queue[i].answer, queue[i].deadline = m.answer, m.deadline
+		queue[i].respond, queue[i].deadline = m.respond, m.deadline
 		p.expireAtDeadline(from, queue[i])
 		return
 	}
@@ -77,23 +76,23 @@
 	}
 }
 
-// reply answers the client, once.
+// reply sends the response to the client, at most once.
 func (m *publication) reply(frame []byte) {
-	if m.answer != nil {
-		m.answer(frame)
-		m.answer = nil
+	if m.respond != nil {
+		m.respond(frame)
+		m.respond = nil
 	}
 }
 
-// unknownFrame answers a message whose outcome nobody knows. It is right even where
-// no broker has it: the client sends the same number again for as long as it cares,
-// and after RETRY only a few times.
+// unknownFrame returns the response for a message whose outcome is unknown. It is also correct
+// if no broker has the message: after UNKNOWN the client retransmits the same number for as
+// long as it needs to, after RETRY only a few times.
 func unknownFrame(from publisherTopic, number int64) []byte {
 	return linewire.AppendReject(nil, linewire.Publish, from.topic, number, linewire.Unknown)
 }
 
-// expireAtDeadline answers a message at its deadline, unless it is answered by then
-// or the client has sent it again.
+// expireAtDeadline answers a message with UNKNOWN at its deadline, unless it has been answered
+// or retransmitted by then.
 func (p *publishers) expireAtDeadline(from publisherTopic, m *publication) {
 	deadline := m.deadline
 	time.AfterFunc(time.Until(deadline), func() {
@@ -105,28 +104,28 @@
 	})
 }
 
-// run works off the messages of one client on one topic.
+// run sends the queued messages of one client on one topic.
 func (p *publishers) run(from publisherTopic) {
 	for {
-		batch := p.next(from)
+		batch := p.nextBatch(from)
 		if len(batch) == 0 {
 			return
 		}
 		if undecided := p.handleOutcomes(from, batch, p.callBroker(from, batch)); undecided {
-			// A new placement may name a broker that accepts.
-			timeutil.SleepUntil(p.ctx, p.hub.timing.retry(), p.caller.node.PlacementChanged())
+			// A new placement may name another primary, so it ends the delay.
+			timeutil.SleepUntil(p.ctx, p.hub.timing.retryDelay(), p.caller.node.PlacementChanged())
 		}
 	}
 }
 
-// Bounds of one call.
+// Limits of one publish call.
 const (
 	maxBatch      = 64
 	maxBatchBytes = 64 << 10
 )
 
-// next returns the messages of the next call. If there are none, it ends the entry.
-func (p *publishers) next(from publisherTopic) []*publication {
+// nextBatch returns the messages of the next call. If there are none, it removes the queue.
+func (p *publishers) nextBatch(from publisherTopic) []*publication {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	queue := p.queues[from]
@@ -142,8 +141,8 @@
 	return slices.Clone(queue[:n])
 }
 
-// handleOutcomes answers the messages whose outcome is known, and drops those for which
-// nobody waits any more. It reports whether others are left of the call.
+// handleOutcomes answers the messages whose outcome is known, and drops those that the client
+// has given up. It reports whether any messages of the batch remain.
 func (p *publishers) handleOutcomes(from publisherTopic, batch []*publication, outcomes []topic.Outcome) (undecided bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,7 +160,7 @@
 			if p.ctx.Err() != nil {
 				m.reply(unknownFrame(from, m.number))
 			}
-			done[m] = m.answer == nil && now.Sub(m.deadline) > p.hub.timing.repeat() || p.ctx.Err() != nil
+			done[m] = m.respond == nil && now.Sub(m.deadline) > p.hub.timing.retransmitWindow() || p.ctx.Err() != nil
 			undecided = undecided || !done[m]
 		}
 	}
@@ -169,11 +168,11 @@
 	return undecided
 }
 
-// callBroker makes one call for messages of a client on a topic.
+// callBroker makes one publish call and returns the outcomes.
 func (p *publishers) callBroker(from publisherTopic, batch []*publication) []topic.Outcome {
 	number := p.hub.partitionOf(from.topic)
 	store, address := p.hub.primaryOf(number)
-	timeout := p.hub.timing.publishAttempt()
+	timeout := p.hub.timing.publishCallTimeout()
 	request := topic.PublishRequest{
 		Partition: number, Topic: from.topic, Publisher: from.publisher,
 		Tenant: batch[0].tenant, RetentionMs: batch[0].retentionMs,
@@ -187,17 +186,17 @@
 	var out topic.PublishResponse
 	ctx, cancel := context.WithCancel(p.ctx)
 	defer cancel()
-	go p.cancelWithPrimary(ctx, cancel, number, store)
+	go p.cancelOnPrimaryChange(ctx, cancel, number, store)
 	_, err := p.caller.call(ctx, store, address, topic.PathPublish, timeout, request, bodies, &out)
 	if err == nil && len(out.Outcomes) == len(batch) {
 		return out.Outcomes
 	}
-	return make([]topic.Outcome, len(batch)) // all are indeterminate
+	return make([]topic.Outcome, len(batch)) // all Indeterminate
 }
 
-// cancelWithPrimary cancels a call to a broker when another store leads the
+// cancelOnPrimaryChange cancels a call when another store becomes the primary of the
 // partition.
-func (p *publishers) cancelWithPrimary(ctx context.Context, cancel context.CancelFunc, number int, store string) {
+func (p *publishers) cancelOnPrimaryChange(ctx context.Context, cancel context.CancelFunc, number int, store string) {
 	for {
 		changed := p.caller.node.PlacementChanged()
 		if primary, _ := p.hub.primaryOf(number); primary != store {
@@ -212,9 +211,9 @@
 	}
 }
 
-// authorize returns the space of a topic for a client with a secret, which may be
-// empty; else why the client may not use the topic. Without needsKey, no client
-// needs a secret.
+// authorize returns the space of a topic if a client with the given secret, which may be
+// empty, may use it, and otherwise the reason for the rejection. If needsKey is false, clients
+// need no secret.
 func authorize(table *configuration.Table, name, secret string, needsKey bool) (*configuration.Route, linewire.Reason) {
 	space := table.TopicSpace(name)
 	if space == nil {
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -7,13 +7,14 @@
 	"saltreel/internal/topic"
 )
 
-// maxRefusals bounds the numbers that brokers are asked about at once.
+// maxRefusals limits the concurrent refuse calls to brokers.
 const maxRefusals = 64
 
-// refuse answers a message of a tenant that is over its rate. RETRY promises that the number
-// is not and will not be stored, and the number may have been accepted before, when its answer
-// was lost: so the broker refuses it, or it is published as any other, which gives ACK and
-// counts no second time. Where the broker cannot say, the answer promises nothing.
+// refuse handles a message of a tenant that is over its rate limit. RETRY guarantees that the
+// number is not stored and never will be. However, the number may have been accepted earlier
+// and its response lost. So the broker is asked to refuse it; if it cannot, the message is
+// published as usual, which yields ACK and is not counted again. If the broker does not
+// respond, the client gets UNKNOWN, which guarantees nothing.
 func (p *publishers) refuse(from publisherTopic, m *publication) {
 	select {
 	case p.refusals <- struct{}{}:
@@ -22,7 +23,7 @@
 		return
 	}
 	p.caller.tasks.Go(func() {
-		refused, err := p.askToRefuse(from, m.number)
+		refused, err := p.requestRefusal(from, m.number)
 		<-p.refusals
 		switch {
 		case err != nil:
@@ -35,13 +36,13 @@
 	})
 }
 
-func (p *publishers) askToRefuse(from publisherTopic, number int64) (refused bool, err error) {
+func (p *publishers) requestRefusal(from publisherTopic, number int64) (refused bool, err error) {
 	partition := p.hub.partitionOf(from.topic)
 	store, address := p.hub.primaryOf(partition)
 	request := topic.RefuseRequest{Topic: from.topic, Partition: partition, Publisher: from.publisher, Number: number}
 	var out topic.RefuseResponse
-	ctx, cancel := context.WithTimeout(p.ctx, p.hub.timing.publishAttempt())
+	ctx, cancel := context.WithTimeout(p.ctx, p.hub.timing.publishCallTimeout())
 	defer cancel()
-	_, err = p.caller.call(ctx, store, address, topic.PathRefuse, p.hub.timing.publishAttempt(), request, nil, &out)
+	_, err = p.caller.call(ctx, store, address, topic.PathRefuse, p.hub.timing.publishCallTimeout(), request, nil, &out)
 	return out.Refused, err
 }
