--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -78,7 +78,7 @@
 	coreAddresses   []string // IPs
 	settingsChanges int
 
-	plantedRelease bool // SIGHUP gets its default action once SIGTERM has come
+	restoresDefaultSIGHUP bool // SIGHUP gets its default action once SIGTERM has come
 }
 
 // machine is one host with one process of ours. Its name, address and disk
@@ -232,7 +232,7 @@
 func (w *world) start(m *machine, bootstrap bool, ended func(error)) {
 	w.t.Helper()
 	p := &process{network: w.network, ip: m.ip}
-	signals := &signalSource{defaultAction: p.kill, releasesSIGHUP: w.plantedRelease}
+	signals := &signalSource{defaultAction: p.kill, releasesSIGHUP: w.restoresDefaultSIGHUP}
 	done := make(chan struct{})
 	w.mu.Lock()
 	m.process = p
@@ -240,7 +240,7 @@
 	m.cancel = func() { signals.send(syscall.SIGTERM) }
 	m.done = done
 	w.mu.Unlock()
-	lifecycle, err := platform.NewLifecycle(m.role, platform.RegisterSignals(signals), startOf(m.role, p.httpNetwork()), newLogger(m.name))
+	lifecycle, err := platform.NewLifecycle(m.role, platform.RegisterSignals(signals), startFuncFor(m.role, p.httpNetwork()), newLogger(m.name))
 	if err != nil {
 		w.t.Fatalf("start %s: %v", m.name, err)
 	}
@@ -253,8 +253,8 @@
 	})
 }
 
-// startOf is how the programs start a role.
-func startOf(role string, network httpwire.Network) platform.Start {
+// startFuncFor is how the programs start a role.
+func startFuncFor(role string, network httpwire.Network) platform.Start {
 	return func(ctx context.Context, set *settings.Settings, logger *log.Logger) (platform.Process, error) {
 		switch role {
 		case "edge":
--- a/internal/cluster/live_search_test.go
+++ b/internal/cluster/live_search_test.go
@@ -56,10 +56,10 @@
 	crashBroker liveFault = iota
 	restartBroker
 	wipeBroker
-	freezeBroker // it runs, and what it sends and receives arrives late
+	holdBrokerTraffic // it runs, and what it sends and receives arrives late
 	isolateBroker
 	isolateBrokerOneWay
-	cutBrokerFromCores
+	partitionBrokerFromCores
 	rollBroker
 	crashAllBrokers
 	crashTwoBrokers    // more than the cluster tolerates; their disks return
@@ -70,7 +70,7 @@
 	rollGateway
 	resetClients
 	resetGatewayFromBrokers
-	liveFaults // how many there are
+	liveFaultCount // how many there are
 )
 
 var liveFaultNames = []string{
@@ -84,26 +84,26 @@
 // liveStep is a fault for a while, and the calm after it. A gateway fault may come
 // in its middle.
 type liveStep struct {
-	fault  liveFault
-	zone   string
-	lasts  time.Duration
-	inside liveFault
-	calm   time.Duration
+	fault        liveFault
+	zone         string
+	duration     time.Duration
+	gatewayFault liveFault
+	recovery     time.Duration
 }
 
 func (s liveStep) String() string {
-	return fmt.Sprintf("%v %s for %v, inside %v, calm %v\n", s.fault, s.zone, s.lasts, s.inside, s.calm)
+	return fmt.Sprintf("%v %s for %v, inside %v, calm %v\n", s.fault, s.zone, s.duration, s.gatewayFault, s.recovery)
 }
 
 func drawLiveSteps(seed int) (steps []liveStep) {
 	rng := rand.New(rand.NewPCG(uint64(seed), 5))
 	for range 2 + rng.IntN(3) {
 		steps = append(steps, liveStep{
-			fault:  liveFault(rng.IntN(int(liveFaults))),
-			zone:   zones[rng.IntN(len(zones))],
-			lasts:  time.Duration(300+rng.IntN(4000)) * time.Millisecond,
-			inside: crashGateway + liveFault(rng.IntN(int(liveFaults-crashGateway))),
-			calm:   recoveryTime + time.Duration(rng.IntN(1500))*time.Millisecond,
+			fault:        liveFault(rng.IntN(int(liveFaultCount))),
+			zone:         zones[rng.IntN(len(zones))],
+			duration:     time.Duration(300+rng.IntN(4000)) * time.Millisecond,
+			gatewayFault: crashGateway + liveFault(rng.IntN(int(liveFaultCount-crashGateway))),
+			recovery:     recoveryTime + time.Duration(rng.IntN(1500))*time.Millisecond,
 		})
 	}
 	return steps
@@ -124,8 +124,8 @@
 			w.network.rewrite = rewrite
 			w.network.mu.Unlock()
 			for _, s := range steps {
-				w.performLive(traffic, s)
-				time.Sleep(s.calm)
+				w.runLiveStep(traffic, s)
+				time.Sleep(s.recovery)
 			}
 			problems = traffic.finish()
 			if traffic.acknowledged() < 50 {
@@ -136,47 +136,47 @@
 	return problems
 }
 
-// performLive strikes, and mends after a while.
-func (w *world) performLive(traffic *liveTraffic, s liveStep) {
+// runLiveStep strikes, and mends after a while.
+func (w *world) runLiveStep(traffic *liveTraffic, s liveStep) {
 	broker, gateway := "broker-"+s.zone, "gateway-"+s.zone
 	ip, n := w.machines[broker].ip, w.network
-	inside := func() {
-		time.Sleep(s.lasts / 2)
-		if s.lasts > 2*time.Second {
-			w.strikeGateway(s.inside, gateway)
+	waitWithGatewayFault := func() {
+		time.Sleep(s.duration / 2)
+		if s.duration > 2*time.Second {
+			w.injectGatewayFault(s.gatewayFault, gateway)
 		}
-		time.Sleep(s.lasts / 2)
+		time.Sleep(s.duration / 2)
 	}
 	switch s.fault {
 	case crashBroker, wipeBroker, wipeBrokerAfterAck:
 		if s.fault == wipeBrokerAfterAck {
-			broker = w.brokerThatAcknowledges(traffic)
+			broker = w.acknowledgingPrimary(traffic)
 		}
 		w.killMachine(broker)
 		if s.fault != crashBroker {
 			w.wipeDisk(broker)
 		}
-		inside()
+		waitWithGatewayFault()
 		w.startMachine(broker, false)
 	case restartBroker:
 		w.killMachine(broker)
 		w.startMachine(broker, false)
-	case freezeBroker:
+	case holdBrokerTraffic:
 		w.holdAll(ip, n.hold)
-		inside()
+		waitWithGatewayFault()
 		w.holdAll(ip, n.release)
 	case isolateBroker:
 		n.isolate(ip, true)
-		inside()
+		waitWithGatewayFault()
 		n.isolate(ip, false)
-	case isolateBrokerOneWay, cutBrokerFromCores:
+	case isolateBrokerOneWay, partitionBrokerFromCores:
 		direction, roles := bothDirections, []string{"core"}
 		if s.fault == isolateBrokerOneWay {
 			direction, roles = outgoing, []string{"core", "broker"}
 		}
 		peers := w.addressesOf(roles, broker)
 		w.setPartition([]string{ip}, peers, direction, true)
-		inside()
+		waitWithGatewayFault()
 		w.setPartition([]string{ip}, peers, direction, false)
 	case rollBroker:
 		w.terminateMachine(broker)
@@ -193,31 +193,31 @@
 		for _, z := range two {
 			w.killMachine("broker-" + z)
 		}
-		inside()
+		waitWithGatewayFault()
 		for _, z := range two {
 			w.startMachine("broker-"+z, false)
 		}
 	case overlapBrokers:
 		next := "broker-" + zones[(slices.Index(zones, s.zone)+1)%len(zones)]
 		w.killMachine(broker)
-		time.Sleep(s.lasts / 8)
+		time.Sleep(s.duration / 8)
 		w.killMachine(next)
 		w.wipeDisk(next)
-		inside()
+		waitWithGatewayFault()
 		w.startMachine(next, false)
 		w.startMachine(broker, false)
 		time.Sleep(recoveryTime)
 	case crashCore:
 		w.killMachine("core-" + s.zone)
-		inside()
+		waitWithGatewayFault()
 		w.startMachine("core-"+s.zone, false)
 	default:
-		w.strikeGateway(s.fault, gateway)
+		w.injectGatewayFault(s.fault, gateway)
 	}
 }
 
-// strikeGateway strikes a gateway or its clients, for a moment.
-func (w *world) strikeGateway(fault liveFault, gateway string) {
+// injectGatewayFault strikes a gateway or its clients, for a moment.
+func (w *world) injectGatewayFault(fault liveFault, gateway string) {
 	ip := w.machines[gateway].ip
 	switch fault {
 	case crashGateway:
@@ -236,9 +236,9 @@
 }
 
 // addressesOf lists the machines of some roles, but for one.
-func (w *world) addressesOf(roles []string, but string) (ips []string) {
+func (w *world) addressesOf(roles []string, except string) (ips []string) {
 	for _, m := range w.machines {
-		if slices.Contains(roles, m.role) && m.name != but {
+		if slices.Contains(roles, m.role) && m.name != except {
 			ips = append(ips, m.ip)
 		}
 	}
@@ -255,8 +255,8 @@
 	}
 }
 
-// brokerThatAcknowledges waits for an ACK and names the broker that gave it.
-func (w *world) brokerThatAcknowledges(traffic *liveTraffic) string {
+// acknowledgingPrimary waits for an ACK and names the broker that gave it.
+func (w *world) acknowledgingPrimary(traffic *liveTraffic) string {
 	before := traffic.acknowledged()
 	for end := time.Now().Add(3 * time.Second); traffic.acknowledged() == before && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
@@ -274,10 +274,10 @@
 	notAccepted := regexp.MustCompile(`\{"o":\[[03]\]\}`) // the outcome of one message at a broker
 	cursor := regexp.MustCompile(`(SUBSCRIBE live\.b [0-9a-z]+-)([0-9a-z]+)\r\n`)
 	crash := []liveStep{
-		{fault: crashBroker, zone: "z1", lasts: 3 * time.Second, inside: resetClients, calm: recoveryTime},
-		{fault: crashGateway, zone: "z2", calm: recoveryTime},
-		{fault: crashTwoBrokers, zone: "z2", lasts: 2 * time.Second, calm: recoveryTime},
-		{fault: resetClients, zone: "z3", calm: recoveryTime},
+		{fault: crashBroker, zone: "z1", duration: 3 * time.Second, gatewayFault: resetClients, recovery: recoveryTime},
+		{fault: crashGateway, zone: "z2", recovery: recoveryTime},
+		{fault: crashTwoBrokers, zone: "z2", duration: 2 * time.Second, recovery: recoveryTime},
+		{fault: resetClients, zone: "z3", recovery: recoveryTime},
 	}
 	for name, c := range map[string]struct {
 		rewrite func(b []byte) []byte
--- a/internal/cluster/message_search_checks_test.go
+++ b/internal/cluster/message_search_checks_test.go
@@ -20,23 +20,23 @@
 	"time"
 )
 
-// askAboutMessages asks any edge about messages that were accepted a while ago.
-func (t *messageTraffic) askAboutMessages() {
-	for t.waitUnlessStopped(questionInterval) {
+// queryMessages asks any edge about messages that were accepted a while ago.
+func (t *messageTraffic) queryMessages() {
+	for t.waitUnlessStopped(queryInterval) {
 		t.mu.Lock()
 		var asked *acceptedMessage
 		if len(t.accepted) > 0 {
 			asked = &t.accepted[t.rng.IntN(len(t.accepted))]
 		}
 		t.mu.Unlock()
-		if asked != nil && time.Since(asked.at) > questionAge {
+		if asked != nil && time.Since(asked.at) > minQueryAge {
 			a, zone := *asked, zones[t.random(len(zones))]
 			t.clients.Go(func() { t.checkMessage(a, zone) })
 		}
 	}
 }
 
-func (t *messageTraffic) get(zone, path string) clientAnswer {
+func (t *messageTraffic) get(zone, path string) clientResponse {
 	return t.request(zone, fmt.Sprintf("GET %s HTTP/1.1\r\nHost: app.example\r\nSaltreel-Key: key-one\r\n\r\n", path))
 }
 
@@ -80,8 +80,8 @@
 	return t.plain.deliveryCount(id) + t.ordered.deliveryCount(id)
 }
 
-// checkEnd checks, in the calm at the end, that each accepted message has run.
-func (t *messageTraffic) checkEnd() {
+// checkFinalState checks, in the calm at the end, that each accepted message has run.
+func (t *messageTraffic) checkFinalState() {
 	m := t.maintenance
 	for _, a := range t.accepted {
 		state, end := "", time.Now().Add(finalLimit)
@@ -128,7 +128,7 @@
 // plantFaults puts the faults of the search in, from outside.
 func (m *maintenance) plantFaults() {
 	n := m.world.network
-	if m.fault.closesUnanswered {
+	if m.fault.closesWithoutResponse {
 		n.dropsConnection = func(c *conn) bool {
 			for _, z := range zones {
 				if m.world.processOf("edge-"+z) == c.owner {
@@ -143,13 +143,13 @@
 			if !bytes.Contains(b, []byte("/accept ")) || !bytes.Contains(b, []byte(`"id":"plain-7`)) {
 				return b, nil
 			}
-			return nil, acceptAnswer(b)
+			return nil, acceptResponse(b)
 		}
 	}
 }
 
-// acceptAnswer is what a store answers to an /accept call that it has on disk.
-func acceptAnswer(request []byte) []byte {
+// acceptResponse is what a store answers to an /accept call that it has on disk.
+func acceptResponse(request []byte) []byte {
 	call := ""
 	for _, line := range strings.Split(string(request), "\r\n") {
 		if value, ok := strings.CutPrefix(line, "Call: "); ok {
--- a/internal/cluster/message_search_planted_faults_test.go
+++ b/internal/cluster/message_search_planted_faults_test.go
@@ -14,7 +14,7 @@
 		seeds []int // that find it
 	}{
 		"SIGHUP ends a process that drains":   {maintenanceFault{releasesSIGHUP: true}, "unanswered", []int{1, 3, 5, 7, 9, 11, 13, 15, 17, 19, 21, 23}},
-		"a shutdown closes without an answer": {maintenanceFault{closesUnanswered: true}, "unanswered", []int{1, 3, 5, 7, 9, 11, 13, 15, 17, 19, 21, 23}},
+		"a shutdown closes without an answer": {maintenanceFault{closesWithoutResponse: true}, "unanswered", []int{1, 3, 5, 7, 9, 11, 13, 15, 17, 19, 21, 23}},
 		"a record is on no store":             {maintenanceFault{dropsRecords: true}, "lost", []int{1, 3, 5, 7, 9, 11, 13, 15, 17, 19, 21, 23}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/cluster/message_search_run_test.go
+++ b/internal/cluster/message_search_run_test.go
@@ -17,8 +17,8 @@
 	restartDelay = 500 * time.Millisecond
 	// recoveryTime is how long a store or a core counts as lost after it is back.
 	recoveryTime = 4300 * time.Millisecond
-	// calmTime is the calm between the last step and the end of the traffic.
-	calmTime = 6 * time.Second
+	// settleTime is the calm between the last step and the end of the traffic.
+	settleTime = 6 * time.Second
 	// gracePeriod is that of the settings, after which the platform kills.
 	gracePeriod = 6 * time.Second
 )
@@ -54,7 +54,7 @@
 		edgeSemaphores: map[string]chan struct{}{},
 	}
 	w := m.world
-	w.plantedRelease = fault.releasesSIGHUP
+	w.restoresDefaultSIGHUP = fault.releasesSIGHUP
 	for i, z := range zones {
 		spare := "core-spare-" + z
 		w.machines[spare] = &machine{name: spare, role: "core", zone: z, ip: fmt.Sprintf("10.%d.0.4", i+1), dataPath: dir + "/" + spare, cancel: func() {}}
@@ -82,14 +82,14 @@
 	m.plantFaults()
 	m.traffic.start()
 	for _, s := range m.plan.steps {
-		time.Sleep(s.wait)
+		time.Sleep(s.delay)
 		m.tasks.Go(func() { m.perform(s) })
 	}
 	m.tasks.Wait()
-	time.Sleep(calmTime)
+	time.Sleep(settleTime)
 	m.traffic.stop()
-	m.world.quickLinks() // or the questions take longer than outcomes are retained
-	m.traffic.checkEnd()
+	m.world.restoreLinks() // or the questions take longer than outcomes are retained
+	m.traffic.checkFinalState()
 }
 
 func (m *maintenance) perform(s maintenanceStep) {
@@ -124,43 +124,43 @@
 func (m *maintenance) injectFault(s maintenanceStep, zone string) {
 	switch s.kind {
 	case killEdge:
-		m.withSemaphore(m.edgeSemaphores["edge-"+zone], func() { m.kill("edge-"+zone, s.lasts, false) })
+		m.withSemaphore(m.edgeSemaphores["edge-"+zone], func() { m.kill("edge-"+zone, s.duration, false) })
 	case killStore:
-		m.withSemaphore(m.storeSemaphore, func() { m.kill("store-"+zone, s.lasts, false) })
+		m.withSemaphore(m.storeSemaphore, func() { m.kill("store-"+zone, s.duration, false) })
 	case wipeStore:
-		m.withSemaphore(m.storeSemaphore, func() { m.kill("store-"+zone, s.lasts, true) })
+		m.withSemaphore(m.storeSemaphore, func() { m.kill("store-"+zone, s.duration, true) })
 	case killCore:
-		m.withSemaphore(m.coreSemaphore, func() { m.kill(m.runningCore(s.machine), s.lasts, false) })
+		m.withSemaphore(m.coreSemaphore, func() { m.kill(m.runningCore(s.machine), s.duration, false) })
 	case killAllAtOnce:
 		m.withSemaphore(m.storeSemaphore, func() { m.withSemaphore(m.coreSemaphore, m.killAll) })
 	case wipeAfterAccept:
-		m.withSemaphore(m.storeSemaphore, func() { m.kill(m.storeThatAccepts(), s.lasts, true) })
+		m.withSemaphore(m.storeSemaphore, func() { m.kill(m.acceptingPrimary(), s.duration, true) })
 	case overlapLosses:
 		m.withSemaphore(m.storeSemaphore, func() { m.overlapLosses(s) })
-	case resetOfStore:
+	case resetStoreConnections:
 		for name := range m.world.machines {
 			m.world.network.reset(m.world.machines["store-"+zone].ip, m.world.machines[name].ip)
 		}
 	default:
-		m.withSemaphore(m.storeSemaphore, func() { m.cut(s, "store-"+zone) })
+		m.withSemaphore(m.storeSemaphore, func() { m.partitionStore(s, "store-"+zone) })
 	}
 }
 
-// cut keeps a store for a while from those that the kind of the step says.
-func (m *maintenance) cut(s maintenanceStep, name string) {
+// partitionStore keeps a store for a while from those that the kind of the step says.
+func (m *maintenance) partitionStore(s maintenanceStep, name string) {
 	ip, n := m.world.machines[name].ip, m.world.network
 	peers := m.peersOf(s.kind, name)
 	switch s.kind {
 	case isolateStore:
 		n.isolate(ip, true)
-		time.Sleep(s.lasts)
+		time.Sleep(s.duration)
 		n.isolate(ip, false)
-	case freezeStore:
+	case holdStoreTraffic:
 		for _, peer := range peers {
 			n.hold(ip, peer)
 			n.hold(peer, ip)
 		}
-		time.Sleep(s.lasts)
+		time.Sleep(s.duration)
 		for _, peer := range peers {
 			n.release(ip, peer)
 			n.release(peer, ip)
@@ -168,7 +168,7 @@
 	default:
 		n.setBlocked([]string{ip}, peers, true)
 		n.setBlocked(peers, []string{ip}, true)
-		time.Sleep(s.lasts)
+		time.Sleep(s.duration)
 		n.setBlocked([]string{ip}, peers, false)
 		n.setBlocked(peers, []string{ip}, false)
 	}
@@ -178,7 +178,7 @@
 // peersOf is the addresses that a cut keeps a store from.
 func (m *maintenance) peersOf(kind maintenanceKind, name string) (peers []string) {
 	for _, other := range m.world.machines {
-		wanted := kind == freezeStore || kind == cutFromCores && other.role == "core" || kind == cutFromStores && other.role == "store"
+		wanted := kind == holdStoreTraffic || kind == partitionFromCores && other.role == "core" || kind == partitionFromStores && other.role == "store"
 		if other.ip != "" && other.name != name && wanted {
 			peers = append(peers, other.ip)
 		}
@@ -197,7 +197,7 @@
 		names = append(names, c.name)
 	}
 	for _, name := range names {
-		m.noteFaulted(name)
+		m.recordFaulted(name)
 		m.world.processOf(name).kill()
 	}
 	m.withSemaphore(m.killSemaphore, func() {
@@ -212,9 +212,9 @@
 	time.Sleep(recoveryTime)
 }
 
-// storeThatAccepts waits until a message was accepted, and is the store that leads
+// acceptingPrimary waits until a message was accepted, and is the store that leads
 // its partition.
-func (m *maintenance) storeThatAccepts() string {
+func (m *maintenance) acceptingPrimary() string {
 	before := m.traffic.acceptedCount()
 	for m.traffic.acceptedCount() == before && time.Since(m.traffic.startedAt) < time.Hour {
 		time.Sleep(time.Millisecond)
@@ -228,7 +228,7 @@
 	return status.Placement.Partitions[partition].Primary
 }
 
-func (m *maintenance) noteFaulted(name string) {
+func (m *maintenance) recordFaulted(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faulted = append(m.faulted, m.world.processOf(name))
@@ -267,7 +267,7 @@
 // kill crashes a machine; it comes back later, with an empty disk if it is wiped.
 func (m *maintenance) kill(name string, lasts time.Duration, wiped bool) {
 	w := m.world
-	m.noteFaulted(name)
+	m.recordFaulted(name)
 	m.withSemaphore(m.killSemaphore, func() { w.killMachine(name) })
 	if wiped {
 		w.wipeDisk(name)
@@ -284,9 +284,9 @@
 // tolerates.
 func (m *maintenance) overlapLosses(s maintenanceStep) {
 	var tasks sync.WaitGroup
-	tasks.Go(func() { m.kill("store-"+zones[s.machine], s.lasts, false) })
-	time.Sleep(s.lasts / 4)
-	tasks.Go(func() { m.kill("store-"+zones[(s.machine+1)%len(zones)], s.lasts, true) })
+	tasks.Go(func() { m.kill("store-"+zones[s.machine], s.duration, false) })
+	time.Sleep(s.duration / 4)
+	tasks.Go(func() { m.kill("store-"+zones[(s.machine+1)%len(zones)], s.duration, true) })
 	tasks.Wait()
 	time.Sleep(recoveryTime)
 }
--- a/internal/cluster/message_search_test.go
+++ b/internal/cluster/message_search_test.go
@@ -70,14 +70,14 @@
 	killCore
 	isolateStore
 	wipeStore
-	freezeStore     // it runs, and what it sends and receives arrives late
-	cutFromCores    // a store, both ways
-	cutFromStores   // a store, both ways
-	resetOfStore    // its connections
-	killAllAtOnce   // all stores and cores, which come back within a second
-	wipeAfterAccept // the primary that has just accepted a message
-	overlapLosses   // a store is killed, and another one wiped before it is back
-	endOfKinds
+	holdStoreTraffic      // it runs, and what it sends and receives arrives late
+	partitionFromCores    // a store, both ways
+	partitionFromStores   // a store, both ways
+	resetStoreConnections // its connections
+	killAllAtOnce         // all stores and cores, which come back within a second
+	wipeAfterAccept       // the primary that has just accepted a message
+	overlapLosses         // a store is killed, and another one wiped before it is back
+	maintenanceKindEnd
 )
 
 func (k maintenanceKind) String() string {
@@ -85,8 +85,8 @@
 		rollEdge: "roll an edge", rollStore: "roll a store", rollCore: "roll a core", reload: "SIGHUP", changeSettings: "change the settings",
 		replaceCore: "replace a core", replaceCoreDuringRolls: "replace a core while all edges are rolled", changeConfiguration: "change the configuration",
 		killEdge: "kill an edge", killStore: "kill a store", killCore: "kill a core", isolateStore: "isolate a store", wipeStore: "wipe a store",
-		freezeStore: "freeze a store", cutFromCores: "cut a store from the cores", cutFromStores: "cut a store from the stores",
-		resetOfStore: "reset the connections of a store", killAllAtOnce: "kill all stores and cores", wipeAfterAccept: "wipe a store that accepts",
+		holdStoreTraffic: "freeze a store", partitionFromCores: "cut a store from the cores", partitionFromStores: "cut a store from the stores",
+		resetStoreConnections: "reset the connections of a store", killAllAtOnce: "kill all stores and cores", wipeAfterAccept: "wipe a store that accepts",
 		overlapLosses: "kill a store and wipe the next one meanwhile",
 	}[k]
 }
@@ -94,14 +94,14 @@
 // maintenanceStep begins a while after the one before, whether or not that has
 // ended.
 type maintenanceStep struct {
-	kind    maintenanceKind
-	wait    time.Duration
-	machine int // its zone, by number
-	lasts   time.Duration
+	kind     maintenanceKind
+	delay    time.Duration
+	machine  int // its zone, by number
+	duration time.Duration
 }
 
 func (s maintenanceStep) String() string {
-	return fmt.Sprintf("after %v: %v, zone %d, for %v", s.wait, s.kind, s.machine, s.lasts)
+	return fmt.Sprintf("after %v: %v, zone %d, for %v", s.delay, s.kind, s.machine, s.duration)
 }
 
 // maintenancePlan is one schedule.
@@ -127,13 +127,13 @@
 	for range 6 + r.IntN(10) {
 		kind := maintenanceKind(r.IntN(int(plannedKinds)))
 		if plan.withFaults && r.IntN(3) == 0 {
-			kind = killEdge + maintenanceKind(r.IntN(int(endOfKinds-killEdge)))
+			kind = killEdge + maintenanceKind(r.IntN(int(maintenanceKindEnd-killEdge)))
 		}
 		plan.steps = append(plan.steps, maintenanceStep{
-			kind:    kind,
-			wait:    time.Duration(r.IntN(3000)) * time.Millisecond,
-			machine: r.IntN(len(zones)),
-			lasts:   time.Duration(500+r.IntN(3000)) * time.Millisecond,
+			kind:     kind,
+			delay:    time.Duration(r.IntN(3000)) * time.Millisecond,
+			machine:  r.IntN(len(zones)),
+			duration: time.Duration(500+r.IntN(3000)) * time.Millisecond,
 		})
 	}
 	return plan
@@ -142,9 +142,9 @@
 // maintenanceFault is a fault put in from outside, to see whether the search
 // finds it.
 type maintenanceFault struct {
-	releasesSIGHUP   bool // SIGHUP gets its default action once SIGTERM has come
-	closesUnanswered bool // an edge that drains closes connections without an answer
-	dropsRecords     bool // some messages are accepted, and no store has them
+	releasesSIGHUP        bool // SIGHUP gets its default action once SIGTERM has come
+	closesWithoutResponse bool // an edge that drains closes connections without an answer
+	dropsRecords          bool // some messages are accepted, and no store has them
 }
 
 // runMaintenance runs one schedule and returns its first violation, nil without
--- a/internal/cluster/message_search_traffic_test.go
+++ b/internal/cluster/message_search_traffic_test.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	messageInterval  = 25 * time.Millisecond
-	questionInterval = 60 * time.Millisecond
-	clientDeadline   = 2 * time.Second
-	answerLimit      = 5 * time.Second
-	finalLimit       = 20 * time.Second // for each message that is due in the end
-	orderKeys        = 3
-	questionAge      = 2 * time.Second // younger messages may be unknown at other edges
+	messageInterval = 25 * time.Millisecond
+	queryInterval   = 60 * time.Millisecond
+	clientDeadline  = 2 * time.Second
+	responseTimeout = 5 * time.Second
+	finalLimit      = 20 * time.Second // for each message that is due in the end
+	orderKeys       = 3
+	minQueryAge     = 2 * time.Second // younger messages may be unknown at other edges
 )
 
 // acceptedMessage is a message that was answered with 202.
@@ -72,7 +72,7 @@
 func (t *messageTraffic) start() {
 	t.startedAt = time.Now()
 	t.clients.Go(t.sendPlainMessages)
-	t.clients.Go(t.askAboutMessages)
+	t.clients.Go(t.queryMessages)
 	for k := range orderKeys {
 		t.clients.Go(func() { t.sendOrderedMessages(fmt.Sprint("key-", k)) })
 	}
@@ -99,7 +99,7 @@
 		if n%5 == 0 {
 			header = []string{"Saltreel-Delay-Ms", "1500"}
 		}
-		t.clients.Go(func() { t.sendUntilClear(fmt.Sprint("plain-", n), "/plain/x", n, header...) })
+		t.clients.Go(func() { t.sendUntilDefinite(fmt.Sprint("plain-", n), "/plain/x", n, header...) })
 	}
 }
 
@@ -107,7 +107,7 @@
 func (t *messageTraffic) sendOrderedMessages(key string) {
 	for n := 0; t.waitUnlessStopped(4 * messageInterval); n++ {
 		id := fmt.Sprintf("%s-%d", key, n)
-		if t.sendUntilClear(id, "/ordered/x", n, "Saltreel-Order-Key", key) {
+		if t.sendUntilDefinite(id, "/ordered/x", n, "Saltreel-Order-Key", key) {
 			t.mu.Lock()
 			t.byKey[key] = append(t.byKey[key], id)
 			t.mu.Unlock()
@@ -115,9 +115,9 @@
 	}
 }
 
-// sendUntilClear sends a message, under the same identifier, until it is accepted
+// sendUntilDefinite sends a message, under the same identifier, until it is accepted
 // or has certainly been rejected a few times, and reports whether it is accepted.
-func (t *messageTraffic) sendUntilClear(id, path string, first int, header ...string) bool {
+func (t *messageTraffic) sendUntilDefinite(id, path string, first int, header ...string) bool {
 	rejected := 0
 	for try := 0; rejected < 3 && try < 20; try++ {
 		zone := zones[(first+try)%len(zones)]
@@ -127,7 +127,7 @@
 		switch answer.status {
 		case http.StatusAccepted:
 			// An earlier attempt, with another body, may be the one that was accepted.
-			t.noteAccepted(acceptedMessage{id: id, name: answer.name, at: time.Now()}, body, try == 0)
+			t.recordAccepted(acceptedMessage{id: id, name: answer.name, at: time.Now()}, body, try == 0)
 			return true
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 			rejected++
@@ -145,7 +145,7 @@
 	return lines
 }
 
-func (t *messageTraffic) noteAccepted(a acceptedMessage, body string, known bool) {
+func (t *messageTraffic) recordAccepted(a acceptedMessage, body string, known bool) {
 	if known {
 		a.body = body
 	}
@@ -166,30 +166,30 @@
 	return t.accepted[len(t.accepted)-1]
 }
 
-// clientAnswer is what a client read; its status is 0 without a complete answer.
-type clientAnswer struct {
+// clientResponse is what a client read; its status is 0 without a complete answer.
+type clientResponse struct {
 	status     int
 	name, body string
 }
 
 // request sends one request on a connection of its own to the edge of a zone. An
 // edge that has read all of it must answer.
-func (t *messageTraffic) request(zone, raw string) clientAnswer {
+func (t *messageTraffic) request(zone, raw string) clientResponse {
 	m := t.maintenance
 	w := m.world
 	edge := w.processOf("edge-" + zone)
-	ctx, cancel := context.WithTimeout(context.Background(), answerLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), responseTimeout)
 	defer cancel()
 	dialled, err := w.clientProcess.dial(ctx, edge.ip+":80")
 	if err != nil {
-		return clientAnswer{}
+		return clientResponse{}
 	}
 	defer func() { _ = dialled.Close() }()
 	server := dialled.(*conn).peer
 	if _, err := io.WriteString(dialled, raw); err != nil {
-		return clientAnswer{}
+		return clientResponse{}
 	}
-	_ = dialled.SetReadDeadline(time.Now().Add(answerLimit))
+	_ = dialled.SetReadDeadline(time.Now().Add(responseTimeout))
 	response, err := http.ReadResponse(bufio.NewReader(dialled), nil)
 	var body []byte
 	if err == nil {
@@ -199,7 +199,7 @@
 		if !dialled.(*conn).out.hasUnread() && !m.wasFaulted(server) {
 			m.fail("unanswered", "edge of %s has read a request and not answered it (%v): %.120q", zone, err, raw)
 		}
-		return clientAnswer{}
+		return clientResponse{}
 	}
-	return clientAnswer{status: response.StatusCode, name: response.Header.Get("Saltreel-Message-Name"), body: string(body)}
+	return clientResponse{status: response.StatusCode, name: response.Header.Get("Saltreel-Message-Name"), body: string(body)}
 }
--- a/internal/cluster/network_conn_test.go
+++ b/internal/cluster/network_conn_test.go
@@ -95,7 +95,7 @@
 	if n.jitter > 0 && !exempt {
 		delay += time.Duration(n.rng.Int64N(int64(n.jitter)))
 	}
-	delay = n.processedLocked(link[1], len(b), delay)
+	delay = n.processingDelayLocked(link[1], len(b), delay)
 	if held && !lost {
 		if n.heldPipes[link] == nil {
 			n.heldPipes[link] = map[*pipe]bool{}
--- a/internal/cluster/network_test.go
+++ b/internal/cluster/network_test.go
@@ -193,9 +193,9 @@
 	n.processors[ip] = &processor{bytesPerSecond: bytesPerSecond}
 }
 
-// processedLocked is after how long a machine has processed bytes that reach it
+// processingDelayLocked is after how long a machine has processed bytes that reach it
 // after a delay.
-func (n *network) processedLocked(ip string, size int, delay time.Duration) time.Duration {
+func (n *network) processingDelayLocked(ip string, size int, delay time.Duration) time.Duration {
 	p := n.processors[ip]
 	if p == nil {
 		return delay
@@ -286,8 +286,8 @@
 	w.network.setJitter(20 * time.Millisecond)
 }
 
-// quickLinks undoes slowLinks.
-func (w *world) quickLinks() {
+// restoreLinks undoes slowLinks.
+func (w *world) restoreLinks() {
 	w.network.setDelay(time.Millisecond)
 	w.network.setJitter(0)
 }
--- a/internal/cluster/overlapping_losses_test.go
+++ b/internal/cluster/overlapping_losses_test.go
@@ -65,7 +65,7 @@
 			id := fmt.Sprintf("o%d", i)
 			names[id] = w.sendUntilAccepted(zones[i%3], "/plain/", id, "Saltreel-Delay-Ms", "60000")
 		}
-		w.quickLinks()
+		w.restoreLinks()
 		stop := make(chan struct{})
 		collect := w.streamMessages("/plain/", 20*time.Millisecond, stop) // accepted on the replicas that are left, too
 		struck := w.overlapLosses("store-z1", "store-z2")
