--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -2,8 +2,8 @@
 // edges run on a simulated network and on the clock of a testing/synctest bubble,
 // so that minutes of simulated time take seconds.
 //
-// A new test calls runCluster, or runCores where no messages are needed, and does
-// all in the function that it gives:
+// A new test calls runCluster, or runCores where no messages are needed, with a
+// function that contains the whole test:
 //
 //	func TestStoreCrashLosesNoAcceptedMessage(t *testing.T) {
 //		runCluster(t, func(w *world) {
@@ -19,17 +19,17 @@
 //
 // Machines are named after their role and zone: core-z1, store-z2, edge-z3. Zone
 // zN has the addresses 10.N.0.1 of its core, .2 of its store and .3 of its edge.
-// Faults are killMachine (a crash), wipeDisk, terminateMachine (in order), and
-// those of network: isolate, setBlocked or setPartition, setDelay, setJitter.
+// Faults are killMachine (a crash), wipeDisk, terminateMachine (a graceful stop),
+// and those of network: isolate, setBlocked or setPartition, setDelay, setJitter.
 // Wait with waitFor and a limit rather than for an exact time. Check what clients,
 // handlers and operators see (sendMessage, get, received, status) rather than the
-// state of a process. The name of a test states the behaviour that must hold, and
-// the test stands in the file of its concern.
+// state of a process. Name a test after the behaviour that must hold, and put it
+// into the file of its subject.
 //
 // The search (search_test.go) runs random schedules of faults against cores and
-// checks invariants and linearizability. A violation that it finds becomes a case
-// of TestSchedulesFoundBySearch; a new check comes with a planted fault that it
-// must find (search_planted_faults_test.go).
+// checks invariants and linearizability. Add a violation that it finds as a case of
+// TestSchedulesFoundBySearch, and with each new check a planted fault that it must
+// detect (search_planted_faults_test.go).
 package cluster
 
 import (
@@ -64,30 +64,30 @@
 	network       *network
 	clientProcess *process // clients and operators
 	client        *rpc.Client
-	machines      map[string]*machine // by name; handlers too, which are only stopped
+	machines      map[string]*machine // by name; includes handlers, which are only stopped
 	dataPath      string
-	kills         int // so far, to name the copies of disks
+	kills         int // number of kills so far, which names the disk copies
 	goroutines    sync.WaitGroup
-	revision      int    // of the configuration written last
+	revision      int    // of the last configuration written
 	lastID        int    // of newID
-	hostFailures  int    // that the cluster tolerates
-	extraSettings string // lines of the settings of all machines, the last ones
+	hostFailures  int    // number that the cluster tolerates
+	extraSettings string // lines appended to the settings of all machines
 	mu            sync.Mutex
 
-	// Guarded by mu, as is what the machines hold of their processes:
+	// Guarded by mu, as are process, signals, cancel and done of each machine:
 	coreAddresses   []string // IPs
 	settingsChanges int
 
-	restoresDefaultSIGHUP bool // SIGHUP gets its default action once SIGTERM has come
+	restoresDefaultSIGHUP bool // planted fault: SIGHUP has its default action after SIGTERM
 }
 
-// machine is one host with one process of ours. Its name, address and disk
-// outlive the process.
+// machine is one host that runs one process. Its name, address and disk outlive
+// the process.
 type machine struct {
 	name, role, ip, zone string
 	process              *process // the current incarnation
 	signals              *signalSource
-	cancel               func()        // SIGTERM
+	cancel               func()        // sends SIGTERM
 	done                 chan struct{} // closed when the process has ended
 	dataPath             string
 }
@@ -97,28 +97,28 @@
 // clientIP is the address of operators, clients and handlers' callers.
 const clientIP = "10.9.0.1"
 
-// runCluster runs a test on a cluster of one core, store and edge in each of
-// three zones, once it has placed its partitions.
+// runCluster runs f on a cluster with one core, store and edge in each of three
+// zones, after the first placement of its partitions.
 func runCluster(t *testing.T, f func(w *world)) {
 	t.Helper()
 	runClusterWith(t, 1, 1, f)
 }
 
-// runClusterWith runs a test on a cluster with so many cores and stores in each
-// zone, which tolerates a number of host failures.
+// runClusterWith is runCluster with perZone cores and perZone stores in each zone,
+// and a cluster that tolerates the given number of host failures.
 func runClusterWith(t *testing.T, hostFailures, perZone int, f func(w *world)) {
 	t.Helper()
 	runRoles(t, hostFailures, perZone, []string{"core", "store", "edge"}, f)
 }
 
-// runRoles is runClusterWith for a cluster with these roles: those of the cores,
-// the machines with data and those that clients reach.
+// runRoles is runClusterWith with the given roles: that of the cores, of the
+// machines that store data and of those that clients connect to, in this order.
 func runRoles(t *testing.T, hostFailures, perZone int, roles []string, f func(w *world)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { runInBubble(t, hostFailures, perZone, roles, f) })
 }
 
-// runInBubble is runRoles within a bubble of synctest.
+// runInBubble is runRoles inside an existing synctest bubble.
 func runInBubble(t *testing.T, hostFailures, perZone int, roles []string, f func(w *world)) {
 	t.Helper()
 	w := newWorld(t, t.TempDir(), hostFailures, "10.1.0.1", "10.2.0.1", "10.3.0.1")
@@ -139,11 +139,11 @@
 	f(w)
 }
 
-// hasDisk tells whether a role keeps data.
+// hasDisk reports whether machines of a role store data.
 func hasDisk(role string) bool { return role != "edge" && role != "gateway" }
 
-// newWorld makes a world without machines. It must be called in a bubble of
-// synctest.
+// newWorld returns a world without machines. It must be called inside a synctest
+// bubble.
 func newWorld(t *testing.T, dataPath string, hostFailures int, coreAddresses ...string) *world {
 	w := &world{t: t, network: newNetwork(), machines: map[string]*machine{}, dataPath: dataPath,
 		hostFailures: hostFailures, coreAddresses: coreAddresses}
@@ -160,14 +160,14 @@
 	w.goroutines.Wait()
 }
 
-// addMachine starts one more machine, with an empty disk.
+// addMachine adds a machine with an empty disk and starts it.
 func (w *world) addMachine(name, role, zone, ip string, bootstrap bool) {
 	w.t.Helper()
 	w.machines[name] = &machine{name: name, role: role, zone: zone, ip: ip, dataPath: filepath.Join(w.dataPath, name)}
 	w.startMachine(name, bootstrap)
 }
 
-// wipeDisk empties the disk of a machine that was killed.
+// wipeDisk deletes all data of a killed machine.
 func (w *world) wipeDisk(name string) {
 	w.t.Helper()
 	if err := os.RemoveAll(w.machines[name].dataPath); err != nil {
@@ -175,7 +175,7 @@
 	}
 }
 
-// settingsFile is what the platform writes for a machine.
+// settingsFile returns the settings file that the platform writes for a machine.
 func (w *world) settingsFile(m *machine, bootstrap bool) string {
 	return fmt.Sprintf(`node-name=%s
 role=%s
@@ -217,7 +217,7 @@
 	return w.settingsChanges
 }
 
-// startMachine starts the process of a machine on the disk that it has.
+// startMachine starts the process of a machine on its existing disk.
 func (w *world) startMachine(name string, bootstrap bool) {
 	w.t.Helper()
 	w.start(w.machines[name], bootstrap, func(err error) {
@@ -227,8 +227,8 @@
 	})
 }
 
-// start runs the process of a machine through the lifecycle of the programs.
-// ended is called with its error when it has ended.
+// start runs the process of a machine in the lifecycle that the programs use, and
+// calls ended with its error when it has ended.
 func (w *world) start(m *machine, bootstrap bool, ended func(error)) {
 	w.t.Helper()
 	p := &process{network: w.network, ip: m.ip}
@@ -244,7 +244,7 @@
 	if err != nil {
 		w.t.Fatalf("start %s: %v", m.name, err)
 	}
-	// The data path of an incarnation stays while it runs.
+	// A copy: the data path of an incarnation must not change while it runs.
 	running := *m
 	lifecycle.ReadSettings = func() ([]byte, error) { return []byte(w.settingsFile(&running, bootstrap)), nil }
 	w.goroutines.Go(func() {
@@ -253,7 +253,7 @@
 	})
 }
 
-// startFuncFor is how the programs start a role.
+// startFuncFor returns the function with which the programs start a role.
 func startFuncFor(role string, network httpwire.Network) platform.Start {
 	return func(ctx context.Context, set *settings.Settings, logger *log.Logger) (platform.Process, error) {
 		switch role {
@@ -271,7 +271,8 @@
 	}
 }
 
-// newLogger logs to standard error where SALTREEL_TEST_LOG is set.
+// newLogger returns a logger to standard error if SALTREEL_TEST_LOG is set, and one
+// that discards its output otherwise.
 func newLogger(name string) *log.Logger {
 	if os.Getenv("SALTREEL_TEST_LOG") != "" {
 		return log.New(os.Stderr, name+" ", log.Lmicroseconds)
@@ -279,25 +280,26 @@
 	return log.New(io.Discard, "", 0)
 }
 
-// killMachine crashes a machine: its connections are reset and its process does
-// nothing any more. Its disk stays as it was.
+// killMachine crashes a machine: its connections are reset and its process has no
+// further effect. The disk keeps its contents: the machine continues on a copy, which
+// remaining goroutines of the killed process cannot write to.
 func (w *world) killMachine(name string) {
 	m := w.machines[name]
 	w.processOf(name).kill()
 	synctest.Wait()
 	w.kills++
-	copied := filepath.Join(w.dataPath, fmt.Sprintf("%s.killed-%d", name, w.kills)) // no machine has such a name
+	copied := filepath.Join(w.dataPath, fmt.Sprintf("%s.killed-%d", name, w.kills)) // not the name of any machine
 	if hasDisk(m.role) {
 		if err := os.CopyFS(copied, os.DirFS(m.dataPath)); err != nil {
 			w.t.Fatal(err)
 		}
 		m.dataPath = copied
 	}
-	w.signal(name, syscall.SIGTERM) // its goroutines end
+	w.signal(name, syscall.SIGTERM) // ends its goroutines
 }
 
-// terminateMachine stops a process in order, as SIGTERM does, and returns how
-// long that took.
+// terminateMachine stops a process gracefully with SIGTERM, and returns how long
+// that took.
 func (w *world) terminateMachine(name string) time.Duration {
 	began := time.Now()
 	w.mu.Lock()
@@ -308,52 +310,53 @@
 	return time.Since(began)
 }
 
-// waitFor polls until f holds; the test fails if it does not within the limit.
+// waitFor polls f until it returns true, and fails the test after the limit.
 func (w *world) waitFor(limit time.Duration, what string, f func() bool) {
 	w.t.Helper()
 	for end := time.Now().Add(limit); !f(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			w.t.Fatalf("not within %v: %s", limit, what)
+			w.t.Fatalf("timed out after %v waiting for: %s", limit, what)
 		}
 	}
 }
 
-// replaceCoreAddress puts the address of a new core in place of a lost one's.
+// replaceCoreAddress replaces the address of a lost core by that of a new one.
 func (w *world) replaceCoreAddress(at int, ip string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.coreAddresses[at] = ip
 }
 
-// processOf is the current incarnation of a machine's process.
+// processOf returns the current incarnation of a machine's process.
 func (w *world) processOf(name string) *process {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.machines[name].process
 }
 
-// signalsOf is the signals of the current incarnation; nil if there was none yet.
+// signalsOf returns the signal source of the current incarnation, nil before the
+// first one.
 func (w *world) signalsOf(name string) *signalSource {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.machines[name].signals
 }
 
-// signal gives a machine's process a signal, if it has one.
+// signal sends a signal to a machine's process, if it has been started.
 func (w *world) signal(name string, s os.Signal) {
 	if signals := w.signalsOf(name); signals != nil {
 		signals.send(s)
 	}
 }
 
-// changeSettings makes the settings files of all machines others than before.
+// changeSettings changes the contents of the settings files of all machines.
 func (w *world) changeSettings() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.settingsChanges++
 }
 
-// setCoreAddresses names the cores in the settings of all machines.
+// setCoreAddresses sets the cores that the settings of all machines list.
 func (w *world) setCoreAddresses(cores []*machine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -363,7 +366,7 @@
 	}
 }
 
-// controlAddresses returns the addresses of the control plane, with ports.
+// controlAddresses returns the control-plane addresses of the cores, with ports.
 func (w *world) controlAddresses() (out []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/cluster/network_conn_test.go
+++ b/internal/cluster/network_conn_test.go
@@ -49,7 +49,7 @@
 type conn struct {
 	in, out     *pipe
 	owner, peer *process
-	dialled     string // the address; empty for the side that accepted
+	dialled     string // dialled address; empty on the accepting side
 }
 
 func (c *conn) reset() {
@@ -119,14 +119,14 @@
 	return len(b), nil
 }
 
-// CloseWrite tells the peer that nothing more comes.
+// CloseWrite half-closes the connection: the peer reads io.EOF after the data sent.
 func (c *conn) CloseWrite() error {
 	c.out.close(io.EOF)
 	return nil
 }
 
-// Close resets the connection if there is something unread, as TCP does: the peer
-// may lose what it has not read yet.
+// Close resets the connection if received data is unread, as TCP does: the peer may
+// then lose data that it has not read yet.
 func (c *conn) Close() error {
 	if c.in.hasArrived() {
 		c.out.reset()
@@ -154,12 +154,12 @@
 type pipe struct {
 	mu       sync.Mutex
 	chunks   []chunk
-	closeErr error // what readers get; they get io.EOF only after all chunks
+	closeErr error // returned to readers; io.EOF only after all chunks
 	deadline time.Time
 	changed  chan struct{} // closed and replaced at each change
 }
 
-// chunk is what one write sent. It arrives at its time, unless it is held.
+// chunk is the data of one write. It can be read from arrivesAt on, unless it is held.
 type chunk struct {
 	arrivesAt time.Time
 	held      bool
@@ -201,7 +201,7 @@
 	return nil
 }
 
-// reset loses what was not read, even after a close.
+// reset discards unread data, even after a close.
 func (p *pipe) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -209,21 +209,21 @@
 	p.notifyLocked()
 }
 
-// hasUnread reports whether bytes were sent that the peer has not read.
+// hasUnread reports whether the pipe contains data that was not read, arrived or not.
 func (p *pipe) hasUnread() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.chunks) > 0
 }
 
-// hasArrived reports whether there is something to read.
+// hasArrived reports whether data has arrived and was not read.
 func (p *pipe) hasArrived() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.chunks) > 0 && !p.chunks[0].held && !p.chunks[0].arrivesAt.After(time.Now())
 }
 
-// release lets the bytes that were held arrive after a delay.
+// release makes held data arrive after a delay.
 func (p *pipe) release(delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -235,8 +235,9 @@
 	p.notifyLocked()
 }
 
-// tryRead reads what has arrived, or returns the error of the pipe. Where there
-// is neither yet, changed is set: the caller waits for so long, or until then.
+// tryRead reads data that has arrived, or returns the error of the pipe. If there is
+// neither, changed is not nil, and the caller tries again after wait or when changed
+// is closed.
 func (p *pipe) tryRead(b []byte) (n int, wait time.Duration, changed <-chan struct{}, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/cluster/network_test.go
+++ b/internal/cluster/network_test.go
@@ -12,32 +12,34 @@
 	"saltreel/internal/httpwire"
 )
 
-// network is a simulated network: delays, partitions and machines that crash. It
-// runs on the clock of the test's bubble. Its links lead from one IP to another.
+// network is a simulated network with delays, partitions and machine crashes. It
+// runs on the clock of the test's synctest bubble. A link is directed and leads from
+// one IP to another.
 type network struct {
 	mu         sync.Mutex
 	listeners  map[string]*listener
 	conns      map[*conn]bool
-	isolated   map[string]bool    // IPs that reach nobody and that nobody reaches
-	blocked    map[[2]string]bool // links on which all is lost
+	isolated   map[string]bool    // IPs without any connectivity
+	blocked    map[[2]string]bool // links that drop all packets
 	delay      time.Duration
-	heldLinks  map[[2]string]int            // holds by link: delivered once there is none
+	heldLinks  map[[2]string]int            // number of holds by link; delivery resumes at zero
 	paused     map[string]pause             // by IP
-	heldPipes  map[[2]string]map[*pipe]bool // what has held bytes
-	jitter     time.Duration                // what a packet may take longer than others
-	rng        *rand.Rand                   // draws the jitter
-	processors map[string]*processor        // by IP; others take no time for what they receive
-	// dialsIgnorePartitions lets connections open past all partitions; what is
-	// sent on them is lost all the same.
+	heldPipes  map[[2]string]map[*pipe]bool // pipes with held bytes, by link
+	jitter     time.Duration                // upper bound of the random extra delay of a packet
+	rng        *rand.Rand                   // source of the jitter
+	processors map[string]*processor        // by IP; machines without one process received bytes instantly
+	// dialsIgnorePartitions lets connections open across partitions and holds, which
+	// still apply to the data sent on them.
 	dialsIgnorePartitions bool
-	// interceptRequest, where it is set, sees each request before it is sent. It
-	// gives the bytes to send in its place, and an answer if it is not to be sent.
+	// interceptRequest, if set, is called with each request before it is sent. It
+	// returns the bytes to send instead or, if the request is not to be sent, a
+	// response to it.
 	interceptRequest func(from *process, to string, b []byte) (out, answer []byte)
-	// dropsConnection, where it is set, sees each answer before it is sent, and says
-	// whether the connection is closed instead.
+	// dropsConnection, if set, is called before each response is sent and reports
+	// whether to close the connection instead.
 	dropsConnection func(c *conn) bool
-	rewrite         func(b []byte) []byte   // changes what is written, if set
-	observe         func(c *conn, b []byte) // called with all that is written and not lost, if set
+	rewrite         func(b []byte) []byte   // replaces the written bytes, if set
+	observe         func(c *conn, b []byte) // called with all written bytes that are not dropped, if set
 }
 
 func newNetwork() *network {
@@ -50,7 +52,7 @@
 	network *network
 	ip      string
 	dead    bool
-	exempt  bool // no partition and no hold applies to what it sends and receives
+	exempt  bool // partitions, holds and jitter do not apply to its traffic
 }
 
 func (address) Network() string { return "tcp" }
@@ -78,7 +80,7 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	for !p.exempt && !n.dialsIgnorePartitions && n.handshakeHeld(p.ip, ip) { // the handshake is held as well
+	for !p.exempt && !n.dialsIgnorePartitions && n.handshakeHeld(p.ip, ip) { // holds delay the handshake too
 		select {
 		case <-time.After(10 * time.Millisecond):
 		case <-ctx.Done():
@@ -108,7 +110,7 @@
 	return near, nil
 }
 
-// kill crashes a process: its connections are reset, and it reaches nobody any more.
+// kill crashes a process: its connections are reset, and it can open no new ones.
 func (p *process) kill() {
 	n := p.network
 	n.mu.Lock()
@@ -134,7 +136,7 @@
 	}
 }
 
-// reset ends the connections between two machines.
+// reset resets all connections between two machines.
 func (n *network) reset(a, b string) {
 	n.mu.Lock()
 	var conns []*conn
@@ -149,16 +151,16 @@
 	}
 }
 
-// hold delays what goes from one machine to another until it is released, also
-// what a sender that gave up and closed has written: as TCP does that
-// retransmits until a partition heals. Each hold needs its release.
+// hold delays all bytes sent on a link until release, including those of a sender
+// that has timed out and closed the connection, as TCP does when it retransmits until
+// a partition heals. Each hold needs one release.
 func (n *network) hold(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.heldLinks[[2]string{from, to}]++
 }
 
-// release delivers what was held, unless another hold is left.
+// release ends one hold, and delivers the held bytes after the last one.
 func (n *network) release(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -167,8 +169,8 @@
 	n.releaseLinkLocked(link, n.delay)
 }
 
-// releaseLinkLocked delivers what was held on a link, unless something holds it
-// still.
+// releaseLinkLocked delivers the held bytes of a link unless a hold or a pause still
+// applies to it.
 func (n *network) releaseLinkLocked(link [2]string, delay time.Duration) {
 	if n.holdsLocked(link) {
 		return
@@ -179,22 +181,22 @@
 	delete(n.heldPipes, link)
 }
 
-// processor is what a machine has for the bytes that it receives: it takes one chunk
-// after the other.
+// processor models the processing capacity of a machine: it processes the received
+// chunks one after another at a fixed rate.
 type processor struct {
 	bytesPerSecond float64
 	busyUntil      time.Time
 }
 
-// setProcessor lets a machine take its time for what it receives.
+// setProcessor limits the rate at which a machine processes received bytes.
 func (n *network) setProcessor(ip string, bytesPerSecond float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.processors[ip] = &processor{bytesPerSecond: bytesPerSecond}
 }
 
-// processingDelayLocked is after how long a machine has processed bytes that reach it
-// after a delay.
+// processingDelayLocked returns the time until a machine has processed bytes that
+// arrive after the given delay.
 func (n *network) processingDelayLocked(ip string, size int, delay time.Duration) time.Duration {
 	p := n.processors[ip]
 	if p == nil {
@@ -208,29 +210,29 @@
 	return time.Until(p.busyUntil)
 }
 
-// holdsLocked reports whether what is sent on a link is held.
+// holdsLocked reports whether bytes sent on a link are held.
 func (n *network) holdsLocked(link [2]string) bool {
 	return n.heldLinks[link] > 0 || n.paused[link[0]].holdsWrites
 }
 
-// pause is the time in which a process has no processor, as far as others can see.
-// It reads nothing until it resumes, and finds then what has arrived beside
-// deadlines that have passed; connections open, as the kernel's do. Timers cannot
-// be stopped: what they send goes out at once, as if they had fired ahead of the
-// pause, unless writes are held as well.
+// pause simulates a process that is not scheduled, as seen by its peers. The process
+// reads nothing until it resumes, and then finds both the bytes that have arrived and
+// deadlines that have passed. Connections still open, because the kernel accepts them.
+// Timers cannot be stopped: unless writes are held as well, what they send goes out
+// at once, as if they had fired before the pause.
 type pause struct {
 	resumed     chan struct{}
 	holdsWrites bool
 }
 
-// pauseProcess begins a pause of the process of a machine.
+// pauseProcess pauses the process of a machine.
 func (n *network) pauseProcess(ip string, holdsWrites bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.paused[ip] = pause{make(chan struct{}), holdsWrites}
 }
 
-// resumeProcess ends it.
+// resumeProcess ends the pause and delivers the writes held by it.
 func (n *network) resumeProcess(ip string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -243,7 +245,7 @@
 	}
 }
 
-// waitWhilePaused returns when the process of a machine has the processor.
+// waitWhilePaused blocks while the process of a machine is paused.
 func (n *network) waitWhilePaused(ip string) {
 	for {
 		n.mu.Lock()
@@ -263,43 +265,43 @@
 	return n.heldLinks[[2]string{a, b}] > 0 || n.heldLinks[[2]string{b, a}] > 0
 }
 
-// reachable reports whether two machines reach each other, as far as partitions
-// and holds decide.
+// reachable reports whether neither a partition nor a hold affects the links between
+// two machines.
 func (n *network) reachable(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.dropsLocked(a, b) && !n.dropsLocked(b, a) && n.heldLinks[[2]string{a, b}] <= 0 && n.heldLinks[[2]string{b, a}] <= 0
 }
 
-// setJitter lets each packet take up to so much longer, so that what is sent on
-// one connection overtakes what is sent on another.
+// setJitter adds a random delay below the limit to each packet, so that packets on
+// one connection can overtake those on another.
 func (n *network) setJitter(limit time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.jitter = limit
 }
 
-// slowLinks makes the links so slow that batches of records take longer than the time
-// after which others follow them, and lets those overtake each other.
+// slowLinks sets a delay at which a batch of records is still in flight when the next
+// one is sent, and a jitter that reorders them.
 func (w *world) slowLinks() {
 	w.network.setDelay(20 * time.Millisecond)
 	w.network.setJitter(20 * time.Millisecond)
 }
 
-// restoreLinks undoes slowLinks.
+// restoreLinks resets the delay and jitter that slowLinks sets to their defaults.
 func (w *world) restoreLinks() {
 	w.network.setDelay(time.Millisecond)
 	w.network.setJitter(0)
 }
 
-// isolate cuts a machine off from all others, or connects it again.
+// isolate disconnects a machine from all others, or reconnects it.
 func (n *network) isolate(ip string, isolated bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.isolated[ip] = isolated
 }
 
-// setDelay sets how long packets take from now on.
+// setDelay sets the delay of the packets sent from now on.
 func (n *network) setDelay(delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -312,8 +314,7 @@
 	return n.delay
 }
 
-// setBlocked blocks the links from any of some machines to any of others, or
-// unblocks them.
+// setBlocked blocks or unblocks the links from each address in from to each in to.
 func (n *network) setBlocked(from, to []string, blocked bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -324,7 +325,7 @@
 	}
 }
 
-// dropsLocked reports whether packets from one machine to another are lost.
+// dropsLocked reports whether packets from one machine to another are dropped.
 func (n *network) dropsLocked(from, to string) bool {
 	return n.isolated[from] || n.isolated[to] || n.blocked[[2]string{from, to}]
 }
