--- a/internal/cluster/live_search_test.go
+++ b/internal/cluster/live_search_test.go
@@ -13,19 +13,19 @@
 	"time"
 )
 
-// The live search runs random schedules of faults under realtime clients and checks
-// what they see (live_checks_test.go).
+// The live search runs random fault schedules with realtime clients connected, and
+// checks what the clients observe (live_checks_test.go).
 //
-//	go test ./internal/cluster -run TestLiveSearch                        the seeds of each build
-//	go test ./internal/cluster -run TestLiveSearch -search.live.seed 17   one of them again
-//	go test ./internal/cluster -run TestLiveSearch -search.live.for 10m   as many as there is time for
+//	go test ./internal/cluster -run TestLiveSearch                        the default seeds
+//	go test ./internal/cluster -run TestLiveSearch -search.live.seed 17   a single seed
+//	go test ./internal/cluster -run TestLiveSearch -search.live.for 10m   as many seeds as fit into the time
 var (
-	liveSearchSeed  = flag.Int("search.live.seed", 0, "run only the live schedule of this seed")
-	liveSearchFirst = flag.Int("search.live.first", 1, "the first seed of the live search")
-	liveSearchFor   = flag.Duration("search.live.for", 0, "run live schedules for so long")
+	liveSearchSeed  = flag.Int("search.live.seed", 0, "run only the live search schedule with this seed")
+	liveSearchFirst = flag.Int("search.live.first", 1, "first seed of the live search")
+	liveSearchFor   = flag.Duration("search.live.for", 0, "run live search schedules for this long")
 )
 
-// liveSchedules is how many schedules each build runs.
+// liveSchedules is the number of schedules that are run by default.
 const liveSchedules = 24
 
 func TestLiveSearch(t *testing.T) {
@@ -49,40 +49,40 @@
 	return false
 }
 
-// liveFault is what a step does to a machine.
+// liveFault is the kind of fault that a step injects.
 type liveFault int
 
 const (
 	crashBroker liveFault = iota
 	restartBroker
 	wipeBroker
-	holdBrokerTraffic // it runs, and what it sends and receives arrives late
+	holdBrokerTraffic // it runs, but its traffic is held in both directions
 	isolateBroker
 	isolateBrokerOneWay
 	partitionBrokerFromCores
 	rollBroker
 	crashAllBrokers
-	crashTwoBrokers    // more than the cluster tolerates; their disks return
-	overlapBrokers     // one crashes, and the next is wiped before it is back
-	wipeBrokerAfterAck // the one that has just acknowledged a message
+	crashTwoBrokers    // more than the cluster tolerates; they keep their disks
+	overlapBrokers     // one crashes, and the next one loses its disk before the first is back
+	wipeBrokerAfterAck // the primary that has just acknowledged a message
 	crashCore
 	crashGateway
 	rollGateway
 	resetClients
 	resetGatewayFromBrokers
-	liveFaultCount // how many there are
+	liveFaultCount // number of kinds
 )
 
 var liveFaultNames = []string{
-	"crash broker", "crash broker for a moment", "wipe broker", "freeze broker", "isolate broker", "isolate broker one way",
-	"cut broker from the cores", "roll broker", "crash all brokers", "crash two brokers", "crash broker and wipe the next one meanwhile", "wipe broker after an ACK", "crash core", "crash gateway",
+	"crash broker", "crash and restart broker", "wipe broker", "hold broker traffic", "isolate broker", "isolate broker one way",
+	"partition broker from the cores", "roll broker", "crash all brokers", "crash two brokers", "crash broker and wipe the next one before it is back", "wipe broker after an ACK", "crash core", "crash gateway",
 	"roll gateway", "reset clients", "reset gateway from brokers",
 }
 
 func (f liveFault) String() string { return liveFaultNames[f] }
 
-// liveStep is a fault for a while, and the calm after it. A gateway fault may come
-// in its middle.
+// liveStep is a fault of some duration, followed by a time without faults. In the
+// middle of longer faults (over 2 s) a gateway fault is injected as well.
 type liveStep struct {
 	fault        liveFault
 	zone         string
@@ -92,7 +92,7 @@
 }
 
 func (s liveStep) String() string {
-	return fmt.Sprintf("%v %s for %v, inside %v, calm %v\n", s.fault, s.zone, s.duration, s.gatewayFault, s.recovery)
+	return fmt.Sprintf("%v %s for %v, gateway fault %v, recovery %v\n", s.fault, s.zone, s.duration, s.gatewayFault, s.recovery)
 }
 
 func drawLiveSteps(seed int) (steps []liveStep) {
@@ -109,9 +109,9 @@
 	return steps
 }
 
-// runLiveSteps plays steps under traffic and returns what the clients saw wrong.
-// rewrite, unless nil, changes what is written on the network from the first step
-// on.
+// runLiveSteps runs the steps under traffic and returns the violations that the
+// clients observed. rewrite, if not nil, replaces the bytes written on the network
+// from the first step on.
 func runLiveSteps(t *testing.T, steps []liveStep, slowLinks bool, rewrite func([]byte) []byte) (problems []string) {
 	synctest.Test(t, func(t *testing.T) {
 		runLiveInBubble(t, func(w *world) {
@@ -129,14 +129,14 @@
 			}
 			problems = traffic.finish()
 			if traffic.acknowledged() < 50 {
-				problems = append(problems, "hardly anything was acknowledged")
+				problems = append(problems, "fewer than 50 messages were acknowledged")
 			}
 		})
 	})
 	return problems
 }
 
-// runLiveStep strikes, and mends after a while.
+// runLiveStep injects the fault of a step and ends it after the duration of the step.
 func (w *world) runLiveStep(traffic *liveTraffic, s liveStep) {
 	broker, gateway := "broker-"+s.zone, "gateway-"+s.zone
 	ip, n := w.machines[broker].ip, w.network
@@ -216,7 +216,7 @@
 	}
 }
 
-// injectGatewayFault strikes a gateway or its clients, for a moment.
+// injectGatewayFault restarts a gateway or resets its connections.
 func (w *world) injectGatewayFault(fault liveFault, gateway string) {
 	ip := w.machines[gateway].ip
 	switch fault {
@@ -235,7 +235,7 @@
 	}
 }
 
-// addressesOf lists the machines of some roles, but for one.
+// addressesOf returns the addresses of all machines of some roles except one.
 func (w *world) addressesOf(roles []string, except string) (ips []string) {
 	for _, m := range w.machines {
 		if slices.Contains(roles, m.role) && m.name != except {
@@ -245,7 +245,7 @@
 	return ips
 }
 
-// holdAll holds or releases all links of a machine.
+// holdAll applies change, a hold or a release, to all links of a machine.
 func (w *world) holdAll(ip string, change func(from, to string)) {
 	for _, m := range w.machines {
 		if m.ip != ip {
@@ -255,7 +255,8 @@
 	}
 }
 
-// acknowledgingPrimary waits for an ACK and names the broker that gave it.
+// acknowledgingPrimary waits up to 3 s for an ACK and returns the primary of partition 0,
+// which gave it.
 func (w *world) acknowledgingPrimary(traffic *liveTraffic) string {
 	before := traffic.acknowledged()
 	for end := time.Now().Add(3 * time.Second); traffic.acknowledged() == before && time.Now().Before(end); {
@@ -268,7 +269,8 @@
 	return status.Placement.Partitions[0].Primary
 }
 
-// The search finds faults that are planted in what gateways and clients write.
+// Guards against checks of the live search that detect nothing: each must report a
+// fault that is planted by rewriting the bytes of gateways, brokers and clients.
 func TestLiveSearchFindsPlantedFaults(t *testing.T) {
 	deliver := regexp.MustCompile(`DELIVER live\.a \S+ (\S+ \d+ \d+)\r\n[^\r]*\r\n`)
 	notAccepted := regexp.MustCompile(`\{"o":\[[03]\]\}`) // the outcome of one message at a broker
@@ -286,13 +288,13 @@
 		"a message is delivered twice": {func(b []byte) []byte {
 			return deliver.ReplaceAll(b, []byte("$0$0"))
 		}, "ORDER"},
-		"a message without outcome is acknowledged": {func(b []byte) []byte {
+		"a message that was not accepted is acknowledged": {func(b []byte) []byte {
 			return notAccepted.ReplaceAll(b, []byte(`{"o":[1]}`))
 		}, "LOST"},
 		"a cursor skips messages": {func(b []byte) []byte {
 			return cursor.ReplaceAll(b, []byte("${1}z$2\r\n"))
 		}, "LOST"},
-		"a gateway does not know a subscription": {func(b []byte) []byte {
+		"a gateway does not deliver to a subscription": {func(b []byte) []byte {
 			if bytes.Contains(b, []byte("z1-")) {
 				return deliver.ReplaceAll(b, nil)
 			}
@@ -303,7 +305,7 @@
 			t.Parallel()
 			problems := runLiveSteps(t, crash, false, c.rewrite)
 			if !slices.ContainsFunc(problems, func(p string) bool { return strings.HasPrefix(p, c.class) }) {
-				t.Errorf("not found as %s: %q", c.class, problems[:min(3, len(problems))])
+				t.Errorf("planted fault not reported as %s; first problems: %q", c.class, problems[:min(3, len(problems))])
 			}
 		})
 	}
--- a/internal/cluster/message_search_checks_test.go
+++ b/internal/cluster/message_search_checks_test.go
@@ -1,15 +1,17 @@
 package cluster
 
-// What the message search checks:
+// The classes of violations that the message search reports:
 //
-//   - unanswered: each request that an edge has read whole gets a complete answer
-//     (but where a fault has struck the edge);
-//   - lost: an accepted message is found at any time, with its bytes until it has
-//     ended, and is not reported as ended before a handler has run it;
-//   - not run: each message whose time has come has run in the end;
-//   - order: messages of one order key run one after another, in the order in
-//     which they were accepted;
-//   - twice: under planned work only, each message runs once.
+//   - unanswered: an edge that was not hit by a fault has read a whole request and
+//     sent no complete response;
+//   - lost: an accepted message is not found, has another body while it is pending,
+//     or is reported as complete before a handler has processed it;
+//   - not run: a message that is due was not delivered by the end of the schedule;
+//   - order: messages of one order key were not delivered one after another in the
+//     order in which they were accepted, or a configuration was not acknowledged;
+//   - twice: in a schedule without faults, a message was delivered more than once;
+//   - grace: a graceful stop took longer than the grace period;
+//   - traffic: no message was accepted.
 
 import (
 	"bytes"
@@ -20,7 +22,8 @@
 	"time"
 )
 
-// queryMessages asks any edge about messages that were accepted a while ago.
+// queryMessages queries the status of accepted messages from random edges. Only messages
+// older than minQueryAge are queried.
 func (t *messageTraffic) queryMessages() {
 	for t.waitUnlessStopped(queryInterval) {
 		t.mu.Lock()
@@ -40,15 +43,15 @@
 	return t.request(zone, fmt.Sprintf("GET %s HTTP/1.1\r\nHost: app.example\r\nSaltreel-Key: key-one\r\n\r\n", path))
 }
 
-// checkMessage asks for the state of a message, and for its bytes while it is
-// pending. It returns the state, "" if there was no clear answer.
+// checkMessage queries the state of a message, and its body while it is pending. It
+// returns the state, or "" if the response was inconclusive.
 func (t *messageTraffic) checkMessage(a acceptedMessage, zone string) string {
 	m := t.maintenance
 	answer := t.get(zone, "/v1/message/"+a.name)
 	switch answer.status {
 	case http.StatusOK:
 	case http.StatusNotFound, http.StatusGone:
-		m.fail("lost", "%s was accepted as %s, and the edge of %s answers %d %s", a.id, a.name, zone, answer.status, answer.body)
+		m.fail("lost", "%s was accepted as %s, but the edge of %s responds with %d %s", a.id, a.name, zone, answer.status, answer.body)
 		return ""
 	default:
 		return ""
@@ -58,20 +61,20 @@
 		Seal  string `json:"seal"`
 	}
 	if err := json.Unmarshal([]byte(answer.body), &state); err != nil {
-		m.fail("lost", "the state of %s cannot be read: %v", a.id, err)
+		m.fail("lost", "cannot decode the state of %s: %v", a.id, err)
 	}
 	switch state.State {
 	case "complete":
 		if state.Seal != "seal-"+a.id || t.runs(a.id) == 0 {
-			m.fail("lost", "%s is said to be complete with the seal %q, and ran %d times", a.id, state.Seal, t.runs(a.id))
+			m.fail("lost", "%s is reported as complete with the seal %q after %d deliveries", a.id, state.Seal, t.runs(a.id))
 		}
 	case "pending":
 		bytesOf := t.get(zone, "/v1/message-body/"+a.name)
 		if bytesOf.status == http.StatusOK && a.body != "" && bytesOf.body != a.body {
-			m.fail("lost", "the bytes of %s are %.40q, not %.40q", a.id, bytesOf.body, a.body)
+			m.fail("lost", "the body of %s is %.40q, want %.40q", a.id, bytesOf.body, a.body)
 		}
 	default:
-		m.fail("lost", "%s is said to be %q, and no handler has failed it", a.id, state.State)
+		m.fail("lost", "%s is reported as %q, but no handler has returned a failure", a.id, state.State)
 	}
 	return state.State
 }
@@ -80,7 +83,8 @@
 	return t.plain.deliveryCount(id) + t.ordered.deliveryCount(id)
 }
 
-// checkFinalState checks, in the calm at the end, that each accepted message has run.
+// checkFinalState checks that each accepted message has been delivered, after the faults and the
+// traffic have ended.
 func (t *messageTraffic) checkFinalState() {
 	m := t.maintenance
 	for _, a := range t.accepted {
@@ -91,10 +95,10 @@
 			}
 		}
 		if state != "complete" {
-			m.fail("not run", "%s, accepted as %s at %v, is %q in the end and ran %d times", a.id, a.name, a.at.Sub(t.startedAt), state, t.runs(a.id))
+			m.fail("not run", "%s, accepted as %s at %v, has the final state %q after %d deliveries", a.id, a.name, a.at.Sub(t.startedAt), state, t.runs(a.id))
 		}
 		if n := t.runs(a.id); !m.plan.withFaults && n > 1 {
-			m.fail("twice", "%s ran %d times under planned work only", a.id, n)
+			m.fail("twice", "%s was delivered %d times in a schedule without faults", a.id, n)
 		}
 	}
 	if len(t.accepted) == 0 {
@@ -103,8 +107,8 @@
 	t.checkOrder()
 }
 
-// checkOrder checks that each message of an order key starts once those accepted
-// before it have ended.
+// checkOrder checks that the delivery of each message of an order key starts after
+// that of the message accepted before it has ended.
 func (t *messageTraffic) checkOrder() {
 	lastEnd := map[string]time.Time{}
 	firstStart := map[string]time.Time{}
@@ -113,19 +117,19 @@
 			firstStart[d.id] = d.startedAt
 		}
 		if end, ok := lastEnd[d.id]; !ok || d.endedAt.Before(end) {
-			lastEnd[d.id] = d.endedAt // of its first success: none fails here
+			lastEnd[d.id] = d.endedAt // of the first success: handlers never fail here
 		}
 	}
 	for key, ids := range t.byKey {
 		for i := 1; i < len(ids); i++ {
 			if firstStart[ids[i]].Before(lastEnd[ids[i-1]]) {
-				t.maintenance.fail("order", "%s of %s starts before %s has ended", ids[i], key, ids[i-1])
+				t.maintenance.fail("order", "delivery of %s with order key %s started before that of %s had ended", ids[i], key, ids[i-1])
 			}
 		}
 	}
 }
 
-// plantFaults puts the faults of the search in, from outside.
+// plantFaults installs the network hooks of the planted faults.
 func (m *maintenance) plantFaults() {
 	n := m.world.network
 	if m.fault.closesWithoutResponse {
@@ -148,7 +152,7 @@
 	}
 }
 
-// acceptResponse is what a store answers to an /accept call that it has on disk.
+// acceptResponse returns a store's response to an /accept call whose record is on disk.
 func acceptResponse(request []byte) []byte {
 	call := ""
 	for _, line := range strings.Split(string(request), "\r\n") {
--- a/internal/cluster/message_search_planted_faults_test.go
+++ b/internal/cluster/message_search_planted_faults_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Each check of the message search finds a fault that is planted from outside,
-// within a few schedules.
+// Guards against checks of the message search that detect nothing: each planted fault
+// must be reported under its class within a few schedules.
 func TestMessageSearchFindsPlantedFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault maintenanceFault
 		class string
-		seeds []int // that find it
+		seeds []int // tried in this order
 	}{
-		"SIGHUP ends a process that drains":   {maintenanceFault{releasesSIGHUP: true}, "unanswered", []int{1, 3, 5, 7, 9, 11, 13, 15, 17, 19, 21, 23}},
-		"a shutdown closes without an answer": {maintenanceFault{closesWithoutResponse: true}, "unanswered", []int{1, 3, 5, 7, 9, 11, 13, 15, 17, 19, 21, 23}},
-		"a record is on no store":             {maintenanceFault{dropsRecords: true}, "lost", []int{1, 3, 5, 7, 9, 11, 13, 15, 17, 19, 21, 23}},
+		"SIGHUP ends a draining process":            {maintenanceFault{releasesSIGHUP: true}, "unanswered", []int{1, 3, 5, 7, 9, 11, 13, 15, 17, 19, 21, 23}},
+		"a draining edge closes without a response": {maintenanceFault{closesWithoutResponse: true}, "unanswered", []int{1, 3, 5, 7, 9, 11, 13, 15, 17, 19, 21, 23}},
+		"an accepted message is not stored":         {maintenanceFault{dropsRecords: true}, "lost", []int{1, 3, 5, 7, 9, 11, 13, 15, 17, 19, 21, 23}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -28,7 +28,7 @@
 				}
 				t.Logf("seed %d: %v", seed, f)
 			}
-			t.Errorf("the schedules %v did not find it as %q", c.seeds, c.class)
+			t.Errorf("the schedules of seeds %v did not report the planted fault as %q", c.seeds, c.class)
 		})
 	}
 }
--- a/internal/cluster/message_search_run_test.go
+++ b/internal/cluster/message_search_run_test.go
@@ -13,13 +13,16 @@
 )
 
 const (
-	// restartDelay is how long a machine that was stopped in order is down.
+	// restartDelay is the downtime of a machine in a graceful restart, and of all
+	// machines after killAllAtOnce.
 	restartDelay = 500 * time.Millisecond
-	// recoveryTime is how long a store or a core counts as lost after it is back.
+	// recoveryTime is how long a restarted store or core still counts as lost.
 	recoveryTime = 4300 * time.Millisecond
-	// settleTime is the calm between the last step and the end of the traffic.
+	// settleTime is the time without faults between the last step and the end of the
+	// traffic.
 	settleTime = 6 * time.Second
-	// gracePeriod is that of the settings, after which the platform kills.
+	// gracePeriod is timers.grace-s of the settings, after which the platform kills
+	// a process.
 	gracePeriod = 6 * time.Second
 )
 
@@ -31,22 +34,22 @@
 	traffic *messageTraffic
 	tasks   sync.WaitGroup
 
-	// One store and one core is lost at a time: that many the cluster tolerates.
-	// Channels and not mutexes, which stop the clock of the bubble.
+	// The cluster tolerates the loss of one store and one core at a time. Channels
+	// rather than mutexes: a goroutine blocked on a mutex stops the bubble's clock.
 	storeSemaphore         chan struct{}
 	coreSemaphore          chan struct{}
 	edgeSemaphores         map[string]chan struct{} // by name
-	configurationSemaphore chan struct{}            // of changes of the configuration
-	killSemaphore          chan struct{}            // of kills, each of which waits for the whole bubble
+	configurationSemaphore chan struct{}            // serializes configuration changes
+	killSemaphore          chan struct{}            // serializes kills, each of which waits for the whole bubble (synctest.Wait)
 
 	mu        sync.Mutex
-	spares    []string // names of the machines that may replace a core
-	cores     []string // names of those that run
+	spares    []string // names of the machines that can replace a core
+	cores     []string // names of the active cores
 	firstFail *violation
-	faulted   []*process // that a fault has struck
+	faulted   []*process // that were hit by a fault
 }
 
-// newMaintenance makes a cluster that runs, with one spare core in each zone.
+// newMaintenance returns a running cluster with one spare core in each zone.
 func newMaintenance(t *testing.T, dir string, plan maintenancePlan, fault maintenanceFault) *maintenance {
 	m := &maintenance{
 		world: newWorld(t, dir, 1, "10.1.0.1", "10.2.0.1", "10.3.0.1"), plan: plan, fault: fault,
@@ -77,7 +80,7 @@
 	return m
 }
 
-// run plays the steps under traffic, and checks what is left in the end.
+// run runs the steps under traffic and then checks the final state.
 func (m *maintenance) run() {
 	m.plantFaults()
 	m.traffic.start()
@@ -88,7 +91,7 @@
 	m.tasks.Wait()
 	time.Sleep(settleTime)
 	m.traffic.stop()
-	m.world.restoreLinks() // or the questions take longer than outcomes are retained
+	m.world.restoreLinks() // otherwise the queries take longer than outcomes are retained
 	m.traffic.checkFinalState()
 }
 
@@ -120,7 +123,7 @@
 	}
 }
 
-// injectFault strikes one machine for a while.
+// injectFault injects the fault of a step and returns after it has ended.
 func (m *maintenance) injectFault(s maintenanceStep, zone string) {
 	switch s.kind {
 	case killEdge:
@@ -146,7 +149,8 @@
 	}
 }
 
-// partitionStore keeps a store for a while from those that the kind of the step says.
+// partitionStore partitions a store from the peers that the kind of the step selects, for
+// the duration of the step.
 func (m *maintenance) partitionStore(s maintenanceStep, name string) {
 	ip, n := m.world.machines[name].ip, m.world.network
 	peers := m.peersOf(s.kind, name)
@@ -175,7 +179,7 @@
 	time.Sleep(recoveryTime)
 }
 
-// peersOf is the addresses that a cut keeps a store from.
+// peersOf returns the addresses from which a step of this kind partitions a store.
 func (m *maintenance) peersOf(kind maintenanceKind, name string) (peers []string) {
 	for _, other := range m.world.machines {
 		wanted := kind == holdStoreTraffic || kind == partitionFromCores && other.role == "core" || kind == partitionFromStores && other.role == "store"
@@ -186,8 +190,8 @@
 	return peers
 }
 
-// killAll crashes all stores and cores at one moment; they come back with their
-// disks within a second.
+// killAll crashes all stores and cores at the same time, and restarts them with
+// their disks after restartDelay.
 func (m *maintenance) killAll() {
 	var names []string
 	for _, z := range zones {
@@ -212,8 +216,8 @@
 	time.Sleep(recoveryTime)
 }
 
-// acceptingPrimary waits until a message was accepted, and is the store that leads
-// its partition.
+// acceptingPrimary waits until a message is accepted and returns the primary of its
+// partition.
 func (m *maintenance) acceptingPrimary() string {
 	before := m.traffic.acceptedCount()
 	for m.traffic.acceptedCount() == before && time.Since(m.traffic.startedAt) < time.Hour {
@@ -248,7 +252,7 @@
 	})
 }
 
-// roll stops a store or core in order, and starts it again.
+// roll gracefully restarts a store or core.
 func (m *maintenance) roll(name string) {
 	m.terminate(name)
 	time.Sleep(restartDelay)
@@ -256,15 +260,15 @@
 	time.Sleep(recoveryTime)
 }
 
-// terminate stops a process in order, which must not take longer than the
-// platform waits.
+// terminate stops a process gracefully and checks that this takes no longer than the
+// grace period.
 func (m *maintenance) terminate(name string) {
 	if took := m.world.terminateMachine(name); took > gracePeriod {
-		m.fail("grace", "%s took %v to stop", name, took)
+		m.fail("grace", "%s took %v to stop gracefully, longer than the grace period", name, took)
 	}
 }
 
-// kill crashes a machine; it comes back later, with an empty disk if it is wiped.
+// kill crashes a machine and restarts it later, with an empty disk if wiped is true.
 func (m *maintenance) kill(name string, lasts time.Duration, wiped bool) {
 	w := m.world
 	m.recordFaulted(name)
@@ -279,9 +283,9 @@
 	}
 }
 
-// overlapLosses kills a store, and has the next one lose its disk within a second, mostly before
-// it has what the first one held. Both come back: one disk is lost, which the cluster
-// tolerates.
+// overlapLosses kills a store and within a second wipes the next one, mostly before
+// that has received the records of the first. Both restart: one disk is lost, which
+// the cluster tolerates.
 func (m *maintenance) overlapLosses(s maintenanceStep) {
 	var tasks sync.WaitGroup
 	tasks.Go(func() { m.kill("store-"+zones[s.machine], s.duration, false) })
@@ -291,15 +295,15 @@
 	time.Sleep(recoveryTime)
 }
 
-// runningCore is the name of a core that runs.
+// runningCore returns the name of an active core.
 func (m *maintenance) runningCore(n int) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.cores[n%len(m.cores)]
 }
 
-// replaceCore starts a new core and stops one in order; the settings of all
-// machines name the new one.
+// replaceCore starts a spare core, lists it in the settings of all machines, and
+// gracefully stops the core that it replaces.
 func (m *maintenance) replaceCore(n int) {
 	m.mu.Lock()
 	if len(m.spares) == 0 {
@@ -329,14 +333,15 @@
 	return machines
 }
 
-// reloadAll gives all processes SIGHUP.
+// reloadAll sends SIGHUP to all processes.
 func (m *maintenance) reloadAll() {
 	for name := range m.world.machines {
 		m.world.signal(name, syscall.SIGHUP)
 	}
 }
 
-// changeConfiguration puts the next configuration in force.
+// changeConfiguration writes the next revision of the configuration, with up to 40
+// attempts.
 func (m *maintenance) changeConfiguration(s maintenanceStep) {
 	w := m.world
 	revision := w.revision + 1
@@ -348,7 +353,7 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	m.fail("order", "revision %d is not acknowledged", revision)
+	m.fail("order", "configuration revision %d was not acknowledged after 40 attempts", revision)
 }
 
 // fail records the first violation.
@@ -366,7 +371,7 @@
 	return m.firstFail
 }
 
-// wasFaulted reports whether a fault has struck a process.
+// wasFaulted reports whether a process was hit by a fault.
 func (m *maintenance) wasFaulted(p *process) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/cluster/message_search_test.go
+++ b/internal/cluster/message_search_test.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// The message search runs random schedules of planned work, overlapping each
-// other and nothing else, or with faults beside them, on whole clusters that take
-// and deliver messages. It checks what clients, handlers and those who ask about
-// messages see: message_search_checks_test.go.
+// The message search runs random schedules of overlapping maintenance operations,
+// with or without faults, on whole clusters that accept and deliver messages. It
+// checks what clients, handlers and message status queries observe
+// (message_search_checks_test.go).
 //
-//	go test ./internal/cluster -run TestMessageSearch                           the seeds of each build
-//	go test ./internal/cluster -run TestMessageSearch -search.messages.seed 17  one of them again
-//	go test ./internal/cluster -run TestMessageSearch -search.messages.for 10m  as many as there is time for
+//	go test ./internal/cluster -run TestMessageSearch                           the default seeds
+//	go test ./internal/cluster -run TestMessageSearch -search.messages.seed 17  a single seed
+//	go test ./internal/cluster -run TestMessageSearch -search.messages.for 10m  as many seeds as fit into the time
 //
-// An odd seed is planned work only.
+// Odd seeds give schedules without faults.
 var (
-	messageSearchSeed  = flag.Int("search.messages.seed", 0, "run only the message schedule of this seed")
-	messageSearchFirst = flag.Int("search.messages.first", 1, "the first seed of the message search")
-	messageSearchCount = flag.Int("search.messages.count", messageSchedules, "how many message schedules are run")
-	messageSearchFor   = flag.Duration("search.messages.for", 0, "run message schedules for so long")
+	messageSearchSeed  = flag.Int("search.messages.seed", 0, "run only the message search schedule with this seed")
+	messageSearchFirst = flag.Int("search.messages.first", 1, "first seed of the message search")
+	messageSearchCount = flag.Int("search.messages.count", messageSchedules, "number of message search schedules")
+	messageSearchFor   = flag.Duration("search.messages.for", 0, "run message search schedules for this long")
 )
 
 func TestMessageSearch(t *testing.T) {
@@ -37,7 +37,8 @@
 	t.Logf("%d schedules in %v, %d failed", executed, time.Since(began).Round(time.Second), failed)
 }
 
-// checkMaintenanceSeed runs the schedule of a seed, and prints it if it fails.
+// checkMaintenanceSeed runs the schedule of a seed, prints it if it fails, and reports
+// whether it passed.
 func checkMaintenanceSeed(t *testing.T, seed int) bool {
 	t.Helper()
 	plan := drawMaintenance(seed)
@@ -49,19 +50,19 @@
 	return false
 }
 
-// maintenanceKind is what a step of a schedule does.
+// maintenanceKind is the kind of operation or fault of a step.
 type maintenanceKind int
 
 const (
 	rollEdge maintenanceKind = iota
 	rollStore
 	rollCore
-	reload                 // SIGHUP without a change
-	changeSettings         // of all machines, with SIGHUP
-	replaceCore            // a new core first, then SIGTERM to an old one
-	replaceCoreDuringRolls // the same while all edges are rolled
+	reload                 // SIGHUP with unchanged settings
+	changeSettings         // on all machines, followed by SIGHUP
+	replaceCore            // starts a new core, then sends SIGTERM to an old one
+	replaceCoreDuringRolls // replaceCore during a rolling restart of all edges
 	changeConfiguration
-	plannedKinds // how many kinds of planned work there are
+	plannedKinds // number of kinds that are not faults
 )
 
 const (
@@ -70,33 +71,33 @@
 	killCore
 	isolateStore
 	wipeStore
-	holdStoreTraffic      // it runs, and what it sends and receives arrives late
-	partitionFromCores    // a store, both ways
-	partitionFromStores   // a store, both ways
-	resetStoreConnections // its connections
-	killAllAtOnce         // all stores and cores, which come back within a second
+	holdStoreTraffic      // it runs, but its traffic is held in both directions
+	partitionFromCores    // a store, in both directions
+	partitionFromStores   // a store, in both directions
+	resetStoreConnections // all its connections
+	killAllAtOnce         // all stores and cores, which restart within a second
 	wipeAfterAccept       // the primary that has just accepted a message
-	overlapLosses         // a store is killed, and another one wiped before it is back
+	overlapLosses         // a store is killed, and another one loses its disk before the first is back
 	maintenanceKindEnd
 )
 
 func (k maintenanceKind) String() string {
 	return map[maintenanceKind]string{
-		rollEdge: "roll an edge", rollStore: "roll a store", rollCore: "roll a core", reload: "SIGHUP", changeSettings: "change the settings",
-		replaceCore: "replace a core", replaceCoreDuringRolls: "replace a core while all edges are rolled", changeConfiguration: "change the configuration",
+		rollEdge: "restart an edge gracefully", rollStore: "restart a store gracefully", rollCore: "restart a core gracefully", reload: "SIGHUP", changeSettings: "change the settings",
+		replaceCore: "replace a core", replaceCoreDuringRolls: "replace a core during a rolling restart of all edges", changeConfiguration: "change the configuration",
 		killEdge: "kill an edge", killStore: "kill a store", killCore: "kill a core", isolateStore: "isolate a store", wipeStore: "wipe a store",
-		holdStoreTraffic: "freeze a store", partitionFromCores: "cut a store from the cores", partitionFromStores: "cut a store from the stores",
-		resetStoreConnections: "reset the connections of a store", killAllAtOnce: "kill all stores and cores", wipeAfterAccept: "wipe a store that accepts",
-		overlapLosses: "kill a store and wipe the next one meanwhile",
+		holdStoreTraffic: "hold the traffic of a store", partitionFromCores: "partition a store from the cores", partitionFromStores: "partition a store from the other stores",
+		resetStoreConnections: "reset the connections of a store", killAllAtOnce: "kill all stores and cores", wipeAfterAccept: "wipe the primary that accepted last",
+		overlapLosses: "kill a store and wipe the next one before it is back",
 	}[k]
 }
 
-// maintenanceStep begins a while after the one before, whether or not that has
-// ended.
+// maintenanceStep is one operation or fault. It starts a fixed time after the start
+// of the step before it, whether or not that one has ended.
 type maintenanceStep struct {
 	kind     maintenanceKind
 	delay    time.Duration
-	machine  int // its zone, by number
+	machine  int // index of its zone
 	duration time.Duration
 }
 
@@ -104,7 +105,7 @@
 	return fmt.Sprintf("after %v: %v, zone %d, for %v", s.delay, s.kind, s.machine, s.duration)
 }
 
-// maintenancePlan is one schedule.
+// maintenancePlan is the schedule of one seed.
 type maintenancePlan struct {
 	seed       int
 	withFaults bool
@@ -139,16 +140,15 @@
 	return plan
 }
 
-// maintenanceFault is a fault put in from outside, to see whether the search
-// finds it.
+// maintenanceFault selects the faults that are planted to test whether the search
+// detects them.
 type maintenanceFault struct {
-	releasesSIGHUP        bool // SIGHUP gets its default action once SIGTERM has come
-	closesWithoutResponse bool // an edge that drains closes connections without an answer
-	dropsRecords          bool // some messages are accepted, and no store has them
+	releasesSIGHUP        bool // SIGHUP has its default action after SIGTERM
+	closesWithoutResponse bool // a draining edge closes connections without a response
+	dropsRecords          bool // some messages are accepted without being stored
 }
 
-// runMaintenance runs one schedule and returns its first violation, nil without
-// one.
+// runMaintenance runs one schedule and returns its first violation, or nil.
 func runMaintenance(t *testing.T, plan maintenancePlan, fault maintenanceFault) *violation {
 	t.Helper()
 	dir, err := os.MkdirTemp(memoryFolder(), "messages")
--- a/internal/cluster/message_search_traffic_test.go
+++ b/internal/cluster/message_search_traffic_test.go
@@ -1,6 +1,6 @@
 package cluster
 
-// The clients and handlers of the message search.
+// Clients and handlers of the message search.
 
 import (
 	"bufio"
@@ -19,19 +19,19 @@
 	queryInterval   = 60 * time.Millisecond
 	clientDeadline  = 2 * time.Second
 	responseTimeout = 5 * time.Second
-	finalLimit      = 20 * time.Second // for each message that is due in the end
+	finalLimit      = 20 * time.Second // for each message in the final check
 	orderKeys       = 3
-	minQueryAge     = 2 * time.Second // younger messages may be unknown at other edges
+	minQueryAge     = 2 * time.Second // newer messages may be unknown to other edges
 )
 
-// acceptedMessage is a message that was answered with 202.
+// acceptedMessage is a message that an edge accepted with status 202.
 type acceptedMessage struct {
 	id, name, body string
 	at             time.Time
 }
 
-// messageTraffic is the clients of the message search, and what they were
-// answered.
+// messageTraffic runs the clients and handlers of the message search and records
+// the accepted messages.
 type messageTraffic struct {
 	maintenance *maintenance
 	plain       *service
@@ -43,7 +43,7 @@
 	mu       sync.Mutex
 	rng      *rand.Rand
 	accepted []acceptedMessage
-	byKey    map[string][]string // identifiers, in the order of their acceptance
+	byKey    map[string][]string // message identifiers in acceptance order, by order key
 }
 
 func newMessageTraffic(m *maintenance) *messageTraffic {
@@ -58,7 +58,7 @@
 	return t
 }
 
-// respond takes a while that differs between messages.
+// respond returns success after a random handling time of 1 to 40 ms.
 func (t *messageTraffic) respond(delivery) (int, time.Duration) {
 	return http.StatusOK, time.Duration(1+t.random(40)) * time.Millisecond
 }
@@ -83,7 +83,8 @@
 	t.clients.Wait()
 }
 
-// waitUnlessStopped waits, and reports whether the traffic goes on.
+// waitUnlessStopped waits for d and returns true, or returns false once the traffic
+// is stopped.
 func (t *messageTraffic) waitUnlessStopped(d time.Duration) bool {
 	select {
 	case <-t.stopped:
@@ -103,7 +104,7 @@
 	}
 }
 
-// sendOrderedMessages sends the messages of one order key one after another.
+// sendOrderedMessages sends messages with one order key sequentially.
 func (t *messageTraffic) sendOrderedMessages(key string) {
 	for n := 0; t.waitUnlessStopped(4 * messageInterval); n++ {
 		id := fmt.Sprintf("%s-%d", key, n)
@@ -115,8 +116,9 @@
 	}
 }
 
-// sendUntilDefinite sends a message, under the same identifier, until it is accepted
-// or has certainly been rejected a few times, and reports whether it is accepted.
+// sendUntilDefinite retries a message with the same attempt identifier until it is
+// accepted, has been rejected 3 times, or 20 attempts have been made, and reports
+// whether it was accepted.
 func (t *messageTraffic) sendUntilDefinite(id, path string, first int, header ...string) bool {
 	rejected := 0
 	for try := 0; rejected < 3 && try < 20; try++ {
@@ -126,7 +128,8 @@
 			path, id, clientDeadline.Milliseconds(), len(body), headerLines(header), body))
 		switch answer.status {
 		case http.StatusAccepted:
-			// An earlier attempt, with another body, may be the one that was accepted.
+			// After a retry the body is unknown: an earlier attempt with another one may
+			// have been accepted.
 			t.recordAccepted(acceptedMessage{id: id, name: answer.name, at: time.Now()}, body, try == 0)
 			return true
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests:
@@ -166,14 +169,15 @@
 	return t.accepted[len(t.accepted)-1]
 }
 
-// clientResponse is what a client read; its status is 0 without a complete answer.
+// clientResponse is the response that a client read; its status is 0 if it is incomplete.
 type clientResponse struct {
 	status     int
 	name, body string
 }
 
-// request sends one request on a connection of its own to the edge of a zone. An
-// edge that has read all of it must answer.
+// request sends one request to the edge of a zone on a new connection. It records a
+// violation if the edge has read the whole request without sending a complete response
+// and was not hit by a fault.
 func (t *messageTraffic) request(zone, raw string) clientResponse {
 	m := t.maintenance
 	w := m.world
@@ -197,7 +201,7 @@
 	}
 	if err != nil {
 		if !dialled.(*conn).out.hasUnread() && !m.wasFaulted(server) {
-			m.fail("unanswered", "edge of %s has read a request and not answered it (%v): %.120q", zone, err, raw)
+			m.fail("unanswered", "edge of %s read a request and sent no complete response (%v): %.120q", zone, err, raw)
 		}
 		return clientResponse{}
 	}
