--- a/internal/cluster/message_search_run_test.go
+++ b/internal/cluster/message_search_run_test.go
@@ -13,13 +13,16 @@
 )
 
 const (
-	// restartDelay is how long a machine that was stopped in order is down.
+	// restartDelay is the downtime of a machine in a graceful restart, and of all
+	// machines after killAllAtOnce.
 	restartDelay = 500 * time.Millisecond
-	// recoveryTime is how long a store or a core counts as lost after it is back.
+	// recoveryTime is how long a restarted store or core still counts as lost.
 	recoveryTime = 4300 * time.Millisecond
-	// calmTime is the calm between the last step and the end of the traffic.
-	calmTime = 6 * time.Second
-	// gracePeriod is that of the settings, after which the platform kills.
+	// settleTime is the time without faults between the last step and the end of the
+	// traffic.
+	settleTime = 6 * time.Second
+	// gracePeriod is timers.grace-s of the settings, after which the platform kills
+	// a process.
 	gracePeriod = 6 * time.Second
 )
 
@@ -31,22 +34,22 @@
 	traffic *messageTraffic
 	tasks   sync.WaitGroup
 
-	// One store and one core is lost at a time: that many the cluster tolerates.
-	// Channels and not mutexes, which stop the clock of the bubble.
+	// The cluster tolerates the loss of one store and one core at a time. Channels
+	// rather than mutexes: a goroutine blocked on a mutex stops the bubble's clock.
 	storeSemaphore         chan struct{}
 	coreSemaphore          chan struct{}
 	edgeSemaphores         map[string]chan struct{} // by name
-	configurationSemaphore chan struct{}            // of changes of the configuration
-	killSemaphore          chan struct{}            // of kills, each of which waits for the whole bubble
+	configurationSemaphore chan struct{}            // serializes configuration changes
+	killSemaphore          chan struct{}            // serializes kills, each of which waits for the whole bubble (synctest.Wait)
 
 	mu        sync.Mutex
-	spares    []string // names of the machines that may replace a core
-	cores     []string // names of those that run
+	spares    []string // names of the machines that can replace a core
+	cores     []string // names of the active cores
 	firstFail *violation
-	faulted   []*process // that a fault has struck
+	faulted   []*process // that were hit by a fault
 }
 
-// newMaintenance makes a cluster that runs, with one spare core in each zone.
+// newMaintenance returns a running cluster with one spare core in each zone.
 func newMaintenance(t *testing.T, dir string, plan maintenancePlan, fault maintenanceFault) *maintenance {
 	m := &maintenance{
 		world: newWorld(t, dir, 1, "10.1.0.1", "10.2.0.1", "10.3.0.1"), plan: plan, fault: fault,
@@ -54,7 +57,7 @@
 		edgeSemaphores: map[string]chan struct{}{},
 	}
 	w := m.world
-	w.plantedRelease = fault.releasesSIGHUP
+	w.restoresDefaultSIGHUP = fault.releasesSIGHUP
 	for i, z := range zones {
 		spare := "core-spare-" + z
 		w.machines[spare] = &machine{name: spare, role: "core", zone: z, ip: fmt.Sprintf("10.%d.0.4", i+1), dataPath: dir + "/" + spare, cancel: func() {}}
@@ -77,19 +80,19 @@
 	return m
 }
 
-// run plays the steps under traffic, and checks what is left in the end.
+// run runs the steps under traffic and then checks the final state.
 func (m *maintenance) run() {
 	m.plantFaults()
 	m.traffic.start()
 	for _, s := range m.plan.steps {
-		time.Sleep(s.wait)
+		time.Sleep(s.delay)
 		m.tasks.Go(func() { m.perform(s) })
 	}
 	m.tasks.Wait()
-	time.Sleep(calmTime)
+	time.Sleep(settleTime)
 	m.traffic.stop()
-	m.world.quickLinks() // or the questions take longer than outcomes are retained
-	m.traffic.checkEnd()
+	m.world.restoreLinks() // otherwise the queries take longer than outcomes are retained
+	m.traffic.checkFinalState()
 }
 
 func (m *maintenance) perform(s maintenanceStep) {
@@ -120,47 +123,48 @@
 	}
 }
 
-// injectFault strikes one machine for a while.
+// injectFault injects the fault of a step and returns after it has ended.
 func (m *maintenance) injectFault(s maintenanceStep, zone string) {
 	switch s.kind {
 	case killEdge:
-		m.withSemaphore(m.edgeSemaphores["edge-"+zone], func() { m.kill("edge-"+zone, s.lasts, false) })
+		m.withSemaphore(m.edgeSemaphores["edge-"+zone], func() { m.kill("edge-"+zone, s.duration, false) })
 	case killStore:
-		m.withSemaphore(m.storeSemaphore, func() { m.kill("store-"+zone, s.lasts, false) })
+		m.withSemaphore(m.storeSemaphore, func() { m.kill("store-"+zone, s.duration, false) })
 	case wipeStore:
-		m.withSemaphore(m.storeSemaphore, func() { m.kill("store-"+zone, s.lasts, true) })
+		m.withSemaphore(m.storeSemaphore, func() { m.kill("store-"+zone, s.duration, true) })
 	case killCore:
-		m.withSemaphore(m.coreSemaphore, func() { m.kill(m.runningCore(s.machine), s.lasts, false) })
+		m.withSemaphore(m.coreSemaphore, func() { m.kill(m.runningCore(s.machine), s.duration, false) })
 	case killAllAtOnce:
 		m.withSemaphore(m.storeSemaphore, func() { m.withSemaphore(m.coreSemaphore, m.killAll) })
 	case wipeAfterAccept:
-		m.withSemaphore(m.storeSemaphore, func() { m.kill(m.storeThatAccepts(), s.lasts, true) })
+		m.withSemaphore(m.storeSemaphore, func() { m.kill(m.acceptingPrimary(), s.duration, true) })
 	case overlapLosses:
 		m.withSemaphore(m.storeSemaphore, func() { m.overlapLosses(s) })
-	case resetOfStore:
+	case resetStoreConnections:
 		for name := range m.world.machines {
 			m.world.network.reset(m.world.machines["store-"+zone].ip, m.world.machines[name].ip)
 		}
 	default:
-		m.withSemaphore(m.storeSemaphore, func() { m.cut(s, "store-"+zone) })
+		m.withSemaphore(m.storeSemaphore, func() { m.partitionStore(s, "store-"+zone) })
 	}
 }
 
-// cut keeps a store for a while from those that the kind of the step says.
-func (m *maintenance) cut(s maintenanceStep, name string) {
+// partitionStore partitions a store from the peers that the kind of the step selects, for
+// the duration of the step.
+func (m *maintenance) partitionStore(s maintenanceStep, name string) {
 	ip, n := m.world.machines[name].ip, m.world.network
 	peers := m.peersOf(s.kind, name)
 	switch s.kind {
 	case isolateStore:
 		n.isolate(ip, true)
-		time.Sleep(s.lasts)
+		time.Sleep(s.duration)
 		n.isolate(ip, false)
-	case freezeStore:
+	case holdStoreTraffic:
 		for _, peer := range peers {
 			n.hold(ip, peer)
 			n.hold(peer, ip)
 		}
-		time.Sleep(s.lasts)
+		time.Sleep(s.duration)
 		for _, peer := range peers {
 			n.release(ip, peer)
 			n.release(peer, ip)
@@ -168,17 +172,17 @@
 	default:
 		n.setBlocked([]string{ip}, peers, true)
 		n.setBlocked(peers, []string{ip}, true)
-		time.Sleep(s.lasts)
+		time.Sleep(s.duration)
 		n.setBlocked([]string{ip}, peers, false)
 		n.setBlocked(peers, []string{ip}, false)
 	}
 	time.Sleep(recoveryTime)
 }
 
-// peersOf is the addresses that a cut keeps a store from.
+// peersOf returns the addresses from which a step of this kind partitions a store.
 func (m *maintenance) peersOf(kind maintenanceKind, name string) (peers []string) {
 	for _, other := range m.world.machines {
-		wanted := kind == freezeStore || kind == cutFromCores && other.role == "core" || kind == cutFromStores && other.role == "store"
+		wanted := kind == holdStoreTraffic || kind == partitionFromCores && other.role == "core" || kind == partitionFromStores && other.role == "store"
 		if other.ip != "" && other.name != name && wanted {
 			peers = append(peers, other.ip)
 		}
@@ -186,8 +190,8 @@
 	return peers
 }
 
-// killAll crashes all stores and cores at one moment; they come back with their
-// disks within a second.
+// killAll crashes all stores and cores at the same time, and restarts them with
+// their disks after restartDelay.
 func (m *maintenance) killAll() {
 	var names []string
 	for _, z := range zones {
@@ -197,7 +201,7 @@
 		names = append(names, c.name)
 	}
 	for _, name := range names {
-		m.noteFaulted(name)
+		m.recordFaulted(name)
 		m.world.processOf(name).kill()
 	}
 	m.withSemaphore(m.killSemaphore, func() {
@@ -212,9 +216,9 @@
 	time.Sleep(recoveryTime)
 }
 
-// storeThatAccepts waits until a message was accepted, and is the store that leads
-// its partition.
-func (m *maintenance) storeThatAccepts() string {
+// acceptingPrimary waits until a message is accepted and returns the primary of its
+// partition.
+func (m *maintenance) acceptingPrimary() string {
 	before := m.traffic.acceptedCount()
 	for m.traffic.acceptedCount() == before && time.Since(m.traffic.startedAt) < time.Hour {
 		time.Sleep(time.Millisecond)
@@ -228,7 +232,7 @@
 	return status.Placement.Partitions[partition].Primary
 }
 
-func (m *maintenance) noteFaulted(name string) {
+func (m *maintenance) recordFaulted(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faulted = append(m.faulted, m.world.processOf(name))
@@ -248,7 +252,7 @@
 	})
 }
 
-// roll stops a store or core in order, and starts it again.
+// roll gracefully restarts a store or core.
 func (m *maintenance) roll(name string) {
 	m.terminate(name)
 	time.Sleep(restartDelay)
@@ -256,18 +260,18 @@
 	time.Sleep(recoveryTime)
 }
 
-// terminate stops a process in order, which must not take longer than the
-// platform waits.
+// terminate stops a process gracefully and checks that this takes no longer than the
+// grace period.
 func (m *maintenance) terminate(name string) {
 	if took := m.world.terminateMachine(name); took > gracePeriod {
-		m.fail("grace", "%s took %v to stop", name, took)
+		m.fail("grace", "%s took %v to stop gracefully, longer than the grace period", name, took)
 	}
 }
 
-// kill crashes a machine; it comes back later, with an empty disk if it is wiped.
+// kill crashes a machine and restarts it later, with an empty disk if wiped is true.
 func (m *maintenance) kill(name string, lasts time.Duration, wiped bool) {
 	w := m.world
-	m.noteFaulted(name)
+	m.recordFaulted(name)
 	m.withSemaphore(m.killSemaphore, func() { w.killMachine(name) })
 	if wiped {
 		w.wipeDisk(name)
@@ -279,27 +283,27 @@
 	}
 }
 
-// overlapLosses kills a store, and has the next one lose its disk within a second, mostly before
-// it has what the first one held. Both come back: one disk is lost, which the cluster
-// tolerates.
+// overlapLosses kills a store and within a second wipes the next one, mostly before
+// that has received the records of the first. Both restart: one disk is lost, which
+// the cluster tolerates.
 func (m *maintenance) overlapLosses(s maintenanceStep) {
 	var tasks sync.WaitGroup
-	tasks.Go(func() { m.kill("store-"+zones[s.machine], s.lasts, false) })
-	time.Sleep(s.lasts / 4)
-	tasks.Go(func() { m.kill("store-"+zones[(s.machine+1)%len(zones)], s.lasts, true) })
+	tasks.Go(func() { m.kill("store-"+zones[s.machine], s.duration, false) })
+	time.Sleep(s.duration / 4)
+	tasks.Go(func() { m.kill("store-"+zones[(s.machine+1)%len(zones)], s.duration, true) })
 	tasks.Wait()
 	time.Sleep(recoveryTime)
 }
 
-// runningCore is the name of a core that runs.
+// runningCore returns the name of an active core.
 func (m *maintenance) runningCore(n int) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.cores[n%len(m.cores)]
 }
 
-// replaceCore starts a new core and stops one in order; the settings of all
-// machines name the new one.
+// replaceCore starts a spare core, lists it in the settings of all machines, and
+// gracefully stops the core that it replaces.
 func (m *maintenance) replaceCore(n int) {
 	m.mu.Lock()
 	if len(m.spares) == 0 {
@@ -329,14 +333,15 @@
 	return machines
 }
 
-// reloadAll gives all processes SIGHUP.
+// reloadAll sends SIGHUP to all processes.
 func (m *maintenance) reloadAll() {
 	for name := range m.world.machines {
 		m.world.signal(name, syscall.SIGHUP)
 	}
 }
 
-// changeConfiguration puts the next configuration in force.
+// changeConfiguration writes the next revision of the configuration, with up to 40
+// attempts.
 func (m *maintenance) changeConfiguration(s maintenanceStep) {
 	w := m.world
 	revision := w.revision + 1
@@ -348,7 +353,7 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	m.fail("order", "revision %d is not acknowledged", revision)
+	m.fail("order", "configuration revision %d was not acknowledged after 40 attempts", revision)
 }
 
 // fail records the first violation.
@@ -366,7 +371,7 @@
 	return m.firstFail
 }
 
-// wasFaulted reports whether a fault has struck a process.
+// wasFaulted reports whether a process was hit by a fault.
 func (m *maintenance) wasFaulted(p *process) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
