--- a/internal/cluster/race_off_test.go
+++ b/internal/cluster/race_off_test.go
@@ -2,5 +2,5 @@
 
 package cluster
 
-// messageSchedules is how many message schedules a build runs.
+// messageSchedules is the default number of schedules of the message search.
 const messageSchedules = 16
--- a/internal/cluster/race_on_test.go
+++ b/internal/cluster/race_on_test.go
@@ -2,6 +2,7 @@
 
 package cluster
 
-// messageSchedules is how many message schedules a build runs. Under the race
-// detector one takes several times as long.
+// messageSchedules is the default number of schedules of the message search. It
+// is lower than without the race detector, under which a schedule takes several
+// times as long.
 const messageSchedules = 4
--- a/internal/cluster/search_checks_test.go
+++ b/internal/cluster/search_checks_test.go
@@ -1,7 +1,7 @@
 package cluster
 
-// What must hold at any moment: the observation of all cores past all partitions,
-// the invariants, and how a violation and the totals of a search are recorded.
+// Invariant checks that run throughout a schedule on observations of all cores
+// that bypass network partitions, and the recording of violations and totals.
 
 import (
 	"context"
@@ -18,15 +18,16 @@
 	"saltreel/internal/journal"
 )
 
-// violation is a property that a schedule showed not to hold.
+// violation is a checked property that did not hold in a schedule. Its class
+// identifies the kind of check, by which shrinking compares failures.
 type violation struct {
 	class, text string
 }
 
 func (f *violation) String() string { return f.class + ": " + f.text }
 
-// totals is what happened in all schedules run, so that a search that exercises
-// nothing shows.
+// totals counts events over all schedules of a search. They are logged so that a
+// search that no longer exercises the cluster is noticed.
 var totals struct {
 	sync.Mutex
 	n map[string]int
@@ -56,7 +57,8 @@
 	totals.n["seconds simulated"] += int(time.Since(s.startedAt).Seconds())
 }
 
-// fail records the first violation; the schedule ends there.
+// fail records the first violation, which ends the schedule. Later ones are
+// ignored.
 func (s *simulation) fail(class, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +72,7 @@
 	}
 }
 
-// logLocked adds an entry to the log that is printed with a violation.
+// logLocked appends an entry to the event log that is printed with a violation.
 func (s *simulation) logLocked(format string, args ...any) {
 	fmt.Fprintf(&s.eventLog, "  %8.3f %s\n", time.Since(s.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
@@ -93,15 +95,17 @@
 	return v, s.observer.Call(ctx, internalAddress(m), "/view", struct{}{}, nil, &v)
 }
 
-// coreObservation is what one core has published so far, as a node would know it.
+// coreObservation is the state that a node would hold after applying all events
+// that one core has published so far.
 type coreObservation struct {
 	page     journal.Page
-	states   map[string]string // of handlers, by ID
-	revision int64             // of the configuration; 0 without one
+	states   map[string]string // handler states, by handler ID
+	revision int64             // configuration revision; 0 if none was published
 }
 
-// observeCores asks all cores for their view and their events again and again,
-// past all partitions: as a node on their side of a partition would see them.
+// observeCores polls the view and the events of all cores until ctx ends. It
+// bypasses network partitions, so each core is seen as by a node on its own side
+// of a partition.
 func (s *simulation) observeCores(ctx context.Context) {
 	observations := map[string]*coreObservation{}
 	var mu sync.Mutex
@@ -131,7 +135,7 @@
 	}
 }
 
-// observeCore asks one core once.
+// observeCore polls one core once and checks what it returns.
 func (s *simulation) observeCore(ctx context.Context, m *machine, observationOf func(name string) *coreObservation) {
 	if v, err := s.viewOf(m); err == nil {
 		s.checkView(m, v)
@@ -148,8 +152,8 @@
 	s.checkPublishedState(m, asked, o.revision, o.states)
 }
 
-// applyPage adds a page of events to what is known of a core. A page of another
-// source begins anew.
+// applyPage applies a page of events to the observation of a core. A page from a
+// different source discards the state observed before.
 func (s *simulation) applyPage(m *machine, o *coreObservation, page journal.Page) {
 	if page.Source != o.page.Source {
 		o.states = map[string]string{}
@@ -167,7 +171,8 @@
 	}
 }
 
-// checkPublishedConfiguration checks a configuration that a core gave a node.
+// checkPublishedConfiguration checks that a configuration published by a core was
+// sent by an operator and not rejected.
 func (s *simulation) checkPublishedConfiguration(m *machine, raw []byte) {
 	o := s.findWrite(raw)
 	if o == nil {
@@ -182,9 +187,9 @@
 	}
 }
 
-// checkPublishedState checks what a core has published: its configuration may
-// be stale for the contact time-out at most, and a handler that is deregistered
-// or drains may not become ready again.
+// checkPublishedState checks the state published by a core: its configuration may
+// be stale for at most the contact timeout, and a handler that is draining or
+// deregistered must not become ready again.
 func (s *simulation) checkPublishedState(m *machine, asked time.Time, revision int64, states map[string]string) {
 	s.history.mu.Lock()
 	for _, o := range s.history.writes {
@@ -212,8 +217,8 @@
 	}
 }
 
-// checkView checks a view that a core reported: a core never goes back to an
-// older view, a number belongs to one view, and at most one voter changes
+// checkView checks a view reported by a core: a core never reverts to an older
+// view, a view number identifies exactly one view, and at most one voter changes
 // between successive views.
 func (s *simulation) checkView(m *machine, v chain.View) {
 	if v.Number == 0 {
@@ -247,7 +252,7 @@
 	}
 }
 
-// countMissing counts the members of one list that are not in another.
+// countMissing returns the number of members of a that are not in b.
 func countMissing(a, b []chain.Member) (n int) {
 	for _, m := range a {
 		if !slices.ContainsFunc(b, func(o chain.Member) bool { return o.Address == m.Address && o.Disk == m.Disk }) {
--- a/internal/cluster/search_clients_test.go
+++ b/internal/cluster/search_clients_test.go
@@ -1,7 +1,7 @@
 package cluster
 
-// The clients of the cores: operators who write, readers, and handlers that
-// register, drain and deregister.
+// The simulated clients of the cores: operators that write the configuration,
+// readers, and handlers that register, drain and deregister.
 
 import (
 	"cmp"
@@ -17,21 +17,23 @@
 	"saltreel/internal/httpwire"
 )
 
-// simulatedHandler is a handler as the cores see it.
+// simulatedHandler is the state of a handler that sends heartbeats to the cores;
+// no handler process runs.
 type simulatedHandler struct {
 	id      string
 	callSeq int64
 	state   string
 }
 
-// deregisteredState is the state of a simulatedHandler that has sent its DELETE.
+// deregisteredState is the state of a simulatedHandler once it sends DELETE. It is
+// never sent to a core.
 const deregisteredState = "gone"
 
-// deregistration is an acknowledged one, or an acknowledged change to draining.
+// deregistration records when a DELETE, or a change to draining, was acknowledged.
 type deregistration struct{ acknowledgedAt time.Time }
 
-// newWrite makes a write on top of the newest revision that is known, or of the
-// one before.
+// newWrite returns a write conditional on the latest known revision, or, if older
+// is 3, on the one before it. Its revision is more+1 above that one.
 func (s *simulation) newWrite(more, older int) *configurationWrite {
 	s.mu.Lock()
 	match := s.latestKnownRevision
@@ -54,8 +56,8 @@
 	s.latestKnownRevision = max(s.latestKnownRevision, revision)
 }
 
-// callCore sends one request to a core and follows two redirects; it returns 0
-// where the outcome is unknown.
+// callCore sends one request to a core and follows up to two redirects. It
+// returns status 0 if the outcome is unknown.
 func (s *simulation) callCore(m *machine, c httpwire.Call) (int, []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -80,9 +82,8 @@
 	return 0, nil
 }
 
-// sendWrite sends a write to one core after the other until its outcome is
-// known, for a number of attempts at most. It returns the status, 0 where the
-// outcome is unknown.
+// sendWrite sends a write to the cores in turn until its outcome is known or the
+// attempts are used up. It returns the status, 0 if the outcome is unknown.
 func (s *simulation) sendWrite(o *configurationWrite, first, attempts int) int {
 	backoff := 50 * time.Millisecond
 	for attempt := range attempts {
@@ -131,7 +132,7 @@
 	return 0
 }
 
-// noteConflict takes the revision in force from the text of a 412.
+// noteConflict records the current revision stated in the body of a 412.
 func (s *simulation) noteConflict(body []byte) {
 	words := strings.Fields(strings.TrimPrefix(string(body), `{"error-text":"revision `) + " 0")
 	if n, err := strconv.ParseInt(words[0], 10, 64); err == nil {
@@ -139,8 +140,8 @@
 	}
 }
 
-// readConfiguration reads the configuration from one core and records what was
-// read; false without an answer.
+// readConfiguration reads the configuration from one core and adds the result to
+// the history. It returns false if there was no valid response.
 func (s *simulation) readConfiguration(m *machine) bool {
 	begin := s.history.tick()
 	code, body := s.callCore(m, httpwire.Call{Method: "GET", Target: "/v1/configuration"})
@@ -182,16 +183,16 @@
 	return o, json.Unmarshal(body, &o)
 }
 
-// handlerCall is one call of a handler, as a step of a schedule asks for it.
+// handlerCall is a request that a handler sends to the cores in one step.
 type handlerCall struct {
 	handler       *simulatedHandler
-	number        int // of the handler
+	number        int // index of the handler
 	method, state string
-	stale         bool // a heartbeat from before all others
+	stale         bool // a delayed heartbeat, with the lowest call sequence number
 }
 
-// handlerStep has a handler call the cores; the channel is closed when it was
-// answered.
+// handlerStep starts a handler's request to the cores. The returned channel is
+// closed once it is acknowledged or its attempts are used up.
 func (s *simulation) handlerStep(x step) <-chan struct{} {
 	done := make(chan struct{})
 	call := s.newHandlerCall(x)
@@ -207,8 +208,8 @@
 	return done
 }
 
-// newHandlerCall moves a handler to the state that a step says. A handler that
-// is deregistered comes back under another ID.
+// newHandlerCall updates the state of a handler as the step requires and returns
+// the request to send. A heartbeat after a deregistration registers a new ID.
 func (s *simulation) newHandlerCall(x step) *handlerCall {
 	n := x.N % 3
 	s.mu.Lock()
@@ -237,7 +238,7 @@
 	return call
 }
 
-// sendHandlerCall sends a call to one core and reports whether it was
+// sendHandlerCall sends a request to one core and reports whether it was
 // acknowledged.
 func (s *simulation) sendHandlerCall(call *handlerCall, core int) bool {
 	h := call.handler
--- a/internal/cluster/search_faults_test.go
+++ b/internal/cluster/search_faults_test.go
@@ -1,7 +1,7 @@
 package cluster
 
-// The steps of a schedule, and their faults: crashes, losses of disks and of
-// power, links that are blocked or held.
+// Execution of the steps of a schedule and their faults: crashes, loss of disks
+// and of power, and blocked or held links.
 
 import (
 	"os"
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// crash kills cores and starts them again later. With a loss of power they also
-// lose what a planted fault says.
+// crash kills cores and restarts them later. With powerLoss a planted fault may
+// change what is left on their disks.
 func (s *simulation) crash(ms int, powerLoss bool, list ...*machine) {
 	killed := s.kill(list...)
 	for i, m := range killed {
 		if powerLoss && s.fault.afterPowerLoss != nil {
 			s.fault.afterPowerLoss(s, m)
 		}
-		// They come back together, or one after the other, in an order that the
-		// duration decides.
+		// The duration determines whether the cores restart together or in
+		// sequence, and in which order.
 		delay := (i + ms/200) % len(killed) * (ms / 100 % 2) * 1500
 		s.injectFor(ms+delay, func() {}, func() { s.start(m) })
 	}
@@ -35,8 +35,8 @@
 	}
 }
 
-// adjustBlocks adds to the number of faults that block each link; a link works
-// when none is left.
+// adjustBlocks adds to the number of faults that block each link. A link is
+// unblocked when its number returns to 0, so that faults may overlap.
 func (s *simulation) adjustBlocks(by int, from, to []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,12 +50,13 @@
 	}
 }
 
-// block loses what goes from some machines to others.
+// block drops traffic from one set of machines to another until the fault ends.
 func (s *simulation) block(ms int, from, to []string) {
 	s.injectFor(ms, func() { s.adjustBlocks(1, from, to) }, func() { s.adjustBlocks(-1, from, to) })
 }
 
-// holdLinks delays what goes from some machines to others until the fault ends.
+// holdLinks delays traffic from one set of machines to another until the fault
+// ends.
 func (s *simulation) holdLinks(ms int, from, to []string) {
 	each := func(f func(a, b string)) {
 		for _, a := range from {
@@ -69,7 +70,8 @@
 	s.injectFor(ms, func() { each(s.world.network.hold) }, func() { each(s.world.network.release) })
 }
 
-// othersThan returns the addresses of all cores but some, and of the clients.
+// othersThan returns the addresses of all cores except the given ones, and that
+// of the clients.
 func (s *simulation) othersThan(but ...string) (out []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,8 +83,8 @@
 	return append(out, clientIP)
 }
 
-// peersOf returns those that a machine is isolated from: the other cores, and
-// with n odd the clients.
+// peersOf returns the addresses from which a machine is isolated: the other
+// cores, and the clients if n is odd.
 func (s *simulation) peersOf(ip string, n int) []string {
 	return slices.DeleteFunc(s.othersThan(ip), func(o string) bool { return o == clientIP && n%2 == 0 })
 }
@@ -93,16 +95,16 @@
 	s.block(ms, rest, []string{ip})
 }
 
-// freeze holds all that a machine sends and receives. Its process runs on, but
-// what it does reaches nobody before the end of the fault, and what was sent to
-// it meanwhile arrives then, all at once and late.
+// freeze holds all traffic from and to a machine. Its process keeps running; held
+// traffic in both directions is delivered late and all at once when the fault
+// ends.
 func (s *simulation) freeze(ms int, ip string) {
 	others := s.othersThan(ip)
 	s.holdLinks(ms, []string{ip}, others)
 	s.holdLinks(ms, others, []string{ip})
 }
 
-// perform does one step: a call of a client, a fault of the network or of
+// perform executes one step: a client request, a fault of the network or of
 // machines, a trigger, or the loss of a disk.
 func (s *simulation) perform(x step) {
 	s.logStep(x)
@@ -125,7 +127,7 @@
 	}
 }
 
-// logStep logs a step; calls log themselves, with their answers.
+// logStep logs a step. Client requests are logged with their responses instead.
 func (s *simulation) logStep(x step) {
 	switch x.Kind {
 	case stepWrite, stepRead, stepResend, stepBurst, stepHeartbeat, stepDrain, stepDeregister, stepStaleHeartbeat:
@@ -136,7 +138,7 @@
 	}
 }
 
-// performCall starts what a client does.
+// performCall starts the client requests of a step without waiting for them.
 func (s *simulation) performCall(x step) {
 	switch x.Kind {
 	case stepWrite:
@@ -175,7 +177,7 @@
 	}
 }
 
-// performFault injects a fault of machines or of the whole network.
+// performFault injects a fault of machines, connections or the whole network.
 func (s *simulation) performFault(x step) {
 	a, b := s.cores[x.A], s.cores[x.B]
 	switch x.Kind {
@@ -209,7 +211,7 @@
 	}
 }
 
-// performLinkFault blocks or holds links of a core.
+// performLinkFault blocks or holds links between cores or to the clients.
 func (s *simulation) performLinkFault(x step) {
 	a, b := s.cores[x.A], s.cores[x.B]
 	switch x.Kind {
@@ -238,15 +240,15 @@
 	}
 }
 
-// arm has a fault wait for its message.
+// arm registers a fault to be injected on its message.
 func (s *simulation) arm(x step) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.armedTriggers = append(s.armedTriggers, &trigger{x, x.Trigger.Occurrence})
 }
 
-// performViewChange loses a core, so that the view changes, and has a fault wait
-// for a message of that change.
+// performViewChange crashes or isolates a core to cause a view change, and arms a
+// fault on a message of that view change.
 func (s *simulation) performViewChange(x step) {
 	a := s.cores[x.A]
 	if x.N > 1 && !s.healAll() {
@@ -261,8 +263,8 @@
 	s.advance(contactTimeout / 2) // until the view has changed
 }
 
-// performDiskLoss loses the disk of a core, or the core itself, while no other
-// fault is active.
+// performDiskLoss wipes the disk of a core or replaces the core. No other fault
+// may be active.
 func (s *simulation) performDiskLoss(x step, a *machine) {
 	s.writeBeforeDiskLoss(x)
 	switch x.Kind {
@@ -279,16 +281,16 @@
 			s.logf("an empty core replaces %s", a.name)
 			s.addCore(false)
 		})
-		s.advance(time.Duration(x.DurationMs) * time.Millisecond) // from here on each index has its core again
+		s.advance(time.Duration(x.DurationMs) * time.Millisecond) // later steps index the full number of cores
 	case stepPowerWipe:
 		s.crash(x.DurationMs, true, s.cores...)
 		s.wipeDisk(a)
 	}
 }
 
-// writeBeforeDiskLoss has something acknowledged, or only sent, right before a
-// disk is lost. The bits of N say what: 1 a heartbeat and a draining, 2 a write,
-// and with 4 nothing but the heartbeat is waited for.
+// writeBeforeDiskLoss issues requests right before a disk is lost. N is a bit
+// mask: 1 sends a heartbeat and a change to draining, 2 sends a write, and 4 waits
+// for the response to the heartbeat only.
 func (s *simulation) writeBeforeDiskLoss(x step) {
 	for _, w := range []struct {
 		bit  int
@@ -302,7 +304,8 @@
 	}
 }
 
-// startCallBeforeDiskLoss starts one call; the channel is closed when it was answered.
+// startCallBeforeDiskLoss starts one request with a single attempt. The returned
+// channel is closed when the attempt ends.
 func (s *simulation) startCallBeforeDiskLoss(x step, kind stepKind) <-chan struct{} {
 	if kind == stepWrite {
 		o, sent := s.newWrite(0, 0), make(chan struct{})
@@ -310,13 +313,14 @@
 		return sent
 	}
 	call := x
-	call.B = 0 // one attempt
+	call.B = 0 // no retries
 	call.Kind = kind
 	return s.handlerStep(call)
 }
 
-// advanceUntil advances by milliseconds until done is closed, for a sixteenth of
-// the contact time-out at most; with sendOnly by one millisecond.
+// advanceUntil advances the clock in steps of one millisecond until done is
+// closed, up to a sixteenth of the contact timeout. With sendOnly it advances by
+// one millisecond.
 func (s *simulation) advanceUntil(done <-chan struct{}, sendOnly bool) {
 	for end := time.Now().Add(contactTimeout / 16); time.Now().Before(end); {
 		s.advance(time.Millisecond)
--- a/internal/cluster/search_history_test.go
+++ b/internal/cluster/search_history_test.go
@@ -10,33 +10,33 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// configurationWrite is one configuration of an operator: the same bytes, sent
-// once or more. It takes effect at most once. Times are ticks of the history.
+// configurationWrite is one configuration sent by an operator, with the same bytes
+// on each retry. It takes effect at most once. Times are ticks of the history.
 type configurationWrite struct {
 	name              string
 	ifMatch, revision int64
 	body              []byte
 	firstSent         int64
-	acknowledged      int64 // the first 200; 0 without one
+	acknowledged      int64 // tick of the first 200; 0 if none
 	acknowledgedAt    time.Time
 	rejections        []invocation
 }
 
-// invocation is one call, by the ticks at which it began and ended.
+// invocation is one request, with the ticks at which it began and ended.
 type invocation struct {
 	begin, end int64
 	status     int
 }
 
-// configurationRead is what a GET was answered.
+// configurationRead is the result of a GET of the configuration.
 type configurationRead struct {
 	invocation
-	writeName string // of the write read; empty before the first
+	writeName string // of the write that was read; empty if there was no configuration
 	core      string
 }
 
-// history is all that operators and readers were answered. It counts ticks, so
-// that what happens at one time of the simulated clock has an order too.
+// history records the requests and responses of operators and readers. It uses a
+// logical clock, whose ticks order events at the same simulated time.
 type history struct {
 	mu       sync.Mutex
 	lastTick int64
@@ -45,7 +45,7 @@
 	reads    []configurationRead
 }
 
-// tick returns the next tick.
+// tick advances the logical clock and returns its value.
 func (h *history) tick() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -53,8 +53,8 @@
 	return h.lastTick
 }
 
-// operation is one of the model: a write, a read, a rejection, or the end of the
-// history.
+// operation is an input of the model: a write, a read, a rejected write, or the
+// end of the history.
 type operation struct {
 	name              string
 	ifMatch, revision int64
@@ -65,18 +65,18 @@
 	core              string
 }
 
-// register is the state of the model: the configuration in force.
+// register is the state of the model: the current configuration.
 type register struct {
 	revision int64
 	name     string
 	ended    bool
 }
 
-// registerModel is a register with a revision. A write takes effect only if the
-// one that it builds on is in force. A write whose outcome is unknown is an
-// operation that never returns: it takes effect at any time, or comes after the
-// end and has none. A rejection is an operation without effect, and right only
-// where another revision was in force.
+// registerModel is a compare-and-set register. A write takes effect only if the
+// revision that it is conditional on is current. A write of unknown outcome is an
+// operation that never returns: it is linearized at any time, or after the end of
+// the history, where it has no effect. A rejected write has no effect and is
+// legal only while another revision is current.
 var registerModel = porcupine.Model{
 	Init: func() any { return register{} },
 	Step: func(state, input, _ any) (bool, any) {
@@ -96,8 +96,8 @@
 	DescribeOperation: func(input, _ any) string { return fmt.Sprintf("%+v", input) },
 }
 
-// check returns what is wrong with the history: that it is not linearizable; ""
-// if nothing is.
+// check returns "" if the history is linearizable, and otherwise a description of
+// the failure with the history.
 func (h *history) check() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -123,8 +123,8 @@
 	}
 	h.lastTick++
 	add(operation{end: true}, h.lastTick, math.MaxInt64)
-	// The history is bounded and few calls overlap; a minute is far more than it
-	// takes.
+	// The history is bounded and few operations overlap, so the check takes far
+	// less than a minute.
 	switch porcupine.CheckOperationsTimeout(registerModel, ops, time.Minute) {
 	case porcupine.Illegal:
 		return "no order explains the writes and reads:\n" + h.textLocked()
@@ -134,7 +134,7 @@
 	return ""
 }
 
-// textLocked lists the history.
+// textLocked formats the history for a failure report.
 func (h *history) textLocked() string {
 	var b strings.Builder
 	for _, o := range h.writes {
--- a/internal/cluster/search_planted_faults_test.go
+++ b/internal/cluster/search_planted_faults_test.go
@@ -19,10 +19,10 @@
 	"saltreel/internal/chain"
 )
 
-// requireFaultFound runs the schedules of the seeds with a fault that is planted
-// from outside. The search must find it with the same schedules and checks. The
-// classes are those of the violations by which it may show, and likely are the
-// seeds that found it before: they run first, to save time.
+// requireFaultFound verifies that the search detects a planted fault with the
+// schedules and checks that it uses without one. classes lists the violation
+// classes that count as detection. The seeds in likely have detected the fault
+// before and run first to save time.
 func requireFaultFound(t *testing.T, classes string, likely []int, fault func() plantedFault) {
 	t.Helper()
 	t.Parallel()
@@ -42,8 +42,8 @@
 		if f == nil {
 			continue
 		}
-		// A violation of another class, or one without the fault too, does not
-		// count as having found it.
+		// A violation of another class, or one that also occurs without the
+		// fault, does not count as detection.
 		if !strings.Contains(classes, f.class) || runSchedule(t, drawSchedule(seed), plantedFault{}) != nil {
 			others++
 			continue
@@ -59,13 +59,14 @@
 	t.Logf("%d of %d schedules found the fault: %v; %d failed otherwise", len(found), len(seeds), found, others)
 }
 
-// What was written in the last moments before a loss of power is not there.
+// A core acknowledges writes without syncing them, so a power loss discards the
+// most recent ones.
 func TestSearchFindsSkippedSync(t *testing.T) {
 	requireFaultFound(t, "view, history, events", []int{2}, skippedSync)
 }
 
-// skippedSync puts an image of the database that is older than 300 ms in its
-// place when power is lost.
+// skippedSync replaces the database by an image more than 300 ms old on a power
+// loss.
 func skippedSync() plantedFault {
 	type image struct {
 		at  time.Time
@@ -96,8 +97,8 @@
 	}
 }
 
-// The tail answers a read although it cannot reach a majority: whoever is
-// unreachable is taken to agree.
+// The tail serves a read without reaching a majority: unreachable replicas are
+// counted as having confirmed the view.
 func TestSearchFindsReadWithoutMajority(t *testing.T) {
 	requireFaultFound(t, "history", []int{77, 16, 90}, readWithoutMajority)
 }
@@ -116,13 +117,13 @@
 	}}
 }
 
-// An old snapshot is installed as if it were the newest update.
+// A replica installs an old snapshot as if it were the latest update.
 func TestSearchFindsIgnoredUpdateOrder(t *testing.T) {
 	requireFaultFound(t, "history", nil, ignoredUpdateOrder)
 }
 
-// ignoredUpdateOrder turns every sixteenth empty update to a receiver into the
-// first snapshot that this receiver was sent.
+// ignoredUpdateOrder counts updates other than snapshots and replaces every
+// sixteenth, if it is empty, by the last snapshot sent to its receiver.
 func ignoredUpdateOrder() plantedFault {
 	var mu sync.Mutex
 	firstSnapshots := map[string]any{} // by receiver
@@ -152,7 +153,7 @@
 	}}
 }
 
-// A view is installed in which two voters are others than before.
+// A view is installed that replaces two voters at once.
 func TestSearchFindsTwoVotersReplacedAtOnce(t *testing.T) {
 	requireFaultFound(t, "voters", nil, twoVotersReplaced)
 }
@@ -178,7 +179,7 @@
 	}}
 }
 
-// An acceptor that starts again has forgotten its promises and what it accepted.
+// An acceptor loses its promises and accepted values on a restart.
 func TestSearchFindsForgottenPromise(t *testing.T) {
 	requireFaultFound(t, "view", []int{58, 35}, forgottenPromise)
 }
@@ -187,7 +188,7 @@
 	return plantedFault{beforeRestart: func(s *simulation, m *machine) {
 		db, err := bbolt.Open(filepath.Join(m.dataPath, "core.db"), 0o600, &bbolt.Options{Timeout: time.Second})
 		if err != nil {
-			return // a wiped one
+			return // the disk was wiped
 		}
 		defer func() { _ = db.Close() }()
 		err = db.Update(func(tx *bbolt.Tx) error {
@@ -206,16 +207,17 @@
 	}}
 }
 
-// A tombstone is counted as stored by cores that have not received it: for its
-// first second it reaches no other core, and each says that it has it.
+// A tombstone is counted as stored on cores that have not received it: during its
+// first second it is removed from each exchange, which is acknowledged as usual.
 func TestSearchFindsTombstoneCountedWithoutFence(t *testing.T) {
 	requireFaultFound(t, "instance", []int{46, 55, 43}, unfencedTombstone)
 }
 
 func unfencedTombstone() plantedFault {
 	var mu sync.Mutex
-	firstSeen := map[string]time.Time{} // of a tombstone, by key
-	// withheld reports whether an item is a tombstone in its first second.
+	firstSeen := map[string]time.Time{} // when each tombstone was first sent, by key
+	// withheld reports whether an item is a tombstone first sent less than a
+	// second ago.
 	withheld := func(item any) bool {
 		raw, _ := json.Marshal(item)
 		var decoded struct {
@@ -265,7 +267,8 @@
 	return s.running[m.name]
 }
 
-// post sends a call to a core past all partitions and does not wait for its answer.
+// post sends a request to a core, bypassing network partitions, and does not wait
+// for the response.
 func (s *simulation) post(m *machine, path string, in any) {
 	s.clientOps.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), contactTimeout)
--- a/internal/cluster/search_regressions_test.go
+++ b/internal/cluster/search_regressions_test.go
@@ -2,15 +2,16 @@
 
 import "testing"
 
-// Schedules that the search found, as small as it could make them. Each failed
-// on the code of its day.
+// Regression tests: shrunk schedules with which the search found faults that have
+// since been fixed.
 func TestSchedulesFoundBySearch(t *testing.T) {
 	for name, plan := range map[string]schedule{
-		// The head is lost, and a write meets a member that is in the next view
-		// already: its 409 was given to the operator as a rejection, though the
-		// head had stored the write.
+		// The head is lost while it replicates a write to a member that is already
+		// in the next view. The 409 of that member was returned to the operator as
+		// a rejection, although the head had stored the write.
 		"a sealed view rejects a stored write": {Cores: 3, HostFailures: 1, Steps: []step{{Kind: stepWrite}}},
-		// Of the acknowledged writes only the last 64 were known.
+		// Only the last 64 acknowledged writes were remembered, so the resend of
+		// an older one was rejected.
 		"a write acknowledged many writes ago is rejected": {Cores: 3, HostFailures: 1, Steps: []step{
 			{Kind: stepBurst, N: 99}, {Kind: stepResend, WaitMs: 9000, B: 2}}},
 	} {
--- a/internal/cluster/search_run_test.go
+++ b/internal/cluster/search_run_test.go
@@ -1,7 +1,7 @@
 package cluster
 
-// The run of a schedule: its steps one after the other, the clock with the faults
-// that start and end as it advances, and the verification of the final state.
+// Execution of a schedule: its steps in sequence, the simulated clock with the
+// actions that become due as it advances, and the verification of the final state.
 
 import (
 	"fmt"
@@ -12,13 +12,14 @@
 	"saltreel/internal/handler"
 )
 
-// delayedAction is something that happens later.
+// delayedAction is an action scheduled for a time on the simulated clock.
 type delayedAction struct {
 	dueAt   time.Time
 	perform func()
 }
 
-// run performs the schedule, and then verifies the final state.
+// run bootstraps the cluster, performs the steps of the schedule and verifies the
+// final state.
 func (s *simulation) run() {
 	for range s.schedule.Cores {
 		s.addCore(true)
@@ -41,7 +42,8 @@
 	s.verifyFinalState()
 }
 
-// startBackgroundLoad has an operator write all the time, and each core be read.
+// startBackgroundLoad starts an operator that writes continuously and a reader for
+// each core. They stop when the final state is verified.
 func (s *simulation) startBackgroundLoad() {
 	repeat := func(f func(n int)) {
 		s.clientOps.Go(func() {
@@ -69,8 +71,8 @@
 	return s.finishing
 }
 
-// verifyFinalState ends all faults and verifies that the cores converge, also
-// after one more crash.
+// verifyFinalState ends all faults and verifies that the cores converge, and that
+// they do so again after the crash of one more core.
 func (s *simulation) verifyFinalState() {
 	s.mu.Lock()
 	s.finishing = true
@@ -96,8 +98,8 @@
 	}
 }
 
-// verifyHandlers checks that no deregistered handler is ready in the status of a
-// core; false without an answer.
+// verifyHandlers checks that the status of a core reports no deregistered handler
+// as ready. It returns false if the status cannot be read.
 func (s *simulation) verifyHandlers(m *machine) bool {
 	o, err := s.statusOf(m)
 	if err != nil {
@@ -111,8 +113,8 @@
 	return true
 }
 
-// verifyConverged verifies that a write is acknowledged, all cores are members
-// and voters, and each can be read.
+// verifyConverged verifies that a write is acknowledged, that all cores are
+// members and voters of one view, and that each serves reads.
 func (s *simulation) verifyConverged(what string) bool {
 	if !s.verifyWrite(what) || !s.verifyFullView(2*syncTime, what) {
 		return false
@@ -129,7 +131,7 @@
 func (s *simulation) verifyWrite(what string) bool {
 	return s.requireWithin(15*time.Second, "no write is acknowledged "+what, func() bool {
 		o := s.newWrite(0, 0)
-		for range 8 { // the same write again, since its answer may be lost
+		for range 8 { // retries the same write, since its response may be lost
 			if code := s.sendWrite(o, 0, s.schedule.Cores); code != 0 {
 				return code == 200
 			}
@@ -151,8 +153,8 @@
 	return ok
 }
 
-// hasFullView asks the cores for their views, up to the first that is not as it
-// must be, and reports what they answered.
+// hasFullView reports whether all cores are members and voters of the same view.
+// The report lists the views queried, up to the first that is incomplete.
 func (s *simulation) hasFullView() (full bool, report string) {
 	var want []string
 	for _, m := range s.cores {
@@ -179,7 +181,8 @@
 	return out
 }
 
-// pollUntil advances until f holds or the time is over.
+// pollUntil advances the clock until f returns true, the limit has elapsed or a
+// violation is recorded.
 func (s *simulation) pollUntil(limit time.Duration, f func() bool) bool {
 	for end := time.Now().Add(limit); !s.hasFailed(); s.advance(50 * time.Millisecond) {
 		if f() {
@@ -192,7 +195,7 @@
 	return false
 }
 
-// requireWithin is pollUntil whose time-out is a violation.
+// requireWithin is like pollUntil but records a violation on timeout.
 func (s *simulation) requireWithin(limit time.Duration, what string, f func() bool) bool {
 	ok := s.pollUntil(limit, f)
 	if !ok && !s.hasFailed() {
@@ -201,7 +204,7 @@
 	return ok
 }
 
-// advance lets time elapse; the actions that become due meanwhile are performed.
+// advance advances the clock by d and performs the actions that become due.
 func (s *simulation) advance(d time.Duration) {
 	end := time.Now().Add(d)
 	for {
@@ -230,7 +233,7 @@
 	}
 }
 
-// waitForAction waits, but no longer than until a trigger adds an action.
+// waitForAction waits until the limit has elapsed or a trigger adds an action.
 func (s *simulation) waitForAction(limit time.Duration) {
 	timer := time.NewTimer(limit)
 	select {
@@ -241,7 +244,7 @@
 	timer.Stop()
 }
 
-// injectFor starts a fault now and ends it later.
+// injectFor starts a fault and schedules its end after ms milliseconds.
 func (s *simulation) injectFor(ms int, start, end func()) {
 	start()
 	s.mu.Lock()
@@ -258,7 +261,7 @@
 	s.mu.Unlock()
 }
 
-// endAllFaults performs all pending actions at once.
+// endAllFaults performs all pending actions immediately.
 func (s *simulation) endAllFaults() {
 	for {
 		select {
@@ -276,10 +279,10 @@
 	}
 }
 
-// healAll ends all faults and waits until all cores are back: only then another
-// disk may be lost. A disk that was put back with less than what was
-// acknowledged on it would be a lost one that still has its identity: nothing is
-// guaranteed for that, and no schedule does it.
+// healAll ends all faults and waits until all cores are members and voters again,
+// which is required before another disk may be lost. No schedule restores a disk
+// without some of the writes acknowledged on it: that is the loss of a disk that
+// keeps its identity, for which the system guarantees nothing.
 func (s *simulation) healAll() bool {
 	s.mu.Lock()
 	s.armedTriggers = nil
@@ -289,8 +292,8 @@
 	return s.verifyFullView(2*syncTime, "without faults")
 }
 
-// endFaultAfter counts a fault as active and has the schedule's goroutine end it
-// later. It may be called from any goroutine.
+// endFaultAfter counts a fault as active and schedules its end, which the goroutine
+// that performs the steps executes. It may be called from any goroutine.
 func (s *simulation) endFaultAfter(ms int, end func()) {
 	s.mu.Lock()
 	s.activeFaults++
--- a/internal/cluster/search_schedule_test.go
+++ b/internal/cluster/search_schedule_test.go
@@ -7,69 +7,70 @@
 	"pgregory.net/rapid"
 )
 
-// schedule is the faults that a cluster meets, and what its clients do meanwhile.
-// The seed of a schedule stands for it: what scheduleGenerator draws, in which
-// order and from which tables, must stay the same.
+// schedule is a sequence of faults and client requests for one cluster. A seed
+// must always stand for the same schedule, so the draws of scheduleGenerator, their
+// order and the tables they index must not change.
 type schedule struct {
-	Cores          int  // at the start
-	HostFailures   int  // that the cluster tolerates
-	FinalLoss      int  // index of the core that crashes in the end
-	BackgroundLoad bool // an operator writes all the time, and all cores are read
+	Cores          int  // initial number of cores
+	HostFailures   int  // number of host failures that the cluster tolerates
+	FinalLoss      int  // index of the core that crashes after all steps
+	BackgroundLoad bool // an operator writes and all cores are read continuously
 	Steps          []step
 }
 
-// step is one thing that happens after a wait. A and B are indexes of cores; each
-// kind uses what it needs of the other fields.
+// step is a client request or a fault, performed after a wait. A and B are indexes
+// of cores. Which of the other fields are used depends on the kind.
 type step struct {
 	Kind       stepKind
 	WaitMs     int
 	A, B       int
 	DurationMs int
 	N          int
-	Trigger    triggerCondition // of stepTrigger and stepViewChange
+	Trigger    triggerCondition // for stepTrigger and stepViewChange only
 }
 
-// triggerCondition is the message on which a fault is injected, and the fault.
+// triggerCondition is a message and the fault to inject when it is sent.
 type triggerCondition struct {
 	Message, Fault int // indexes of triggerMessages and triggeredFaults
-	Occurrence     int // how many such messages there must be
-	DelayMs        int // from the message to the fault; with 0 the message may be lost
+	Occurrence     int // the fault is injected on this occurrence of the message, from 1
+	DelayMs        int // from the message to the fault; with 0 the fault may affect the message itself
 }
 
-// stepKind is the kind of a step, by the name under which recorded schedules
-// print it.
+// stepKind is the kind of a step. Its value is the name printed in schedules, and
+// does not change since recorded schedules contain it.
 type stepKind string
 
 const (
-	stepWrite          stepKind = "order"      // an operator sends a write, first to A; N picks the revision that it builds on
+	stepWrite          stepKind = "order"      // an operator sends a write, first to A; N selects the revision it is conditional on
 	stepRead           stepKind = "read"       // A is read 1+N times
-	stepResend         stepKind = "again"      // an earlier write, picked by N, is sent again, to A
-	stepBurst          stepKind = "burst"      // one operator sends N writes, each after the one before
+	stepResend         stepKind = "again"      // an earlier write, selected by N, is resent, first to A
+	stepBurst          stepKind = "burst"      // one operator sends N writes in sequence
 	stepHeartbeat      stepKind = "beat"       // handler N sends a heartbeat to A
-	stepDrain          stepKind = "drain"      // handler N reports to A that it drains
+	stepDrain          stepKind = "drain"      // handler N reports to A that it is draining
 	stepDeregister     stepKind = "delete"     // handler N deregisters at A
-	stepStaleHeartbeat stepKind = "late"       // an old heartbeat of handler N arrives at A
-	stepKill           stepKind = "kill"       // A is killed and started again
-	stepKillAll        stepKind = "kill-all"   // all are killed and started again
-	stepPowerLoss      stepKind = "power"      // all lose power
+	stepStaleHeartbeat stepKind = "late"       // a delayed heartbeat of handler N arrives at A
+	stepKill           stepKind = "kill"       // A is killed and restarted
+	stepKillAll        stepKind = "kill-all"   // all cores are killed and restarted
+	stepPowerLoss      stepKind = "power"      // all cores lose power
 	stepReset          stepKind = "reset"      // the connections between A and B are reset
-	stepIsolate        stepKind = "cut"        // A is isolated, both ways; with N odd also from clients
-	stepDropOutgoing   stepKind = "cut-out"    // what A sends is lost
-	stepDropIncoming   stepKind = "cut-in"     // what is sent to A is lost
-	stepPartition      stepKind = "split"      // the cores in the bits of N are partitioned from the others
-	stepDropAnswers    stepKind = "deaf"       // A's answers to clients are lost
-	stepHoldLink       stepKind = "hold"       // what A sends to B is held, and delivered later
-	stepFreeze         stepKind = "freeze"     // all that A sends and receives is held
-	stepSlow           stepKind = "slow"       // packets take long
-	stepReorder        stepKind = "vary"       // packets overtake each other
-	stepTrigger        stepKind = "when"       // on a message, a fault of its sender or receiver
-	stepViewChange     stepKind = "elect"      // A is lost for a while (with N over 1 while no other fault is active), and on a message of the view change there is a fault
-	stepWipe           stepKind = "wipe"       // without other faults, A loses its disk; N says what is acknowledged right before
-	stepReplace        stepKind = "replace"    // without other faults, A is gone for good and an empty core starts at another address
-	stepPowerWipe      stepKind = "power-wipe" // without other faults, all lose power and A its disk
+	stepIsolate        stepKind = "cut"        // A is isolated in both directions, with N odd also from the clients
+	stepDropOutgoing   stepKind = "cut-out"    // traffic from A is dropped
+	stepDropIncoming   stepKind = "cut-in"     // traffic to A is dropped
+	stepPartition      stepKind = "split"      // the cores selected by the bit mask N are partitioned from the others
+	stepDropAnswers    stepKind = "deaf"       // responses of A to clients are dropped
+	stepHoldLink       stepKind = "hold"       // traffic from A to B is held and delivered later
+	stepFreeze         stepKind = "freeze"     // all traffic from and to A is held and delivered later
+	stepSlow           stepKind = "slow"       // packet latency is increased
+	stepReorder        stepKind = "vary"       // packet latency varies, which reorders packets
+	stepTrigger        stepKind = "when"       // a message triggers a fault of its sender, its receiver or their link
+	stepViewChange     stepKind = "elect"      // A crashes or is isolated (with N over 1 only after all faults have ended), and a message of the view change triggers a fault
+	stepWipe           stepKind = "wipe"       // after all faults have ended, A loses its disk; N selects the requests sent right before
+	stepReplace        stepKind = "replace"    // after all faults have ended, A is removed and an empty core starts at another address
+	stepPowerWipe      stepKind = "power-wipe" // after all faults have ended, all cores lose power and A loses its disk
 )
 
-// weightedKinds are drawn with these weights; shrinking goes toward the first.
+// weightedKinds lists the kinds of steps and their weights in the draw. Shrinking
+// prefers those listed first.
 var weightedKinds = []struct {
 	stepKind
 	weight int
@@ -79,9 +80,10 @@
 	{stepHoldLink, 5}, {stepFreeze, 4}, {stepSlow, 2}, {stepReorder, 2}, {stepTrigger, 12}, {stepViewChange, 8}, {stepWipe, 4}, {stepReplace, 2}, {stepPowerWipe, 2},
 }
 
-// triggerMessages are those that may trigger a fault: a path, and words that its
-// body contains. The last two are answers to clients. Those that decide most are
-// drawn most often. Schedules refer to them by index.
+// triggerMessages lists the messages that may trigger a fault: the path of a
+// request and a text that its body contains. The last two are responses to
+// clients. Messages that decide the outcome of an operation have higher weights.
+// Schedules refer to them by index.
 var triggerMessages = []struct {
 	name, path, words string
 	weight            int
@@ -99,7 +101,8 @@
 	{"the acknowledgement of a deregistration", "left", "", 2},
 }
 
-// triggeredFaults are what may be injected then. Schedules refer to them by index.
+// triggeredFaults lists the faults that a message may trigger. Schedules refer to
+// them by index.
 var triggeredFaults = []struct {
 	name   string
 	weight int
@@ -110,7 +113,7 @@
 	{"kill all", 2}, {"power", 2}, {"wipe the sender", 2}, {"power, wipe the sender", 1},
 }
 
-// expandWeights lists each number below n as often as its weight says.
+// expandWeights returns the numbers below n, each repeated as often as its weight.
 func expandWeights(n int, weight func(int) int) (out []int) {
 	for i := range n {
 		for range weight(i) {
@@ -123,14 +126,15 @@
 var (
 	kindChoices    = expandWeights(len(weightedKinds), func(i int) int { return weightedKinds[i].weight })
 	messageChoices = expandWeights(len(triggerMessages), func(i int) int { return triggerMessages[i].weight })
-	// Indexes of the messages and faults that matter in a view change.
+	// Indexes of the messages and faults that are drawn for stepViewChange,
+	// repeated by their weights.
 	viewChangeMessages = []int{3, 3, 3, 5, 5, 4, 1}
-	viewChangeFaults   = []int{12, 13, 10, 12, 13, 10, 11, 3, 5, 0, 1, 2, 8, 9} // kills above all
+	viewChangeFaults   = []int{12, 13, 10, 12, 13, 10, 11, 3, 5, 0, 1, 2, 8, 9} // mostly kills
 	faultChoices       = expandWeights(len(triggeredFaults), func(i int) int { return triggeredFaults[i].weight })
 )
 
-// drawBelow draws a number below n with equal chances: rapid by itself prefers
-// small ones.
+// drawBelow draws a number below n from a uniform distribution. The integer
+// generators of rapid favour small values.
 func drawBelow(t *rapid.T, label string, n int) int {
 	u := 0
 	for _, bit := range rapid.SliceOfN(rapid.Bool(), 10, 10).Draw(t, label) {
@@ -167,7 +171,7 @@
 		}
 		return s
 	})
-	// Slices of slices, since one alone would be short nearly always.
+	// A slice of slices, since rapid nearly always draws a short slice.
 	for _, some := range rapid.SliceOfN(rapid.SliceOfN(one, 1, 9), 1, 12).Draw(t, "steps") {
 		out.Steps = append(out.Steps, some...)
 	}
--- a/internal/cluster/search_simulation_test.go
+++ b/internal/cluster/search_simulation_test.go
@@ -1,7 +1,7 @@
 package cluster
 
-// The simulation of one schedule: its state, how it is set up and torn down, and
-// its cores, which start on their disks and are killed.
+// The simulation of one schedule: its state, its setup and teardown, and starting
+// and killing of its cores.
 
 import (
 	"bytes"
@@ -24,41 +24,43 @@
 )
 
 const (
-	contactTimeout = 4 * time.Second // as in the settings
-	syncTime       = 6 * time.Second // how long a core counts as lost after it is back
-	drainTimeout   = 3 * time.Second // as in the settings: from then on no core may publish a deregistered instance
+	contactTimeout = 4 * time.Second // same as in the settings
+	syncTime       = 6 * time.Second // how long a core still counts as lost after it has returned
+	drainTimeout   = 3 * time.Second // same as in the settings; once it has elapsed, no core may publish a deregistered instance as ready
 )
 
-// plantedFault is a fault put in from outside, to see whether the search finds it.
+// plantedFault is a set of hooks that inject a fault into the system under test,
+// to verify that the search detects it.
 type plantedFault struct {
-	dialsIgnorePartitions bool                                                                         // for interceptRequest to answer past them
-	interceptRequest      func(s *simulation, from, to, path string, body []byte) (out, answer []byte) // nil, nil: as it is
+	dialsIgnorePartitions bool                                                                         // so that interceptRequest can answer for unreachable processes
+	interceptRequest      func(s *simulation, from, to, path string, body []byte) (out, answer []byte) // nil, nil: the request is sent unchanged
 	beforeRestart         func(s *simulation, m *machine)
 	afterPowerLoss        func(s *simulation, m *machine)
 	onTick                func(s *simulation) // every 100 ms
 }
 
-// simulation runs one schedule on one cluster of real cores.
+// simulation runs one schedule on a cluster of real cores with a simulated network
+// and clock.
 type simulation struct {
 	world         *world
 	schedule      schedule
 	fault         plantedFault
-	cores         []*machine // a replacement comes last
-	nextMachine   int        // of the next machine's address
+	cores         []*machine // a replacement is appended
+	nextMachine   int        // index of the next machine, which determines its name and address
 	clientProcess *process   // operators, readers and handlers
 	clientPool    *httpwire.Pool
-	observer      *rpc.Client // observes all cores past all partitions
+	observer      *rpc.Client // polls all cores, bypassing network partitions
 	history       history
 	clientOps     sync.WaitGroup
 	startedAt     time.Time
 
-	// What belongs to the goroutine that performs the steps.
+	// Owned by the goroutine that performs the steps.
 	pendingEvents  []delayedAction // sorted by time in advance
-	activeSlows    int             // faults that slow the network now
-	activeReorders int             // faults that let packets overtake now
+	activeSlows    int             // active faults that increase the latency
+	activeReorders int             // active faults that reorder packets
 	diskLosses     int
 
-	delayed chan delayedAction // what triggers add to pendingEvents, from any goroutine
+	delayed chan delayedAction // actions added by triggers, from any goroutine, for pendingEvents
 
 	mu                  sync.Mutex // guards what follows
 	blockedLinks        map[[2]string]int
@@ -66,7 +68,7 @@
 	finishing           bool
 	running             map[string]bool // by name
 	armedTriggers       []*trigger
-	latestKnownRevision int64 // the newest that a client was answered
+	latestKnownRevision int64 // the newest revision in a response to a client
 	knownViews          map[int64]chain.View
 	newestViewOf        map[string]int64 // by core
 	handlers            map[int]*simulatedHandler
@@ -77,7 +79,7 @@
 	eventLog            bytes.Buffer
 }
 
-// runSchedule runs one schedule and returns its first violation, nil without one.
+// runSchedule runs one schedule and returns its first violation, or nil.
 func runSchedule(t *testing.T, plan schedule, p plantedFault) (f *violation) {
 	t.Helper()
 	dir, err := os.MkdirTemp(memoryFolder(), "search")
@@ -97,7 +99,7 @@
 		s.clientOps.Wait()
 		s.world.stopAll()
 		s.addTotals()
-		time.Sleep(2 * contactTimeout) // calls that nobody waits for end by their time-outs
+		time.Sleep(2 * contactTimeout) // lets abandoned calls time out
 		if s.violation == nil {
 			if text := s.history.check(); text != "" {
 				s.fail("history", "%s", text)
@@ -111,8 +113,9 @@
 	return f
 }
 
-// memoryFolder is where the disks of a search are: syncs are most of what a
-// schedule costs, and a file in memory outlives all that is simulated here.
+// memoryFolder returns the parent directory for the disks of a search: a memory
+// file system if there is one. Syncs take most of the time of a schedule, and
+// files in memory survive every fault that is simulated here.
 func memoryFolder() string {
 	const memory = "/dev/shm"
 	if _, err := os.Stat(memory); err != nil {
@@ -144,8 +147,8 @@
 
 func controlAddress(m *machine) string { return m.ip + ":82" }
 
-// addCore adds an empty core at an address of its own. With bootstrap all cores
-// are started once there are as many as the schedule says.
+// addCore adds an empty core with a new address. With bootstrap, all cores are
+// started together once the initial number of cores is reached.
 func (s *simulation) addCore(bootstrap bool) {
 	n := s.nextMachine
 	s.nextMachine++
@@ -165,7 +168,7 @@
 	}
 }
 
-// startProcess starts a core on the disk that it has.
+// startProcess starts a core on its current disk.
 func (s *simulation) startProcess(m *machine, bootstrap bool) {
 	s.mu.Lock()
 	s.running[m.name] = true
@@ -197,9 +200,9 @@
 	s.startProcess(m, false)
 }
 
-// kill ends cores at one moment; their disks stay as they are. What a core wrote
-// is on its disk: it syncs each write before it goes on, and a moment at which no
-// goroutine runs is one between two writes.
+// kill stops cores at one point in time and preserves their disks. The copied disk
+// contains all writes: a core syncs each write before it continues, and the copy
+// is made while no goroutine runs, hence between two writes.
 func (s *simulation) kill(list ...*machine) (killed []*machine) {
 	for _, m := range list {
 		s.mu.Lock()
@@ -216,7 +219,7 @@
 		s.logf("%s is killed", m.name)
 		s.world.kills++
 		copied := filepath.Join(s.world.dataPath, fmt.Sprintf("%s-%d", m.name, s.world.kills))
-		if err := os.CopyFS(copied, os.DirFS(m.dataPath)); err != nil && !errors.Is(err, fs.ErrNotExist) { // it had none yet
+		if err := os.CopyFS(copied, os.DirFS(m.dataPath)); err != nil && !errors.Is(err, fs.ErrNotExist) { // no directory yet
 			s.fail("start", "copy the disk of %s: %v", m.name, err)
 		}
 		m.dataPath = copied
--- a/internal/cluster/search_triggers_test.go
+++ b/internal/cluster/search_triggers_test.go
@@ -1,7 +1,7 @@
 package cluster
 
-// The faults that are triggered by a message between cores, or by an
-// acknowledgement to a client.
+// Faults that are triggered by a message between cores or by an acknowledgement
+// to a client.
 
 import (
 	"bytes"
@@ -12,15 +12,15 @@
 	"time"
 )
 
-// trigger is a step whose fault waits for a message.
+// trigger is a step whose fault is injected when a message is sent.
 type trigger struct {
 	step
-	remaining int // messages until the fault
+	remaining int // number of matching messages until the fault is injected
 }
 
-// interceptRequest sees each request between processes before it is sent: it
-// fires the triggers that wait for it, and lets a planted fault change it, or
-// answer it in place of the receiver.
+// interceptRequest is called for each request before it is sent. For requests of
+// cores it fires the matching triggers and lets a planted fault modify the request
+// or answer it in place of the receiver.
 func (s *simulation) interceptRequest(from *process, to string, raw []byte) (out, answer []byte) {
 	head, body, ok := bytes.Cut(raw, []byte("\r\n\r\n"))
 	words := strings.SplitN(string(head[:min(len(head), 64)]), " ", 3)
@@ -35,7 +35,7 @@
 	changed, answer := s.fault.interceptRequest(s, from.ip, ip, words[1], body)
 	header := strings.Split(string(head), "\r\n")
 	if answer != nil {
-		call := "" // an answer repeats the identity of its call
+		call := "" // a response must repeat the Call field of its request
 		for _, field := range header {
 			if strings.HasPrefix(field, "Call:") {
 				call = field + "\r\n"
@@ -54,7 +54,7 @@
 	return append([]byte(strings.Join(header, "\r\n")+"\r\n\r\n"), changed...), nil
 }
 
-// fireTriggers injects the faults that wait for a message.
+// fireTriggers injects the faults armed for a message that is about to be sent.
 func (s *simulation) fireTriggers(path string, body []byte, from, to string) {
 	s.mu.Lock()
 	var due []step
@@ -72,7 +72,7 @@
 	for _, x := range due {
 		what := triggeredFaults[x.Trigger.Fault].name
 		for _, l := range s.affectedLinks(what, from, to, x.A) {
-			// The links are blocked or held before the message is sent.
+			// Before the message is sent, so that the fault applies to it.
 			s.breakLink(l)
 			s.endFaultAfter(x.DurationMs, func() { s.restoreLink(l) })
 		}
@@ -96,7 +96,8 @@
 	}
 }
 
-// link leads from one machine to another; a triggered fault holds it or blocks it.
+// link is a directed link between two machines that a triggered fault holds or
+// blocks.
 type link struct {
 	from, to string
 	hold     bool
@@ -140,7 +141,8 @@
 		return out
 	}
 	s.mu.Lock()
-	// A disk may be lost only where there has been no other fault for long enough.
+	// A disk may be lost only if all cores are available again: no other fault is
+	// active, and the last one ended more than syncTime ago.
 	mayWipe := s.activeFaults <= 1 && time.Since(s.lastFaultEnd) > syncTime && time.Since(s.startedAt) > syncTime
 	s.logLocked("fault: %s, from %s to %s, for %d ms", what, from, to, ms)
 	s.mu.Unlock()
