--- a/internal/cluster/message_search_test.go
+++ b/internal/cluster/message_search_test.go
@@ -23,7 +23,7 @@
 var (
 	messageSearchSeed  = flag.Int("search.messages.seed", 0, "run only the message schedule of this seed")
 	messageSearchFirst = flag.Int("search.messages.first", 1, "the first seed of the message search")
-	messageSearchCount = flag.Int("search.messages.count", messageSchedules, "how many message schedules are run")
+	messageSearchCount = flag.Int("search.messages.count", defaultMessageSchedules, "how many message schedules are run")
 	messageSearchFor   = flag.Duration("search.messages.for", 0, "run message schedules for so long")
 )
 
@@ -151,7 +151,7 @@
 // one.
 func runMaintenance(t *testing.T, plan maintenancePlan, fault maintenanceFault) *violation {
 	t.Helper()
-	dir, err := os.MkdirTemp(memoryFolder(), "messages")
+	dir, err := os.MkdirTemp(memoryDir(), "messages")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/race_off_test.go
+++ b/internal/cluster/race_off_test.go
@@ -2,5 +2,6 @@
 
 package cluster
 
-// messageSchedules is the default number of schedules of the message search.
-const messageSchedules = 16
+// defaultMessageSchedules is the number of schedules that the message search runs
+// by default.
+const defaultMessageSchedules = 16
--- a/internal/cluster/race_on_test.go
+++ b/internal/cluster/race_on_test.go
@@ -2,7 +2,7 @@
 
 package cluster
 
-// messageSchedules is the default number of schedules of the message search. It
-// is lower than without the race detector, under which a schedule takes several
-// times as long.
-const messageSchedules = 4
+// defaultMessageSchedules is the number of schedules that the message search runs
+// by default. It is lower than without the race detector, under which a schedule
+// takes several times as long.
+const defaultMessageSchedules = 4
--- a/internal/cluster/search_checks_test.go
+++ b/internal/cluster/search_checks_test.go
@@ -24,7 +24,7 @@
 	class, text string
 }
 
-func (f *violation) String() string { return f.class + ": " + f.text }
+func (v *violation) String() string { return v.class + ": " + v.text }
 
 // totals counts events over all schedules of a search. They are logged so that a
 // search that no longer exercises the cluster is noticed.
@@ -39,18 +39,18 @@
 	if totals.n == nil {
 		totals.n = map[string]int{}
 	}
-	for _, o := range s.history.writes {
+	for _, w := range s.history.writes {
 		totals.n["orders"]++
 		switch {
-		case o.acknowledged > 0:
+		case w.acknowledged > 0:
 			totals.n["acknowledged"]++
-		case len(o.rejections) > 0:
+		case len(w.rejections) > 0:
 			totals.n["rejected"]++
 		}
 	}
 	totals.n["reads"] += len(s.history.reads)
 	totals.n["leavings"] += len(s.deregistered)
-	totals.n["views"] += len(s.knownViews)
+	totals.n["views"] += len(s.viewsByNumber)
 	totals.n["kills"] += s.world.kills
 	totals.n["wipes"] += s.diskLosses
 	totals.n["replacements"] += s.nextMachine - s.schedule.Cores
@@ -123,11 +123,11 @@
 		s.mu.Lock()
 		cores := slices.Clone(s.cores)
 		s.mu.Unlock()
-		var all sync.WaitGroup
+		var requests sync.WaitGroup
 		for _, m := range cores {
-			all.Go(func() { s.observeCore(ctx, m, observationOf) })
+			requests.Go(func() { s.observeCore(ctx, m, observationOf) })
 		}
-		all.Wait()
+		requests.Wait()
 		select {
 		case <-ctx.Done():
 		case <-time.After(200 * time.Millisecond):
@@ -141,7 +141,7 @@
 		s.checkView(m, v)
 	}
 	o := observationOf(m.name)
-	asked := time.Now()
+	requestedAt := time.Now()
 	pageCtx, cancel := context.WithTimeout(ctx, 400*time.Millisecond)
 	defer cancel()
 	var page journal.Page
@@ -149,7 +149,7 @@
 		return
 	}
 	s.applyPage(m, o, page)
-	s.checkPublishedState(m, asked, o.revision, o.states)
+	s.checkPublishedState(m, requestedAt, o.revision, o.states)
 }
 
 // applyPage applies a page of events to the observation of a core. A page from a
@@ -174,45 +174,45 @@
 // checkPublishedConfiguration checks that a configuration published by a core was
 // sent by an operator and not rejected.
 func (s *simulation) checkPublishedConfiguration(m *machine, raw []byte) {
-	o := s.findWrite(raw)
-	if o == nil {
+	w := s.findWrite(raw)
+	if w == nil {
 		s.fail("events", "%s publishes a configuration that nobody sent: %s", m.name, raw)
 		return
 	}
 	s.history.mu.Lock()
-	rejected := len(o.rejections) > 0
+	rejected := len(w.rejections) > 0
 	s.history.mu.Unlock()
 	if rejected {
-		s.fail("events", "%s publishes %s, which was rejected", m.name, o.name)
+		s.fail("events", "%s publishes %s, which was rejected", m.name, w.name)
 	}
 }
 
 // checkPublishedState checks the state published by a core: its configuration may
 // be stale for at most the contact timeout, and a handler that is draining or
 // deregistered must not become ready again.
-func (s *simulation) checkPublishedState(m *machine, asked time.Time, revision int64, states map[string]string) {
+func (s *simulation) checkPublishedState(m *machine, requestedAt time.Time, revision int64, states map[string]string) {
 	s.history.mu.Lock()
-	for _, o := range s.history.writes {
-		if revision > 0 && o.acknowledged > 0 && o.revision > revision && asked.Sub(o.acknowledgedAt) > contactTimeout {
-			defer s.fail("events", "%s publishes revision %d, %v after %s was acknowledged", m.name, revision, asked.Sub(o.acknowledgedAt), o.name)
+	for _, w := range s.history.writes {
+		if revision > 0 && w.acknowledged > 0 && w.revision > revision && requestedAt.Sub(w.acknowledgedAt) > contactTimeout {
+			defer s.fail("events", "%s publishes revision %d, %v after %s was acknowledged", m.name, revision, requestedAt.Sub(w.acknowledgedAt), w.name)
 			break
 		}
 	}
 	s.history.mu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, l := range s.deregistered {
+	for id, d := range s.deregistered {
 		published, key := states[id], m.name+" "+id
 		switch {
-		case !asked.After(l.acknowledgedAt):
+		case !requestedAt.After(d.acknowledgedAt):
 		case published != handler.Ready:
 			if published != "" {
 				s.seenNotReady[key] = true
 			}
 		case s.seenNotReady[key]:
-			s.failLocked("instance", "%s publishes that %s is ready again, %v after its deregistration was acknowledged", m.name, id, asked.Sub(l.acknowledgedAt))
-		case s.activeFaults == 0 && asked.Sub(l.acknowledgedAt) > drainTimeout && asked.Sub(s.lastFaultEnd) > drainTimeout:
-			s.failLocked("instance", "%s publishes that %s is ready, %v after its deregistration was acknowledged", m.name, id, asked.Sub(l.acknowledgedAt))
+			s.failLocked("instance", "%s publishes that %s is ready again, %v after its deregistration was acknowledged", m.name, id, requestedAt.Sub(d.acknowledgedAt))
+		case s.activeFaults == 0 && requestedAt.Sub(d.acknowledgedAt) > drainTimeout && requestedAt.Sub(s.lastFaultEnd) > drainTimeout:
+			s.failLocked("instance", "%s publishes that %s is ready, %v after its deregistration was acknowledged", m.name, id, requestedAt.Sub(d.acknowledgedAt))
 		}
 	}
 }
@@ -227,27 +227,27 @@
 	text := func(v chain.View) string { raw, _ := json.Marshal(v); return string(raw) }
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.newestViewOf[m.name] > v.Number {
-		s.failLocked("view", "%s went back from view %d to %d", m.name, s.newestViewOf[m.name], v.Number)
+	if s.latestViewNumber[m.name] > v.Number {
+		s.failLocked("view", "%s went back from view %d to %d", m.name, s.latestViewNumber[m.name], v.Number)
 	}
-	s.newestViewOf[m.name] = v.Number
-	old, known := s.knownViews[v.Number]
+	s.latestViewNumber[m.name] = v.Number
+	old, known := s.viewsByNumber[v.Number]
 	if known {
 		if text(old) != text(v) {
 			s.failLocked("view", "two views have the number %d:\n    %s\n    %s at %s", v.Number, text(old), text(v), m.name)
 		}
 		return
 	}
-	s.knownViews[v.Number] = v
+	s.viewsByNumber[v.Number] = v
 	s.logLocked("%s: view %v", m.name, v)
 	for _, pair := range [][2]int64{{v.Number - 1, v.Number}, {v.Number, v.Number + 1}} {
-		one, ok1 := s.knownViews[pair[0]]
-		two, ok2 := s.knownViews[pair[1]]
+		older, ok1 := s.viewsByNumber[pair[0]]
+		newer, ok2 := s.viewsByNumber[pair[1]]
 		if !ok1 || !ok2 {
 			continue
 		}
-		if countMissing(one.Voters, two.Voters) > 1 || countMissing(two.Voters, one.Voters) > 1 {
-			s.failLocked("voters", "more than one voter changes from view %v to %v", one, two)
+		if countMissing(older.Voters, newer.Voters) > 1 || countMissing(newer.Voters, older.Voters) > 1 {
+			s.failLocked("voters", "more than one voter changes from view %v to %v", older, newer)
 		}
 	}
 }
--- a/internal/cluster/search_clients_test.go
+++ b/internal/cluster/search_clients_test.go
@@ -43,14 +43,14 @@
 	s.mu.Unlock()
 	s.history.mu.Lock()
 	defer s.history.mu.Unlock()
-	o := &configurationWrite{name: fmt.Sprintf("order-%d", len(s.history.writes)), ifMatch: match, revision: match + 1 + int64(more)}
-	o.body = fmt.Appendf(nil, `{"revision":%d,"route-table":[],"service-table":[],"order":%q}`, o.revision, o.name)
-	s.history.writes = append(s.history.writes, o)
-	s.history.byBytes[string(o.body)] = o
-	return o
+	w := &configurationWrite{name: fmt.Sprintf("order-%d", len(s.history.writes)), ifMatch: match, revision: match + 1 + int64(more)}
+	w.body = fmt.Appendf(nil, `{"revision":%d,"route-table":[],"service-table":[],"order":%q}`, w.revision, w.name)
+	s.history.writes = append(s.history.writes, w)
+	s.history.byBody[string(w.body)] = w
+	return w
 }
 
-func (s *simulation) noteRevision(revision int64) {
+func (s *simulation) recordRevision(revision int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.latestKnownRevision = max(s.latestKnownRevision, revision)
@@ -84,7 +84,7 @@
 
 // sendWrite sends a write to the cores in turn until its outcome is known or the
 // attempts are used up. It returns the status, 0 if the outcome is unknown.
-func (s *simulation) sendWrite(o *configurationWrite, first, attempts int) int {
+func (s *simulation) sendWrite(w *configurationWrite, first, attempts int) int {
 	backoff := 50 * time.Millisecond
 	for attempt := range attempts {
 		s.mu.Lock()
@@ -92,35 +92,35 @@
 		s.mu.Unlock()
 		begin := s.history.tick()
 		s.history.mu.Lock()
-		o.firstSent = cmp.Or(o.firstSent, begin)
+		w.firstSent = cmp.Or(w.firstSent, begin)
 		s.history.mu.Unlock()
-		code, body := s.callCore(m, httpwire.Call{Method: "PUT", Target: "/v1/configuration", Header: []string{"If-Match", fmt.Sprint(o.ifMatch)}, Body: o.body})
+		code, body := s.callCore(m, httpwire.Call{Method: "PUT", Target: "/v1/configuration", Header: []string{"If-Match", fmt.Sprint(w.ifMatch)}, Body: w.body})
 		end := s.history.tick()
-		s.logf("%s: %d on %d, to %s from %d to %d: %d %.120s", o.name, o.revision, o.ifMatch, m.name, begin, end, code, body)
+		s.logf("%s: %d on %d, to %s from %d to %d: %d %.120s", w.name, w.revision, w.ifMatch, m.name, begin, end, code, body)
 		s.history.mu.Lock()
 		switch {
 		case code == 200:
-			if o.acknowledged == 0 {
-				o.acknowledged = end
-				o.acknowledgedAt = time.Now()
+			if w.acknowledged == 0 {
+				w.acknowledged = end
+				w.acknowledgedAt = time.Now()
 			}
 		case code != 0:
-			o.rejections = append(o.rejections, invocation{begin, end, code})
+			w.rejections = append(w.rejections, invocation{begin, end, code})
 		}
-		both := o.acknowledged > 0 && len(o.rejections) > 0
+		contradictory := w.acknowledged > 0 && len(w.rejections) > 0
 		s.history.mu.Unlock()
 		switch {
-		case both:
-			s.fail("rejection", "%s is both acknowledged and rejected: %d from %s: %s", o.name, code, m.name, body)
+		case contradictory:
+			s.fail("rejection", "%s is both acknowledged and rejected: %d from %s: %s", w.name, code, m.name, body)
 		case code == 200:
-			s.noteRevision(o.revision)
+			s.recordRevision(w.revision)
 			s.fireTriggers("acked", nil, m.ip, m.ip)
 			return code
 		case code == 412:
-			s.noteConflict(body)
+			s.recordConflict(body)
 			return code
 		case code != 0:
-			s.fail("rejection", "%s is rejected with %d by %s: %s", o.name, code, m.name, body)
+			s.fail("rejection", "%s is rejected with %d by %s: %s", w.name, code, m.name, body)
 			return code
 		}
 		if s.hasFailed() {
@@ -132,11 +132,11 @@
 	return 0
 }
 
-// noteConflict records the current revision stated in the body of a 412.
-func (s *simulation) noteConflict(body []byte) {
+// recordConflict records the current revision stated in the body of a 412.
+func (s *simulation) recordConflict(body []byte) {
 	words := strings.Fields(strings.TrimPrefix(string(body), `{"error-text":"revision `) + " 0")
 	if n, err := strconv.ParseInt(words[0], 10, 64); err == nil {
-		s.noteRevision(n)
+		s.recordRevision(n)
 	}
 }
 
@@ -151,13 +151,13 @@
 		return false
 	case 404:
 	case 200:
-		o := s.findWrite(body)
-		if o == nil {
+		w := s.findWrite(body)
+		if w == nil {
 			s.fail("history", "%s answers with a configuration that nobody sent: %s", m.name, body)
 			return false
 		}
-		r.writeName = o.name
-		s.noteRevision(o.revision)
+		r.writeName = w.name
+		s.recordRevision(w.revision)
 	default:
 		s.fail("rejection", "a read at %s is rejected with %d: %s", m.name, code, body)
 		return false
@@ -172,7 +172,7 @@
 func (s *simulation) findWrite(raw []byte) *configurationWrite {
 	s.history.mu.Lock()
 	defer s.history.mu.Unlock()
-	return s.history.byBytes[string(raw)]
+	return s.history.byBody[string(raw)]
 }
 
 func (s *simulation) statusOf(m *machine) (o controlplane.Overview, err error) {
@@ -191,9 +191,9 @@
 	stale         bool // a delayed heartbeat, with the lowest call sequence number
 }
 
-// handlerStep starts a handler's request to the cores. The returned channel is
+// startHandlerCall starts a handler's request to the cores. The returned channel is
 // closed once it is acknowledged or its attempts are used up.
-func (s *simulation) handlerStep(x step) <-chan struct{} {
+func (s *simulation) startHandlerCall(x step) <-chan struct{} {
 	done := make(chan struct{})
 	call := s.newHandlerCall(x)
 	s.clientOps.Go(func() {
--- a/internal/cluster/search_faults_test.go
+++ b/internal/cluster/search_faults_test.go
@@ -28,7 +28,7 @@
 	s.logf("%s loses its disk", m.name)
 	s.diskLosses++
 	s.mu.Lock()
-	delete(s.newestViewOf, m.name)
+	delete(s.latestViewNumber, m.name)
 	s.mu.Unlock()
 	if err := os.RemoveAll(m.dataPath); err != nil {
 		s.fail("start", "wipe %s: %v", m.name, err)
@@ -37,13 +37,13 @@
 
 // adjustBlocks adds to the number of faults that block each link. A link is
 // unblocked when its number returns to 0, so that faults may overlap.
-func (s *simulation) adjustBlocks(by int, from, to []string) {
+func (s *simulation) adjustBlocks(delta int, from, to []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, a := range from {
 		for _, b := range to {
 			if a != b {
-				s.blockedLinks[[2]string{a, b}] += by
+				s.blockedLinks[[2]string{a, b}] += delta
 				s.world.network.setBlocked([]string{a}, []string{b}, s.blockedLinks[[2]string{a, b}] > 0)
 			}
 		}
@@ -70,13 +70,13 @@
 	s.injectFor(ms, func() { each(s.world.network.hold) }, func() { each(s.world.network.release) })
 }
 
-// othersThan returns the addresses of all cores except the given ones, and that
-// of the clients.
-func (s *simulation) othersThan(but ...string) (out []string) {
+// addressesExcept returns the addresses of all cores except the given ones, and
+// the address of the clients.
+func (s *simulation) addressesExcept(excluded ...string) (out []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range s.cores {
-		if !slices.Contains(but, m.ip) {
+		if !slices.Contains(excluded, m.ip) {
 			out = append(out, m.ip)
 		}
 	}
@@ -86,7 +86,7 @@
 // peersOf returns the addresses from which a machine is isolated: the other
 // cores, and the clients if n is odd.
 func (s *simulation) peersOf(ip string, n int) []string {
-	return slices.DeleteFunc(s.othersThan(ip), func(o string) bool { return o == clientIP && n%2 == 0 })
+	return slices.DeleteFunc(s.addressesExcept(ip), func(o string) bool { return o == clientIP && n%2 == 0 })
 }
 
 func (s *simulation) isolate(ms int, ip string, n int) {
@@ -99,7 +99,7 @@
 // traffic in both directions is delivered late and all at once when the fault
 // ends.
 func (s *simulation) freeze(ms int, ip string) {
-	others := s.othersThan(ip)
+	others := s.addressesExcept(ip)
 	s.holdLinks(ms, []string{ip}, others)
 	s.holdLinks(ms, others, []string{ip})
 }
@@ -155,7 +155,7 @@
 	case stepBurst:
 		s.clientOps.Go(func() { s.writeRepeatedly(x.A, x.N) })
 	case stepHeartbeat, stepDrain, stepDeregister, stepStaleHeartbeat:
-		s.handlerStep(x)
+		s.startHandlerCall(x)
 	}
 }
 
@@ -228,7 +228,7 @@
 				group = append(group, m.ip)
 			}
 		}
-		peers := slices.DeleteFunc(s.othersThan(group...), func(ip string) bool { return ip == clientIP })
+		peers := slices.DeleteFunc(s.addressesExcept(group...), func(ip string) bool { return ip == clientIP })
 		s.block(x.DurationMs, group, peers)
 		s.block(x.DurationMs, peers, group)
 	case stepDropAnswers:
@@ -315,7 +315,7 @@
 	call := x
 	call.B = 0 // no retries
 	call.Kind = kind
-	return s.handlerStep(call)
+	return s.startHandlerCall(call)
 }
 
 // advanceUntil advances the clock in steps of one millisecond until done is
--- a/internal/cluster/search_history_test.go
+++ b/internal/cluster/search_history_test.go
@@ -41,7 +41,7 @@
 	mu       sync.Mutex
 	lastTick int64
 	writes   []*configurationWrite
-	byBytes  map[string]*configurationWrite
+	byBody   map[string]*configurationWrite
 	reads    []configurationRead
 }
 
@@ -127,15 +127,15 @@
 	// less than a minute.
 	switch porcupine.CheckOperationsTimeout(registerModel, ops, time.Minute) {
 	case porcupine.Illegal:
-		return "no order explains the writes and reads:\n" + h.textLocked()
+		return "no order explains the writes and reads:\n" + h.formatLocked()
 	case porcupine.Unknown:
-		return "the history is too long to be checked:\n" + h.textLocked()
+		return "the history is too long to be checked:\n" + h.formatLocked()
 	}
 	return ""
 }
 
-// textLocked formats the history for a failure report.
-func (h *history) textLocked() string {
+// formatLocked formats the history for a failure report.
+func (h *history) formatLocked() string {
 	var b strings.Builder
 	for _, o := range h.writes {
 		fmt.Fprintf(&b, "  %s: %d on %d, sent at %d, ", o.name, o.revision, o.ifMatch, o.firstSent)
--- a/internal/cluster/search_planted_faults_test.go
+++ b/internal/cluster/search_planted_faults_test.go
@@ -23,11 +23,11 @@
 // schedules and checks that it uses without one. classes lists the violation
 // classes that count as detection. The seeds in likely have detected the fault
 // before and run first to save time.
-func requireFaultFound(t *testing.T, classes string, likely []int, fault func() plantedFault) {
+func requireFaultFound(t *testing.T, classes string, likelySeeds []int, fault func() plantedFault) {
 	t.Helper()
 	t.Parallel()
-	began, others := time.Now(), 0
-	seeds := likely
+	startedAt, otherFailures := time.Now(), 0
+	seeds := likelySeeds
 	if *searchAll {
 		seeds = nil
 	}
@@ -45,18 +45,18 @@
 		// A violation of another class, or one that also occurs without the
 		// fault, does not count as detection.
 		if !strings.Contains(classes, f.class) || runSchedule(t, drawSchedule(seed), plantedFault{}) != nil {
-			others++
+			otherFailures++
 			continue
 		}
 		if found = append(found, seed); !*searchAll {
-			t.Logf("found with seed %d after %v, %d seeds before failed otherwise: %.300v", seed, time.Since(began).Round(time.Millisecond), others, f)
+			t.Logf("found with seed %d after %v, %d seeds before failed otherwise: %.300v", seed, time.Since(startedAt).Round(time.Millisecond), otherFailures, f)
 			return
 		}
 	}
 	if len(found) == 0 {
-		t.Errorf("%d schedules in %v did not find the fault; %d failed otherwise", *searchCount, time.Since(began), others)
+		t.Errorf("%d schedules in %v did not find the fault; %d failed otherwise", *searchCount, time.Since(startedAt), otherFailures)
 	}
-	t.Logf("%d of %d schedules found the fault: %v; %d failed otherwise", len(found), len(seeds), found, others)
+	t.Logf("%d of %d schedules found the fault: %v; %d failed otherwise", len(found), len(seeds), found, otherFailures)
 }
 
 // A core acknowledges writes without syncing them, so a power loss discards the
@@ -126,8 +126,8 @@
 // sixteenth, if it is empty, by the last snapshot sent to its receiver.
 func ignoredUpdateOrder() plantedFault {
 	var mu sync.Mutex
-	firstSnapshots := map[string]any{} // by receiver
-	emptyUpdates := 0
+	lastSnapshots := map[string]any{} // by receiver
+	updateCount := 0
 	return plantedFault{interceptRequest: func(_ *simulation, _, to, path string, body []byte) (out, answer []byte) {
 		if path != "/chain/pass" {
 			return nil, nil
@@ -140,14 +140,14 @@
 		defer mu.Unlock()
 		if update["all"] == true {
 			if update["set"] != nil {
-				firstSnapshots[to] = update["set"]
+				lastSnapshots[to] = update["set"]
 			}
 			return nil, nil
 		}
-		if emptyUpdates++; update["set"] != nil || firstSnapshots[to] == nil || emptyUpdates%16 != 0 {
+		if updateCount++; update["set"] != nil || lastSnapshots[to] == nil || updateCount%16 != 0 {
 			return nil, nil
 		}
-		update["all"], update["set"] = true, firstSnapshots[to]
+		update["all"], update["set"] = true, lastSnapshots[to]
 		out, _ = json.Marshal(update)
 		return out, nil
 	}}
--- a/internal/cluster/search_run_test.go
+++ b/internal/cluster/search_run_test.go
@@ -84,12 +84,12 @@
 	if !s.verifyConverged("after all is healed") {
 		return
 	}
-	last := s.cores[s.schedule.FinalLoss]
-	s.kill(last)
+	lost := s.cores[s.schedule.FinalLoss]
+	s.kill(lost)
 	if !s.verifyWrite("after one more loss") {
 		return
 	}
-	s.start(last)
+	s.start(lost)
 	if !s.verifyConverged("after the last one is back") {
 		return
 	}
@@ -115,12 +115,12 @@
 
 // verifyConverged verifies that a write is acknowledged, that all cores are
 // members and voters of one view, and that each serves reads.
-func (s *simulation) verifyConverged(what string) bool {
-	if !s.verifyWrite(what) || !s.verifyFullView(2*syncTime, what) {
+func (s *simulation) verifyConverged(when string) bool {
+	if !s.verifyWrite(when) || !s.verifyFullView(2*syncTime, when) {
 		return false
 	}
 	for _, m := range s.cores {
-		if !s.requireWithin(8*time.Second, m.name+" cannot be read "+what, func() bool { return s.readConfiguration(m) }) {
+		if !s.requireWithin(8*time.Second, m.name+" cannot be read "+when, func() bool { return s.readConfiguration(m) }) {
 			return false
 		}
 	}
@@ -128,8 +128,8 @@
 }
 
 // verifyWrite verifies that a write is acknowledged.
-func (s *simulation) verifyWrite(what string) bool {
-	return s.requireWithin(15*time.Second, "no write is acknowledged "+what, func() bool {
+func (s *simulation) verifyWrite(when string) bool {
+	return s.requireWithin(15*time.Second, "no write is acknowledged "+when, func() bool {
 		o := s.newWrite(0, 0)
 		for range 8 { // retries the same write, since its response may be lost
 			if code := s.sendWrite(o, 0, s.schedule.Cores); code != 0 {
@@ -141,14 +141,14 @@
 }
 
 // verifyFullView waits until all running cores are members and voters of one view.
-func (s *simulation) verifyFullView(limit time.Duration, what string) bool {
+func (s *simulation) verifyFullView(limit time.Duration, when string) bool {
 	var report string
 	ok := s.pollUntil(limit, func() (full bool) {
 		full, report = s.hasFullView()
 		return full
 	})
 	if !ok && !s.hasFailed() {
-		s.fail("membership", "not all cores are members and vote %s within %v:%s", what, limit, report)
+		s.fail("membership", "not all cores are members and vote %s within %v:%s", when, limit, report)
 	}
 	return ok
 }
@@ -196,10 +196,10 @@
 }
 
 // requireWithin is like pollUntil but records a violation on timeout.
-func (s *simulation) requireWithin(limit time.Duration, what string, f func() bool) bool {
+func (s *simulation) requireWithin(limit time.Duration, failure string, f func() bool) bool {
 	ok := s.pollUntil(limit, f)
 	if !ok && !s.hasFailed() {
-		s.fail("stuck", "%s within %v", what, limit)
+		s.fail("stuck", "%s within %v", failure, limit)
 	}
 	return ok
 }
@@ -209,10 +209,10 @@
 	end := time.Now().Add(d)
 	for {
 		now := time.Now()
-		slices.SortStableFunc(s.pendingEvents, func(a, b delayedAction) int { return a.dueAt.Compare(b.dueAt) })
-		if len(s.pendingEvents) > 0 && !s.pendingEvents[0].dueAt.After(now) {
-			e := s.pendingEvents[0]
-			s.pendingEvents = s.pendingEvents[1:]
+		slices.SortStableFunc(s.pendingActions, func(a, b delayedAction) int { return a.dueAt.Compare(b.dueAt) })
+		if len(s.pendingActions) > 0 && !s.pendingActions[0].dueAt.After(now) {
+			e := s.pendingActions[0]
+			s.pendingActions = s.pendingActions[1:]
 			e.perform()
 			continue
 		}
@@ -220,8 +220,8 @@
 			return
 		}
 		next := end
-		if len(s.pendingEvents) > 0 && s.pendingEvents[0].dueAt.Before(next) {
-			next = s.pendingEvents[0].dueAt
+		if len(s.pendingActions) > 0 && s.pendingActions[0].dueAt.Before(next) {
+			next = s.pendingActions[0].dueAt
 		}
 		if s.fault.onTick != nil {
 			s.fault.onTick(s)
@@ -238,8 +238,8 @@
 	timer := time.NewTimer(limit)
 	select {
 	case <-timer.C:
-	case e := <-s.delayed:
-		s.pendingEvents = append(s.pendingEvents, e)
+	case e := <-s.triggeredActions:
+		s.pendingActions = append(s.pendingActions, e)
 	}
 	timer.Stop()
 }
@@ -250,7 +250,7 @@
 	s.mu.Lock()
 	s.activeFaults++
 	s.mu.Unlock()
-	s.pendingEvents = append(s.pendingEvents, delayedAction{time.Now().Add(time.Duration(ms) * time.Millisecond), func() { s.endFault(end) }})
+	s.pendingActions = append(s.pendingActions, delayedAction{time.Now().Add(time.Duration(ms) * time.Millisecond), func() { s.endFault(end) }})
 }
 
 func (s *simulation) endFault(end func()) {
@@ -265,16 +265,16 @@
 func (s *simulation) endAllFaults() {
 	for {
 		select {
-		case e := <-s.delayed:
-			s.pendingEvents = append(s.pendingEvents, e)
+		case e := <-s.triggeredActions:
+			s.pendingActions = append(s.pendingActions, e)
 			continue
 		default:
 		}
-		if len(s.pendingEvents) == 0 {
+		if len(s.pendingActions) == 0 {
 			return
 		}
-		e := s.pendingEvents[0]
-		s.pendingEvents = s.pendingEvents[1:]
+		e := s.pendingActions[0]
+		s.pendingActions = s.pendingActions[1:]
 		e.perform()
 	}
 }
@@ -298,5 +298,5 @@
 	s.mu.Lock()
 	s.activeFaults++
 	s.mu.Unlock()
-	s.delayed <- delayedAction{time.Now().Add(time.Duration(ms) * time.Millisecond), func() { s.endFault(end) }}
+	s.triggeredActions <- delayedAction{time.Now().Add(time.Duration(ms) * time.Millisecond), func() { s.endFault(end) }}
 }
--- a/internal/cluster/search_schedule_test.go
+++ b/internal/cluster/search_schedule_test.go
@@ -85,8 +85,8 @@
 // clients. Messages that decide the outcome of an operation have higher weights.
 // Schedules refer to them by index.
 var triggerMessages = []struct {
-	name, path, words string
-	weight            int
+	name, path, bodyText string
+	weight               int
 }{
 	{"a write down the chain", "/chain/pass", `"set":`, 3},
 	{"a snapshot down the chain", "/chain/pass", `"all":true`, 2},
@@ -148,7 +148,7 @@
 var scheduleGenerator = rapid.Custom(func(t *rapid.T) schedule {
 	size := [][2]int{{3, 1}, {3, 1}, {5, 1}, {5, 2}}[drawBelow(t, "size", 4)]
 	out := schedule{Cores: size[0], HostFailures: size[1], FinalLoss: drawBelow(t, "last", size[0]), BackgroundLoad: drawBelow(t, "busy", 4) > 0}
-	one := rapid.Custom(func(t *rapid.T) step {
+	stepGenerator := rapid.Custom(func(t *rapid.T) step {
 		s := step{
 			Kind:       weightedKinds[kindChoices[drawBelow(t, "kind", len(kindChoices))]].stepKind,
 			WaitMs:     100 * rapid.IntRange(0, 15).Draw(t, "wait"),
@@ -172,8 +172,8 @@
 		return s
 	})
 	// A slice of slices, since rapid nearly always draws a short slice.
-	for _, some := range rapid.SliceOfN(rapid.SliceOfN(one, 1, 9), 1, 12).Draw(t, "steps") {
-		out.Steps = append(out.Steps, some...)
+	for _, group := range rapid.SliceOfN(rapid.SliceOfN(stepGenerator, 1, 9), 1, 12).Draw(t, "steps") {
+		out.Steps = append(out.Steps, group...)
 	}
 	return out
 })
@@ -207,6 +207,6 @@
 	return b.String()
 }
 
-func (o triggerCondition) String() string {
-	return fmt.Sprintf("%s (number %d) is sent: %s, %d ms later", triggerMessages[o.Message].name, o.Occurrence, triggeredFaults[o.Fault].name, o.DelayMs)
+func (c triggerCondition) String() string {
+	return fmt.Sprintf("%s (number %d) is sent: %s, %d ms later", triggerMessages[c.Message].name, c.Occurrence, triggeredFaults[c.Fault].name, c.DelayMs)
 }
--- a/internal/cluster/search_simulation_test.go
+++ b/internal/cluster/search_simulation_test.go
@@ -55,12 +55,12 @@
 	startedAt     time.Time
 
 	// Owned by the goroutine that performs the steps.
-	pendingEvents  []delayedAction // sorted by time in advance
+	pendingActions []delayedAction // sorted by time in advance
 	activeSlows    int             // active faults that increase the latency
 	activeReorders int             // active faults that reorder packets
 	diskLosses     int
 
-	delayed chan delayedAction // actions added by triggers, from any goroutine, for pendingEvents
+	triggeredActions chan delayedAction // actions added by triggers, from any goroutine, for pendingActions
 
 	mu                  sync.Mutex // guards what follows
 	blockedLinks        map[[2]string]int
@@ -69,8 +69,8 @@
 	running             map[string]bool // by name
 	armedTriggers       []*trigger
 	latestKnownRevision int64 // the newest revision in a response to a client
-	knownViews          map[int64]chain.View
-	newestViewOf        map[string]int64 // by core
+	viewsByNumber       map[int64]chain.View
+	latestViewNumber    map[string]int64 // by core
 	handlers            map[int]*simulatedHandler
 	deregistered        map[string]*deregistration
 	activeFaults        int
@@ -80,15 +80,15 @@
 }
 
 // runSchedule runs one schedule and returns its first violation, or nil.
-func runSchedule(t *testing.T, plan schedule, p plantedFault) (f *violation) {
+func runSchedule(t *testing.T, plan schedule, fault plantedFault) (f *violation) {
 	t.Helper()
-	dir, err := os.MkdirTemp(memoryFolder(), "search")
+	dir, err := os.MkdirTemp(memoryDir(), "search")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	synctest.Test(t, func(t *testing.T) {
-		s := newSimulation(t, dir, plan, p)
+		s := newSimulation(t, dir, plan, fault)
 		observing, stop := context.WithCancel(context.Background())
 		var observers sync.WaitGroup
 		observers.Go(func() { s.observeCores(observing) })
@@ -113,10 +113,10 @@
 	return f
 }
 
-// memoryFolder returns the parent directory for the disks of a search: a memory
+// memoryDir returns the parent directory for the disks of a search: a memory
 // file system if there is one. Syncs take most of the time of a schedule, and
 // files in memory survive every fault that is simulated here.
-func memoryFolder() string {
+func memoryDir() string {
 	const memory = "/dev/shm"
 	if _, err := os.Stat(memory); err != nil {
 		return ""
@@ -124,18 +124,18 @@
 	return memory
 }
 
-func newSimulation(t *testing.T, dir string, plan schedule, p plantedFault) *simulation {
+func newSimulation(t *testing.T, dir string, plan schedule, planted plantedFault) *simulation {
 	s := &simulation{
-		world: newWorld(t, dir, plan.HostFailures), schedule: plan, fault: p,
-		delayed: make(chan delayedAction, 64), blockedLinks: map[[2]string]int{}, startedAt: time.Now(),
-		running: map[string]bool{}, knownViews: map[int64]chain.View{}, newestViewOf: map[string]int64{}, handlers: map[int]*simulatedHandler{},
+		world: newWorld(t, dir, plan.HostFailures), schedule: plan, fault: planted,
+		triggeredActions: make(chan delayedAction, 64), blockedLinks: map[[2]string]int{}, startedAt: time.Now(),
+		running: map[string]bool{}, viewsByNumber: map[int64]chain.View{}, latestViewNumber: map[string]int64{}, handlers: map[int]*simulatedHandler{},
 		deregistered: map[string]*deregistration{}, seenNotReady: map[string]bool{},
 	}
-	s.history.byBytes = map[string]*configurationWrite{}
+	s.history.byBody = map[string]*configurationWrite{}
 	n := s.world.network
 	n.rng = rand.New(rand.NewPCG(uint64(plan.Cores), uint64(len(plan.Steps))))
 	n.interceptRequest = s.interceptRequest
-	n.dialsIgnorePartitions = p.dialsIgnorePartitions
+	n.dialsIgnorePartitions = planted.dialsIgnorePartitions
 	s.clientProcess = &process{network: n, ip: clientIP}
 	s.clientPool = &httpwire.Pool{Network: s.clientProcess.httpNetwork()}
 	observerProcess := &process{network: n, ip: "10.9.0.2", exempt: true}
--- a/internal/cluster/search_triggers_test.go
+++ b/internal/cluster/search_triggers_test.go
@@ -23,16 +23,16 @@
 // or answer it in place of the receiver.
 func (s *simulation) interceptRequest(from *process, to string, raw []byte) (out, answer []byte) {
 	head, body, ok := bytes.Cut(raw, []byte("\r\n\r\n"))
-	words := strings.SplitN(string(head[:min(len(head), 64)]), " ", 3)
-	if !ok || from.exempt || len(words) < 3 || from.ip == clientIP {
+	requestLine := strings.SplitN(string(head[:min(len(head), 64)]), " ", 3)
+	if !ok || from.exempt || len(requestLine) < 3 || from.ip == clientIP {
 		return raw, nil
 	}
 	ip, _, _ := strings.Cut(to, ":")
-	s.fireTriggers(words[1], body, from.ip, ip)
+	s.fireTriggers(requestLine[1], body, from.ip, ip)
 	if s.fault.interceptRequest == nil {
 		return raw, nil
 	}
-	changed, answer := s.fault.interceptRequest(s, from.ip, ip, words[1], body)
+	changed, answer := s.fault.interceptRequest(s, from.ip, ip, requestLine[1], body)
 	header := strings.Split(string(head), "\r\n")
 	if answer != nil {
 		call := "" // a response must repeat the Call field of its request
@@ -59,7 +59,7 @@
 	s.mu.Lock()
 	var due []step
 	s.armedTriggers = slices.DeleteFunc(s.armedTriggers, func(t *trigger) bool {
-		if m := triggerMessages[t.Trigger.Message]; m.path != path || !bytes.Contains(body, []byte(m.words)) {
+		if m := triggerMessages[t.Trigger.Message]; m.path != path || !bytes.Contains(body, []byte(m.bodyText)) {
 			return false
 		}
 		t.remaining--
@@ -70,13 +70,13 @@
 	})
 	s.mu.Unlock()
 	for _, x := range due {
-		what := triggeredFaults[x.Trigger.Fault].name
-		for _, l := range s.affectedLinks(what, from, to, x.A) {
+		fault := triggeredFaults[x.Trigger.Fault].name
+		for _, l := range s.affectedLinks(fault, from, to, x.A) {
 			// Before the message is sent, so that the fault applies to it.
 			s.breakLink(l)
 			s.endFaultAfter(x.DurationMs, func() { s.restoreLink(l) })
 		}
-		s.endFaultAfter(x.Trigger.DelayMs, func() { s.inject(what, x.DurationMs, from, to) })
+		s.endFaultAfter(x.Trigger.DelayMs, func() { s.inject(fault, x.DurationMs, from, to) })
 	}
 }
 
@@ -104,13 +104,13 @@
 }
 
 // affectedLinks returns the links that a triggered fault blocks or holds.
-func (s *simulation) affectedLinks(what, from, to string, n int) (out []link) {
-	around := func(ip string, hold bool) {
+func (s *simulation) affectedLinks(fault, from, to string, n int) (out []link) {
+	addLinksOf := func(ip string, hold bool) {
 		for _, o := range s.peersOf(ip, n) {
 			out = append(out, link{ip, o, hold}, link{o, ip, hold})
 		}
 	}
-	switch what {
+	switch fault {
 	case "hold the link":
 		out = append(out, link{from, to, true})
 	case "hold the answers":
@@ -118,21 +118,21 @@
 	case "lose the link":
 		out = append(out, link{from, to, false})
 	case "cut off the sender", "cut off the sender and kill the receiver":
-		around(from, false)
+		addLinksOf(from, false)
 	case "cut off the receiver", "cut off the receiver and kill the sender":
-		around(to, false)
+		addLinksOf(to, false)
 	case "freeze the sender":
-		around(from, true)
+		addLinksOf(from, true)
 	case "freeze the receiver":
-		around(to, true)
+		addLinksOf(to, true)
 	}
 	return out
 }
 
 // inject starts the part of a triggered fault that concerns machines or
 // connections; affectedLinks is the part that concerns links.
-func (s *simulation) inject(what string, ms int, from, to string) {
-	at := func(ip string) (out []*machine) {
+func (s *simulation) inject(fault string, ms int, from, to string) {
+	machinesAt := func(ip string) (out []*machine) {
 		for _, m := range s.cores {
 			if m.ip == ip {
 				out = append(out, m)
@@ -144,29 +144,29 @@
 	// A disk may be lost only if all cores are available again: no other fault is
 	// active, and the last one ended more than syncTime ago.
 	mayWipe := s.activeFaults <= 1 && time.Since(s.lastFaultEnd) > syncTime && time.Since(s.startedAt) > syncTime
-	s.logLocked("fault: %s, from %s to %s, for %d ms", what, from, to, ms)
+	s.logLocked("fault: %s, from %s to %s, for %d ms", fault, from, to, ms)
 	s.mu.Unlock()
-	switch what {
+	switch fault {
 	case "reset":
 		s.world.network.reset(from, to)
 	case "kill the sender":
-		s.crash(ms, false, at(from)...)
+		s.crash(ms, false, machinesAt(from)...)
 	case "kill the receiver":
-		s.crash(ms, false, at(to)...)
+		s.crash(ms, false, machinesAt(to)...)
 	case "cut off the sender and kill the receiver":
-		s.crash(100, false, at(to)...)
+		s.crash(100, false, machinesAt(to)...)
 	case "cut off the receiver and kill the sender":
-		s.crash(100, false, at(from)...)
+		s.crash(100, false, machinesAt(from)...)
 	case "kill all":
 		s.crash(ms, false, s.cores...)
 	case "power":
 		s.crash(ms, true, s.cores...)
 	case "wipe the sender", "power, wipe the sender":
-		m := at(from)
+		m := machinesAt(from)
 		if !mayWipe || len(m) == 0 {
 			return
 		}
-		if what == "wipe the sender" {
+		if fault == "wipe the sender" {
 			s.crash(ms, false, m...)
 		} else {
 			s.crash(ms, true, s.cores...)
