--- a/internal/cluster/search_checks_test.go
+++ b/internal/cluster/search_checks_test.go
@@ -176,7 +176,7 @@
 func (s *simulation) checkPublishedConfiguration(m *machine, raw []byte) {
 	w := s.findWrite(raw)
 	if w == nil {
-		s.fail("events", "%s publishes a configuration that nobody sent: %s", m.name, raw)
+		s.fail("events", "%s publishes a configuration that no operator sent: %s", m.name, raw)
 		return
 	}
 	s.history.mu.Lock()
@@ -210,9 +210,9 @@
 				s.seenNotReady[key] = true
 			}
 		case s.seenNotReady[key]:
-			s.failLocked("instance", "%s publishes that %s is ready again, %v after its deregistration was acknowledged", m.name, id, requestedAt.Sub(d.acknowledgedAt))
+			s.failLocked("instance", "%s publishes %s as ready again %v after its deregistration was acknowledged", m.name, id, requestedAt.Sub(d.acknowledgedAt))
 		case s.activeFaults == 0 && requestedAt.Sub(d.acknowledgedAt) > drainTimeout && requestedAt.Sub(s.lastFaultEnd) > drainTimeout:
-			s.failLocked("instance", "%s publishes that %s is ready, %v after its deregistration was acknowledged", m.name, id, requestedAt.Sub(d.acknowledgedAt))
+			s.failLocked("instance", "%s still publishes %s as ready %v after its deregistration was acknowledged", m.name, id, requestedAt.Sub(d.acknowledgedAt))
 		}
 	}
 }
@@ -228,13 +228,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.latestViewNumber[m.name] > v.Number {
-		s.failLocked("view", "%s went back from view %d to %d", m.name, s.latestViewNumber[m.name], v.Number)
+		s.failLocked("view", "%s reverted from view %d to view %d", m.name, s.latestViewNumber[m.name], v.Number)
 	}
 	s.latestViewNumber[m.name] = v.Number
 	old, known := s.viewsByNumber[v.Number]
 	if known {
 		if text(old) != text(v) {
-			s.failLocked("view", "two views have the number %d:\n    %s\n    %s at %s", v.Number, text(old), text(v), m.name)
+			s.failLocked("view", "two different views have number %d:\n    %s\n    %s (reported by %s)", v.Number, text(old), text(v), m.name)
 		}
 		return
 	}
--- a/internal/cluster/search_clients_test.go
+++ b/internal/cluster/search_clients_test.go
@@ -27,7 +27,7 @@
 
 // deregisteredState is the state of a simulatedHandler once it sends DELETE. It is
 // never sent to a core.
-const deregisteredState = "gone"
+const deregisteredState = "deregistered"
 
 // deregistration records when a DELETE, or a change to draining, was acknowledged.
 type deregistration struct{ acknowledgedAt time.Time }
@@ -96,7 +96,7 @@
 		s.history.mu.Unlock()
 		code, body := s.callCore(m, httpwire.Call{Method: "PUT", Target: "/v1/configuration", Header: []string{"If-Match", fmt.Sprint(w.ifMatch)}, Body: w.body})
 		end := s.history.tick()
-		s.logf("%s: %d on %d, to %s from %d to %d: %d %.120s", w.name, w.revision, w.ifMatch, m.name, begin, end, code, body)
+		s.logf("%s: revision %d, If-Match %d, sent to %s, ticks %d to %d: status %d %.120s", w.name, w.revision, w.ifMatch, m.name, begin, end, code, body)
 		s.history.mu.Lock()
 		switch {
 		case code == 200:
@@ -111,16 +111,16 @@
 		s.history.mu.Unlock()
 		switch {
 		case contradictory:
-			s.fail("rejection", "%s is both acknowledged and rejected: %d from %s: %s", w.name, code, m.name, body)
+			s.fail("rejection", "%s was both acknowledged and rejected: status %d from %s: %s", w.name, code, m.name, body)
 		case code == 200:
 			s.recordRevision(w.revision)
-			s.fireTriggers("acked", nil, m.ip, m.ip)
+			s.fireTriggers(writeAcknowledged, nil, m.ip, m.ip)
 			return code
 		case code == 412:
 			s.recordConflict(body)
 			return code
 		case code != 0:
-			s.fail("rejection", "%s is rejected with %d by %s: %s", w.name, code, m.name, body)
+			s.fail("rejection", "%s rejected with status %d by %s: %s", w.name, code, m.name, body)
 			return code
 		}
 		if s.hasFailed() {
@@ -153,16 +153,16 @@
 	case 200:
 		w := s.findWrite(body)
 		if w == nil {
-			s.fail("history", "%s answers with a configuration that nobody sent: %s", m.name, body)
+			s.fail("history", "%s returned a configuration that no operator sent: %s", m.name, body)
 			return false
 		}
 		r.writeName = w.name
 		s.recordRevision(w.revision)
 	default:
-		s.fail("rejection", "a read at %s is rejected with %d: %s", m.name, code, body)
+		s.fail("rejection", "read from %s rejected with status %d: %s", m.name, code, body)
 		return false
 	}
-	s.logf("%s is read at %s from %d to %d", r.writeName, m.name, r.begin, r.end)
+	s.logf("%q read from %s, ticks %d to %d", r.writeName, m.name, r.begin, r.end)
 	s.history.mu.Lock()
 	defer s.history.mu.Unlock()
 	s.history.reads = append(s.history.reads, r)
@@ -178,7 +178,7 @@
 func (s *simulation) statusOf(m *machine) (o controlplane.Overview, err error) {
 	code, body := s.callCore(m, httpwire.Call{Method: "GET", Target: "/v1/status"})
 	if code != 200 {
-		return o, fmt.Errorf("answered %d %s", code, body)
+		return o, fmt.Errorf("unexpected status %d: %s", code, body)
 	}
 	return o, json.Unmarshal(body, &o)
 }
@@ -255,10 +255,10 @@
 		c.Body = fmt.Appendf(nil, `{"service":"plain","address":"10.20.0.%d:90","zone":"z1","revision":"v1","slots":2,"oper-state":%q,"call-seq":%d}`, call.number, call.state, seq)
 	}
 	code, body := s.callCore(m, c)
-	s.logf("%s says %s (%d) to %s: %d %.80s", h.id, call.state, seq, m.name, code, body)
+	s.logf("%s sends %s (call-seq %d) to %s: status %d %.80s", h.id, call.state, seq, m.name, code, body)
 	if code/100 != 2 {
 		if code != 0 {
-			s.fail("rejection", "a heartbeat is rejected with %d: %s", code, body)
+			s.fail("rejection", "%s of %s rejected by %s with status %d: %s", call.method, h.id, m.name, code, body)
 		}
 		return false
 	}
@@ -268,7 +268,7 @@
 			s.deregistered[h.id] = &deregistration{time.Now()}
 		}
 		s.mu.Unlock()
-		s.fireTriggers("left", nil, m.ip, m.ip)
+		s.fireTriggers(deregistrationAcknowledged, nil, m.ip, m.ip)
 	}
 	return true
 }
--- a/internal/cluster/search_faults_test.go
+++ b/internal/cluster/search_faults_test.go
@@ -25,13 +25,13 @@
 }
 
 func (s *simulation) wipeDisk(m *machine) {
-	s.logf("%s loses its disk", m.name)
+	s.logf("disk of %s wiped", m.name)
 	s.diskLosses++
 	s.mu.Lock()
 	delete(s.latestViewNumber, m.name)
 	s.mu.Unlock()
 	if err := os.RemoveAll(m.dataPath); err != nil {
-		s.fail("start", "wipe %s: %v", m.name, err)
+		s.fail("start", "wipe the disk of %s: %v", m.name, err)
 	}
 }
 
@@ -132,9 +132,9 @@
 	switch x.Kind {
 	case stepWrite, stepRead, stepResend, stepBurst, stepHeartbeat, stepDrain, stepDeregister, stepStaleHeartbeat:
 	case stepTrigger, stepViewChange:
-		s.logf("when %v", x.Trigger)
+		s.logf("armed trigger: when %v", x.Trigger)
 	default:
-		s.logf("%s %s %s for %d ms, %d", x.Kind, s.cores[x.A].name, s.cores[x.B].name, x.DurationMs, x.N)
+		s.logf("step %s: cores %s and %s, %d ms, N=%d", x.Kind, s.cores[x.A].name, s.cores[x.B].name, x.DurationMs, x.N)
 	}
 }
 
--- a/internal/cluster/search_history_test.go
+++ b/internal/cluster/search_history_test.go
@@ -127,9 +127,9 @@
 	// less than a minute.
 	switch porcupine.CheckOperationsTimeout(registerModel, ops, time.Minute) {
 	case porcupine.Illegal:
-		return "no order explains the writes and reads:\n" + h.formatLocked()
+		return "the history is not linearizable:\n" + h.formatLocked()
 	case porcupine.Unknown:
-		return "the history is too long to be checked:\n" + h.formatLocked()
+		return "the linearizability check timed out:\n" + h.formatLocked()
 	}
 	return ""
 }
@@ -138,17 +138,17 @@
 func (h *history) formatLocked() string {
 	var b strings.Builder
 	for _, o := range h.writes {
-		fmt.Fprintf(&b, "  %s: %d on %d, sent at %d, ", o.name, o.revision, o.ifMatch, o.firstSent)
+		fmt.Fprintf(&b, "  %s: revision %d, If-Match %d, sent at tick %d, ", o.name, o.revision, o.ifMatch, o.firstSent)
 		if o.acknowledged > 0 {
-			fmt.Fprintf(&b, "acknowledged at %d", o.acknowledged)
+			fmt.Fprintf(&b, "acknowledged at tick %d", o.acknowledged)
 		}
 		for _, r := range o.rejections {
-			fmt.Fprintf(&b, " rejected with %d from %d to %d", r.status, r.begin, r.end)
+			fmt.Fprintf(&b, " rejected with status %d, ticks %d to %d", r.status, r.begin, r.end)
 		}
 		fmt.Fprintln(&b)
 	}
 	for _, r := range h.reads {
-		fmt.Fprintf(&b, "  %s read at %s from %d to %d\n", r.writeName, r.core, r.begin, r.end)
+		fmt.Fprintf(&b, "  %q read from %s, ticks %d to %d\n", r.writeName, r.core, r.begin, r.end)
 	}
 	return b.String()
 }
--- a/internal/cluster/search_planted_faults_test.go
+++ b/internal/cluster/search_planted_faults_test.go
@@ -49,14 +49,14 @@
 			continue
 		}
 		if found = append(found, seed); !*searchAll {
-			t.Logf("found with seed %d after %v, %d seeds before failed otherwise: %.300v", seed, time.Since(startedAt).Round(time.Millisecond), otherFailures, f)
+			t.Logf("found with seed %d after %v, %d earlier seeds failed for other reasons: %.300v", seed, time.Since(startedAt).Round(time.Millisecond), otherFailures, f)
 			return
 		}
 	}
 	if len(found) == 0 {
-		t.Errorf("%d schedules in %v did not find the fault; %d failed otherwise", *searchCount, time.Since(startedAt), otherFailures)
+		t.Errorf("%d schedules in %v did not find the fault; %d failed for other reasons", *searchCount, time.Since(startedAt), otherFailures)
 	}
-	t.Logf("%d of %d schedules found the fault: %v; %d failed otherwise", len(found), len(seeds), found, otherFailures)
+	t.Logf("%d of %d schedules found the fault: %v; %d failed for other reasons", len(found), len(seeds), found, otherFailures)
 }
 
 // A core acknowledges writes without syncing them, so a power loss discards the
@@ -88,7 +88,7 @@
 			for i := len(images[m.name]) - 1; i >= 0; i-- {
 				if old := images[m.name][i]; time.Since(old.at) > 300*time.Millisecond {
 					if err := os.WriteFile(path(m), old.raw, 0o600); err != nil {
-						s.fail("start", "%v", err)
+						s.fail("start", "restore an old database image of %s: %v", m.name, err)
 					}
 					return
 				}
@@ -202,7 +202,7 @@
 			return err
 		})
 		if err != nil {
-			s.fail("start", "%v", err)
+			s.fail("start", "delete the votes of %s: %v", m.name, err)
 		}
 	}}
 }
--- a/internal/cluster/search_run_test.go
+++ b/internal/cluster/search_run_test.go
@@ -81,16 +81,16 @@
 		return
 	}
 	s.clientOps.Wait()
-	if !s.verifyConverged("after all is healed") {
+	if !s.verifyConverged("after the end of all faults") {
 		return
 	}
 	lost := s.cores[s.schedule.FinalLoss]
 	s.kill(lost)
-	if !s.verifyWrite("after one more loss") {
+	if !s.verifyWrite("after the final crash") {
 		return
 	}
 	s.start(lost)
-	if !s.verifyConverged("after the last one is back") {
+	if !s.verifyConverged("after the final restart") {
 		return
 	}
 	for _, m := range s.cores {
@@ -107,7 +107,7 @@
 	}
 	for _, h := range o.Handlers {
 		if h.State == handler.Ready && s.deregistered[h.ID] != nil {
-			s.fail("instance", "%s reports %s, which is deregistered, in the end", m.name, h.ID)
+			s.fail("instance", "%s reports %s as ready in the final state, although it is deregistered", m.name, h.ID)
 		}
 	}
 	return true
@@ -148,7 +148,7 @@
 		return full
 	})
 	if !ok && !s.hasFailed() {
-		s.fail("membership", "not all cores are members and vote %s within %v:%s", when, limit, report)
+		s.fail("membership", "not all cores are members and voters %s within %v:%s", when, limit, report)
 	}
 	return ok
 }
--- a/internal/cluster/search_schedule_test.go
+++ b/internal/cluster/search_schedule_test.go
@@ -80,6 +80,12 @@
 	{stepHoldLink, 5}, {stepFreeze, 4}, {stepSlow, 2}, {stepReorder, 2}, {stepTrigger, 12}, {stepViewChange, 8}, {stepWipe, 4}, {stepReplace, 2}, {stepPowerWipe, 2},
 }
 
+// Stand-ins for a request path in triggerMessages, for responses to clients.
+const (
+	writeAcknowledged          = "write-acknowledged"
+	deregistrationAcknowledged = "deregistration-acknowledged"
+)
+
 // triggerMessages lists the messages that may trigger a fault: the path of a
 // request and a text that its body contains. The last two are responses to
 // clients. Messages that decide the outcome of an operation have higher weights.
@@ -97,8 +103,8 @@
 	{"a proposal", "/propose", "", 1},
 	{"a tombstone", "/exchange", `"major":`, 1},
 	{"a request for the replica status", "/chain/standing", "", 1},
-	{"the acknowledgement of a write", "acked", "", 2},
-	{"the acknowledgement of a deregistration", "left", "", 2},
+	{"the acknowledgement of a write", writeAcknowledged, "", 2},
+	{"the acknowledgement of a deregistration", deregistrationAcknowledged, "", 2},
 }
 
 // triggeredFaults lists the faults that a message may trigger. Schedules refer to
@@ -180,7 +186,7 @@
 
 func (s schedule) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d cores, %d may be lost; in the end core %d is; busy: %v", s.Cores, s.HostFailures, s.FinalLoss, s.BackgroundLoad)
+	fmt.Fprintf(&b, "%d cores, %d host failures tolerated; final crash of core %d; background load: %v", s.Cores, s.HostFailures, s.FinalLoss, s.BackgroundLoad)
 	for _, x := range s.Steps {
 		fmt.Fprintf(&b, "\n  after %d ms: %s", x.WaitMs, x.Kind)
 		switch x.Kind {
--- a/internal/cluster/search_simulation_test.go
+++ b/internal/cluster/search_simulation_test.go
@@ -175,7 +175,7 @@
 	s.mu.Unlock()
 	s.world.start(m, bootstrap, func(err error) {
 		if err != nil && !s.isDead(m.process) {
-			s.fail("start", "%s ended: %v", m.name, err)
+			s.fail("start", "%s exited: %v", m.name, err)
 		}
 	})
 }
@@ -196,7 +196,7 @@
 	if s.fault.beforeRestart != nil {
 		s.fault.beforeRestart(s, m)
 	}
-	s.logf("%s starts", m.name)
+	s.logf("%s restarts", m.name)
 	s.startProcess(m, false)
 }
 
--- a/internal/cluster/search_triggers_test.go
+++ b/internal/cluster/search_triggers_test.go
@@ -144,7 +144,7 @@
 	// A disk may be lost only if all cores are available again: no other fault is
 	// active, and the last one ended more than syncTime ago.
 	mayWipe := s.activeFaults <= 1 && time.Since(s.lastFaultEnd) > syncTime && time.Since(s.startedAt) > syncTime
-	s.logLocked("fault: %s, from %s to %s, for %d ms", fault, from, to, ms)
+	s.logLocked("triggered fault: %s, message from %s to %s, for %d ms", fault, from, to, ms)
 	s.mu.Unlock()
 	switch fault {
 	case "reset":
