--- a/internal/cluster/message_search_test.go
+++ b/internal/cluster/message_search_test.go
@@ -23,7 +23,7 @@
 var (
 	messageSearchSeed  = flag.Int("search.messages.seed", 0, "run only the message search schedule with this seed")
 	messageSearchFirst = flag.Int("search.messages.first", 1, "first seed of the message search")
-	messageSearchCount = flag.Int("search.messages.count", messageSchedules, "number of message search schedules")
+	messageSearchCount = flag.Int("search.messages.count", defaultMessageSchedules, "number of message search schedules")
 	messageSearchFor   = flag.Duration("search.messages.for", 0, "run message search schedules for this long")
 )
 
@@ -151,7 +151,7 @@
 // runMaintenance runs one schedule and returns its first violation, or nil.
 func runMaintenance(t *testing.T, plan maintenancePlan, fault maintenanceFault) *violation {
 	t.Helper()
-	dir, err := os.MkdirTemp(memoryFolder(), "messages")
+	dir, err := os.MkdirTemp(memoryDir(), "messages")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/race_off_test.go
+++ b/internal/cluster/race_off_test.go
@@ -2,5 +2,6 @@
 
 package cluster
 
-// messageSchedules is how many message schedules a build runs.
-const messageSchedules = 16
+// defaultMessageSchedules is the number of schedules that the message search runs
+// by default.
+const defaultMessageSchedules = 16
--- a/internal/cluster/search_checks_test.go
+++ b/internal/cluster/search_checks_test.go
@@ -1,7 +1,7 @@
 package cluster
 
-// What must hold at any moment: the observation of all cores past all partitions,
-// the invariants, and how a violation and the totals of a search are recorded.
+// Invariant checks that run throughout a schedule on observations of all cores
+// that bypass network partitions, and the recording of violations and totals.
 
 import (
 	"context"
@@ -18,15 +18,16 @@
 	"saltreel/internal/journal"
 )
 
-// violation is a property that a schedule showed not to hold.
+// violation is a checked property that did not hold in a schedule. Its class
+// identifies the kind of check, by which shrinking compares failures.
 type violation struct {
 	class, text string
 }
 
-func (f *violation) String() string { return f.class + ": " + f.text }
+func (v *violation) String() string { return v.class + ": " + v.text }
 
-// totals is what happened in all schedules run, so that a search that exercises
-// nothing shows.
+// totals counts events over all schedules of a search. They are logged so that a
+// search that no longer exercises the cluster is noticed.
 var totals struct {
 	sync.Mutex
 	n map[string]int
@@ -38,25 +39,26 @@
 	if totals.n == nil {
 		totals.n = map[string]int{}
 	}
-	for _, o := range s.history.writes {
+	for _, w := range s.history.writes {
 		totals.n["orders"]++
 		switch {
-		case o.acknowledged > 0:
+		case w.acknowledged > 0:
 			totals.n["acknowledged"]++
-		case len(o.rejections) > 0:
+		case len(w.rejections) > 0:
 			totals.n["rejected"]++
 		}
 	}
 	totals.n["reads"] += len(s.history.reads)
 	totals.n["leavings"] += len(s.deregistered)
-	totals.n["views"] += len(s.knownViews)
+	totals.n["views"] += len(s.viewsByNumber)
 	totals.n["kills"] += s.world.kills
 	totals.n["wipes"] += s.diskLosses
 	totals.n["replacements"] += s.nextMachine - s.schedule.Cores
 	totals.n["seconds simulated"] += int(time.Since(s.startedAt).Seconds())
 }
 
-// fail records the first violation; the schedule ends there.
+// fail records the first violation, which ends the schedule. Later ones are
+// ignored.
 func (s *simulation) fail(class, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +72,7 @@
 	}
 }
 
-// logLocked adds an entry to the log that is printed with a violation.
+// logLocked appends an entry to the event log that is printed with a violation.
 func (s *simulation) logLocked(format string, args ...any) {
 	fmt.Fprintf(&s.eventLog, "  %8.3f %s\n", time.Since(s.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
@@ -93,15 +95,17 @@
 	return v, s.observer.Call(ctx, internalAddress(m), "/view", struct{}{}, nil, &v)
 }
 
-// coreObservation is what one core has published so far, as a node would know it.
+// coreObservation is the state that a node would hold after applying all events
+// that one core has published so far.
 type coreObservation struct {
 	page     journal.Page
-	states   map[string]string // of handlers, by ID
-	revision int64             // of the configuration; 0 without one
+	states   map[string]string // handler states, by handler ID
+	revision int64             // configuration revision; 0 if none was published
 }
 
-// observeCores asks all cores for their view and their events again and again,
-// past all partitions: as a node on their side of a partition would see them.
+// observeCores polls the view and the events of all cores until ctx ends. It
+// bypasses network partitions, so each core is seen as by a node on its own side
+// of a partition.
 func (s *simulation) observeCores(ctx context.Context) {
 	observations := map[string]*coreObservation{}
 	var mu sync.Mutex
@@ -119,11 +123,11 @@
 		s.mu.Lock()
 		cores := slices.Clone(s.cores)
 		s.mu.Unlock()
-		var all sync.WaitGroup
+		var requests sync.WaitGroup
 		for _, m := range cores {
-			all.Go(func() { s.observeCore(ctx, m, observationOf) })
+			requests.Go(func() { s.observeCore(ctx, m, observationOf) })
 		}
-		all.Wait()
+		requests.Wait()
 		select {
 		case <-ctx.Done():
 		case <-time.After(200 * time.Millisecond):
@@ -131,13 +135,13 @@
 	}
 }
 
-// observeCore asks one core once.
+// observeCore polls one core once and checks what it returns.
 func (s *simulation) observeCore(ctx context.Context, m *machine, observationOf func(name string) *coreObservation) {
 	if v, err := s.viewOf(m); err == nil {
 		s.checkView(m, v)
 	}
 	o := observationOf(m.name)
-	asked := time.Now()
+	requestedAt := time.Now()
 	pageCtx, cancel := context.WithTimeout(ctx, 400*time.Millisecond)
 	defer cancel()
 	var page journal.Page
@@ -145,11 +149,11 @@
 		return
 	}
 	s.applyPage(m, o, page)
-	s.checkPublishedState(m, asked, o.revision, o.states)
+	s.checkPublishedState(m, requestedAt, o.revision, o.states)
 }
 
-// applyPage adds a page of events to what is known of a core. A page of another
-// source begins anew.
+// applyPage applies a page of events to the observation of a core. A page from a
+// different source discards the state observed before.
 func (s *simulation) applyPage(m *machine, o *coreObservation, page journal.Page) {
 	if page.Source != o.page.Source {
 		o.states = map[string]string{}
@@ -167,53 +171,54 @@
 	}
 }
 
-// checkPublishedConfiguration checks a configuration that a core gave a node.
+// checkPublishedConfiguration checks that a configuration published by a core was
+// sent by an operator and not rejected.
 func (s *simulation) checkPublishedConfiguration(m *machine, raw []byte) {
-	o := s.findWrite(raw)
-	if o == nil {
-		s.fail("events", "%s publishes a configuration that nobody sent: %s", m.name, raw)
+	w := s.findWrite(raw)
+	if w == nil {
+		s.fail("events", "%s publishes a configuration that no operator sent: %s", m.name, raw)
 		return
 	}
 	s.history.mu.Lock()
-	rejected := len(o.rejections) > 0
+	rejected := len(w.rejections) > 0
 	s.history.mu.Unlock()
 	if rejected {
-		s.fail("events", "%s publishes %s, which was rejected", m.name, o.name)
+		s.fail("events", "%s publishes %s, which was rejected", m.name, w.name)
 	}
 }
 
-// checkPublishedState checks what a core has published: its configuration may
-// be stale for the contact time-out at most, and a handler that is deregistered
-// or drains may not become ready again.
-func (s *simulation) checkPublishedState(m *machine, asked time.Time, revision int64, states map[string]string) {
+// checkPublishedState checks the state published by a core: its configuration may
+// be stale for at most the contact timeout, and a handler that is draining or
+// deregistered must not become ready again.
+func (s *simulation) checkPublishedState(m *machine, requestedAt time.Time, revision int64, states map[string]string) {
 	s.history.mu.Lock()
-	for _, o := range s.history.writes {
-		if revision > 0 && o.acknowledged > 0 && o.revision > revision && asked.Sub(o.acknowledgedAt) > contactTimeout {
-			defer s.fail("events", "%s publishes revision %d, %v after %s was acknowledged", m.name, revision, asked.Sub(o.acknowledgedAt), o.name)
+	for _, w := range s.history.writes {
+		if revision > 0 && w.acknowledged > 0 && w.revision > revision && requestedAt.Sub(w.acknowledgedAt) > contactTimeout {
+			defer s.fail("events", "%s publishes revision %d, %v after %s was acknowledged", m.name, revision, requestedAt.Sub(w.acknowledgedAt), w.name)
 			break
 		}
 	}
 	s.history.mu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, l := range s.deregistered {
+	for id, d := range s.deregistered {
 		published, key := states[id], m.name+" "+id
 		switch {
-		case !asked.After(l.acknowledgedAt):
+		case !requestedAt.After(d.acknowledgedAt):
 		case published != handler.Ready:
 			if published != "" {
 				s.seenNotReady[key] = true
 			}
 		case s.seenNotReady[key]:
-			s.failLocked("instance", "%s publishes that %s is ready again, %v after its deregistration was acknowledged", m.name, id, asked.Sub(l.acknowledgedAt))
-		case s.activeFaults == 0 && asked.Sub(l.acknowledgedAt) > drainTimeout && asked.Sub(s.lastFaultEnd) > drainTimeout:
-			s.failLocked("instance", "%s publishes that %s is ready, %v after its deregistration was acknowledged", m.name, id, asked.Sub(l.acknowledgedAt))
+			s.failLocked("instance", "%s publishes %s as ready again %v after its deregistration was acknowledged", m.name, id, requestedAt.Sub(d.acknowledgedAt))
+		case s.activeFaults == 0 && requestedAt.Sub(d.acknowledgedAt) > drainTimeout && requestedAt.Sub(s.lastFaultEnd) > drainTimeout:
+			s.failLocked("instance", "%s still publishes %s as ready %v after its deregistration was acknowledged", m.name, id, requestedAt.Sub(d.acknowledgedAt))
 		}
 	}
 }
 
-// checkView checks a view that a core reported: a core never goes back to an
-// older view, a number belongs to one view, and at most one voter changes
+// checkView checks a view reported by a core: a core never reverts to an older
+// view, a view number identifies exactly one view, and at most one voter changes
 // between successive views.
 func (s *simulation) checkView(m *machine, v chain.View) {
 	if v.Number == 0 {
@@ -222,32 +227,32 @@
 	text := func(v chain.View) string { raw, _ := json.Marshal(v); return string(raw) }
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.newestViewOf[m.name] > v.Number {
-		s.failLocked("view", "%s went back from view %d to %d", m.name, s.newestViewOf[m.name], v.Number)
+	if s.latestViewNumber[m.name] > v.Number {
+		s.failLocked("view", "%s reverted from view %d to view %d", m.name, s.latestViewNumber[m.name], v.Number)
 	}
-	s.newestViewOf[m.name] = v.Number
-	old, known := s.knownViews[v.Number]
+	s.latestViewNumber[m.name] = v.Number
+	old, known := s.viewsByNumber[v.Number]
 	if known {
 		if text(old) != text(v) {
-			s.failLocked("view", "two views have the number %d:\n    %s\n    %s at %s", v.Number, text(old), text(v), m.name)
+			s.failLocked("view", "two different views have number %d:\n    %s\n    %s (reported by %s)", v.Number, text(old), text(v), m.name)
 		}
 		return
 	}
-	s.knownViews[v.Number] = v
+	s.viewsByNumber[v.Number] = v
 	s.logLocked("%s: view %v", m.name, v)
 	for _, pair := range [][2]int64{{v.Number - 1, v.Number}, {v.Number, v.Number + 1}} {
-		one, ok1 := s.knownViews[pair[0]]
-		two, ok2 := s.knownViews[pair[1]]
+		older, ok1 := s.viewsByNumber[pair[0]]
+		newer, ok2 := s.viewsByNumber[pair[1]]
 		if !ok1 || !ok2 {
 			continue
 		}
-		if countMissing(one.Voters, two.Voters) > 1 || countMissing(two.Voters, one.Voters) > 1 {
-			s.failLocked("voters", "more than one voter changes from view %v to %v", one, two)
+		if countMissing(older.Voters, newer.Voters) > 1 || countMissing(newer.Voters, older.Voters) > 1 {
+			s.failLocked("voters", "more than one voter changes from view %v to %v", older, newer)
 		}
 	}
 }
 
-// countMissing counts the members of one list that are not in another.
+// countMissing returns the number of members of a that are not in b.
 func countMissing(a, b []chain.Member) (n int) {
 	for _, m := range a {
 		if !slices.ContainsFunc(b, func(o chain.Member) bool { return o.Address == m.Address && o.Disk == m.Disk }) {
--- a/internal/cluster/search_clients_test.go
+++ b/internal/cluster/search_clients_test.go
@@ -1,7 +1,7 @@
 package cluster
 
-// The clients of the cores: operators who write, readers, and handlers that
-// register, drain and deregister.
+// The simulated clients of the cores: operators that write the configuration,
+// readers, and handlers that register, drain and deregister.
 
 import (
 	"cmp"
@@ -17,21 +17,23 @@
 	"saltreel/internal/httpwire"
 )
 
-// simulatedHandler is a handler as the cores see it.
+// simulatedHandler is the state of a handler that sends heartbeats to the cores;
+// no handler process runs.
 type simulatedHandler struct {
 	id      string
 	callSeq int64
 	state   string
 }
 
-// deregisteredState is the state of a simulatedHandler that has sent its DELETE.
-const deregisteredState = "gone"
+// deregisteredState is the state of a simulatedHandler once it sends DELETE. It is
+// never sent to a core.
+const deregisteredState = "deregistered"
 
-// deregistration is an acknowledged one, or an acknowledged change to draining.
+// deregistration records when a DELETE, or a change to draining, was acknowledged.
 type deregistration struct{ acknowledgedAt time.Time }
 
-// newWrite makes a write on top of the newest revision that is known, or of the
-// one before.
+// newWrite returns a write conditional on the latest known revision, or, if older
+// is 3, on the one before it. Its revision is more+1 above that one.
 func (s *simulation) newWrite(more, older int) *configurationWrite {
 	s.mu.Lock()
 	match := s.latestKnownRevision
@@ -41,21 +43,21 @@
 	s.mu.Unlock()
 	s.history.mu.Lock()
 	defer s.history.mu.Unlock()
-	o := &configurationWrite{name: fmt.Sprintf("order-%d", len(s.history.writes)), ifMatch: match, revision: match + 1 + int64(more)}
-	o.body = fmt.Appendf(nil, `{"revision":%d,"route-table":[],"service-table":[],"order":%q}`, o.revision, o.name)
-	s.history.writes = append(s.history.writes, o)
-	s.history.byBytes[string(o.body)] = o
-	return o
+	w := &configurationWrite{name: fmt.Sprintf("order-%d", len(s.history.writes)), ifMatch: match, revision: match + 1 + int64(more)}
+	w.body = fmt.Appendf(nil, `{"revision":%d,"route-table":[],"service-table":[],"order":%q}`, w.revision, w.name)
+	s.history.writes = append(s.history.writes, w)
+	s.history.byBody[string(w.body)] = w
+	return w
 }
 
-func (s *simulation) noteRevision(revision int64) {
+func (s *simulation) recordRevision(revision int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.latestKnownRevision = max(s.latestKnownRevision, revision)
 }
 
-// callCore sends one request to a core and follows two redirects; it returns 0
-// where the outcome is unknown.
+// callCore sends one request to a core and follows up to two redirects. It
+// returns status 0 if the outcome is unknown.
 func (s *simulation) callCore(m *machine, c httpwire.Call) (int, []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -80,10 +82,9 @@
 	return 0, nil
 }
 
-// sendWrite sends a write to one core after the other until its outcome is
-// known, for a number of attempts at most. It returns the status, 0 where the
-// outcome is unknown.
-func (s *simulation) sendWrite(o *configurationWrite, first, attempts int) int {
+// sendWrite sends a write to the cores in turn until its outcome is known or the
+// attempts are used up. It returns the status, 0 if the outcome is unknown.
+func (s *simulation) sendWrite(w *configurationWrite, first, attempts int) int {
 	backoff := 50 * time.Millisecond
 	for attempt := range attempts {
 		s.mu.Lock()
@@ -91,35 +92,35 @@
 		s.mu.Unlock()
 		begin := s.history.tick()
 		s.history.mu.Lock()
-		o.firstSent = cmp.Or(o.firstSent, begin)
+		w.firstSent = cmp.Or(w.firstSent, begin)
 		s.history.mu.Unlock()
-		code, body := s.callCore(m, httpwire.Call{Method: "PUT", Target: "/v1/configuration", Header: []string{"If-Match", fmt.Sprint(o.ifMatch)}, Body: o.body})
+		code, body := s.callCore(m, httpwire.Call{Method: "PUT", Target: "/v1/configuration", Header: []string{"If-Match", fmt.Sprint(w.ifMatch)}, Body: w.body})
 		end := s.history.tick()
-		s.logf("%s: %d on %d, to %s from %d to %d: %d %.120s", o.name, o.revision, o.ifMatch, m.name, begin, end, code, body)
+		s.logf("%s: revision %d, If-Match %d, sent to %s, ticks %d to %d: status %d %.120s", w.name, w.revision, w.ifMatch, m.name, begin, end, code, body)
 		s.history.mu.Lock()
 		switch {
 		case code == 200:
-			if o.acknowledged == 0 {
-				o.acknowledged = end
-				o.acknowledgedAt = time.Now()
+			if w.acknowledged == 0 {
+				w.acknowledged = end
+				w.acknowledgedAt = time.Now()
 			}
 		case code != 0:
-			o.rejections = append(o.rejections, invocation{begin, end, code})
+			w.rejections = append(w.rejections, invocation{begin, end, code})
 		}
-		both := o.acknowledged > 0 && len(o.rejections) > 0
+		contradictory := w.acknowledged > 0 && len(w.rejections) > 0
 		s.history.mu.Unlock()
 		switch {
-		case both:
-			s.fail("rejection", "%s is both acknowledged and rejected: %d from %s: %s", o.name, code, m.name, body)
+		case contradictory:
+			s.fail("rejection", "%s was both acknowledged and rejected: status %d from %s: %s", w.name, code, m.name, body)
 		case code == 200:
-			s.noteRevision(o.revision)
-			s.fireTriggers("acked", nil, m.ip, m.ip)
+			s.recordRevision(w.revision)
+			s.fireTriggers(writeAcknowledged, nil, m.ip, m.ip)
 			return code
 		case code == 412:
-			s.noteConflict(body)
+			s.recordConflict(body)
 			return code
 		case code != 0:
-			s.fail("rejection", "%s is rejected with %d by %s: %s", o.name, code, m.name, body)
+			s.fail("rejection", "%s rejected with status %d by %s: %s", w.name, code, m.name, body)
 			return code
 		}
 		if s.hasFailed() {
@@ -131,16 +132,16 @@
 	return 0
 }
 
-// noteConflict takes the revision in force from the text of a 412.
-func (s *simulation) noteConflict(body []byte) {
+// recordConflict records the current revision stated in the body of a 412.
+func (s *simulation) recordConflict(body []byte) {
 	words := strings.Fields(strings.TrimPrefix(string(body), `{"error-text":"revision `) + " 0")
 	if n, err := strconv.ParseInt(words[0], 10, 64); err == nil {
-		s.noteRevision(n)
+		s.recordRevision(n)
 	}
 }
 
-// readConfiguration reads the configuration from one core and records what was
-// read; false without an answer.
+// readConfiguration reads the configuration from one core and adds the result to
+// the history. It returns false if there was no valid response.
 func (s *simulation) readConfiguration(m *machine) bool {
 	begin := s.history.tick()
 	code, body := s.callCore(m, httpwire.Call{Method: "GET", Target: "/v1/configuration"})
@@ -150,18 +151,18 @@
 		return false
 	case 404:
 	case 200:
-		o := s.findWrite(body)
-		if o == nil {
-			s.fail("history", "%s answers with a configuration that nobody sent: %s", m.name, body)
+		w := s.findWrite(body)
+		if w == nil {
+			s.fail("history", "%s returned a configuration that no operator sent: %s", m.name, body)
 			return false
 		}
-		r.writeName = o.name
-		s.noteRevision(o.revision)
+		r.writeName = w.name
+		s.recordRevision(w.revision)
 	default:
-		s.fail("rejection", "a read at %s is rejected with %d: %s", m.name, code, body)
+		s.fail("rejection", "read from %s rejected with status %d: %s", m.name, code, body)
 		return false
 	}
-	s.logf("%s is read at %s from %d to %d", r.writeName, m.name, r.begin, r.end)
+	s.logf("%q read from %s, ticks %d to %d", r.writeName, m.name, r.begin, r.end)
 	s.history.mu.Lock()
 	defer s.history.mu.Unlock()
 	s.history.reads = append(s.history.reads, r)
@@ -171,28 +172,28 @@
 func (s *simulation) findWrite(raw []byte) *configurationWrite {
 	s.history.mu.Lock()
 	defer s.history.mu.Unlock()
-	return s.history.byBytes[string(raw)]
+	return s.history.byBody[string(raw)]
 }
 
 func (s *simulation) statusOf(m *machine) (o controlplane.Overview, err error) {
 	code, body := s.callCore(m, httpwire.Call{Method: "GET", Target: "/v1/status"})
 	if code != 200 {
-		return o, fmt.Errorf("answered %d %s", code, body)
+		return o, fmt.Errorf("unexpected status %d: %s", code, body)
 	}
 	return o, json.Unmarshal(body, &o)
 }
 
-// handlerCall is one call of a handler, as a step of a schedule asks for it.
+// handlerCall is a request that a handler sends to the cores in one step.
 type handlerCall struct {
 	handler       *simulatedHandler
-	number        int // of the handler
+	number        int // index of the handler
 	method, state string
-	stale         bool // a heartbeat from before all others
+	stale         bool // a delayed heartbeat, with the lowest call sequence number
 }
 
-// handlerStep has a handler call the cores; the channel is closed when it was
-// answered.
-func (s *simulation) handlerStep(x step) <-chan struct{} {
+// startHandlerCall starts a handler's request to the cores. The returned channel is
+// closed once it is acknowledged or its attempts are used up.
+func (s *simulation) startHandlerCall(x step) <-chan struct{} {
 	done := make(chan struct{})
 	call := s.newHandlerCall(x)
 	s.clientOps.Go(func() {
@@ -207,8 +208,8 @@
 	return done
 }
 
-// newHandlerCall moves a handler to the state that a step says. A handler that
-// is deregistered comes back under another ID.
+// newHandlerCall updates the state of a handler as the step requires and returns
+// the request to send. A heartbeat after a deregistration registers a new ID.
 func (s *simulation) newHandlerCall(x step) *handlerCall {
 	n := x.N % 3
 	s.mu.Lock()
@@ -237,7 +238,7 @@
 	return call
 }
 
-// sendHandlerCall sends a call to one core and reports whether it was
+// sendHandlerCall sends a request to one core and reports whether it was
 // acknowledged.
 func (s *simulation) sendHandlerCall(call *handlerCall, core int) bool {
 	h := call.handler
@@ -254,10 +255,10 @@
 		c.Body = fmt.Appendf(nil, `{"service":"plain","address":"10.20.0.%d:90","zone":"z1","revision":"v1","slots":2,"oper-state":%q,"call-seq":%d}`, call.number, call.state, seq)
 	}
 	code, body := s.callCore(m, c)
-	s.logf("%s says %s (%d) to %s: %d %.80s", h.id, call.state, seq, m.name, code, body)
+	s.logf("%s sends %s (call-seq %d) to %s: status %d %.80s", h.id, call.state, seq, m.name, code, body)
 	if code/100 != 2 {
 		if code != 0 {
-			s.fail("rejection", "a heartbeat is rejected with %d: %s", code, body)
+			s.fail("rejection", "%s of %s rejected by %s with status %d: %s", call.method, h.id, m.name, code, body)
 		}
 		return false
 	}
@@ -267,7 +268,7 @@
 			s.deregistered[h.id] = &deregistration{time.Now()}
 		}
 		s.mu.Unlock()
-		s.fireTriggers("left", nil, m.ip, m.ip)
+		s.fireTriggers(deregistrationAcknowledged, nil, m.ip, m.ip)
 	}
 	return true
 }
--- a/internal/cluster/search_planted_faults_test.go
+++ b/internal/cluster/search_planted_faults_test.go
@@ -19,15 +19,15 @@
 	"saltreel/internal/chain"
 )
 
-// requireFaultFound runs the schedules of the seeds with a fault that is planted
-// from outside. The search must find it with the same schedules and checks. The
-// classes are those of the violations by which it may show, and likely are the
-// seeds that found it before: they run first, to save time.
-func requireFaultFound(t *testing.T, classes string, likely []int, fault func() plantedFault) {
+// requireFaultFound verifies that the search detects a planted fault with the
+// schedules and checks that it uses without one. classes lists the violation
+// classes that count as detection. The seeds in likely have detected the fault
+// before and run first to save time.
+func requireFaultFound(t *testing.T, classes string, likelySeeds []int, fault func() plantedFault) {
 	t.Helper()
 	t.Parallel()
-	began, others := time.Now(), 0
-	seeds := likely
+	startedAt, otherFailures := time.Now(), 0
+	seeds := likelySeeds
 	if *searchAll {
 		seeds = nil
 	}
@@ -42,30 +42,31 @@
 		if f == nil {
 			continue
 		}
-		// A violation of another class, or one without the fault too, does not
-		// count as having found it.
+		// A violation of another class, or one that also occurs without the
+		// fault, does not count as detection.
 		if !strings.Contains(classes, f.class) || runSchedule(t, drawSchedule(seed), plantedFault{}) != nil {
-			others++
+			otherFailures++
 			continue
 		}
 		if found = append(found, seed); !*searchAll {
-			t.Logf("found with seed %d after %v, %d seeds before failed otherwise: %.300v", seed, time.Since(began).Round(time.Millisecond), others, f)
+			t.Logf("found with seed %d after %v, %d earlier seeds failed for other reasons: %.300v", seed, time.Since(startedAt).Round(time.Millisecond), otherFailures, f)
 			return
 		}
 	}
 	if len(found) == 0 {
-		t.Errorf("%d schedules in %v did not find the fault; %d failed otherwise", *searchCount, time.Since(began), others)
+		t.Errorf("%d schedules in %v did not find the fault; %d failed for other reasons", *searchCount, time.Since(startedAt), otherFailures)
 	}
-	t.Logf("%d of %d schedules found the fault: %v; %d failed otherwise", len(found), len(seeds), found, others)
+	t.Logf("%d of %d schedules found the fault: %v; %d failed for other reasons", len(found), len(seeds), found, otherFailures)
 }
 
-// What was written in the last moments before a loss of power is not there.
+// A core acknowledges writes without syncing them, so a power loss discards the
+// most recent ones.
 func TestSearchFindsSkippedSync(t *testing.T) {
 	requireFaultFound(t, "view, history, events", []int{2}, skippedSync)
 }
 
-// skippedSync puts an image of the database that is older than 300 ms in its
-// place when power is lost.
+// skippedSync replaces the database by an image more than 300 ms old on a power
+// loss.
 func skippedSync() plantedFault {
 	type image struct {
 		at  time.Time
@@ -87,7 +88,7 @@
 			for i := len(images[m.name]) - 1; i >= 0; i-- {
 				if old := images[m.name][i]; time.Since(old.at) > 300*time.Millisecond {
 					if err := os.WriteFile(path(m), old.raw, 0o600); err != nil {
-						s.fail("start", "%v", err)
+						s.fail("start", "restore an old database image of %s: %v", m.name, err)
 					}
 					return
 				}
@@ -96,8 +97,8 @@
 	}
 }
 
-// The tail answers a read although it cannot reach a majority: whoever is
-// unreachable is taken to agree.
+// The tail serves a read without reaching a majority: unreachable replicas are
+// counted as having confirmed the view.
 func TestSearchFindsReadWithoutMajority(t *testing.T) {
 	requireFaultFound(t, "history", []int{77, 16, 90}, readWithoutMajority)
 }
@@ -116,17 +117,17 @@
 	}}
 }
 
-// An old snapshot is installed as if it were the newest update.
+// A replica installs an old snapshot as if it were the latest update.
 func TestSearchFindsIgnoredUpdateOrder(t *testing.T) {
 	requireFaultFound(t, "history", nil, ignoredUpdateOrder)
 }
 
-// ignoredUpdateOrder turns every sixteenth empty update to a receiver into the
-// first snapshot that this receiver was sent.
+// ignoredUpdateOrder counts updates other than snapshots and replaces every
+// sixteenth, if it is empty, by the last snapshot sent to its receiver.
 func ignoredUpdateOrder() plantedFault {
 	var mu sync.Mutex
-	firstSnapshots := map[string]any{} // by receiver
-	emptyUpdates := 0
+	lastSnapshots := map[string]any{} // by receiver
+	updateCount := 0
 	return plantedFault{interceptRequest: func(_ *simulation, _, to, path string, body []byte) (out, answer []byte) {
 		if path != "/chain/pass" {
 			return nil, nil
@@ -139,20 +140,20 @@
 		defer mu.Unlock()
 		if update["all"] == true {
 			if update["set"] != nil {
-				firstSnapshots[to] = update["set"]
+				lastSnapshots[to] = update["set"]
 			}
 			return nil, nil
 		}
-		if emptyUpdates++; update["set"] != nil || firstSnapshots[to] == nil || emptyUpdates%16 != 0 {
+		if updateCount++; update["set"] != nil || lastSnapshots[to] == nil || updateCount%16 != 0 {
 			return nil, nil
 		}
-		update["all"], update["set"] = true, firstSnapshots[to]
+		update["all"], update["set"] = true, lastSnapshots[to]
 		out, _ = json.Marshal(update)
 		return out, nil
 	}}
 }
 
-// A view is installed in which two voters are others than before.
+// A view is installed that replaces two voters at once.
 func TestSearchFindsTwoVotersReplacedAtOnce(t *testing.T) {
 	requireFaultFound(t, "voters", nil, twoVotersReplaced)
 }
@@ -178,7 +179,7 @@
 	}}
 }
 
-// An acceptor that starts again has forgotten its promises and what it accepted.
+// An acceptor loses its promises and accepted values on a restart.
 func TestSearchFindsForgottenPromise(t *testing.T) {
 	requireFaultFound(t, "view", []int{58, 35}, forgottenPromise)
 }
@@ -187,7 +188,7 @@
 	return plantedFault{beforeRestart: func(s *simulation, m *machine) {
 		db, err := bbolt.Open(filepath.Join(m.dataPath, "core.db"), 0o600, &bbolt.Options{Timeout: time.Second})
 		if err != nil {
-			return // a wiped one
+			return // the disk was wiped
 		}
 		defer func() { _ = db.Close() }()
 		err = db.Update(func(tx *bbolt.Tx) error {
@@ -201,21 +202,22 @@
 			return err
 		})
 		if err != nil {
-			s.fail("start", "%v", err)
+			s.fail("start", "delete the votes of %s: %v", m.name, err)
 		}
 	}}
 }
 
-// A tombstone is counted as stored by cores that have not received it: for its
-// first second it reaches no other core, and each says that it has it.
+// A tombstone is counted as stored on cores that have not received it: during its
+// first second it is removed from each exchange, which is acknowledged as usual.
 func TestSearchFindsTombstoneCountedWithoutFence(t *testing.T) {
 	requireFaultFound(t, "instance", []int{46, 55, 43}, unfencedTombstone)
 }
 
 func unfencedTombstone() plantedFault {
 	var mu sync.Mutex
-	firstSeen := map[string]time.Time{} // of a tombstone, by key
-	// withheld reports whether an item is a tombstone in its first second.
+	firstSeen := map[string]time.Time{} // when each tombstone was first sent, by key
+	// withheld reports whether an item is a tombstone first sent less than a
+	// second ago.
 	withheld := func(item any) bool {
 		raw, _ := json.Marshal(item)
 		var decoded struct {
@@ -265,7 +267,8 @@
 	return s.running[m.name]
 }
 
-// post sends a call to a core past all partitions and does not wait for its answer.
+// post sends a request to a core, bypassing network partitions, and does not wait
+// for the response.
 func (s *simulation) post(m *machine, path string, in any) {
 	s.clientOps.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), contactTimeout)
--- a/internal/cluster/search_triggers_test.go
+++ b/internal/cluster/search_triggers_test.go
@@ -1,7 +1,7 @@
 package cluster
 
-// The faults that are triggered by a message between cores, or by an
-// acknowledgement to a client.
+// Faults that are triggered by a message between cores or by an acknowledgement
+// to a client.
 
 import (
 	"bytes"
@@ -12,30 +12,30 @@
 	"time"
 )
 
-// trigger is a step whose fault waits for a message.
+// trigger is a step whose fault is injected when a message is sent.
 type trigger struct {
 	step
-	remaining int // messages until the fault
+	remaining int // number of matching messages until the fault is injected
 }
 
-// interceptRequest sees each request between processes before it is sent: it
-// fires the triggers that wait for it, and lets a planted fault change it, or
-// answer it in place of the receiver.
+// interceptRequest is called for each request before it is sent. For requests of
+// cores it fires the matching triggers and lets a planted fault modify the request
+// or answer it in place of the receiver.
 func (s *simulation) interceptRequest(from *process, to string, raw []byte) (out, answer []byte) {
 	head, body, ok := bytes.Cut(raw, []byte("\r\n\r\n"))
-	words := strings.SplitN(string(head[:min(len(head), 64)]), " ", 3)
-	if !ok || from.exempt || len(words) < 3 || from.ip == clientIP {
+	requestLine := strings.SplitN(string(head[:min(len(head), 64)]), " ", 3)
+	if !ok || from.exempt || len(requestLine) < 3 || from.ip == clientIP {
 		return raw, nil
 	}
 	ip, _, _ := strings.Cut(to, ":")
-	s.fireTriggers(words[1], body, from.ip, ip)
+	s.fireTriggers(requestLine[1], body, from.ip, ip)
 	if s.fault.interceptRequest == nil {
 		return raw, nil
 	}
-	changed, answer := s.fault.interceptRequest(s, from.ip, ip, words[1], body)
+	changed, answer := s.fault.interceptRequest(s, from.ip, ip, requestLine[1], body)
 	header := strings.Split(string(head), "\r\n")
 	if answer != nil {
-		call := "" // an answer repeats the identity of its call
+		call := "" // a response must repeat the Call field of its request
 		for _, field := range header {
 			if strings.HasPrefix(field, "Call:") {
 				call = field + "\r\n"
@@ -54,12 +54,12 @@
 	return append([]byte(strings.Join(header, "\r\n")+"\r\n\r\n"), changed...), nil
 }
 
-// fireTriggers injects the faults that wait for a message.
+// fireTriggers injects the faults armed for a message that is about to be sent.
 func (s *simulation) fireTriggers(path string, body []byte, from, to string) {
 	s.mu.Lock()
 	var due []step
 	s.armedTriggers = slices.DeleteFunc(s.armedTriggers, func(t *trigger) bool {
-		if m := triggerMessages[t.Trigger.Message]; m.path != path || !bytes.Contains(body, []byte(m.words)) {
+		if m := triggerMessages[t.Trigger.Message]; m.path != path || !bytes.Contains(body, []byte(m.bodyText)) {
 			return false
 		}
 		t.remaining--
@@ -70,13 +70,13 @@
 	})
 	s.mu.Unlock()
 	for _, x := range due {
-		what := triggeredFaults[x.Trigger.Fault].name
-		for _, l := range s.affectedLinks(what, from, to, x.A) {
-			// The links are blocked or held before the message is sent.
+		fault := triggeredFaults[x.Trigger.Fault].name
+		for _, l := range s.affectedLinks(fault, from, to, x.A) {
+			// Before the message is sent, so that the fault applies to it.
 			s.breakLink(l)
 			s.endFaultAfter(x.DurationMs, func() { s.restoreLink(l) })
 		}
-		s.endFaultAfter(x.Trigger.DelayMs, func() { s.inject(what, x.DurationMs, from, to) })
+		s.endFaultAfter(x.Trigger.DelayMs, func() { s.inject(fault, x.DurationMs, from, to) })
 	}
 }
 
@@ -96,20 +96,21 @@
 	}
 }
 
-// link leads from one machine to another; a triggered fault holds it or blocks it.
+// link is a directed link between two machines that a triggered fault holds or
+// blocks.
 type link struct {
 	from, to string
 	hold     bool
 }
 
 // affectedLinks returns the links that a triggered fault blocks or holds.
-func (s *simulation) affectedLinks(what, from, to string, n int) (out []link) {
-	around := func(ip string, hold bool) {
+func (s *simulation) affectedLinks(fault, from, to string, n int) (out []link) {
+	addLinksOf := func(ip string, hold bool) {
 		for _, o := range s.peersOf(ip, n) {
 			out = append(out, link{ip, o, hold}, link{o, ip, hold})
 		}
 	}
-	switch what {
+	switch fault {
 	case "hold the link":
 		out = append(out, link{from, to, true})
 	case "hold the answers":
@@ -117,21 +118,21 @@
 	case "lose the link":
 		out = append(out, link{from, to, false})
 	case "cut off the sender", "cut off the sender and kill the receiver":
-		around(from, false)
+		addLinksOf(from, false)
 	case "cut off the receiver", "cut off the receiver and kill the sender":
-		around(to, false)
+		addLinksOf(to, false)
 	case "freeze the sender":
-		around(from, true)
+		addLinksOf(from, true)
 	case "freeze the receiver":
-		around(to, true)
+		addLinksOf(to, true)
 	}
 	return out
 }
 
 // inject starts the part of a triggered fault that concerns machines or
 // connections; affectedLinks is the part that concerns links.
-func (s *simulation) inject(what string, ms int, from, to string) {
-	at := func(ip string) (out []*machine) {
+func (s *simulation) inject(fault string, ms int, from, to string) {
+	machinesAt := func(ip string) (out []*machine) {
 		for _, m := range s.cores {
 			if m.ip == ip {
 				out = append(out, m)
@@ -140,31 +141,32 @@
 		return out
 	}
 	s.mu.Lock()
-	// A disk may be lost only where there has been no other fault for long enough.
+	// A disk may be lost only if all cores are available again: no other fault is
+	// active, and the last one ended more than syncTime ago.
 	mayWipe := s.activeFaults <= 1 && time.Since(s.lastFaultEnd) > syncTime && time.Since(s.startedAt) > syncTime
-	s.logLocked("fault: %s, from %s to %s, for %d ms", what, from, to, ms)
+	s.logLocked("triggered fault: %s, message from %s to %s, for %d ms", fault, from, to, ms)
 	s.mu.Unlock()
-	switch what {
+	switch fault {
 	case "reset":
 		s.world.network.reset(from, to)
 	case "kill the sender":
-		s.crash(ms, false, at(from)...)
+		s.crash(ms, false, machinesAt(from)...)
 	case "kill the receiver":
-		s.crash(ms, false, at(to)...)
+		s.crash(ms, false, machinesAt(to)...)
 	case "cut off the sender and kill the receiver":
-		s.crash(100, false, at(to)...)
+		s.crash(100, false, machinesAt(to)...)
 	case "cut off the receiver and kill the sender":
-		s.crash(100, false, at(from)...)
+		s.crash(100, false, machinesAt(from)...)
 	case "kill all":
 		s.crash(ms, false, s.cores...)
 	case "power":
 		s.crash(ms, true, s.cores...)
 	case "wipe the sender", "power, wipe the sender":
-		m := at(from)
+		m := machinesAt(from)
 		if !mayWipe || len(m) == 0 {
 			return
 		}
-		if what == "wipe the sender" {
+		if fault == "wipe the sender" {
 			s.crash(ms, false, m...)
 		} else {
 			s.crash(ms, true, s.cores...)
