--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -24,10 +24,10 @@
 	"saltreel/internal/rpc"
 )
 
-// Config configures a Chain. All fields except MaxFailures are required.
+// Config configures a Chain. All fields except HostFailures are required.
 type Config struct {
 	Address        string        // internal address of this core
-	MaxFailures    int           // number of machines that may fail at the same time
+	HostFailures   int           // number of simultaneous host failures to tolerate
 	ContactTimeout time.Duration // after which an unresponsive machine is considered failed
 	Client         *rpc.Client
 	Log            *log.Logger
@@ -54,7 +54,7 @@
 		return errors.New("chain: address is required")
 	case c.ContactTimeout <= 0:
 		return errors.New("chain: contact timeout must be positive")
-	case c.MaxFailures < 0:
+	case c.HostFailures < 0:
 		return errors.New("chain: max failures must not be negative")
 	case c.Client == nil || c.Log == nil || c.File == nil:
 		return errors.New("chain: client, log and file are required")
--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -25,7 +25,7 @@
 	tb.Helper()
 	return Config{
 		Address:        address,
-		MaxFailures:    1,
+		HostFailures:   1,
 		ContactTimeout: testContactTimeout,
 		Client:         rpc.NewClient(&httpwire.Pool{}),
 		Log:            log.New(io.Discard, "", 0),
@@ -80,7 +80,7 @@
 	for name, invalidate := range map[string]func(*Config){
 		"no address":             func(c *Config) { c.Address = "" },
 		"no contact timeout":     func(c *Config) { c.ContactTimeout = 0 },
-		"negative failures":      func(c *Config) { c.MaxFailures = -1 },
+		"negative failures":      func(c *Config) { c.HostFailures = -1 },
 		"no client":              func(c *Config) { c.Client = nil },
 		"no log":                 func(c *Config) { c.Log = nil },
 		"no file":                func(c *Config) { c.File = nil },
--- a/internal/chain/errors.go
+++ b/internal/chain/errors.go
@@ -26,7 +26,7 @@
 	// ErrViewNotActive means that no update has passed through the tail in its view
 	// yet, so that the tail does not know what is committed.
 	ErrViewNotActive = errors.New("no update has come through in this view yet")
-	// ErrTooFewMembers means that an update would not survive MaxFailures failures.
+	// ErrTooFewMembers means that an update would not survive HostFailures host failures.
 	ErrTooFewMembers = errors.New("too few members in the view")
 	// ErrNoQuorum means that no majority of the voters confirmed the view.
 	ErrNoQuorum = errors.New("no majority of the voters confirms the view")
--- a/internal/chain/nextview.go
+++ b/internal/chain/nextview.go
@@ -9,15 +9,15 @@
 
 // viewInput is the input of nextView.
 type viewInput struct {
-	view        View
-	self        Member
-	active      bool                      // updates are committed in this view
-	statuses    map[Member]*ReplicaStatus // of the cores that answered, keyed by identity
-	candidates  []Member                  // cores with recent heartbeats that are not voters
-	answeredAt  map[Member]time.Time      // time of the last answer of a core, keyed by identity
-	now         time.Time
-	maxFailures int
-	lostAfter   time.Duration // a voter that has not answered for longer may be replaced
+	view         View
+	self         Member
+	active       bool                      // updates are committed in this view
+	statuses     map[Member]*ReplicaStatus // of the cores that answered, keyed by identity
+	candidates   []Member                  // cores with recent heartbeats that are not voters
+	answeredAt   map[Member]time.Time      // time of the last answer of a core, keyed by identity
+	now          time.Time
+	hostFailures int
+	lostAfter    time.Duration // a voter that has not answered for longer may be replaced
 }
 
 // viewDecision is the result of nextView.
@@ -112,7 +112,7 @@
 	}
 	if at := slices.IndexFunc(in.candidates, isReady); at >= 0 {
 		in.addVoter(d, in.candidates[at].identity())
-	} else if len(d.next.Voters) > 2*in.maxFailures+1 {
+	} else if len(d.next.Voters) > 2*in.hostFailures+1 {
 		in.removeLostVoter(d)
 	}
 	if !slices.Equal(d.next.Voters, in.view.Voters) {
--- a/internal/chain/nextview_test.go
+++ b/internal/chain/nextview_test.go
@@ -200,7 +200,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			in := test.in
-			in.self, in.now, in.maxFailures, in.lostAfter = a, now, 1, 2*time.Second
+			in.self, in.now, in.hostFailures, in.lostAfter = a, now, 1, 2*time.Second
 			before := in.view.String()
 			d := nextView(in)
 			if d.safe != test.safe || d.next.Number != in.view.Number+1 {
--- a/internal/chain/propose.go
+++ b/internal/chain/propose.go
@@ -22,9 +22,9 @@
 	if err != nil {
 		return err
 	}
-	// The decision and the state it is based on must survive MaxFailures failures,
+	// The decision and the state it is based on must survive HostFailures host failures,
 	// even if nothing is written.
-	if needed := c.config.MaxFailures + 1; len(view.Members) < needed {
+	if needed := c.config.HostFailures + 1; len(view.Members) < needed {
 		return fmt.Errorf("%w: there are %d, %d are needed", ErrTooFewMembers, len(view.Members), needed)
 	}
 	set, decideErr := decide(docs)
--- a/internal/chain/reconfigure.go
+++ b/internal/chain/reconfigure.go
@@ -117,15 +117,15 @@
 	c.mu.Unlock()
 	now := time.Now()
 	d := nextView(viewInput{
-		view:        view,
-		self:        c.Self,
-		active:      active,
-		statuses:    statuses,
-		candidates:  c.candidates(view),
-		answeredAt:  r.answeredAt,
-		now:         now,
-		maxFailures: c.config.MaxFailures,
-		lostAfter:   c.timing.voterLostAfter(),
+		view:         view,
+		self:         c.Self,
+		active:       active,
+		statuses:     statuses,
+		candidates:   c.candidates(view),
+		answeredAt:   r.answeredAt,
+		now:          now,
+		hostFailures: c.config.HostFailures,
+		lostAfter:    c.timing.voterLostAfter(),
 	})
 	for _, m := range d.neverAnswered {
 		r.answeredAt[m] = now
--- a/internal/chain/storage_test.go
+++ b/internal/chain/storage_test.go
@@ -25,7 +25,7 @@
 func openSingleMember(tb testing.TB, path string) *Chain {
 	tb.Helper()
 	config := testConfig(tb, path, "a")
-	config.MaxFailures = 0
+	config.HostFailures = 0
 	config.ContactTimeout = time.Second
 	return openChain(tb, config, "a")
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -56,7 +56,7 @@
 	Placement      func() placement.Placement
 	Client         Caller
 	Grantor        *lease.Grantor // this core's vote on the lease
-	HostFailures   int            // number of machines that may fail at once
+	HostFailures   int            // number of simultaneous host failures to tolerate
 	Redundancy     placement.Redundancy
 	ContactTimeout time.Duration
 	Log            *log.Logger
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -98,7 +98,7 @@
 	}
 	s.chain, err = chain.New(chain.Config{
 		Address:        s.address,
-		MaxFailures:    hostFailures,
+		HostFailures:   hostFailures,
 		ContactTimeout: s.timing.contact,
 		Client:         s.client,
 		Log:            s.log,
