--- a/internal/partition/accept.go
+++ b/internal/partition/accept.go
@@ -147,7 +147,7 @@
 	case len(p.replicas) < m.config.Backups:
 		return &TooFewBackupsError{p.number, len(p.replicas), m.config.Backups}
 	case m.storage.refusesWrites():
-		return ErrDiskRefusesWrites
+		return ErrDiskFailed
 	case m.usage.full:
 		return ErrStoreFull
 	}
--- a/internal/partition/accept_test.go
+++ b/internal/partition/accept_test.go
@@ -22,7 +22,7 @@
 	m.storage.mu.Lock()
 	m.storage.health.lastError = os.ErrClosed
 	m.storage.mu.Unlock()
-	if err := m.Accept(t.Context(), 0, &Record{ID: "y"}); !errors.Is(err, ErrDiskRefusesWrites) || StatusCode(err) != 421 {
+	if err := m.Accept(t.Context(), 0, &Record{ID: "y"}); !errors.Is(err, ErrDiskFailed) || StatusCode(err) != 421 {
 		t.Errorf("a disk that refuses writes: %v", err)
 	}
 	m.storage.mu.Lock()
--- a/internal/partition/antientropy.go
+++ b/internal/partition/antientropy.go
@@ -10,7 +10,7 @@
 )
 
 // HandleDigest lists the records that this store holds of a partition. It returns a
-// *NotPrimaryError if the partition is unknown here, or ErrOtherDisk.
+// *NotPrimaryError if the partition is unknown here, or ErrWrongDisk.
 func (m *Manager) HandleDigest(_ context.Context, in *DigestRequest, _ []byte) (*DigestResponse, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -18,7 +18,7 @@
 		return nil, &NotPrimaryError{in.Partition}
 	}
 	if in.Disk != "" && in.Disk != m.storage.identity {
-		return nil, ErrOtherDisk
+		return nil, ErrWrongDisk
 	}
 	p := m.partitions[in.Partition]
 	// The placement may arrive later than this request. A sender with a newer epoch is
--- a/internal/partition/errors.go
+++ b/internal/partition/errors.go
@@ -8,9 +8,9 @@
 // Errors returned by this package. Their texts are part of the protocol between processes
 // of different versions.
 var (
-	// ErrDiskRefusesWrites means that the last write to this store's disk failed. Another
-	// store will soon lead its partitions.
-	ErrDiskRefusesWrites = errors.New("this store's disk takes no writes")
+	// ErrDiskFailed means that the last write to this store's disk failed. Another store
+	// will soon lead its partitions.
+	ErrDiskFailed = errors.New("this store's disk takes no writes")
 	// ErrStoreFull means that the store has exceeded its disk or memory limit.
 	ErrStoreFull = errors.New("this store is full")
 	// ErrIDConflict means that the identifier belongs to a message of another tenant.
@@ -26,8 +26,8 @@
 	// ErrUnknownPartition means that the partition is not in the placement known to this
 	// store.
 	ErrUnknownPartition = errors.New("no such partition here")
-	// ErrOtherDisk means that the request is for another disk than the one of this store.
-	ErrOtherDisk = errors.New("this store has another disk")
+	// ErrWrongDisk means that the request is for another disk than the one of this store.
+	ErrWrongDisk = errors.New("this store has another disk")
 	// ErrOutOfOrder means that the preceding batch has not arrived.
 	ErrOutOfOrder = errors.New("the batch before this one has not come")
 	// ErrTruncatedBatch means that the bodies of a batch are shorter than its records
@@ -93,7 +93,7 @@
 		return 404
 	case errors.Is(err, ErrIDConflict), errors.Is(err, ErrSuperseded):
 		return 409
-	case errors.Is(err, ErrDiskRefusesWrites), errors.Is(err, ErrUnknownPartition), errors.Is(err, ErrOtherDisk), errors.As(err, &notPrimary):
+	case errors.Is(err, ErrDiskFailed), errors.Is(err, ErrUnknownPartition), errors.Is(err, ErrWrongDisk), errors.As(err, &notPrimary):
 		return 421
 	case errors.Is(err, ErrStoreFull), errors.Is(err, ErrOutOfOrder), errors.Is(err, ErrIndeterminate), errors.As(err, &tooFewBackups):
 		return 503
--- a/internal/partition/errors_test.go
+++ b/internal/partition/errors_test.go
@@ -20,7 +20,7 @@
 		{&NotPrimaryError{7}, 421, "partition 7 is not led here"},
 		{&UnconfirmedError{7}, 504, "partition 7: too few stores answered in time"},
 		{&TooFewBackupsError{7, 1, 2}, 503, "partition 7 has 1 backups, 2 are needed"},
-		{ErrDiskRefusesWrites, 421, "this store's disk takes no writes"},
+		{ErrDiskFailed, 421, "this store's disk takes no writes"},
 		{ErrStoreFull, 503, "this store is full"},
 		{ErrIDConflict, 409, "another tenant's message has this id"},
 		{ErrUnknownMessage, 404, "no such message"},
--- a/internal/partition/recovery_test.go
+++ b/internal/partition/recovery_test.go
@@ -65,7 +65,7 @@
 // A store that lost its disk must not be read as a source that holds no records.
 func TestDigestOfAnotherDiskIsRefused(t *testing.T) {
 	m := startBackup(t)
-	if _, err := m.HandleDigest(t.Context(), &DigestRequest{From: "other", Epoch: 5, Disk: "lost"}, nil); !errors.Is(err, ErrOtherDisk) {
+	if _, err := m.HandleDigest(t.Context(), &DigestRequest{From: "other", Epoch: 5, Disk: "lost"}, nil); !errors.Is(err, ErrWrongDisk) {
 		t.Errorf("another disk: %v", err)
 	}
 	if _, err := m.HandleDigest(t.Context(), &DigestRequest{From: "other", Epoch: 5, Disk: m.DiskID()}, nil); err != nil {
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -10,8 +10,8 @@
 
 // Errors of the calls that this package handles.
 var (
-	// ErrNoSuchMessage means that the tenant has no message with that ID.
-	ErrNoSuchMessage = errors.New("no such message")
+	// ErrUnknownMessage means that the tenant has no message with that ID.
+	ErrUnknownMessage = errors.New("no such message")
 	// ErrBodyDeleted means that the message is complete, so its body was deleted.
 	ErrBodyDeleted = errors.New("the message is complete; its body is gone")
 )
@@ -30,7 +30,7 @@
 	var unhealthy *UnhealthyError
 	var notOwner *ratelimit.NotOwnerError
 	switch {
-	case errors.Is(err, ErrNoSuchMessage):
+	case errors.Is(err, ErrUnknownMessage):
 		return http.StatusNotFound
 	case errors.Is(err, ErrBodyDeleted):
 		return http.StatusGone
--- a/internal/store/messages.go
+++ b/internal/store/messages.go
@@ -141,7 +141,7 @@
 		return nil, err
 	}
 	if r.Tenant != in.Tenant {
-		return nil, ErrNoSuchMessage
+		return nil, ErrUnknownMessage
 	}
 	return r, nil
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -160,7 +160,7 @@
 		err  error
 		want int
 	}{
-		{ErrNoSuchMessage, 404},
+		{ErrUnknownMessage, 404},
 		{ErrBodyDeleted, 410},
 		{&ratelimit.NotOwnerError{Tenant: "one"}, 421},
 		{&UnhealthyError{Err: errors.New("no space")}, 503},
