--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -148,7 +148,7 @@
 	switch state {
 	case partition.Complete:
 		return StatusResponse{State: "complete", Seal: seal}
-	case partition.Dead:
+	case partition.DeadLetter:
 		return StatusResponse{State: "dead_letter"}
 	}
 	return StatusResponse{State: "pending"}
--- a/internal/delivery/attempt.go
+++ b/internal/delivery/attempt.go
@@ -16,7 +16,7 @@
 	deadLetter := isDeadLetter(result.Outcome, m.failedAttempts, int(route.MaxAttempts))
 	switch {
 	case deadLetter:
-		s.config.Partitions.Finish(m.record.Partition, m.record.ID, partition.Dead, "")
+		s.config.Partitions.Finish(m.record.Partition, m.record.ID, partition.DeadLetter, "")
 	case result.Outcome == handler.Done:
 		s.config.Partitions.Finish(m.record.Partition, m.record.ID, partition.Complete, result.Seal)
 	}
--- a/internal/delivery/dispatch.go
+++ b/internal/delivery/dispatch.go
@@ -75,7 +75,7 @@
 	route := r.table.Route(m.record.Host, m.record.Target)
 	if route == nil || m.expired(s.config.Partitions.Now()) {
 		s.endDelivery(m)
-		s.config.Partitions.Finish(m.record.Partition, m.record.ID, partition.Dead, "")
+		s.config.Partitions.Finish(m.record.Partition, m.record.ID, partition.DeadLetter, "")
 		s.finishLocked(m)
 		return true
 	}
--- a/internal/partition/accept.go
+++ b/internal/partition/accept.go
@@ -207,7 +207,7 @@
 	}
 }
 
-// Finish stores the outcome of a message, Complete or Dead.
+// Finish stores the outcome of a message, Complete or DeadLetter.
 func (m *Manager) Finish(n int, id string, state State, seal string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/partition/record.go
+++ b/internal/partition/record.go
@@ -16,8 +16,8 @@
 
 // The states of a message, in the order of their precedence.
 const (
-	Pending State = iota
-	Dead
+	Pending    State = iota
+	DeadLetter       // undeliverable: refused by the handler, out of attempts, expired or without a route
 	Complete
 	Deleted // expired; replicas that receive it remove the record
 )
@@ -63,7 +63,7 @@
 // outcome returns the record that remains of a message that has ended. A dead letter
 // retains its body, since it may be requested.
 func (r *Record) outcome(state State, seal string, expires int64) *Record {
-	if state != Dead {
+	if state != DeadLetter {
 		return &Record{ID: r.ID, Partition: r.Partition, State: state, Tenant: r.Tenant, Seal: seal, Expires: expires}
 	}
 	dead := *r
--- a/internal/partition/record_test.go
+++ b/internal/partition/record_test.go
@@ -37,7 +37,7 @@
 		state  State
 		target string
 		body   []byte
-	}{{Complete, "", nil}, {Dead, "/x", []byte("b")}} {
+	}{{Complete, "", nil}, {DeadLetter, "/x", []byte("b")}} {
 		outcome := message.outcome(c.state, "sealed", 77)
 		if outcome.ID != "a" || outcome.Tenant != "one" || outcome.Partition != 3 || outcome.State != c.state || outcome.Seal != "sealed" || outcome.Expires != 77 {
 			t.Errorf("state %d: %+v", c.state, outcome)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -82,7 +82,7 @@
 		}
 	}
 	s.partitions.Finish(0, "complete", partition.Complete, "seal")
-	s.partitions.Finish(0, "dead", partition.Dead, "")
+	s.partitions.Finish(0, "dead", partition.DeadLetter, "")
 	for _, c := range []struct {
 		path   string
 		query  MessageQuery
