--- a/internal/platform/listeners.go
+++ b/internal/platform/listeners.go
@@ -19,15 +19,15 @@
 func Listen(listen httpwire.Listen, set *settings.Settings) (opened Listeners, err error) {
 	opened.Internal, err = listen(set.InternalAddress())
 	if err != nil {
-		return opened, fmt.Errorf("listen for internal calls: %w", err)
+		return opened, fmt.Errorf("listen on the internal address: %w", err)
 	}
 	opened.Clients, err = listen(set.Listeners.DataPlane)
 	if err != nil {
-		return opened, fmt.Errorf("listen for clients: %w", err)
+		return opened, fmt.Errorf("listen on the data-plane address: %w", err)
 	}
 	opened.Readiness, err = listen(set.Listeners.Readiness)
 	if err != nil {
-		return opened, fmt.Errorf("listen for readiness: %w", err)
+		return opened, fmt.Errorf("listen on the readiness address: %w", err)
 	}
 	return opened, nil
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -193,7 +193,7 @@
 func (s *Store) Run(ctx context.Context) error {
 	listener, err := s.network.Listen(s.settings.InternalAddress())
 	if err != nil {
-		return fmt.Errorf("listen for our own processes: %w", err)
+		return fmt.Errorf("listen on the internal address: %w", err)
 	}
 	serving, stopServing := context.WithCancel(context.Background())
 	defer stopServing()
