--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -1,4 +1,4 @@
-// Package chain replicates the control state over the core machines by chain
+// Package chain replicates the control state over the cores by chain
 // replication (van Renesse and Schneider, "Chain Replication for Supporting High
 // Throughput and Availability", OSDI 2004): updates enter at the head, are
 // committed once the tail holds them, and reads are answered by the tail. The
@@ -28,7 +28,7 @@
 type Config struct {
 	Address        string        // internal address of this core
 	HostFailures   int           // number of simultaneous host failures to tolerate
-	ContactTimeout time.Duration // after which an unresponsive machine is considered failed
+	ContactTimeout time.Duration // within which a failed core is detected and replaced
 	Client         *rpc.Client
 	Log            *log.Logger
 	// File is the state file. Its owner sets Prepare to call InitState and Load to
--- a/internal/chain/replica.go
+++ b/internal/chain/replica.go
@@ -22,7 +22,7 @@
 	docs        Documents
 
 	active           bool           // an update of this view was committed through this member
-	successorDown    bool           // the successor's machine refused the connection: no core runs there
+	successorDown    bool           // the successor's host refused the connection: no core runs there
 	position         StreamPosition // of the last update sent or received
 	committedThrough int64          // at the head: number of its last update that all members answered
 	lastUpdate       time.Time      // when an update was last committed through this member
--- a/internal/chain/run.go
+++ b/internal/chain/run.go
@@ -92,7 +92,7 @@
 }
 
 // neighborLost reports whether no update has been committed through this member for
-// neighborTimeout, or the machine of a neighbor refuses connections.
+// neighborTimeout, or the host of a neighbor refuses connections.
 func (c *Chain) neighborLost(ctx context.Context, view View) bool {
 	c.mu.Lock()
 	sinceUpdate := time.Since(c.replica.lastUpdate)
--- a/internal/chain/timing.go
+++ b/internal/chain/timing.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// timing derives all durations of the chain from the contact timeout, after which an
-// unresponsive machine is considered failed.
+// timing derives all durations of the chain from the contact timeout
+// (timers.contact-ms), the time within which the system detects and replaces a failed
+// node.
 type timing struct {
 	contactTimeout time.Duration
 }
@@ -41,7 +42,7 @@
 func (t timing) neighborTimeout() time.Duration { return t.contactTimeout / 4 }
 
 // probeAfter is the time without a committed update after which a member probes the
-// machine of its predecessor: two heartbeats.
+// host of its predecessor: two heartbeats.
 func (t timing) probeAfter() time.Duration { return t.contactTimeout / 8 }
 
 // startGrace is the time after its start during which a core starts no
--- a/internal/chain/view.go
+++ b/internal/chain/view.go
@@ -7,7 +7,7 @@
 	"saltreel/internal/quorum"
 )
 
-// Member is one disk at one address. A machine that has lost its disk, or that returns
+// Member is one disk at one address. A host that has lost its disk, or that returns
 // at another address with an empty disk, is a different member.
 type Member struct {
 	Address string `json:"address"` // internal
--- a/internal/configstore/timing.go
+++ b/internal/configstore/timing.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// timing derives the durations of the store from contact-ms, the time within which
-// the system detects the loss of a machine.
+// timing derives the durations of the store from the contact timeout
+// (timers.contact-ms), the time within which the system detects and replaces a failed
+// node.
 type timing struct{ contact time.Duration }
 
 // operationTimeout bounds the operator's requests. Clients try another core after one
-// second without a response, and contact-ms is about six seconds.
+// second without a response, and the contact timeout is about six seconds.
 func (t timing) operationTimeout() time.Duration { return t.contact * 3 / 20 }
 
 // placementTimeout bounds a change of the placement. It may be longer than
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -73,7 +73,7 @@
 }
 
 // probe pings a suspected node and marks it as failed if the ping fails. If more
-// probes are unanswered than machines may fail at once, it pings again with a longer
+// probes are unanswered than hosts may fail at once, it pings again with a longer
 // timeout, since this core or the network is then more likely to be slow.
 func (d *failureDetector) probe(ctx context.Context, name string) {
 	n, ok := d.registry.Nodes()[name]
@@ -135,7 +135,7 @@
 	return false, nil
 }
 
-// isUnanswered reports whether a probe ended without any response from the machine,
+// isUnanswered reports whether a probe ended without any response from the host,
 // not even a refused connection.
 func isUnanswered(err error) bool {
 	return err != nil && rpc.StatusCode(err) == 0 && !httpwire.ConnectionRefused(err)
@@ -161,7 +161,7 @@
 	delete(d.probedSince, name)
 }
 
-// isCorrelated reports whether more probes are unanswered than machines may fail at
+// isCorrelated reports whether more probes are unanswered than hosts may fail at
 // once.
 func (d *failureDetector) isCorrelated() bool {
 	d.mu.Lock()
--- a/internal/controller/timing.go
+++ b/internal/controller/timing.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// timing derives the durations of the controller from the contact timeout (the
-// setting contact-ms), the time within which the system detects the loss of a machine.
+// timing derives the durations of the controller from the contact timeout
+// (timers.contact-ms), the time within which the system detects and replaces a failed
+// node.
 type timing struct{ contactTimeout time.Duration }
 
 // tickInterval is the interval at which a core checks its lease and the heartbeats
@@ -49,7 +50,7 @@
 func (t timing) unansweredAfter() time.Duration { return t.contactTimeout / 48 }
 
 // correlatedProbeTimeout is the timeout of the second ping when more probes are
-// unanswered than machines may fail at once.
+// unanswered than hosts may fail at once.
 func (t timing) correlatedProbeTimeout() time.Duration { return t.contactTimeout / 4 }
 
 // warmup is how long a core that has regained contact waits for the heartbeats of all
--- a/internal/controlplane/heartbeats.go
+++ b/internal/controlplane/heartbeats.go
@@ -112,7 +112,7 @@
 }
 
 // controlAddress returns the control-plane address of the core with the given internal
-// address, "" if there is none. Port numbers are the same on all machines.
+// address, "" if there is none. Port numbers are the same on all hosts.
 func (s *Server) controlAddress(internal string) string {
 	host, _, err := net.SplitHostPort(internal)
 	if err != nil {
--- a/internal/controlplane/timing.go
+++ b/internal/controlplane/timing.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// timing derives the durations of the process from contact-ms, the time within which
-// the system detects the loss of a machine.
+// timing derives the durations of the process from the contact timeout
+// (timers.contact-ms), the time within which the system detects and replaces a failed
+// node.
 type timing struct{ contact time.Duration }
 
 // diskRetryInterval is the interval between attempts to use a failed disk.
--- a/internal/delivery/timing.go
+++ b/internal/delivery/timing.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// timing derives all durations from the contact timeout, the time within which the system
-// detects and replaces a failed node.
+// timing derives all durations from the contact timeout (timers.contact-ms), the time within
+// which the system detects and replaces a failed node.
 type timing struct{ contactTimeout time.Duration }
 
 // maxPollInterval is the maximum time between two steps: it bounds how late changes are noticed
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -25,7 +25,7 @@
 	Journal        *journal.Journal // to which the events are appended
 	Client         *rpc.Client
 	Seeds          []string      // internal addresses of cores, tried last
-	ContactTimeout time.Duration // after which a process without contact counts as failed
+	ContactTimeout time.Duration // within which a failed node is detected and replaced
 	Log            *log.Logger
 }
 
--- a/internal/distribution/timing.go
+++ b/internal/distribution/timing.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// timing derives the intervals of a subscriber from the contact timeout, the time
-// after which a process without contact counts as failed.
+// timing derives the intervals of a subscriber from the contact timeout
+// (timers.contact-ms), the time within which the system detects and replaces a failed
+// node.
 type timing struct{ contactTimeout time.Duration }
 
 // pollWait is the wait of a long poll: two fit into maxResponseAge.
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -41,7 +41,7 @@
 }
 
 // addresses returns the client addresses of the other gateways. The port is the same on all
-// machines.
+// hosts.
 func (n *peerGateways) addresses(port string) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway implements the process of an edge machine in a deployment with topics. It
-// accepts the connections of realtime clients, admits their publications and forwards them to
-// the brokers, and follows the topics at the brokers to which its clients subscribe.
+// Package gateway implements the gateway role, which serves the realtime clients of a
+// deployment with topics. It accepts their connections, admits their publications and forwards
+// them to the brokers, and follows the topics at the brokers to which its clients subscribe.
 //
 // feed.go contains the state machine of a topic, without I/O; link.go the session with a
 // broker; client.go the connection of a client.
@@ -33,7 +33,7 @@
 // nodeRole is the role of a gateway in heartbeats, that of every node that serves clients.
 const nodeRole = "edge"
 
-// Gateway is the process of one edge machine.
+// Gateway is a gateway process.
 type Gateway struct {
 	settings *settings.Settings
 	timing   timing
--- a/internal/gateway/hub.go
+++ b/internal/gateway/hub.go
@@ -19,7 +19,7 @@
 	startLink        func(l *brokerLink)         // starts a new link
 	startBacklogRead func(f *feed)               // starts reading the backlog of a feed
 	log              *log.Logger
-	linkBytesPerS    float64 // network link speed of this machine; 0: unknown
+	linkBytesPerS    float64 // network link speed of this host; 0: unknown
 
 	mu    sync.Mutex
 	feeds map[string]*feed       // by topic
--- a/internal/node/failure_report.go
+++ b/internal/node/failure_report.go
@@ -61,7 +61,7 @@
 }
 
 // ReportFailure reports to the controller that a node is unreachable, without waiting
-// for the response; refused means that its machine refused the connection. If the
+// for the response; refused means that its host refused the connection. If the
 // controller is not known or does not respond, the report is sent to all cores.
 // Reports above the rate limit are dropped.
 func (n *Node) ReportFailure(node string, refused bool) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -49,7 +49,7 @@
 	configurationView
 
 	Settings *settings.Settings
-	Client   *rpc.Client      // to our own processes
+	Client   *rpc.Client      // for calls to other Saltreel processes
 	Journal  *journal.Journal // of the configuration, the placement, nodes and handlers
 
 	log         *log.Logger
--- a/internal/node/timing.go
+++ b/internal/node/timing.go
@@ -51,7 +51,7 @@
 func (t timing) journalRetention() time.Duration { return 16 * t.contactTimeout }
 
 // watchDialTimeout bounds opening a connection to the parent, so that an unresponsive
-// machine does not delay the attempt at the next candidate.
+// host does not delay the attempt at the next candidate.
 func (t timing) watchDialTimeout() time.Duration { return t.contactTimeout / 16 }
 
 // watchMaxWait bounds the long poll of a child. It exceeds the wait that children
--- a/internal/partition/record.go
+++ b/internal/partition/record.go
@@ -87,8 +87,8 @@
 // memoryBytes returns the estimated memory that a record occupies.
 func (r *Record) memoryBytes() int64 { return recordOverhead + int64(len(r.Body)) }
 
-// shiftTimes converts the times of a record from another machine's clock to this
-// machine's clock.
+// shiftTimes converts the times of a record from another store's clock to this store's
+// clock.
 func (r *Record) shiftTimes(ms int64) {
 	if r.Due != 0 {
 		r.Due += ms
--- a/internal/partition/timing.go
+++ b/internal/partition/timing.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// timing derives all timeouts and intervals of this package from one setting: how long a
-// process may be out of contact before the others act without it.
+// timing derives all timeouts and intervals of this package from the contact timeout
+// (timers.contact-ms), the time within which the system detects and replaces a failed
+// node.
 type timing struct{ contactTimeout time.Duration }
 
 // lease is how long a primary may deliver after a backup has answered. A backup that
--- a/internal/ratelimit/leases.go
+++ b/internal/ratelimit/leases.go
@@ -33,7 +33,8 @@
 	return &Leases{client: client, placement: placement, timing: timing{contactTimeout}, leases: map[string]*lease{}}
 }
 
-// timing derives all durations from the contact timeout.
+// timing derives all durations from the contact timeout (timers.contact-ms), the time
+// within which the system detects and replaces a failed node.
 type timing struct{ contactTimeout time.Duration }
 
 // renewalInterval is how often demand is measured and leases are renewed. Leases cover a
--- a/internal/registry/timing.go
+++ b/internal/registry/timing.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// timing derives the durations of the registry from contact-ms, the time within
-// which the system detects the loss of a machine.
+// timing derives the durations of the registry from the contact timeout
+// (timers.contact-ms), the time within which the system detects and replaces a failed
+// node.
 type timing struct {
 	contact           time.Duration
 	keepaliveInterval time.Duration // interval between the heartbeats of a handler
--- a/internal/settings/derived.go
+++ b/internal/settings/derived.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// ContactTimeout returns contact-ms, from which most timeouts and intervals between
-// processes are derived as fixed ratios.
+// ContactTimeout returns contact-ms, the time within which the system detects and
+// replaces a failed node. Most timeouts and intervals between processes are derived
+// from it as fixed ratios.
 func (s *Settings) ContactTimeout() time.Duration { return Milliseconds(s.Timers.ContactMs) }
 
 // ProcessorShare returns the processing time available to the process, in processor
