--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -99,7 +99,7 @@
 	s.chain, err = chain.New(chain.Config{
 		Address:        s.address,
 		HostFailures:   hostFailures,
-		ContactTimeout: s.timing.contact,
+		ContactTimeout: s.timing.contactTimeout,
 		Client:         s.client,
 		Log:            s.log,
 		File:           s.state,
@@ -120,7 +120,7 @@
 		Storage:           s.state,
 		Journal:           s.journal,
 		HostFailures:      hostFailures,
-		ContactTimeout:    s.timing.contact,
+		ContactTimeout:    s.timing.contactTimeout,
 		KeepaliveInterval: settings.Milliseconds(float64(max(s.settings.KeepaliveMs, 1))),
 		Log:               s.log,
 		Go:                s.goBackground,
@@ -134,7 +134,7 @@
 		Chain:          s.chain,
 		Client:         s.client,
 		HostFailures:   hostFailures,
-		ContactTimeout: s.timing.contact,
+		ContactTimeout: s.timing.contactTimeout,
 		Log:            s.log,
 	})
 	if err != nil {
@@ -150,7 +150,7 @@
 		Grantor:        s.grantor,
 		HostFailures:   hostFailures,
 		Redundancy:     redundancyOf(s.settings.FaultTolerance),
-		ContactTimeout: s.timing.contact,
+		ContactTimeout: s.timing.contactTimeout,
 		Log:            s.log,
 		Go:             s.goBackground,
 	})
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -83,7 +83,7 @@
 	if config.OnNodeChanged == nil {
 		config.OnNodeChanged = func() {}
 	}
-	timing := timing{contact: config.ContactTimeout, keepaliveInterval: config.KeepaliveInterval}
+	timing := timing{contactTimeout: config.ContactTimeout, keepaliveInterval: config.KeepaliveInterval}
 	return &Registry{
 		config:     config,
 		timing:     timing,
