--- a/internal/admission/quotas.go
+++ b/internal/admission/quotas.go
@@ -11,7 +11,8 @@
 	"saltreel/internal/quota"
 )
 
-// Quotas holds the quotas that a node enforces on client requests.
+// Quotas holds the quotas that a node enforces on client requests. It is safe for
+// concurrent use.
 type Quotas struct {
 	RequestBytes     *quota.Manager
 	RequestTime      *quota.Manager
--- a/internal/boltstore/file.go
+++ b/internal/boltstore/file.go
@@ -26,7 +26,8 @@
 
 // File is a database that accepts calls between Open and Close. A failed commit
 // may nevertheless have reached the disk. After one, every call fails with the
-// same error until Recover has rewritten, reopened and reloaded the file.
+// same error until Recover has rewritten, reopened and reloaded the file. Batch,
+// Update, View, Err and Damaged are safe for concurrent use, also while Recover runs.
 type File struct {
 	Path string
 	// Prepare runs in a write transaction each time the file is opened.
--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -65,7 +65,8 @@
 }
 
 // Chain is one member of the chain. It drives the rules of replica and nextView: it
-// holds the locks, calls the peers and writes to disk.
+// holds the locks, calls the peers and writes to disk. Once the file is open, its
+// methods are safe for concurrent use, except that Run must be called only once.
 type Chain struct {
 	// Self is this core. Its Disk is set when the file is opened and does not change
 	// afterwards. Run and requests of peers start after that, so it needs no lock.
--- a/internal/delivery/scheduler.go
+++ b/internal/delivery/scheduler.go
@@ -53,7 +53,8 @@
 	return nil
 }
 
-// Scheduler delivers the messages of the partitions that this store is primary of.
+// Scheduler delivers the messages of the partitions that this store is primary of. Its
+// methods are safe for concurrent use, except that Run must be called only once.
 type Scheduler struct {
 	config         Config
 	timing         timing
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -52,7 +52,7 @@
 	Warming func() bool
 }
 
-// Publisher answers watch requests from a journal.
+// Publisher answers watch requests from a journal. It is safe for concurrent use.
 type Publisher struct{ config PublisherConfig }
 
 // NewPublisher returns a publisher. It panics if the journal or MaxWait is missing,
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -29,7 +29,8 @@
 	Log            *log.Logger
 }
 
-// Subscriber appends the events of a parent's journal to its own.
+// Subscriber appends the events of a parent's journal to its own. Its methods are safe
+// for concurrent use.
 type Subscriber struct {
 	self    membership.Node
 	journal *journal.Journal
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -10,7 +10,8 @@
 )
 
 // Pool keeps connections to peers open between calls. Only Network must be set
-// before use.
+// before use, and no field may change after that. Its methods are safe for concurrent
+// use.
 type Pool struct {
 	Network     Network
 	MaxIdle     int           // maximum idle connections per peer; 0: defaultMaxIdle
--- a/internal/httpwire/server.go
+++ b/internal/httpwire/server.go
@@ -34,7 +34,8 @@
 }
 
 // Server handles requests on the connections of a listener, in order on each
-// connection.
+// connection. Its methods are safe for concurrent use, except that Serve must be called
+// only once. Its fields must not change once it serves.
 type Server struct {
 	Handle Handler
 	Limits func() Limits // called for each request; nil: no bounds
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// Journal is an in-memory event log with the newest event of each key.
+// Journal is an in-memory event log with the newest event of each key. It is safe for
+// concurrent use.
 type Journal struct {
 	source           string
 	retention        time.Duration
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -29,7 +29,8 @@
 	Term    int64  `json:"term"`
 }
 
-// Grantor grants leases on behalf of one voter. The zero value is ready for use.
+// Grantor grants leases on behalf of one voter. The zero value is ready for use. It is
+// safe for concurrent use.
 type Grantor struct {
 	mu             sync.Mutex
 	grants         map[string]grant // by role
@@ -82,7 +83,8 @@
 	return time.Now().After(g.grants[role].expires)
 }
 
-// Lease acquires and renews the lease for a role on behalf of one process.
+// Lease acquires and renews the lease for a role on behalf of one process. Held and
+// Remaining may be called concurrently with Acquire.
 type Lease struct {
 	Role     string
 	Self     string        // identifies this process as a holder
--- a/internal/partition/manager.go
+++ b/internal/partition/manager.go
@@ -21,7 +21,8 @@
 	"saltreel/internal/rpc"
 )
 
-// Config configures a Manager.
+// Config configures a Manager. All fields except MaxDisk, MaxMemory and Backups must be
+// set.
 type Config struct {
 	Self           string        // name of this node in the placement
 	Dir            string        // directory of the record file
@@ -55,7 +56,8 @@
 	return nil
 }
 
-// Manager owns the partitions of one store.
+// Manager owns the partitions of one store. Its methods are safe for concurrent use,
+// except that Run must be called only once.
 type Manager struct {
 	config         Config
 	timing         timing
--- a/internal/paxos/paxos.go
+++ b/internal/paxos/paxos.go
@@ -55,7 +55,8 @@
 	State   AcceptorState `json:"vote"`
 }
 
-// Acceptor is the acceptor of one process for all instances.
+// Acceptor is the acceptor of one process for all instances. It is safe for concurrent
+// use.
 type Acceptor struct {
 	Storage Storage
 
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -20,11 +20,11 @@
 
 // Placement maps each partition to the stores that hold its replicas.
 type Placement struct {
-	Version       int64            `json:"version"`
+	Version       int64            `json:"version"`  // increases with each change
 	Term          int64            `json:"term"`     // term of the controller that wrote it
 	InitialStores int              `json:"founders"` // number of stores in the first placement
 	Partitions    []Partition      `json:"partitions"`
-	Stores        map[string]Store `json:"stores"`
+	Stores        map[string]Store `json:"stores"` // by name
 }
 
 // Partition is the placement of one partition. Each reassignment of its primary, backups
--- a/internal/quota/sensor.go
+++ b/internal/quota/sensor.go
@@ -20,7 +20,7 @@
 )
 
 // Sensor measures a rate over a sliding window: the sum of the unexpired samples divided
-// by the time span that they cover.
+// by the time span that they cover. The zero value is ready for use, also concurrently.
 type Sensor struct {
 	mu       sync.Mutex
 	samples  [NumSamples]sample // ring buffer
--- a/internal/ratelimit/leases.go
+++ b/internal/ratelimit/leases.go
@@ -16,7 +16,7 @@
 }
 
 // Leases is the edge side of rate limiting: it leases tokens from the owners of the
-// tenants ahead of demand, and admits messages with them.
+// tenants ahead of demand, and admits messages with them. It is safe for concurrent use.
 type Leases struct {
 	client    Caller
 	placement func() *placement.Placement
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -42,7 +42,7 @@
 }
 
 // Limiter is the owner side of rate limiting: it runs the token buckets of the tenants that
-// this store owns.
+// this store owns. It is safe for concurrent use.
 type Limiter struct {
 	config LimiterConfig
 
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -55,7 +55,8 @@
 }
 
 // Registry is one core's replica of the registry. It must not be used before the
-// install function returned by LoadState has been called.
+// install function returned by LoadState has been called. After that its methods are
+// safe for concurrent use, except that RunLoader must be called only once.
 type Registry struct {
 	config       Config
 	timing       timing
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -14,7 +14,7 @@
 )
 
 // Client calls other Saltreel processes over a connection pool and counts its
-// calls.
+// calls. It is safe for concurrent use.
 type Client struct {
 	*httpwire.Pool
 
