--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -46,11 +46,11 @@
 func (c *Config) check() error {
 	switch {
 	case c.Partitions == nil || c.Log == nil:
-		return errors.New("broker: Partitions and Log are required")
+		return errors.New("broker: the partitions or the log is not set")
 	case c.ContactTimeout <= 0:
-		return errors.New("broker: ContactTimeout must be positive")
+		return errors.New("broker: the contact timeout must be positive")
 	case c.Retransmit <= 0:
-		return errors.New("broker: Retransmit must be positive")
+		return errors.New("broker: the retransmission period must be positive")
 	}
 	return nil
 }
--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -51,15 +51,15 @@
 func (c *Config) validate() error {
 	switch {
 	case c.Address == "":
-		return errors.New("chain: address is required")
+		return errors.New("chain: the address is not set")
 	case c.ContactTimeout <= 0:
-		return errors.New("chain: contact timeout must be positive")
+		return errors.New("chain: the contact timeout must be positive")
 	case c.HostFailures < 0:
-		return errors.New("chain: max failures must not be negative")
+		return errors.New("chain: the number of host failures must not be negative")
 	case c.Client == nil || c.Log == nil || c.File == nil:
-		return errors.New("chain: client, log and file are required")
+		return errors.New("chain: the client, the log or the file is not set")
 	case c.OnUpdate == nil || c.OnCommit == nil || c.KnownCores == nil || c.VoterReady == nil:
-		return errors.New("chain: all callbacks are required")
+		return errors.New("chain: a required callback is not set")
 	}
 	return nil
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -80,17 +80,17 @@
 	initialStores storeCount
 }
 
-// New creates a controller. It returns an error if a required field of the
-// configuration is missing.
+// New creates a controller. It returns an error if a required field of config is not
+// set.
 func New(config Config) (*Controller, error) {
 	switch {
 	case config.Address == "":
-		return nil, errors.New("controller: address not set")
+		return nil, errors.New("controller: the address is not set")
 	case config.ContactTimeout <= 0:
-		return nil, errors.New("controller: contact timeout must be positive")
+		return nil, errors.New("controller: the contact timeout must be positive")
 	case config.Chain == nil || config.Registry == nil || config.Proposer == nil || config.Placement == nil || config.Client == nil ||
 		config.Grantor == nil || config.Log == nil || config.Go == nil:
-		return nil, errors.New("controller: a required field of the configuration is not set")
+		return nil, errors.New("controller: a required component is not set")
 	}
 	c := &Controller{config: config, timing: timing{config.ContactTimeout}, wake: make(chan struct{}, 1)}
 	c.lease = c.newLease()
--- a/internal/delivery/scheduler.go
+++ b/internal/delivery/scheduler.go
@@ -45,7 +45,7 @@
 
 func (c *Config) check() error {
 	if c.Partitions == nil || c.Pool == nil || c.Settings == nil || c.Log == nil || c.Table == nil || c.DeliveryBytes == nil {
-		return errors.New("delivery: incomplete scheduler configuration")
+		return errors.New("delivery: a required component is not set")
 	}
 	if c.Settings.ContactTimeout() <= 0 {
 		return errors.New("delivery: the contact timeout must be positive")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -28,18 +28,18 @@
 	Healthy func() bool
 }
 
-// check panics if a required field is missing, which is a programming error: settings
+// check panics if a required field is not set, which is a programming error: settings
 // are validated when they are loaded.
 func (c *Config) check() {
 	switch {
 	case c.Settings == nil:
-		panic("node: Config.Settings is missing")
+		panic("node: Config.Settings is not set")
 	case c.Role == "":
-		panic("node: Config.Role is missing")
+		panic("node: Config.Role is not set")
 	case c.Network.Dial == nil:
-		panic("node: Config.Network cannot dial")
+		panic("node: Config.Network.Dial is not set")
 	case c.Log == nil:
-		panic("node: Config.Log is missing")
+		panic("node: Config.Log is not set")
 	}
 }
 
@@ -66,7 +66,7 @@
 }
 
 // New returns a node that does not know a configuration or a placement yet. It panics
-// if a required field of the Config is missing.
+// if a required field of config is not set.
 func New(config Config) *Node {
 	config.check()
 	set := config.Settings
--- a/internal/partition/manager.go
+++ b/internal/partition/manager.go
@@ -47,11 +47,11 @@
 func (c *Config) check() error {
 	switch {
 	case c.Self == "":
-		return errors.New("partition: node name is missing")
+		return errors.New("partition: the node name is not set")
 	case c.ContactTimeout <= 0:
-		return errors.New("partition: contact timeout must be positive")
+		return errors.New("partition: the contact timeout must be positive")
 	case c.Client == nil || c.Log == nil || c.ReportInSync == nil || c.ReportFailure == nil:
-		return errors.New("partition: client, log or report function is missing")
+		return errors.New("partition: the client, the log or a report function is not set")
 	}
 	return nil
 }
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -36,7 +36,7 @@
 		return errors.New("ratelimit: the reconcile interval must be positive")
 	}
 	if c.Table == nil || c.Partitions == nil || c.IsOwner == nil || c.Downtime == nil || c.RecordActivity == nil {
-		return errors.New("ratelimit: incomplete limiter configuration")
+		return errors.New("ratelimit: a required function is not set")
 	}
 	return nil
 }
