--- a/internal/chain/reconfigure.go
+++ b/internal/chain/reconfigure.go
@@ -150,7 +150,7 @@
 }
 
 // proposeView runs Paxos among the voters of view and returns the chosen next view.
-// It is cancelled when this core learns the chosen view from a peer.
+// It is canceled when this core learns the chosen view from a peer.
 func (c *Chain) proposeView(ctx context.Context, view, next View) (chosen View, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timing.proposalTimeout())
 	defer cancel()
--- a/internal/chain/status.go
+++ b/internal/chain/status.go
@@ -97,7 +97,7 @@
 
 // acquireUpdateLockForView acquires updateLock for a view change. An update of the
 // previous view may hold it while it waits for a failed member; its forwarding is
-// cancelled after installGrace.
+// canceled after installGrace.
 func (c *Chain) acquireUpdateLockForView(ctx context.Context) error {
 	graceCtx, cancel := context.WithTimeout(ctx, c.timing.installGrace())
 	err := c.acquireUpdateLock(graceCtx)
--- a/internal/chain/timing.go
+++ b/internal/chain/timing.go
@@ -24,7 +24,7 @@
 func (t timing) forwardTimeout() time.Duration { return t.contactTimeout / 5 }
 
 // installGrace is how long the installation of a view waits for an update in progress
-// before cancelling it.
+// before canceling it.
 func (t timing) installGrace() time.Duration { return t.contactTimeout / 16 }
 
 // statusTimeout limits the wait for answers to a StatusRequest or to the announcement
--- a/internal/distribution/poll_loop.go
+++ b/internal/distribution/poll_loop.go
@@ -79,10 +79,10 @@
 	return request
 }
 
-// recordFailure starts the backoff time of a parent. If the call was cancelled on
+// recordFailure starts the backoff time of a parent. If the call was canceled on
 // purpose, the parent is not logged as lost.
-func (l *pollLoop) recordFailure(parent string, err error, cancelled bool) {
-	if !cancelled && parent == l.parent {
+func (l *pollLoop) recordFailure(parent string, err error, canceled bool) {
+	if !canceled && parent == l.parent {
 		l.log.Printf("distribution: parent lost: %v", err)
 		l.parent = ""
 	}
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -51,7 +51,7 @@
 // poll is a call to a parent that is in flight.
 type poll struct {
 	cancel    context.CancelFunc // nil: no call is in flight
-	suspected bool               // the call was cancelled because its parent was suspected
+	suspected bool               // the call was canceled because its parent was suspected
 }
 
 // NewSubscriber returns a subscriber. It panics if the journal, the client, the log or
--- a/internal/distribution/timing_test.go
+++ b/internal/distribution/timing_test.go
@@ -11,7 +11,7 @@
 	for _, contactTimeout := range []time.Duration{100 * time.Millisecond, 4 * time.Second, time.Minute} {
 		timing := timing{contactTimeout}
 		if timing.pollWait() >= timing.pollTimeout() {
-			t.Errorf("%v: a poll is cancelled before its wait is over", contactTimeout)
+			t.Errorf("%v: a poll is canceled before its wait is over", contactTimeout)
 		}
 		if 2*timing.pollWait() >= timing.maxResponseAge() || timing.maxResponseAge() >= contactTimeout {
 			t.Errorf("%v: up to date for %v with polls of %v", contactTimeout, timing.maxResponseAge(), timing.pollWait())
--- a/internal/edge/forward_test.go
+++ b/internal/edge/forward_test.go
@@ -182,16 +182,16 @@
 	e := newTestEdge(t, time.Hour, p)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	cancelled := make(chan struct{})
-	stop := e.watchPrimary(ctx, func() { close(cancelled) }, 0, e.node.Placement())
+	canceled := make(chan struct{})
+	stop := e.watchPrimary(ctx, func() { close(canceled) }, 0, e.node.Placement())
 	defer stop()
 
 	same := testPlacement([]string{"1-1-a", "1-1-a"})
 	same.Version = 2
 	publishPlacement(t, e, same)
 	select {
-	case <-cancelled:
-		t.Fatal("cancelled by a placement that leaves the partition where it was")
+	case <-canceled:
+		t.Fatal("canceled by a placement that leaves the partition where it was")
 	case <-time.After(50 * time.Millisecond):
 	}
 
@@ -199,7 +199,7 @@
 	moved.Version = 3
 	publishPlacement(t, e, moved)
 	select {
-	case <-cancelled:
+	case <-canceled:
 	case <-ctx.Done():
 		t.Error("the call goes on although another store leads the partition")
 	}
--- a/internal/edge/primary_watch.go
+++ b/internal/edge/primary_watch.go
@@ -11,7 +11,7 @@
 // watchPrimary monitors a call to the primary of a partition until stop is called or
 // ctx ends. A primary that does not respond within the stall timeout is marked as
 // stalled and reported as failed. If another store becomes primary of the partition,
-// the call is cancelled.
+// the call is canceled.
 func (e *Edge) watchPrimary(ctx context.Context, cancelCall context.CancelFunc, partition int, p *placement.Placement) (stop func()) {
 	done := make(chan struct{})
 	assigned := &p.Partitions[partition]
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -26,7 +26,7 @@
 const defaultMaxIdle = 8
 
 // Do sends a call and reads the complete response. The context must have a deadline
-// or be cancelled eventually. Errors are of type *Error.
+// or be canceled eventually. Errors are of type *Error.
 func (p *Pool) Do(ctx context.Context, addr string, call *Call) (*ClientResponse, error) {
 	sent := false
 	for {
--- a/internal/httpwire/server.go
+++ b/internal/httpwire/server.go
@@ -148,7 +148,7 @@
 
 // Shutdown stops accepting connections, closes the idle ones, resumes the paused
 // ones, and waits until the others have finished their request. When ctx ends, the
-// contexts of the handlers are cancelled, so that they respond immediately, and
+// contexts of the handlers are canceled, so that they respond immediately, and
 // incomplete requests are rejected; connections that take longer than
 // ShutdownGracePeriod after that are closed without a response. Shutdown may be
 // called repeatedly; each call waits.
--- a/internal/node/background.go
+++ b/internal/node/background.go
@@ -10,7 +10,7 @@
 	ctx    context.Context // of the tasks
 	cancel context.CancelFunc
 
-	mu    sync.Mutex // serializes start with stop, so that no task starts after ctx is cancelled
+	mu    sync.Mutex // serializes start with stop, so that no task starts after ctx is canceled
 	tasks sync.WaitGroup
 }
 
--- a/internal/partition/batch_response.go
+++ b/internal/partition/batch_response.go
@@ -87,7 +87,7 @@
 
 // renewLeaseLocked records that the backup granted a lease or that it has accepted its
 // release. A batch that releases the lease grants none, even if the handover was
-// cancelled before the response arrived. Responses may arrive out of order: the batch
+// canceled before the response arrived. Responses may arrive out of order: the batch
 // with the highest number decides.
 func (m *Manager) renewLeaseLocked(sent *sentPartition, sentAt time.Time, number int64) {
 	replica := sent.replica
--- a/internal/partition/messages.go
+++ b/internal/partition/messages.go
@@ -24,7 +24,7 @@
 // BatchResponse is sent once the whole BatchRequest is on the backup's disk.
 type BatchResponse struct {
 	Partitions []PartitionResult `json:"parts"`
-	InOrder    bool              `json:"in-order,omitempty"` // the backup honours BatchRequest.After
+	InOrder    bool              `json:"in-order,omitempty"` // the backup honors BatchRequest.After
 }
 
 // PartitionResult describes the records that the backup holds of one partition after a
--- a/internal/partition/replicator.go
+++ b/internal/partition/replicator.go
@@ -30,9 +30,9 @@
 	lastBatch     int64
 	lastSentAt    time.Time // when the last batch was sent
 	lastFailedAt  time.Time // when the last batch ended, if it failed; otherwise zero
-	inOrder       bool      // the backup honours BatchRequest.After
+	inOrder       bool      // the backup honors BatchRequest.After
 
-	// The context of the batches in flight. It is cancelled once one of them fails, since
+	// The context of the batches in flight. It is canceled once one of them fails, since
 	// the backup does not apply the batches that follow a missing one.
 	pipeline       context.Context
 	cancelPipeline context.CancelFunc
--- a/internal/partition/replicator_test.go
+++ b/internal/partition/replicator_test.go
@@ -167,7 +167,7 @@
 	})
 }
 
-// A handover may be cancelled while the batch that releases the lease is in flight. The
+// A handover may be canceled while the batch that releases the lease is in flight. The
 // backup then has granted no lease and may become primary at any moment.
 func TestLeaseThatIsGivenBackDoesNotCount(t *testing.T) {
 	for name, response := range map[string]bool{"the response arrives": true, "the response is lost": false} {
--- a/internal/platform/lifecycle.go
+++ b/internal/platform/lifecycle.go
@@ -13,14 +13,14 @@
 
 // Process is a role that runs as a process.
 type Process interface {
-	// Run serves until ctx is cancelled, answers the requests read by then, and returns.
+	// Run serves until ctx is canceled, answers the requests read by then, and returns.
 	Run(ctx context.Context) error
 	// Reload applies the settings that can change at run time.
 	Reload(*settings.Settings)
 }
 
 // Start opens the state of a process. It may block on the disk; it returns the
-// error of ctx once ctx is cancelled.
+// error of ctx once ctx is canceled.
 type Start func(ctx context.Context, set *settings.Settings, logger *log.Logger) (Process, error)
 
 // Lifecycle runs the process of a role from start to exit. It is the only owner
--- a/internal/platform/lifecycle_test.go
+++ b/internal/platform/lifecycle_test.go
@@ -134,7 +134,7 @@
 		err     error
 		most    time.Duration
 	}{
-		"the start is cancelled":         {0, nil, context.Canceled, 0},
+		"the start is canceled":          {0, nil, context.Canceled, 0},
 		"the start fails after the stop": {0, nil, failed, 0},
 		"the disk never answers":         {time.Hour, nil, failed, 750 * time.Millisecond},
 		"the start succeeds at last":     {100 * time.Millisecond, &recordedProcess{}, nil, 100 * time.Millisecond},
--- a/internal/platform/readiness.go
+++ b/internal/platform/readiness.go
@@ -9,7 +9,7 @@
 	"saltreel/internal/httpwire"
 )
 
-// ServeReadiness answers the readiness probe until ctx is cancelled: 200 if ready
+// ServeReadiness answers the readiness probe until ctx is canceled: 200 if ready
 // returns nil, otherwise 503 with the text of the error.
 func ServeReadiness(ctx context.Context, listener net.Listener, ready func() error) error {
 	server := &httpwire.Server{
--- a/internal/platform/signals.go
+++ b/internal/platform/signals.go
@@ -39,7 +39,7 @@
 	return c
 }
 
-// StopContext returns a context that is cancelled on SIGTERM or SIGINT.
+// StopContext returns a context that is canceled on SIGTERM or SIGINT.
 func StopContext(signals Signals) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -8,7 +8,7 @@
 
 // Collect calls all voters in parallel. It returns the responses received as soon
 // as a majority has granted the request, or when every voter has answered or
-// failed. Calls still in flight at that point are not cancelled; they end with ctx.
+// failed. Calls still in flight at that point are not canceled; they end with ctx.
 func Collect[Req, Resp any](ctx context.Context, voters []string, request Req, granted func(Resp) bool,
 	call func(ctx context.Context, voter string, request Req) (Resp, error)) []Resp {
 	received := make(chan *Resp, len(voters))
--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -156,7 +156,7 @@
 }
 
 func TestUnsolicitedResponseIsRejected(t *testing.T) {
-	first := "" // identifies the call that was cancelled
+	first := "" // identifies the call that was canceled
 	for what, play := range map[string]func(p *peer){
 		"on the idle connection": func(p *peer) { // a pipe cannot be checked for unread bytes
 			for p.read() {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -32,7 +32,7 @@
 	// operations in flight.
 	Run(ctx context.Context)
 	// SetShutdownDeadline sets the time at which the process ends. Operations that may
-	// take longer are not started any more, and those in flight then are cancelled.
+	// take longer are not started any more, and those in flight then are canceled.
 	SetShutdownDeadline(end time.Time)
 	// ApplyEvent applies an event that the control plane distributes.
 	ApplyEvent(e journal.Event)
@@ -237,7 +237,7 @@
 }
 
 // finishDeliveries waits for the deliveries in flight and for the replication of their
-// outcomes to the backups. Deliveries that exceed the shutdown deadline are cancelled
+// outcomes to the backups. Deliveries that exceed the shutdown deadline are canceled
 // and repeated by the next primary: no response is read whose outcome would be lost
 // with this process.
 func (s *Store) finishDeliveries(deliveriesDone <-chan struct{}) {
