--- a/internal/chain/forward.go
+++ b/internal/chain/forward.go
@@ -116,7 +116,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.replica.completeForView != 0 {
-		c.config.Log.Printf("chain: %s holds more than this disk, which was put back", successor.Address)
+		c.config.Log.Printf("chain: %s holds later updates than this disk, on which an old file was restored", successor.Address)
 	}
 	c.replica.markIncomplete()
 	err := fmt.Errorf("forward update: %s holds more than this disk", successor.Address)
