--- a/internal/chain/chain.go
+++ b/internal/chain/chain.go
@@ -1,4 +1,4 @@
-// Package chain replicates the control state over the core machines by chain
+// Package chain replicates the control state over the cores by chain
 // replication (van Renesse and Schneider, "Chain Replication for Supporting High
 // Throughput and Availability", OSDI 2004): updates enter at the head, are
 // committed once the tail holds them, and reads are answered by the tail. The
@@ -24,11 +24,11 @@
 	"saltreel/internal/rpc"
 )
 
-// Config configures a Chain. All fields except MaxFailures are required.
+// Config configures a Chain. All fields except HostFailures are required.
 type Config struct {
 	Address        string        // internal address of this core
-	MaxFailures    int           // number of machines that may fail at the same time
-	ContactTimeout time.Duration // after which an unresponsive machine is considered failed
+	HostFailures   int           // number of simultaneous host failures to tolerate
+	ContactTimeout time.Duration // within which a failed core is detected and replaced
 	Client         *rpc.Client
 	Log            *log.Logger
 	// File is the state file. Its owner sets Prepare to call InitState and Load to
@@ -51,21 +51,22 @@
 func (c *Config) validate() error {
 	switch {
 	case c.Address == "":
-		return errors.New("chain: address is required")
+		return errors.New("chain: the address is not set")
 	case c.ContactTimeout <= 0:
-		return errors.New("chain: contact timeout must be positive")
-	case c.MaxFailures < 0:
-		return errors.New("chain: max failures must not be negative")
+		return errors.New("chain: the contact timeout must be positive")
+	case c.HostFailures < 0:
+		return errors.New("chain: the number of host failures must not be negative")
 	case c.Client == nil || c.Log == nil || c.File == nil:
-		return errors.New("chain: client, log and file are required")
+		return errors.New("chain: the client, the log or the file is not set")
 	case c.OnUpdate == nil || c.OnCommit == nil || c.KnownCores == nil || c.VoterReady == nil:
-		return errors.New("chain: all callbacks are required")
+		return errors.New("chain: a required callback is not set")
 	}
 	return nil
 }
 
 // Chain is one member of the chain. It drives the rules of replica and nextView: it
-// holds the locks, calls the peers and writes to disk.
+// holds the locks, calls the peers and writes to disk. Once the file is open, its
+// methods are safe for concurrent use, except that Run must be called only once.
 type Chain struct {
 	// Self is this core. Its Disk is set when the file is opened and does not change
 	// afterwards. Run and requests of peers start after that, so it needs no lock.
--- a/internal/chain/reconfigure.go
+++ b/internal/chain/reconfigure.go
@@ -117,15 +117,15 @@
 	c.mu.Unlock()
 	now := time.Now()
 	d := nextView(viewInput{
-		view:        view,
-		self:        c.Self,
-		active:      active,
-		statuses:    statuses,
-		candidates:  c.candidates(view),
-		answeredAt:  r.answeredAt,
-		now:         now,
-		maxFailures: c.config.MaxFailures,
-		lostAfter:   c.timing.voterLostAfter(),
+		view:         view,
+		self:         c.Self,
+		active:       active,
+		statuses:     statuses,
+		candidates:   c.candidates(view),
+		answeredAt:   r.answeredAt,
+		now:          now,
+		hostFailures: c.config.HostFailures,
+		lostAfter:    c.timing.voterLostAfter(),
 	})
 	for _, m := range d.neverAnswered {
 		r.answeredAt[m] = now
@@ -150,7 +150,7 @@
 }
 
 // proposeView runs Paxos among the voters of view and returns the chosen next view.
-// It is cancelled when this core learns the chosen view from a peer.
+// It is canceled when this core learns the chosen view from a peer.
 func (c *Chain) proposeView(ctx context.Context, view, next View) (chosen View, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timing.proposalTimeout())
 	defer cancel()
--- a/internal/delivery/scheduler.go
+++ b/internal/delivery/scheduler.go
@@ -45,7 +45,7 @@
 
 func (c *Config) check() error {
 	if c.Partitions == nil || c.Pool == nil || c.Settings == nil || c.Log == nil || c.Table == nil || c.DeliveryBytes == nil {
-		return errors.New("delivery: incomplete scheduler configuration")
+		return errors.New("delivery: a required component is not set")
 	}
 	if c.Settings.ContactTimeout() <= 0 {
 		return errors.New("delivery: the contact timeout must be positive")
@@ -53,7 +53,8 @@
 	return nil
 }
 
-// Scheduler delivers the messages of the partitions that this store is primary of.
+// Scheduler delivers the messages of the partitions that this store is primary of. Its
+// methods are safe for concurrent use, except that Run must be called only once.
 type Scheduler struct {
 	config         Config
 	timing         timing
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -25,11 +25,12 @@
 	Journal        *journal.Journal // to which the events are appended
 	Client         *rpc.Client
 	Seeds          []string      // internal addresses of cores, tried last
-	ContactTimeout time.Duration // after which a process without contact counts as failed
+	ContactTimeout time.Duration // within which a failed node is detected and replaced
 	Log            *log.Logger
 }
 
-// Subscriber appends the events of a parent's journal to its own.
+// Subscriber appends the events of a parent's journal to its own. Its methods are safe
+// for concurrent use.
 type Subscriber struct {
 	self    membership.Node
 	journal *journal.Journal
@@ -50,7 +51,7 @@
 // poll is a call to a parent that is in flight.
 type poll struct {
 	cancel    context.CancelFunc // nil: no call is in flight
-	suspected bool               // the call was cancelled because its parent was suspected
+	suspected bool               // the call was canceled because its parent was suspected
 }
 
 // NewSubscriber returns a subscriber. It panics if the journal, the client, the log or
--- a/internal/httpwire/pool.go
+++ b/internal/httpwire/pool.go
@@ -10,7 +10,8 @@
 )
 
 // Pool keeps connections to peers open between calls. Only Network must be set
-// before use.
+// before use, and no field may change after that. Its methods are safe for concurrent
+// use.
 type Pool struct {
 	Network     Network
 	MaxIdle     int           // maximum idle connections per peer; 0: defaultMaxIdle
@@ -25,7 +26,7 @@
 const defaultMaxIdle = 8
 
 // Do sends a call and reads the complete response. The context must have a deadline
-// or be cancelled eventually. Errors are of type *Error.
+// or be canceled eventually. Errors are of type *Error.
 func (p *Pool) Do(ctx context.Context, addr string, call *Call) (*ClientResponse, error) {
 	sent := false
 	for {
--- a/internal/partition/accept.go
+++ b/internal/partition/accept.go
@@ -147,7 +147,7 @@
 	case len(p.replicas) < m.config.Backups:
 		return &TooFewBackupsError{p.number, len(p.replicas), m.config.Backups}
 	case m.storage.refusesWrites():
-		return ErrDiskRefusesWrites
+		return ErrDiskFailed
 	case m.usage.full:
 		return ErrStoreFull
 	}
@@ -207,7 +207,7 @@
 	}
 }
 
-// Finish stores the outcome of a message, Complete or Dead.
+// Finish stores the outcome of a message, Complete or DeadLetter.
 func (m *Manager) Finish(n int, id string, state State, seal string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/partition/manager.go
+++ b/internal/partition/manager.go
@@ -21,7 +21,8 @@
 	"saltreel/internal/rpc"
 )
 
-// Config configures a Manager.
+// Config configures a Manager. All fields except MaxDisk, MaxMemory and Backups must be
+// set.
 type Config struct {
 	Self           string        // name of this node in the placement
 	Dir            string        // directory of the record file
@@ -46,16 +47,17 @@
 func (c *Config) check() error {
 	switch {
 	case c.Self == "":
-		return errors.New("partition: node name is missing")
+		return errors.New("partition: the node name is not set")
 	case c.ContactTimeout <= 0:
-		return errors.New("partition: contact timeout must be positive")
+		return errors.New("partition: the contact timeout must be positive")
 	case c.Client == nil || c.Log == nil || c.ReportInSync == nil || c.ReportFailure == nil:
-		return errors.New("partition: client, log or report function is missing")
+		return errors.New("partition: the client, the log or a report function is not set")
 	}
 	return nil
 }
 
-// Manager owns the partitions of one store.
+// Manager owns the partitions of one store. Its methods are safe for concurrent use,
+// except that Run must be called only once.
 type Manager struct {
 	config         Config
 	timing         timing
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -36,13 +36,13 @@
 		return errors.New("ratelimit: the reconcile interval must be positive")
 	}
 	if c.Table == nil || c.Partitions == nil || c.IsOwner == nil || c.Downtime == nil || c.RecordActivity == nil {
-		return errors.New("ratelimit: incomplete limiter configuration")
+		return errors.New("ratelimit: a required function is not set")
 	}
 	return nil
 }
 
 // Limiter is the owner side of rate limiting: it runs the token buckets of the tenants that
-// this store owns.
+// this store owns. It is safe for concurrent use.
 type Limiter struct {
 	config LimiterConfig
 
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -55,7 +55,8 @@
 }
 
 // Registry is one core's replica of the registry. It must not be used before the
-// install function returned by LoadState has been called.
+// install function returned by LoadState has been called. After that its methods are
+// safe for concurrent use, except that RunLoader must be called only once.
 type Registry struct {
 	config       Config
 	timing       timing
@@ -83,7 +84,7 @@
 	if config.OnNodeChanged == nil {
 		config.OnNodeChanged = func() {}
 	}
-	timing := timing{contact: config.ContactTimeout, keepaliveInterval: config.KeepaliveInterval}
+	timing := timing{contactTimeout: config.ContactTimeout, keepaliveInterval: config.KeepaliveInterval}
 	return &Registry{
 		config:     config,
 		timing:     timing,
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -82,7 +82,7 @@
 		}
 	}
 	s.partitions.Finish(0, "complete", partition.Complete, "seal")
-	s.partitions.Finish(0, "dead", partition.Dead, "")
+	s.partitions.Finish(0, "dead", partition.DeadLetter, "")
 	for _, c := range []struct {
 		path   string
 		query  MessageQuery
@@ -160,7 +160,7 @@
 		err  error
 		want int
 	}{
-		{ErrNoSuchMessage, 404},
+		{ErrUnknownMessage, 404},
 		{ErrBodyDeleted, 410},
 		{&ratelimit.NotOwnerError{Tenant: "one"}, 421},
 		{&UnhealthyError{Err: errors.New("no space")}, 503},
