--- a/internal/cluster/clients_test.go
+++ b/internal/cluster/clients_test.go
@@ -19,8 +19,8 @@
 	return w.client.Do(ctx, addr, c)
 }
 
-// sendMessage sends one message to the edge of a zone; without an answer its
-// status is 0.
+// sendMessage sends one message to the edge of a zone. The status is 0 if there is no
+// response.
 func (w *world) sendMessage(zone, path, id string, header ...string) *httpwire.ClientResponse {
 	w.t.Helper()
 	h := []string{"Saltreel-Attempt-Id", id, "Saltreel-Deadline-Ms", "2000"}
@@ -34,8 +34,8 @@
 	return a
 }
 
-// sendUntilAccepted sends a message until it is accepted, as a client would, and
-// returns its name.
+// sendUntilAccepted retries a message until it is accepted, as a client would, and
+// returns its name. The test fails after five attempts.
 func (w *world) sendUntilAccepted(zone, path, id string, header ...string) string {
 	w.t.Helper()
 	for range 5 {
@@ -45,7 +45,7 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	w.t.Fatalf("message %s is not accepted", id)
+	w.t.Fatalf("message %s is not accepted after 5 attempts", id)
 	return ""
 }
 
@@ -58,8 +58,8 @@
 	return a.Status, string(a.Body)
 }
 
-// messageState returns the state of a message and its seal, or what was answered
-// in place of them.
+// messageState returns the state of a message and its seal, or the response body if it
+// has no state.
 func (w *world) messageState(name string) string {
 	_, body := w.get("z2", "/v1/message/"+name)
 	var s struct {
@@ -83,17 +83,18 @@
 			return
 		}
 	}
-	w.t.Fatalf("message %s: state %q, not %q", name, got, want)
+	w.t.Fatalf("message %s: state %q, want %q", name, got, want)
 }
 
-// newID returns an ID for a message that the test has not used before.
+// newID returns a message ID that is unique in the test.
 func (w *world) newID() string {
 	w.lastID++
 	return "m" + strconv.Itoa(w.lastID)
 }
 
-// streamMessages sends messages to all zones until stop is closed. What it
-// returns waits for the answers and gives the names of the accepted messages by ID.
+// streamMessages sends messages to all zones in the background until stop is closed.
+// The returned function waits for the responses and returns the names of the accepted
+// messages by ID.
 func (w *world) streamMessages(path string, every time.Duration, stop chan struct{}) func() map[string]string {
 	names := map[string]string{}
 	var mu sync.Mutex
@@ -130,7 +131,7 @@
 	for id, name := range names {
 		w.waitForState(name, "complete seal-"+id, 20*time.Second)
 		if s.deliveryCount(id) == 0 {
-			w.t.Errorf("%s is complete and was not delivered", id)
+			w.t.Errorf("%s is complete but was not delivered", id)
 		}
 	}
 	return names
--- a/internal/cluster/closing_faults_test.go
+++ b/internal/cluster/closing_faults_test.go
@@ -11,17 +11,17 @@
 	"saltreel/internal/rpc"
 )
 
-// A closing fault strikes right after an acknowledgement, or soon after a change was
-// sent: it ends all processes, or takes as many disks as are borne, or both. Machines
-// come back within seconds, traffic goes on, and what was acknowledged is read back.
-// Disks hold what was written; what a loss of power takes from them is tested in
-// packages boltstore and partition.
+// The tests in this file inject a crash right after an acknowledgement or shortly after
+// a change was sent. It kills all processes, wipes as many disks as the cluster
+// tolerates, or both. The machines restart within seconds while traffic continues, and
+// everything acknowledged must be read back. Disks keep all data written to them here;
+// the loss of unsynced writes on power loss is tested in packages boltstore and partition.
 
-// closingFault says what a fault takes.
+// closingFault defines which processes and disks a crash affects.
 type closingFault struct {
 	name       string
-	wipesDisk  bool // of the machine that acknowledged, as many as the tests' clusters bear
-	endsOthers bool // all other machines that count, and edges or gateways too
+	wipesDisk  bool // of the target machine; the clusters of these tests tolerate one lost disk
+	endsOthers bool // all other machines of the platform, including edges and gateways
 }
 
 var closingFaults = []closingFault{
@@ -30,15 +30,15 @@
 	{"a disk is lost and all others are killed", true, true},
 }
 
-// strikeDelays are how long after a change was sent the fault strikes; 0 stands for
-// right after its acknowledgement.
+// strikeDelays are the times from sending a change to the crash; 0 means right after
+// the acknowledgement.
 var strikeDelays = []time.Duration{0, 5 * time.Millisecond, 40 * time.Millisecond, 400 * time.Millisecond}
 
-// downTime is how long the machines are down.
+// downTime is the time from the crash to the restart of the machines.
 const downTime = 1400 * time.Millisecond
 
-// strike has a closing fault take a machine, and the others if it ends them, and brings
-// all back.
+// strike crashes the target machine, and all others if the fault says so, and restarts
+// them after downTime.
 func (w *world) strike(f closingFault, first string) {
 	w.t.Helper()
 	names := []string{first}
@@ -64,8 +64,8 @@
 	}
 }
 
-// strikeAfter sends a change and strikes when the delay says. It returns what the
-// change was answered, 0 without a clear answer.
+// strikeAfter sends a change and injects the crash after the delay. It returns the
+// response status of the change, or 0 if its outcome is unknown.
 func (w *world) strikeAfter(delay time.Duration, f closingFault, first string, send func() int) int {
 	w.t.Helper()
 	status := make(chan int, 1)
@@ -75,7 +75,7 @@
 		case got := <-status:
 			return got
 		case <-time.After(time.Minute):
-			w.t.Fatal("a change is not answered")
+			w.t.Fatal("a change has no response after a minute")
 			return 0
 		}
 	}
@@ -102,12 +102,12 @@
 	}
 }
 
-// A configuration that was acknowledged is read back, whatever strikes. One without an
-// answer is read back whole or not at all, and acknowledged when it is sent again.
+// An acknowledged configuration is read back after each kind of crash. One without a
+// response is either applied completely or not at all, and its retry is acknowledged.
 func TestConfigurationOutlivesClosingFaults(t *testing.T) {
 	forEachClosingFault(t, func(t *testing.T, f closingFault, delay time.Duration) {
 		runCluster(t, func(w *world) {
-			for round, z := range zones { // several in one day, at each core
+			for round, z := range zones { // several crashes in one run, one at each core
 				before := w.changeConfiguration(fmt.Sprint("before fault ", round), options{maxAttempts: 2 + 2*round})
 				next := w.configuration(w.revision+1, options{maxAttempts: 3 + 2*round})
 				core := w.machines["core-"+z]
@@ -115,37 +115,38 @@
 					return w.putConfiguration(core.ip+":82", w.revision, next)
 				})
 				w.checkReadBack(before, next, status == 200)
-				w.waitFor(10*time.Second, "the same change to be acknowledged again", func() bool {
+				w.waitFor(10*time.Second, "acknowledgement of the retried change", func() bool {
 					return w.operator().PutConfiguration(context.Background(), next, int64(w.revision)) == nil
 				})
 				w.revision++
-				w.verifyConfiguration("after the change was sent again", next)
+				w.verifyConfiguration("after the retried change", next)
 				time.Sleep(recoveryTime)
 			}
 		})
 	})
 }
 
-// checkReadBack reads the configuration after a fault.
+// checkReadBack reads the configuration after a crash. It must be next, or before if
+// next was not acknowledged.
 func (w *world) checkReadBack(before, next []byte, acknowledged bool) {
 	w.t.Helper()
 	w.waitFor(15*time.Second, "reading back", func() bool {
 		raw, err := w.operator().Get(context.Background(), "/v1/configuration")
 		if err != nil {
 			if code := rpc.StatusCode(err); code != 0 && code < 500 {
-				w.t.Fatalf("reading back is answered %d", code)
+				w.t.Fatalf("reading the configuration: status %d", code)
 			}
 			return false
 		}
 		if !bytes.Equal(raw, next) && (acknowledged || !bytes.Equal(raw, before)) {
-			w.t.Fatalf("acknowledged: %v; read back is %s", acknowledged, raw)
+			w.t.Fatalf("acknowledged: %v; unexpected configuration read back: %s", acknowledged, raw)
 		}
 		return true
 	})
 }
 
-// Messages that were accepted are delivered once when their time comes, whatever
-// strikes before.
+// Accepted messages with a delay are delivered exactly once after each kind of crash
+// before they are due.
 func TestMessagesOutliveClosingFaults(t *testing.T) {
 	forEachClosingFault(t, func(t *testing.T, f closingFault, delay time.Duration) {
 		runCluster(t, func(w *world) {
@@ -175,8 +176,8 @@
 	})
 }
 
-// Subscribers of topics get each acknowledged message once and in order, whatever
-// strikes while others publish.
+// Subscribers of topics get each acknowledged message exactly once and in order across
+// crashes during publishing.
 func TestTopicsOutliveClosingFaults(t *testing.T) {
 	for i, f := range closingFaults {
 		t.Run(f.name, func(t *testing.T) {
@@ -192,7 +193,7 @@
 					t.Error(problem)
 				}
 				if n := traffic.acknowledged(); n < 50 {
-					t.Errorf("only %d messages were acknowledged", n)
+					t.Errorf("%d messages were acknowledged, want at least 50", n)
 				}
 			})
 		})
--- a/internal/cluster/configuration_writes_test.go
+++ b/internal/cluster/configuration_writes_test.go
@@ -34,14 +34,13 @@
 			}
 		}
 		if a := w.sendMessage("z1", "/plain/", "after"); a.Status != 202 {
-			t.Errorf("a message after all: %d", a.Status)
+			t.Errorf("message after the restarts: status %d, want 202", a.Status)
 		}
 	})
 }
 
-// Of three writes at once that build on the same revision one is acknowledged,
-// and it is acknowledged again when it is sent again. What is rejected never
-// comes into force.
+// Of three concurrent writes based on the same revision exactly one is acknowledged,
+// and a retry of it is acknowledged again. Rejected configurations never take effect.
 func TestConcurrentConfigurationWritesHaveOneWinner(t *testing.T) {
 	runCluster(t, func(w *world) {
 		w.applyConfiguration(options{})
@@ -63,16 +62,17 @@
 			"over the limit":  {make([]byte, 5<<20), w.revision, 413},
 		} {
 			if code := w.putConfigurationWithin(2*time.Second, w.controlAddresses()[0], c.match, c.raw); code != c.want {
-				t.Errorf("%s: %d, not %d", what, code, c.want)
+				t.Errorf("%s: status %d, want %d", what, code, c.want)
 			}
 		}
 		if raw, err := w.operator().Get(context.Background(), "/v1/configuration"); err != nil || !bytes.Equal(raw, inForce) {
-			t.Errorf("a rejected configuration is in force: %v", err)
+			t.Errorf("a rejected configuration took effect: %v", err)
 		}
 	})
 }
 
-// verifyOneOfThreeWritesWins sends one write to each core at the same time.
+// verifyOneOfThreeWritesWins sends conflicting writes to all three cores concurrently
+// and checks that exactly one is acknowledged.
 func (w *world) verifyOneOfThreeWritesWins(t *testing.T, round int) {
 	t.Helper()
 	base := w.revision
@@ -90,19 +90,20 @@
 			winners++
 			w.revision = base + 1 + i
 		} else if code != 412 {
-			t.Errorf("round %d: %v", round, statuses)
+			t.Errorf("round %d: statuses %v, want only 200 and 412", round, statuses)
 		}
 	}
 	if winners != 1 {
-		t.Fatalf("round %d: %v", round, statuses)
+		t.Fatalf("round %d: statuses %v, want 200 exactly once", round, statuses)
 	}
 	winner := w.configuration(w.revision, options{maxAttempts: round + 2})
 	if code := w.putConfigurationWithin(2*time.Second, w.controlAddresses()[round%3], base, winner); code != 200 {
-		t.Errorf("the winner, sent again: %d", code)
+		t.Errorf("retry of the acknowledged write: status %d, want 200", code)
 	}
 }
 
-// operatorChange is one write of an operator, sent as the same bytes each time.
+// operatorChange is one configuration write of an operator; retries send the same
+// bytes.
 type operatorChange struct {
 	ifMatch     int
 	body        []byte
@@ -110,9 +111,9 @@
 	attempts    int
 }
 
-// The outcome of a write that the head has stored, and that met a sealed view
-// on its way down the chain, is unknown: the conflict between members is no
-// answer to the operator.
+// If the head has stored a write and a later member of the chain rejects it because
+// the view is sealed, the outcome is unknown. The conflict between the members must
+// not be reported to the operator as a rejection.
 func TestSealedViewConflictIsNotReportedAsRejection(t *testing.T) {
 	runCluster(t, func(w *world) {
 		w.applyConfiguration(options{})
@@ -125,16 +126,16 @@
 		raw := w.configuration(w.revision+1, options{maxAttempts: 4})
 		w.setPartition(head, rest, bothDirections, false)
 		if code := w.putConfiguration("10.1.0.1:82", w.revision, raw); code/100 == 4 {
-			t.Errorf("the head of the view before answers %d", code)
+			t.Errorf("the head of the previous view answers %d", code)
 		}
-		w.waitFor(8*time.Second, "the same write is acknowledged", func() bool { return w.putConfiguration("10.2.0.1:82", w.revision, raw) == 200 })
+		w.waitFor(8*time.Second, "acknowledgement of the retried write", func() bool { return w.putConfiguration("10.2.0.1:82", w.revision, raw) == 200 })
 	})
 }
 
 func TestMalformedOperatorRequestsAreRejected(t *testing.T) {
 	runCluster(t, func(w *world) {
 		for _, c := range w.controlAddresses() {
-			w.waitFor(5*time.Second, c+" says that there is none", func() bool {
+			w.waitFor(5*time.Second, c+" to report that there is no configuration", func() bool {
 				a, err := w.request(c, &httpwire.Call{Method: "GET", Target: "/v1/configuration", Host: c}, time.Second)
 				return err == nil && a.Status == 404
 			})
@@ -148,8 +149,8 @@
 	})
 }
 
-// sendUntilFinal sends the write to one core after the other until its outcome
-// is known.
+// sendUntilFinal sends the write to the cores in turn until its outcome is known, at
+// most 60 times.
 func (o *operatorChange) sendUntilFinal(w *world, first int) {
 	for o.attempts = 0; o.finalStatus == 0 && o.attempts < 60; o.attempts++ {
 		switch code := w.putConfiguration(w.controlAddresses()[(first+o.attempts)%3], o.ifMatch, o.body); code {
@@ -161,10 +162,10 @@
 	}
 }
 
-// Eight operators write at once, with the same revision numbers, to three cores
-// whose answers get lost. For each revision one write wins, and each
-// acknowledged one is acknowledged again at any core: at once, after 300 more
-// writes, and after a kill of all cores.
+// Eight operators write concurrently, with the same revision numbers, to three cores
+// whose responses are dropped at random. At most one write per revision succeeds, and
+// every core acknowledges a retry of it: immediately, after 300 more writes, and after
+// a crash of all cores.
 func TestRetriedWriteIsAcknowledgedAgain(t *testing.T) {
 	runCluster(t, func(w *world) {
 		w.applyConfiguration(options{})
@@ -192,8 +193,8 @@
 	})
 }
 
-// loseAnswers blocks the links from the cores to the operators at random, until
-// stop is called.
+// loseAnswers blocks and unblocks the links from the cores to the operators at random
+// until stop is called.
 func (w *world) loseAnswers() (stop func()) {
 	random := rand.New(rand.NewPCG(1, 8))
 	stopping := make(chan struct{})
@@ -247,8 +248,8 @@
 	return writes
 }
 
-// verifyWinners checks that at most one write of each revision won, and that
-// enough was tried.
+// verifyWinners checks that at most one write per revision was acknowledged, and that
+// the run had enough acknowledgements, conflicts and retries to be conclusive.
 func (w *world) verifyWinners(t *testing.T, writes []*operatorChange) {
 	t.Helper()
 	winners := map[int]*operatorChange{}
@@ -266,25 +267,25 @@
 		case 412:
 			conflicts++
 		default:
-			t.Errorf("a write on revision %d: %d after %d attempts", o.ifMatch, o.finalStatus, o.attempts)
+			t.Errorf("a write on revision %d: status %d after %d attempts", o.ifMatch, o.finalStatus, o.attempts)
 		}
 	}
-	t.Logf("%d writes, %d acknowledged, %d conflicts, %d sent again", len(writes), len(winners), conflicts, resent)
+	t.Logf("%d writes, %d acknowledged, %d conflicts, %d retries", len(writes), len(winners), conflicts, resent)
 	if len(winners) < 8 || conflicts < 8 || resent < 8 {
-		t.Error("too little was tried")
+		t.Error("want at least 8 acknowledged writes, 8 conflicts and 8 retries")
 	}
 }
 
-// verifySameStatus sends each write to each core again; it must be answered as
-// it was the first time.
+// verifySameStatus retries each write at each core and checks that its status is the
+// same as the first time.
 func (w *world) verifySameStatus(t *testing.T, when string, writes []*operatorChange) {
 	t.Helper()
 	for _, c := range w.controlAddresses() {
 		for _, o := range writes {
-			w.waitFor(8*time.Second, "a final answer "+when, func() bool {
+			w.waitFor(8*time.Second, "a final response "+when, func() bool {
 				code := w.putConfiguration(c, o.ifMatch, o.body)
 				if code/100 != 5 && code != 0 && code != 307 && code != o.finalStatus {
-					t.Fatalf("%s: a write on revision %d that was answered %d is answered %d", when, o.ifMatch, o.finalStatus, code)
+					t.Fatalf("%s: a write on revision %d was first answered %d, the retry %d", when, o.ifMatch, o.finalStatus, code)
 				}
 				return code == o.finalStatus
 			})
--- a/internal/cluster/control_traffic_test.go
+++ b/internal/cluster/control_traffic_test.go
@@ -20,23 +20,25 @@
 
 var runScaled = flag.Bool("scale", false, "count calls and bytes of clusters of several sizes, and print them")
 
-// controlBudget is what docs/CAPACITY.md allows a node for control, in bytes a second.
+// controlBudget is the limit for the control traffic of a node in docs/CAPACITY.md, in
+// bytes per second.
 const controlBudget = 9000
 
-// clusterSize is one cluster to measure: machines of ours, four of them cores;
-// handlers that send heartbeats; messages a second.
+// clusterSize is the size of a measured cluster: machines of the platform, including
+// four cores; handlers that send heartbeats; messages per second.
 type clusterSize struct{ machines, handlers, messages int }
 
 const measuredCores = 4
 
-// stores is how many of the machines are stores; the rest are edges.
+// stores returns the number of stores. Machines that are neither cores nor stores are
+// edges.
 func (s clusterSize) stores() int { return max(3, s.machines/5) }
 
-// traffic is what one machine sent and received of one kind: calls, and bytes
-// with headers.
+// traffic counts the calls and bytes, headers included, of one kind that one machine
+// sent and received.
 type traffic struct{ in, out, bytesIn, bytesOut int }
 
-// trafficCounter counts what goes over the network, by machine and kind.
+// trafficCounter counts network traffic by machine and kind.
 type trafficCounter struct {
 	mu         sync.Mutex
 	kindByPipe map[*pipe]string // the kind of the last request in this direction
@@ -71,7 +73,7 @@
 	return n.byMachine[ip][kind]
 }
 
-// requestKind returns the kind of a request, and false for what is an answer.
+// requestKind returns the kind of a request, or false if the bytes are a response.
 func requestKind(c *conn, b []byte) (kind string, isRequest bool) {
 	requestLine, _, _ := bytes.Cut(b, []byte("\r\n"))
 	method, rest, ok := strings.Cut(string(requestLine), " ")
@@ -92,31 +94,30 @@
 	return "deliveries", true
 }
 
-// isMessageTraffic reports whether a kind belongs to messages rather than to
-// control. The leases of partitions travel with /copy and count there.
+// isMessageTraffic reports whether a kind is message traffic rather than control
+// traffic. Partition leases are carried by /copy and are counted there.
 func isMessageTraffic(kind string) bool {
 	return slices.Contains([]string{"messages", "deliveries", "/accept", "/copy", "/grant", "/status", "/digest", "/fetch"}, kind)
 }
 
-// roleTraffic is what was measured for the machines of one role.
+// roleTraffic is the measured traffic of the machines of one role.
 type roleTraffic struct {
 	busiest  map[string]*traffic // the machine with the most bytes, by kind
-	mean     map[string]float64  // bytes both ways of a machine, by kind
-	conns    int                 // the most that a machine had open
+	mean     map[string]float64  // sum of bytes in both directions, by kind
+	conns    int                 // highest number of open connections of one machine
 	machines int
 }
 
-// processorTime is what this process has used of the processor so far, in user
-// mode and in the kernel.
+// processorTime returns the user and system CPU time used by this process so far.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// measureTraffic runs a cluster without faults for a while and returns its
-// traffic by role, and the processor time of everything in it: handlers, clients
-// and the simulated network too.
+// measureTraffic runs a cluster without faults for the given duration and returns its
+// traffic by role and the CPU time used, which includes handlers, clients and the
+// simulated network.
 func measureTraffic(t *testing.T, s clusterSize, duration time.Duration) (byRole map[string]*roleTraffic, spent time.Duration) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -144,7 +145,8 @@
 	return byRole, spent
 }
 
-// startMeasured starts the machines of a cluster and returns their roles by IP.
+// startMeasured starts the cores, stores and edges of a cluster of the given size and
+// returns their roles by IP.
 func (w *world) startMeasured(s clusterSize) (roleOf map[string]string) {
 	roleOf = map[string]string{}
 	for i := range s.machines {
@@ -168,8 +170,8 @@
 	return roleOf
 }
 
-// stopMeasured stops the handlers before the cores, which would refuse their
-// heartbeats.
+// stopMeasured stops the handlers and then the machines: a handler reports a heartbeat
+// that a stopping core refuses as a failure.
 func (w *world) stopMeasured() {
 	if h := w.machines["handlers"]; h != nil {
 		h.cancel()
@@ -178,27 +180,27 @@
 	w.stopAll()
 }
 
-// sendMessagesUntil sends so many messages a second, none if that is 0.
+// sendMessagesUntil sends messages at the given rate until end, or none if the rate is 0.
 func (w *world) sendMessagesUntil(end time.Time, perSecond int) {
 	for i := 0; perSecond > 0 && time.Now().Before(end); i++ {
 		zone, id := zones[i%3], fmt.Sprintf("m%d", i)
 		w.goroutines.Go(func() {
 			if a := w.sendMessage(zone, "/plain/x", id); a.Status != 202 {
-				w.t.Errorf("message %s: %d", id, a.Status)
+				w.t.Errorf("message %s: status %d, want 202", id, a.Status)
 			}
 		})
 		time.Sleep(time.Second / time.Duration(perSecond))
 	}
 }
 
-// setObserver has a function called with all that is sent and not lost.
+// setObserver sets a function that is called with all data that is sent and not lost.
 func (n *network) setObserver(observe func(c *conn, b []byte)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.observe = observe
 }
 
-// openConnections counts the open connections by IP.
+// openConnections returns the number of open connections by IP.
 func (n *network) openConnections() map[string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -209,7 +211,7 @@
 	return open
 }
 
-// byRoleLocked sums up the traffic of the machines of each role.
+// byRoleLocked aggregates the traffic of the machines of each role.
 func (n *trafficCounter) byRoleLocked(roleOf map[string]string, open map[string]int) map[string]*roleTraffic {
 	byRole := map[string]*roleTraffic{}
 	for ip, role := range roleOf {
@@ -230,7 +232,7 @@
 	return byRole
 }
 
-// totalBytes sums up the bytes of all kinds, or only those of control.
+// totalBytes returns the bytes of all kinds, or only those of control traffic.
 func totalBytes(kinds map[string]*traffic, all bool) (sum int) {
 	for kind, c := range kinds {
 		if all || !isMessageTraffic(kind) {
@@ -240,8 +242,8 @@
 	return sum
 }
 
-// startHandlers runs handlers that send heartbeats to the cores in turn and
-// accept what is delivered to them.
+// startHandlers starts n handlers that accept deliveries. They are assigned to the
+// cores round-robin, and each sends its heartbeats to its core.
 func (w *world) startHandlers(n int) {
 	s := &service{world: w, name: "plain", instances: map[string]*instance{}}
 	var controls []string
@@ -267,8 +269,7 @@
 	}
 }
 
-// sendHeartbeats sends the heartbeats of one handler, one each keepalive-ms,
-// until ctx ends.
+// sendHeartbeats sends one heartbeat of a handler every keepalive-ms until ctx is done.
 func (w *world) sendHeartbeats(ctx context.Context, in *instance, core string, firstAfter time.Duration) {
 	pool := &httpwire.Pool{Network: in.process.httpNetwork()}
 	interval := time.NewTimer(firstAfter)
@@ -289,14 +290,14 @@
 	}
 }
 
-// What control costs a node that is no core stays within the budget at a small
-// size; with -scale the traffic of larger ones is measured and printed.
+// The control traffic of every node other than a core stays within controlBudget in a
+// small cluster. With -scale, larger clusters are measured and checked too.
 func TestControlTrafficPerNode(t *testing.T) {
 	const duration = 12 * time.Second
 	for _, s := range []clusterSize{
-		{10, 10, 0}, {10, 100, 0}, {30, 100, 0}, {90, 100, 0}, {270, 300, 0}, // by machines
-		{30, 10, 0}, {30, 1000, 0}, // by handlers
-		{30, 100, 100}, {30, 100, 300}, // by messages
+		{10, 10, 0}, {10, 100, 0}, {30, 100, 0}, {90, 100, 0}, {270, 300, 0}, // varying machines
+		{30, 10, 0}, {30, 1000, 0}, // varying handlers
+		{30, 100, 100}, {30, 100, 300}, // varying message rate
 	} {
 		if s != (clusterSize{10, 10, 0}) && !*runScaled {
 			continue
@@ -306,7 +307,7 @@
 		t.Logf("%+v: %.2f ms of processor time a second, all together", s, perSecond(int(spent.Microseconds()))/1000)
 		for role, r := range roles {
 			if got := perSecond(totalBytes(r.busiest, false)); role != "core" && got > controlBudget {
-				t.Errorf("%+v: control costs %.0f B/s at the busiest %s, the budget is %d", s, got, role, controlBudget)
+				t.Errorf("%+v: control traffic of the busiest %s is %.0f B/s, the budget is %d", s, role, got, controlBudget)
 			}
 			t.Logf("%+v: busiest of %d %ss: %.0f B/s, control %.0f B/s; %d connections", s, r.machines, role,
 				perSecond(totalBytes(r.busiest, true)), perSecond(totalBytes(r.busiest, false)), r.conns)
--- a/internal/cluster/core_isolation_test.go
+++ b/internal/cluster/core_isolation_test.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// Whichever core is isolated in whichever direction, at most one of two
-// conflicting writes, one on each side, is acknowledged, and all cores agree on
-// the outcome afterwards.
+// At most one of two conflicting writes, one on each side of a partition, is
+// acknowledged, and all cores agree on the outcome after the partition heals. Each
+// core is isolated in turn, in each direction.
 func TestAtMostOneSideOfPartitionAcknowledges(t *testing.T) {
 	for isolated := range 3 {
 		for _, direction := range directions {
@@ -50,13 +50,13 @@
 }
 
 // partitionedWrite is a pair of conflicting writes, one for each side of a
-// partition, with the last status that each was answered.
+// partition, with the status of the last response to each.
 type partitionedWrite struct {
 	w                              *world
-	name                           string // of the case, for errors
+	name                           string // of the test case, for failure messages
 	direction                      string
 	isolated, majority             []string // IPs
-	base                           int      // revision that both writes build on
+	base                           int      // revision that both writes are based on
 	isolatedWrite, majorityWrite   []byte
 	isolatedStatus, majorityStatus int
 }
@@ -74,8 +74,8 @@
 	}
 }
 
-// writeOnBothSides sends each write to its side for the duration of the
-// partition, until it is acknowledged.
+// writeOnBothSides sends each write to its side of the partition repeatedly, until
+// it is acknowledged or the partition ends.
 func (p *partitionedWrite) writeOnBothSides() {
 	p.w.setPartition(p.isolated, p.majority, p.direction, true)
 	for end := time.Now().Add(7 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
@@ -92,20 +92,21 @@
 func (p *partitionedWrite) verifyOneWinner(t *testing.T) {
 	t.Helper()
 	if p.isolatedStatus == 200 && p.majorityStatus == 200 {
-		t.Fatalf("%s: both writes are acknowledged", p.name)
+		t.Fatalf("%s: both conflicting writes are acknowledged", p.name)
 	}
 	time.Sleep(5 * time.Second)
 	if p.isolatedStatus == 200 || p.majorityStatus == 200 {
 		return
 	}
-	// The isolated core could send but not receive, so its write won unseen.
+	// The isolated core could send but not receive, so its write was committed although
+	// its client got no acknowledgement.
 	p.isolatedStatus = p.w.putConfiguration(p.majority[0]+":82", p.base, p.isolatedWrite)
 	if p.isolatedStatus != 200 || p.majorityStatus != 412 {
 		t.Errorf("%s: neither write is acknowledged: %d %d", p.name, p.isolatedStatus, p.majorityStatus)
 	}
 }
 
-// verifyReads checks that no core answers with the write that lost.
+// verifyReads checks that no core returns the configuration of the rejected write.
 func (p *partitionedWrite) verifyReads(t *testing.T) {
 	t.Helper()
 	differs := func(body []byte) bool {
@@ -116,15 +117,15 @@
 		p.w.waitFor(5*time.Second, "reading from "+c, func() bool {
 			r, err := p.w.request(c, &httpwire.Call{Method: "GET", Target: "/v1/configuration", Host: c}, time.Second)
 			if err == nil && r.Status == 200 && differs(r.Body) {
-				t.Fatalf("%s: %s answers with another configuration", p.name, c)
+				t.Fatalf("%s: %s returns another configuration than the acknowledged one", p.name, c)
 			}
 			return err == nil && r.Status == 200
 		})
 	}
 }
 
-// verifyRetry checks that the winner is acknowledged again, even after the
-// write that follows it.
+// verifyRetry checks that a retry of the acknowledged write is acknowledged again,
+// even after a later write.
 func (p *partitionedWrite) verifyRetry(t *testing.T) {
 	t.Helper()
 	winner, revision := p.isolatedWrite, p.base+1
@@ -134,12 +135,12 @@
 	p.w.revision = revision
 	p.w.changeConfiguration("after the partition", options{})
 	if code := p.w.putConfiguration("10.1.0.1:82", p.base, winner); code != 200 {
-		t.Errorf("an acknowledged write, sent again: %d", code)
+		t.Errorf("retry of an acknowledged write: status %d, want 200", code)
 	}
 }
 
-// A core that was isolated for longer than its contact time-out publishes no
-// stale state, neither while it is isolated nor right after the partition heals.
+// A core that was isolated for longer than its contact timeout publishes no stale
+// state, neither during the partition nor right after it heals.
 func TestIsolatedCorePublishesNoStaleState(t *testing.T) {
 	isolated := []string{"10.3.0.1"}
 	peers := []string{"10.1.0.1", "10.2.0.1", "10.1.0.2", "10.2.0.2", "10.3.0.2", "10.1.0.3", "10.2.0.3", "10.3.0.3"}
@@ -148,7 +149,7 @@
 			plain := w.newService("plain", "z1", "z2")
 			w.applyConfiguration(options{})
 			if _, status := w.watchIsolatedCore(); status != 200 {
-				t.Fatalf("events before the partition: %d", status)
+				t.Fatalf("events before the partition: status %d, want 200", status)
 			}
 			w.setPartition(isolated, peers, direction, true)
 			time.Sleep(2 * time.Second) // contact-ms/2
@@ -169,7 +170,7 @@
 	}
 }
 
-// watchIsolatedCore asks the core of z3 for its events, as a node that starts does.
+// watchIsolatedCore requests the events of the core in z3, as a starting node does.
 func (w *world) watchIsolatedCore() (page string, status int) {
 	a, err := w.request("10.3.0.1:7100", &httpwire.Call{Method: "POST", Target: "/news", Host: "10.3.0.1", Body: []byte(`{"wait-ms":0,"role":"store"}`)}, time.Second)
 	if err != nil {
@@ -178,8 +179,8 @@
 	return string(a.Body), a.Status
 }
 
-// verifyIsolatedCoreRefuses checks for fifteen seconds that the core of z3 gives
-// no events and accepts no stale heartbeat.
+// verifyIsolatedCoreRefuses checks for 15 s that the core in z3 returns no events
+// and accepts no stale heartbeat.
 func (w *world) verifyIsolatedCoreRefuses(t *testing.T, direction string, deregistered *instance) {
 	t.Helper()
 	heartbeat := func() int {
@@ -192,16 +193,16 @@
 	}
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(300 * time.Millisecond) {
 		if _, status := w.watchIsolatedCore(); status == 200 {
-			t.Fatalf("isolated, %s: it answers with events", direction)
+			t.Fatalf("isolated, %s: the core returns events", direction)
 		}
 		if status := heartbeat(); status == 200 {
-			t.Fatalf("isolated, %s: it accepts heartbeats", direction)
+			t.Fatalf("isolated, %s: the core accepts a stale heartbeat", direction)
 		}
 	}
 }
 
-// verifyNoStaleEvents checks that a page of events holds the revision in force
-// and the tombstone.
+// verifyNoStaleEvents checks that a page of events contains the current revision and
+// does not list the deregistered instance as registered.
 func (w *world) verifyNoStaleEvents(t *testing.T, direction, page, deregistered string) {
 	t.Helper()
 	var watched struct {
@@ -214,20 +215,20 @@
 		} `json:"events"`
 	}
 	if err := json.Unmarshal([]byte(page), &watched); err != nil || len(watched.Events) == 0 {
-		t.Fatalf("the page cannot be read: %v %.200s", err, page)
+		t.Fatalf("cannot decode the page of events: %v %.200s", err, page)
 	}
 	for _, e := range watched.Events {
 		if e.Key == "configuration" && e.Version.Major != int64(w.revision) {
-			t.Errorf("isolated, %s: revision %d is published afterwards, %d is in force", direction, e.Version.Major, w.revision)
+			t.Errorf("isolated, %s: revision %d is published after the partition, want %d", direction, e.Version.Major, w.revision)
 		}
 		if e.Key == "instance/"+deregistered && e.Value != nil {
-			t.Errorf("isolated, %s: %s is published as registered afterwards: %v", direction, deregistered, e.Value)
+			t.Errorf("isolated, %s: %s is published as registered after the partition: %v", direction, deregistered, e.Value)
 		}
 	}
 }
 
-// A tail that has been replaced while it was isolated answers no read with what
-// it knew, also when clients reach it again before the other cores do.
+// A tail that was replaced while it was isolated serves no stale read, even if
+// clients reach it again before the other cores do.
 func TestIsolatedTailServesNoStaleRead(t *testing.T) {
 	runCluster(t, func(w *world) {
 		w.applyConfiguration(options{})
@@ -242,22 +243,21 @@
 		w.waitFor(8*time.Second, "a revision without the tail", func() bool {
 			return w.operator().PutConfiguration(context.Background(), w.configuration(w.revision, options{}), int64(w.revision-1)) == nil
 		})
-		// Only clients reach it again at first: the others stay isolated from it.
+		// Clients reach the former tail again while the other cores are still cut off.
 		for _, ip := range []string{"10.1.0.1", "10.2.0.1", "10.3.0.1"} {
 			w.network.isolate(ip, ip != tail)
 		}
 		for range 5 {
 			a, err := w.request(tail+":82", &httpwire.Call{Method: "GET", Target: "/v1/configuration", Host: tail}, time.Second)
 			if err == nil && a.Status == 200 && bytes.Equal(a.Body, old) {
-				t.Fatal("the former tail answers with an old configuration")
+				t.Fatal("the former tail returns a stale configuration")
 			}
 		}
 	})
 }
 
-// Each core is isolated in turn, so the controller too, and loses a store
-// meanwhile: another controller takes over, and what the isolated one still
-// writes is fenced off.
+// Each core, and with it the controller, is isolated in turn while a store fails.
+// Another controller takes over, and writes of the isolated one are fenced.
 func TestIsolatedControllerIsReplacedAndFenced(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2", "z3")
@@ -294,9 +294,9 @@
 	})
 }
 
-// An isolated core redirects callers to the head for writes and to the tail for
-// reads. Where it cannot reach them either, it answers that the service is
-// unavailable, which differs from an unknown outcome.
+// An isolated core redirects clients to the head for writes and to the tail for
+// reads. If no other core accepts connections, it answers 503, so that clients can
+// tell an unavailable service from an unknown outcome.
 func TestIsolatedCoreRedirectsCallers(t *testing.T) {
 	runCluster(t, func(w *world) {
 		w.applyConfiguration(options{})
@@ -320,27 +320,28 @@
 				t.Errorf("%s %s: %+v %v", call.Method, call.Target, a, err)
 			}
 			if took := time.Since(began); took > 700*time.Millisecond {
-				t.Errorf("%s %s: answered after %v", call.Method, call.Target, took)
+				t.Errorf("%s %s: response after %v, limit 700ms", call.Method, call.Target, took)
 			}
 		}
 		op := w.operator()
 		op.Addresses = []string{core}
-		w.waitFor(5*time.Second, "a write by way of the isolated core is acknowledged", func() bool {
+		w.waitFor(5*time.Second, "acknowledgement of a write sent to the isolated core", func() bool {
 			return op.PutConfiguration(context.Background(), raw, int64(w.revision)) == nil
 		})
 		w.setPartition(isolated, others, bothDirections, false)
-		w.waitFor(8*time.Second, "all three are in the view", func() bool { m, _ := w.viewSize(); return m == 3 })
-		// Nobody is redirected to where nothing listens. The first write may have
-		// been sent on a pooled connection; the next ones certainly were not sent.
+		w.waitFor(8*time.Second, "a view of all three cores", func() bool { m, _ := w.viewSize(); return m == 3 })
+		// Clients are not redirected to a core that does not listen. The first write
+		// may have been sent on a pooled connection, so its outcome may be unknown
+		// (504); later writes cannot have been sent.
 		w.killMachine("core-z1")
 		w.killMachine("core-z3")
 		for _, want := range [][]int{{503, 504}, {503}, {503}} {
 			if code := w.putConfiguration(core, w.revision+1, w.configuration(w.revision+2, options{})); !slices.Contains(want, code) {
-				t.Errorf("with no other core: %d", code)
+				t.Errorf("with no other core: status %d, want one of %v", code, want)
 			}
 		}
 		w.startMachine("core-z1", false)
 		w.startMachine("core-z3", false)
-		w.verifyConfiguration("after all that", raw)
+		w.verifyConfiguration("after the restart of the other cores", raw)
 	})
 }
--- a/internal/cluster/core_membership_test.go
+++ b/internal/cluster/core_membership_test.go
@@ -11,8 +11,8 @@
 	"saltreel/internal/httpwire"
 )
 
-// Each core of the first view is lost for good and replaced by an empty one at
-// another address; the configuration survives all of that.
+// Each core of the initial view fails permanently and is replaced by an empty one at
+// another address. The configuration survives all replacements.
 func TestEveryInitialCoreCanBeReplaced(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1")
@@ -29,7 +29,7 @@
 			})
 			w.verifyConfiguration("after core-"+z, w.changeConfiguration("without core-"+z, options{maxAttempts: round + 2}))
 		}
-		// The next crash is tolerated as well, and so is a lost disk at the same address.
+		// The replacements tolerate another crash and a lost disk at the same address.
 		w.killMachine("core-new-z1")
 		want := w.changeConfiguration("after another loss", options{maxAttempts: 7})
 		w.wipeDisk("core-new-z1")
@@ -45,8 +45,8 @@
 	})
 }
 
-// After a power loss the head comes back first, with an empty disk: it does not
-// serve before the others are there, and then they do so at once.
+// After a power loss the head restarts first, with an empty disk. It does not serve
+// until the other cores are up; the cluster then serves within 1.5 s.
 func TestCoreWithWipedDiskDoesNotLeadAfterPowerLoss(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z2")
@@ -57,14 +57,14 @@
 				w.killMachine(name)
 			}
 		}
-		s := "core-z1" // the head: the first view is in order of addresses
+		s := "core-z1" // the head, since the initial view is sorted by address
 		w.wipeDisk(s)
 		w.wipeDisk("store-z3")
-		w.startMachine(s, false) // it comes back first, and alone
+		w.startMachine(s, false) // before all other cores
 		w.startMachine("store-z3", false)
 		time.Sleep(1500 * time.Millisecond)
 		if code := w.putConfiguration("10.1.0.1:82", 0, w.configuration(1, options{})); code == 200 || code == 412 {
-			t.Errorf("the empty core answers the operator with %d", code)
+			t.Errorf("the core with an empty disk answers the operator with %d", code)
 		}
 		began := time.Now()
 		for _, name := range []string{"core-z2", "core-z3", "store-z1", "store-z2"} {
@@ -75,14 +75,14 @@
 		took := time.Since(began)
 		t.Logf("serving after %v", took)
 		if took > 1500*time.Millisecond {
-			t.Errorf("serving after %v", took)
+			t.Errorf("serving after %v, limit 1.5s", took)
 		}
 		w.withTraffic(plain, func() { time.Sleep(2 * time.Second) })
 	})
 }
 
-// With host-failures=2, two cores and two stores that lose their disks at once
-// cost no accepted message and no acknowledged write.
+// With host-failures=2, simultaneous disk loss on two cores and two stores loses no
+// accepted message and no acknowledged write.
 func TestTwoSimultaneousHostFailuresAreTolerated(t *testing.T) {
 	runClusterWith(t, 2, 2, func(w *world) {
 		plain := w.newService("plain", "z1", "z2", "z3")
@@ -107,9 +107,9 @@
 	})
 }
 
-// loseAndReplace kills the store and the core of each suffix, writes without
-// them, and waits until they have joined again with empty disks. It returns the
-// configuration written.
+// loseAndReplace kills the store and the core of each suffix, writes a configuration
+// without them, restarts them with empty disks and waits until they have rejoined.
+// It returns the configuration written.
 func (w *world) loseAndReplace(suffixes []string) []byte {
 	w.t.Helper()
 	for _, suffix := range suffixes {
@@ -135,8 +135,8 @@
 	return written
 }
 
-// A handler is asked to send its heartbeats to the core of its zone while that one
-// is available, by whichever core it asks.
+// Every core names the core in the handler's own zone as the heartbeat target while
+// that core is available, and itself otherwise.
 func TestHeartbeatTargetIsNearestAvailableCore(t *testing.T) {
 	runCluster(t, func(w *world) {
 		target := func(control string) string {
@@ -163,8 +163,8 @@
 	})
 }
 
-// A core that crashed is replaced in the view well before the contact time-out,
-// since its machine refuses connections.
+// A crashed core is removed from the view well before the contact timeout, since its
+// machine refuses connections.
 func TestWritesResumeSoonAfterCoreCrash(t *testing.T) {
 	for _, z := range zones {
 		runCluster(t, func(w *world) {
@@ -176,13 +176,13 @@
 			took := time.Since(began)
 			t.Logf("core-%s killed: a write is acknowledged after %v", z, took)
 			if took > 1200*time.Millisecond { // contact-ms is 4 s
-				t.Errorf("core-%s killed: a write is acknowledged after %v", z, took)
+				t.Errorf("core-%s killed: a write is acknowledged after %v, limit 1.2s", z, took)
 			}
 		})
 	}
 }
 
-// One core alone serves operators and handlers, also after a restart.
+// A cluster with a single core serves operators and handlers, also after a restart.
 func TestSingleCoreServes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, t.TempDir(), 0, "10.1.0.1")
--- a/internal/cluster/core_restart_test.go
+++ b/internal/cluster/core_restart_test.go
@@ -12,10 +12,11 @@
 	"saltreel/internal/boltstore"
 )
 
-// recoveryLimit is how long a core that comes back may take (sync-time-s).
+// recoveryLimit is the time within which a restarted core must rejoin (sync-time-s).
 const recoveryLimit = 8 * time.Second
 
-// runCores runs a test on three cores alone, once all are members and voters.
+// runCores runs a test on a cluster of three cores without other roles, once all
+// cores are members and voters.
 func runCores(t *testing.T, f func(w *world)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -39,7 +40,8 @@
 	return filepath.Join(w.machines[name].dataPath, "core.db")
 }
 
-// diskID returns the disk identity of a core that votes, as the tail reports it.
+// diskID returns the disk identity of a voter as reported by the tail, or "" if the
+// core is no voter.
 func (w *world) diskID(name string) string {
 	s, err := w.status()
 	for _, v := range s.View.Voters {
@@ -66,7 +68,7 @@
 	}
 }
 
-// makeChanges writes configurations one after the other and returns the last.
+// makeChanges writes n configurations in sequence and returns the last.
 func (w *world) makeChanges(n int, every time.Duration) (last []byte) {
 	w.t.Helper()
 	for i := range n {
@@ -76,8 +78,8 @@
 	return last
 }
 
-// verifyWithout reads the configuration while one core is down: the others must
-// have it all.
+// verifyWithout checks that the other cores return the configuration while the named
+// core is down, and restarts that core.
 func (w *world) verifyWithout(name string, want []byte) {
 	w.t.Helper()
 	w.killMachine(name)
@@ -86,8 +88,8 @@
 	w.waitForFullView(name + " is back")
 }
 
-// A core that was down for ten minutes of writes and deregistrations joins again,
-// and the databases of the others have not grown with them.
+// A core that was down during ten minutes of writes and deregistrations rejoins, and
+// the databases of the other cores do not grow with the number of changes.
 func TestCoreCatchesUpAfterTenMinutesOfChanges(t *testing.T) {
 	runCores(t, func(w *world) {
 		w.makeChanges(5, 0)
@@ -102,26 +104,26 @@
 			w.makeChanges(1, 2*time.Second)
 		}
 		if after := len(w.readDatabase("core-z2")); after > before+1<<20 {
-			t.Errorf("the state grew from %d to %d bytes with 290 changes", before, after)
+			t.Errorf("the database grew from %d to %d bytes with 290 changes, limit 1 MiB", before, after)
 		}
-		// Writes continue while it comes back.
+		// Writes continue while the core rejoins.
 		w.startMachine("core-z1", false)
 		began := time.Now()
 		w.makeChanges(10, 200*time.Millisecond)
 		w.waitForFullView("the core is back")
-		t.Logf("a member again within %v", time.Since(began))
+		t.Logf("rejoined within %v", time.Since(began))
 		last := w.makeChanges(3, 0)
 		w.verifyWithout("core-z2", last)
 		w.verifyWithout("core-z3", last)
 	})
 }
 
-// A core whose database is corrupt starts empty, answers no operator before it
-// has joined again, and moves the damaged file aside.
+// A core with a corrupt database starts empty, serves no operator before it has
+// rejoined, and moves the corrupt file aside.
 func TestCoreWithCorruptDatabaseRejoinsEmpty(t *testing.T) {
 	runCores(t, func(w *world) {
 		want := w.makeChanges(5, 0)
-		for _, powerLoss := range []bool{false, true} { // the core alone, or all of them
+		for _, powerLoss := range []bool{false, true} { // only this core restarts, or all cores do
 			oldDisk := w.diskID("core-z1")
 			for _, z := range zones {
 				if powerLoss || z == "z1" {
@@ -130,7 +132,7 @@
 			}
 			raw := w.readDatabase("core-z1")
 			w.writeDatabase("core-z1", append(bytes.Repeat([]byte{0xA5}, len(raw)/2), raw[len(raw)/2:]...))
-			w.startMachine("core-z1", true) // the operator has left bootstrap in the settings
+			w.startMachine("core-z1", true) // bootstrap is still set in the settings file
 			if powerLoss {
 				time.Sleep(3 * time.Second)
 				w.verifyDamagedCoreRefuses(t)
@@ -139,9 +141,9 @@
 			}
 			w.waitForNewDisk("core-z1", oldDisk, recoveryLimit)
 			if !boltstore.WasReplaced(w.databaseFile("core-z1")) {
-				t.Error("the damaged file was not moved aside")
+				t.Error("the corrupt file was not moved aside")
 			}
-			w.verifyConfiguration("with the damaged core back", want)
+			w.verifyConfiguration("after the core with the corrupt file rejoined", want)
 			want = w.makeChanges(2, 0)
 			w.verifyWithout("core-z2", want)
 		}
@@ -152,13 +154,13 @@
 	t.Helper()
 	for range 2 {
 		if code := w.putConfiguration("10.1.0.1:82", 0, w.configuration(1, options{})); code == 200 || code == 412 {
-			t.Errorf("the core with the damaged file answers the operator with %d", code)
+			t.Errorf("the core with the corrupt file answers the operator with %d", code)
 		}
 	}
 }
 
-// waitForNewDisk waits until all three cores are members and voters, the named
-// one with another disk than before.
+// waitForNewDisk waits until all three cores are members and voters and the named
+// one has another disk identity than oldDisk.
 func (w *world) waitForNewDisk(name, oldDisk string, limit time.Duration) {
 	w.t.Helper()
 	w.waitFor(limit, name+" is back on another disk", func() bool {
@@ -168,7 +170,8 @@
 	})
 }
 
-// A core that meets the damage only while it runs goes on as an empty one.
+// A core that detects the corruption of its database while running continues as an
+// empty core and rejoins.
 func TestCoreWithDatabaseCorruptedWhileRunningRejoinsEmpty(t *testing.T) {
 	for _, z := range zones { // head, middle and tail
 		runCores(t, func(w *world) {
@@ -189,19 +192,19 @@
 	}
 }
 
-// restoreCase is one way in which a core comes back with less than what it had
-// acknowledged.
+// restoreCase is one way in which a core restarts without part of the state that it
+// had acknowledged.
 type restoreCase struct {
 	name        string
 	viewChanged bool // the view has changed since the file was copied
 	powerLoss   bool // of all cores
-	writes      bool // operators write while the core comes back
-	wiped       bool // no file at all, and bootstrap as at the first start
+	writes      bool // operators write while the core rejoins
+	wiped       bool // the database is missing, and bootstrap is set as at the first start
 }
 
-// An old database put back has the disk identity of the one it replaces. Its
-// core counts as one that lost its disk and does not lead, not even in the view
-// that it knows.
+// An old copy of a database has the same disk identity as the file that it replaces.
+// A core that restarts with such a copy is treated as one that lost its disk: it does
+// not lead, not even in the view recorded in the copy.
 func TestCoreWithRestoredOldDatabaseDoesNotLead(t *testing.T) {
 	for _, c := range []restoreCase{
 		{name: "the view changed", viewChanged: true},
@@ -229,14 +232,14 @@
 		w.killMachine(name)
 		w.makeChanges(2, 2*time.Second)
 		w.startMachine(name, false)
-		w.waitForFullView("back with its own file")
+		w.waitForFullView("the core is back with its current database")
 	}
 	last := w.makeChanges(8, 0)
 	w.restoreDatabase(c, zone, old)
 	if c.writes {
 		last = w.makeChanges(20, 20*time.Millisecond)
 	}
-	w.verifyConfiguration("with an old file put back", last)
+	w.verifyConfiguration("with the old database restored", last)
 	w.waitForFullView("all are members")
 	last = w.makeChanges(2, 0)
 	for _, other := range otherZones(zone) {
@@ -244,8 +247,8 @@
 	}
 }
 
-// restoreDatabase kills a core, or all of them, puts an old database in place
-// and starts them again, the others later.
+// restoreDatabase kills one core or all cores, restores an old database of the core
+// in the given zone and restarts them, that core first.
 func (w *world) restoreDatabase(c restoreCase, zone string, old []byte) {
 	w.t.Helper()
 	for _, z := range zones {
@@ -277,9 +280,9 @@
 	return others
 }
 
-// A core that is killed during the snapshot transfer, again and again, starts the
-// transfer anew, and does not lead with the part that it got. The kills are
-// distributed over the time that joining needs.
+// A core that is killed repeatedly during the snapshot transfer restarts the transfer
+// and does not lead with a partial snapshot. The kills are spread over the time that
+// joining takes.
 func TestCoreKilledDuringSnapshotTransferJoinsAgain(t *testing.T) {
 	runCores(t, func(w *world) {
 		w.makeChanges(5, 0)
@@ -297,7 +300,7 @@
 			w.verifyConfiguration("after a kill", last)
 		}
 		if joined == 0 || joined == 40 {
-			t.Errorf("it had joined %d of 40 times", joined)
+			t.Errorf("the core had joined before %d of 40 kills; want some kills before and some after joining", joined)
 		}
 		w.startMachine("core-z1", false)
 		w.waitForFullView("the core is back")
@@ -306,8 +309,8 @@
 	})
 }
 
-// A core that cannot open its database answers 503, can be stopped, and joins again
-// once the disk is back.
+// A core that cannot open its database answers 503, can be stopped, and rejoins once
+// the disk is available again.
 func TestCoreWaitsForUnavailableDisk(t *testing.T) {
 	runCores(t, func(w *world) {
 		w.makeChanges(2, 0)
@@ -316,26 +319,26 @@
 		if err := os.Rename(data, data+"-away"); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(data, nil, 0o600); err != nil { // in place of the folder
+		if err := os.WriteFile(data, nil, 0o600); err != nil { // a file in place of the data directory
 			t.Fatal(err)
 		}
 		w.startMachine("core-z1", false)
 		time.Sleep(5 * time.Second)
 		code := 0
-		for try := 0; try < 3 && code == 0; try++ { // a pooled connection to the previous incarnation may break
+		for try := 0; try < 3 && code == 0; try++ { // a pooled connection to the previous process may break
 			code = w.putConfiguration("10.1.0.1:82", 0, w.configuration(1, options{}))
 		}
 		if code != 503 {
-			t.Errorf("a core without its disk answers %d", code)
+			t.Errorf("the core without its disk answers %d, want 503", code)
 		}
 		last := w.changeConfiguration("without it", options{maxAttempts: 4})
 		if took := w.terminateMachine("core-z1"); took > time.Second {
-			t.Errorf("it took %v to stop", took)
+			t.Errorf("stopping took %v, limit 1s", took)
 		}
 		w.startMachine("core-z1", false)
 		time.Sleep(time.Second)
-		// No attempt of the core to open the disk is under way from here on: it
-		// would create the folder between the two steps.
+		// Wait until no attempt to open the database is in progress: it would create
+		// the data directory between Remove and Rename.
 		synctest.Wait()
 		if err := os.Remove(data); err != nil {
 			t.Fatal(err)
@@ -343,7 +346,7 @@
 		if err := os.Rename(data+"-away", data); err != nil {
 			t.Fatal(err)
 		}
-		w.waitForFullView("the core goes on when the disk does")
+		w.waitForFullView("the core rejoins once its disk is available")
 		w.verifyWithout("core-z2", last)
 	})
 }
--- a/internal/cluster/distribution_test.go
+++ b/internal/cluster/distribution_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// An edge whose parent in the distribution tree is isolated gets a configuration
-// within config-apply-ms all the same.
+// An edge whose parent in the distribution tree is isolated still applies a new
+// configuration within config-apply-ms.
 func TestSubscribersBypassDeadParent(t *testing.T) {
 	runCluster(t, func(w *world) {
 		w.newService("plain", "z1")
@@ -21,14 +21,14 @@
 		time.Sleep(3 * time.Second) // config-apply-ms
 		for _, z := range zones {
 			if a := w.sendMessage(z, "/plain/", "spare-"+z, "Saltreel-Key", "spare"); a.Status != 401 {
-				t.Errorf("the removed key is in force at %s: %d", z, a.Status)
+				t.Errorf("message with the removed key at %s: status %d, want 401", z, a.Status)
 			}
 		}
 	})
 }
 
-// After a power loss of all machines, nodes that start before the cores, and
-// find one of them isolated, get their events as soon as the others serve.
+// After a power loss of all machines, nodes that start before the cores get their events
+// as soon as two cores serve, even if the third is isolated.
 func TestUnresponsiveCoreDoesNotDelaySubscribers(t *testing.T) {
 	runCluster(t, func(w *world) {
 		w.newService("plain", "z1", "z2", "z3")
@@ -54,7 +54,7 @@
 		took := time.Since(began)
 		t.Logf("serving after %v", took)
 		if took > 1500*time.Millisecond { // contact-ms is 4 s
-			t.Errorf("serving after %v", took)
+			t.Errorf("serving after %v, limit 1.5s", took)
 		}
 	})
 }
--- a/internal/cluster/handlers_test.go
+++ b/internal/cluster/handlers_test.go
@@ -12,21 +12,21 @@
 	"saltreel/internal/httpwire"
 )
 
-// service is the handlers of one service, simulated by the test.
+// service simulates the handlers of one service.
 type service struct {
 	world      *world
 	name       string
 	mu         sync.Mutex
 	deliveries []delivery
 	instances  map[string]*instance // by ID
-	// respond decides how a delivery is answered, and after how long; without it
-	// each succeeds after 5 ms.
+	// respond chooses the status and the duration of a delivery. If it is nil, each
+	// delivery succeeds after 5 ms.
 	respond func(d delivery) (status int, took time.Duration)
-	slots   atomic.Int64 // of each handler, as its next heartbeat says; 0: 2
+	slots   atomic.Int64 // reported by the next heartbeat of each handler; 0 means 2
 }
 
-// delivery is one delivery of a message to a handler. Its ID is that of the
-// message, endedAt is zero until it is answered.
+// delivery is one delivery of a message to a handler. Its id is that of the message;
+// endedAt is zero until the handler responds.
 type delivery struct {
 	id, key, tenant, body, instance string
 	startedAt                       time.Time
@@ -38,7 +38,7 @@
 	id, address, zone, state string
 	heartbeatSeq             int64
 	process                  *process
-	cancel                   context.CancelFunc // ends its server and its heartbeats
+	cancel                   context.CancelFunc // stops its server and its heartbeats
 }
 
 // newService starts a service with one handler in each of the given zones.
@@ -50,7 +50,8 @@
 	return s
 }
 
-// addInstance starts a handler that sends heartbeats, once one is accepted.
+// addInstance starts a handler that sends periodic heartbeats, and returns once its first
+// heartbeat is accepted.
 func (s *service) addInstance(id, zone, addr string) *instance {
 	ip, _, _ := strings.Cut(addr, ":")
 	in := &instance{id: id, address: addr, zone: zone, state: "ready", process: &process{network: s.world.network, ip: ip}}
@@ -86,8 +87,8 @@
 	return s.callCore("PUT", in.id, body) == 200
 }
 
-// callCore calls the cores about an instance, one after the other until one
-// answers below 500, and returns that status, 0 without one.
+// callCore sends a request for an instance to the cores in turn until one answers with a
+// status below 500. It returns that status, or 0 if none does.
 func (s *service) callCore(method, id, body string) int {
 	for _, c := range s.world.controlAddresses() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -107,7 +108,7 @@
 	d := delivery{id: r.Header.Get("Saltreel-Attempt-Id"), key: r.Header.Get("Saltreel-Order-Key"), tenant: r.Header.Get("Saltreel-Tenant"),
 		body: string(r.Body), instance: in.id, startedAt: time.Now()}
 	if r.Header.Get("Saltreel-Key") != "" {
-		s.world.t.Errorf("a key reached a handler")
+		s.world.t.Errorf("a client's API key was forwarded to a handler")
 	}
 	status, took := 200, 5*time.Millisecond
 	if s.respond != nil {
@@ -128,7 +129,7 @@
 	return res
 }
 
-// deliveryCount returns how often a message was delivered.
+// deliveryCount returns the number of deliveries of a message.
 func (s *service) deliveryCount(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,7 +146,7 @@
 func (s *service) checkDeliveredOnce(id string) {
 	s.world.t.Helper()
 	if n := s.deliveryCount(id); n != 1 {
-		s.world.t.Errorf("%s was delivered %d times", id, n)
+		s.world.t.Errorf("%s was delivered %d times, want 1", id, n)
 	}
 }
 
--- a/internal/cluster/operator_test.go
+++ b/internal/cluster/operator_test.go
@@ -26,18 +26,19 @@
 	return o, err
 }
 
-// options are what a test chooses of a configuration; the zero value is good.
+// options are the settings of a configuration that tests vary. The zero value gives a
+// valid configuration.
 type options struct {
 	rate, burst      float64 // of tenant one
-	pacedRate        float64 // of service paced
-	withoutRoute     string  // name of a route left out
+	pacedRate        float64 // rate limit of service paced
+	withoutRoute     string  // name of a route to omit
 	maxAttempts      int
 	retentionSeconds float64
 	apiKeys          string // of tenant one, as JSON strings
 	duplicateKey     bool   // tenant two has a key of tenant one
-	unknownService   bool   // routes lead to a service that does not exist
+	unknownService   bool   // routes name a service that does not exist
 	zeroTimeout      bool
-	timeoutMs        int // of one delivery; 0: 500
+	timeoutMs        int // delivery timeout; 0 means 500
 }
 
 func (w *world) configuration(revision int, o options) []byte {
@@ -82,7 +83,7 @@
 		revision, strings.Join(routes, ","), o.pacedRate, o.apiKeys, o.rate, o.burst, other)
 }
 
-// configure puts a configuration in force and waits until all edges have it.
+// applyConfiguration writes a configuration and waits until all edges apply it.
 func (w *world) applyConfiguration(o options) {
 	w.t.Helper()
 	old := w.revision
@@ -104,8 +105,8 @@
 	}
 }
 
-// putConfiguration sends a configuration to one core and returns the status of
-// its answer, 0 without one.
+// putConfiguration sends a configuration to one core and returns the response status,
+// or 0 if there is no response.
 func (w *world) putConfiguration(control string, match int, raw []byte) int {
 	return w.putConfigurationWithin(time.Second, control, match, raw)
 }
@@ -119,8 +120,8 @@
 	return a.Status
 }
 
-// changeConfiguration writes the next configuration until it is acknowledged, by
-// whichever core, and returns its bytes.
+// changeConfiguration retries the write of the next configuration until any core
+// acknowledges it, and returns its bytes.
 func (w *world) changeConfiguration(what string, o options) []byte {
 	w.t.Helper()
 	w.revision++
@@ -131,19 +132,21 @@
 	return raw
 }
 
-// verifyConfiguration reads the configuration; the test fails on other bytes.
+// verifyConfiguration reads the configuration and fails the test if it differs from
+// want.
 func (w *world) verifyConfiguration(what string, want []byte) {
 	w.t.Helper()
 	w.waitFor(8*time.Second, "reading back "+what, func() bool {
 		raw, err := w.operator().Get(context.Background(), "/v1/configuration")
 		if err == nil && !bytes.Equal(raw, want) {
-			w.t.Fatalf("%s: another configuration is read back", what)
+			w.t.Fatalf("%s: the configuration read back differs from the one written", what)
 		}
 		return err == nil
 	})
 }
 
-// viewSize counts the members and voters of the view that the tail reports.
+// viewSize returns the number of members and voters in the view reported by the tail,
+// or zeros if the status is not available.
 func (w *world) viewSize() (members, voters int) {
 	s, err := w.status()
 	if err != nil {
--- a/internal/cluster/overlapping_core_losses_test.go
+++ b/internal/cluster/overlapping_core_losses_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Losses of cores may overlap beyond what may be lost at once, as long as no more disks are
-// lost: nothing acknowledged is lost then, and service comes back. Here core-z3 is away and
-// comes back, and core-z2, which has all that was acknowledged, dies; core-z3 joins the view of
-// core-z1, which loses its disk before it has filled core-z3. In the end all are back, and
-// core-z2 with its disk.
+// More cores than the cluster tolerates may be down at once, as long as no more disks than
+// tolerated are lost: acknowledged writes survive and service resumes. core-z3 is down
+// during some writes; core-z2, which has all of them, crashes. core-z3 rejoins the view of
+// core-z1, which loses its disk before core-z3 has caught up. Then core-z1 restarts empty
+// and core-z2 restarts with its disk.
 func TestOverlappingLossesOfCores(t *testing.T) {
 	runCores(t, func(w *world) {
 		want := w.makeChanges(3, 100*time.Millisecond)
@@ -21,7 +21,7 @@
 		w.killMachine("core-z2")
 		var refused atomic.Int64
 		w.network.mu.Lock()
-		w.network.rewrite = func(b []byte) []byte { // the new member is not filled
+		w.network.rewrite = func(b []byte) []byte { // drops the updates to the new member
 			if bytes.Contains(b, []byte("POST /chain/pass ")) {
 				refused.Add(1)
 				return nil
--- a/internal/cluster/pauses_test.go
+++ b/internal/cluster/pauses_test.go
@@ -12,18 +12,16 @@
 	"saltreel/internal/controlplane"
 )
 
-// quotaPeriod is the time for which a processor share is a quota: a process runs
-// at full speed until its share of the period is spent, and not at all for the
-// rest.
+// quotaPeriod is the period of a CPU quota: a process runs at full speed until its
+// share of the period is used up, and is paused for the rest.
 const quotaPeriod = 100 * time.Millisecond
 
-// regionDelay is the time from one region to another in most deployments.
+// regionDelay is a typical network delay between regions.
 const regionDelay = 8 * time.Millisecond
 
-// A process whose share of the processor is a quota runs in bursts. With no fault
-// there is no failover, no view change and no refused message, whatever part of
-// each tenth of a second all processes stand still, and however the periods of the
-// machines lie to each other.
+// A process with a CPU quota runs in bursts. Without faults these pauses cause no
+// failover, no view change and no refused message, for short and long pauses in each
+// period of 100 ms and for different phase offsets of the machines.
 func TestProcessorQuotaCausesNoFailover(t *testing.T) {
 	for name, c := range map[string]struct {
 		pause       time.Duration
@@ -41,11 +39,13 @@
 	}
 }
 
-// quotaSeeds is how many ways the periods of the machines lie to each other. Without
-// httpwire's second look at what arrived beside a deadline, seed 1 fails.
+// quotaSeeds is the number of tested phase offsets between the periods of the machines.
+// Seed 1 fails if httpwire does not read once more after a deadline that a paused process
+// noticed late, since the data may have arrived in the meantime.
 const quotaSeeds = 4
 
-// checkQuota sends messages while all processes pause again and again.
+// checkQuota sends messages while all processes are paused periodically, and checks that
+// the view and the placement stay the same and that no message is delivered twice.
 func (w *world) checkQuota(seed uint64, pause time.Duration, holdsWrites bool) {
 	w.t.Helper()
 	plain := w.newService("plain", "z1", "z2", "z3")
@@ -57,12 +57,13 @@
 	w.sendPaused(12 * time.Second)
 	resume()
 	if after := w.clusterState(); after != before {
-		w.t.Errorf("before the pauses: %s, after them: %s", before, after)
+		w.t.Errorf("state before the pauses: %s, after: %s", before, after)
 	}
 	w.verifyDeliveredOnce(plain)
 }
 
-// clusterState is what a failover or a change of the view changes.
+// clusterState describes the view and the placement, which every view change or
+// failover changes.
 func (w *world) clusterState() string {
 	w.t.Helper()
 	var status controlplane.Overview
@@ -74,8 +75,8 @@
 	return fmt.Sprintf("view %d, placement %d of term %d", status.View.Number, status.Placement.Version, status.Placement.Term)
 }
 
-// pauseAll pauses each process for so long in each period, until resume is called.
-// The periods of the machines begin at moments of their own.
+// pauseAll pauses every process for the given time in each period until resume is
+// called. The seed determines the phase offset of each machine.
 func (w *world) pauseAll(seed uint64, pause time.Duration, holdsWrites bool) (resume func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var tasks sync.WaitGroup
@@ -105,8 +106,8 @@
 	}
 }
 
-// sendPaused sends messages for so long, each of which must be accepted with its
-// first attempt.
+// sendPaused sends messages for the given duration. Each must be accepted at the first
+// attempt.
 func (w *world) sendPaused(duration time.Duration) {
 	w.t.Helper()
 	const interval = 50 * time.Millisecond
@@ -115,7 +116,7 @@
 		id := fmt.Sprintf("paused-%d", i)
 		tasks.Go(func() {
 			if a := w.sendMessage(zones[i%len(zones)], "/plain/x", id); a.Status != 202 {
-				w.t.Errorf("message %s at %v: answered %d", id, time.Duration(i)*interval, a.Status)
+				w.t.Errorf("message %s at %v: status %d, want 202", id, time.Duration(i)*interval, a.Status)
 			}
 		})
 		time.Sleep(interval)
@@ -123,8 +124,8 @@
 	tasks.Wait()
 }
 
-// verifyDeliveredOnce waits until deliveries have ended, and checks that none was
-// repeated.
+// verifyDeliveredOnce waits 3 s for deliveries to end and checks that no message was
+// delivered more than once.
 func (w *world) verifyDeliveredOnce(s *service) {
 	w.t.Helper()
 	time.Sleep(3 * time.Second)
@@ -134,7 +135,7 @@
 	}
 	for id, n := range counts {
 		if n != 1 {
-			w.t.Errorf("%s ran %d times", id, n)
+			w.t.Errorf("%s was delivered %d times", id, n)
 		}
 	}
 }
--- a/internal/cluster/promises_test.go
+++ b/internal/cluster/promises_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// The tests here are of promises to clients and handlers that hold whatever the
-// system goes through meanwhile.
+// The tests in this file check guarantees to clients and handlers that hold during
+// failover, isolation and restarts.
 
-// A handler may deregister first, without having said that it drains, and serve on
-// for a while: what it works on ends there, and nothing more comes. Heartbeats from
-// before that come late and change nothing.
+// A handler may deregister without draining first and keep serving for a while.
+// Deliveries in progress are completed there, and it gets no new ones. Late heartbeats
+// do not register it again.
 func TestHandlerThatDeregistersFirstGetsNothingMore(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2", "z3")
@@ -22,11 +22,11 @@
 		w.withTraffic(plain, func() {
 			time.Sleep(time.Second)
 			if code := plain.callCore("DELETE", in.id, ""); code != 200 {
-				t.Fatalf("deregistration: %d", code)
+				t.Fatalf("deregistration: status %d, want 200", code)
 			}
 			acknowledged = time.Now()
 			for range 4 {
-				plain.heartbeat(in) // its own go on, and are late
+				plain.heartbeat(in) // sent after the deregistration, as late ones
 				time.Sleep(time.Second)
 			}
 		})
@@ -36,23 +36,24 @@
 				continue
 			}
 			if d.startedAt.After(acknowledged.Add(500 * time.Millisecond)) {
-				t.Errorf("%s came to it %v after the acknowledgement", d.id, d.startedAt.Sub(acknowledged))
+				t.Errorf("delivery of %s started %v after the acknowledgement, limit 500ms", d.id, d.startedAt.Sub(acknowledged))
 			}
 			if d.startedAt.Before(acknowledged) && d.endedAt.After(acknowledged) {
 				ended++
 				if n := plain.deliveryCount(d.id); n != 1 {
-					t.Errorf("%s was under way there and ran %d times", d.id, n)
+					t.Errorf("%s was in progress at the deregistration and was delivered %d times", d.id, n)
 				}
 			}
 		}
 		if ended == 0 {
-			t.Error("nothing was under way when it deregistered")
+			t.Error("no delivery was in progress at the deregistration")
 		}
 	})
 }
 
-// Two seconds after it was accepted, no edge says that there is no such message,
-// also while its store fails over; an edge that cannot be sure says 503.
+// Two seconds after a message was accepted, no edge reports it as unknown (404 or 410),
+// even during a failover of its store. An edge that cannot determine its state answers
+// 503.
 func TestAcceptedMessageIsNeverUnknown(t *testing.T) {
 	runCluster(t, func(w *world) {
 		w.newService("plain", "z1", "z2", "z3")
@@ -85,13 +86,14 @@
 			time.Sleep(4 * time.Second)
 		}
 		if answers[200] < 300 {
-			t.Errorf("hardly any answer was conclusive: %v", answers)
+			t.Errorf("want at least 300 responses with status 200, responses by status: %v", answers)
 		}
 	})
 }
 
-// What a message may be tried is bounded whatever primary tries it: three times
-// max-attempts for 500, three times for 422. It ends as a dead letter.
+// The total number of attempts of a message is bounded across failovers of the primary:
+// three times max-attempts for status 500, three for status 422. The message then
+// becomes a dead letter.
 func TestAttemptsAreBoundedOverFailovers(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2", "z3")
@@ -123,13 +125,14 @@
 				most = 3
 			}
 			if n := plain.deliveryCount(id); n > most {
-				t.Errorf("%s was tried %d times, at most %d are allowed", id, n, most)
+				t.Errorf("%s: %d attempts, limit %d", id, n, most)
 			}
 		}
 	})
 }
 
-// No delayed message starts before its time, whichever store has it by then.
+// No delayed message is delivered before it is due, even if another store has become
+// its primary.
 func TestDelayHoldsOverFailovers(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2", "z3")
@@ -150,7 +153,7 @@
 		time.Sleep(10 * time.Second)
 		for _, d := range plain.received() {
 			if early := due[d.id].Sub(d.startedAt); early > 0 {
-				t.Errorf("%s started %v early", d.id, early)
+				t.Errorf("delivery of %s started %v before it was due", d.id, early)
 			}
 		}
 		for id, name := range names {
@@ -159,8 +162,8 @@
 	})
 }
 
-// With handlers half idle, no message stays pending, though some endpoints fail and
-// a store is lost.
+// While handlers have free capacity, no message stays pending, even if one handler
+// fails part of its deliveries, a store loses its disk and connections are reset.
 func TestNoMessageStaysPendingWhileHandlersAreIdle(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2", "z3")
@@ -171,7 +174,7 @@
 			return 200, 10 * time.Millisecond
 		}
 		w.applyConfiguration(options{maxAttempts: 10})
-		w.withTraffic(plain, func() { // it checks that each one is completed
+		w.withTraffic(plain, func() { // checks that each message is completed
 			time.Sleep(time.Second)
 			w.killMachine("store-z2")
 			w.wipeDisk("store-z2")
--- a/internal/cluster/signals_test.go
+++ b/internal/cluster/signals_test.go
@@ -7,11 +7,11 @@
 	"syscall"
 )
 
-// signalSource is the operating system of one simulated process, as far as its
-// signals go: one that nobody is registered for takes its default action.
+// signalSource simulates the signal handling of the operating system for one process.
+// A signal without a registered receiver takes its default action.
 type signalSource struct {
 	defaultAction  func() // ends the process
-	releasesSIGHUP bool   // a planted fault: SIGHUP is given back with the first SIGTERM
+	releasesSIGHUP bool   // injected fault: SIGHUP is reset to its default action by the first SIGTERM
 
 	mu         sync.Mutex
 	registered []signalRegistration
@@ -30,7 +30,7 @@
 	s.registered = append(s.registered, signalRegistration{c, signals})
 }
 
-// send gives the process a signal.
+// send delivers a signal to the process.
 func (s *signalSource) send(sent os.Signal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,7 +42,7 @@
 		handled = true
 		select {
 		case r.receiver <- sent:
-		default: // as the operating system drops one that is pending already
+		default: // the receiver's buffer is full: dropped, as by package os/signal
 		}
 	}
 	if !handled {
@@ -62,7 +62,7 @@
 	return s.terminated
 }
 
-// releaseLocked takes the default action for a signal from now on.
+// releaseLocked resets a signal to its default action.
 func (s *signalSource) releaseLocked(released os.Signal) {
 	for i, r := range s.registered {
 		s.registered[i].signals = slices.DeleteFunc(slices.Clone(r.signals), func(o os.Signal) bool { return o == released })
--- a/internal/cluster/tombstone_test.go
+++ b/internal/cluster/tombstone_test.go
@@ -11,9 +11,9 @@
 	"saltreel/internal/rpc"
 )
 
-// A handler that drains or is deregistered stays so through a crash of all
-// cores, although a heartbeat from before arrives late. The tombstone of an
-// instance that nobody knew holds as well.
+// A draining or deregistered handler remains so after a crash of all cores, even if
+// an old heartbeat arrives late. The tombstone of an instance that was never registered
+// persists as well.
 func TestTombstoneSurvivesRestartOfAllCores(t *testing.T) {
 	for _, deregister := range []bool{false, true} {
 		runCluster(t, func(w *world) {
@@ -31,7 +31,7 @@
 			}
 			w.waitFor(5*time.Second, "heartbeats are accepted again", func() bool { return plain.sendStaleHeartbeat(leaver) == 200 })
 			if code := plain.callCore("DELETE", "nobody-knows", ""); code != 200 {
-				t.Errorf("DELETE of an unknown instance: %d", code)
+				t.Errorf("DELETE of an unknown instance: status %d, want 200", code)
 			}
 			plain.callCore("PUT", "nobody-knows", `{"service":"plain","address":"10.20.99.1:90","zone":"z1","slots":2,"oper-state":"ready","call-seq":7}`)
 			time.Sleep(time.Until(acknowledgedAt.Add(3 * time.Second))) // drain-ms
@@ -40,26 +40,25 @@
 			s, err := w.status()
 			for _, h := range s.Handlers {
 				if h.ID == "nobody-knows" || h.ID == leaver.id && h.State == "ready" {
-					t.Errorf("deregister %v: %s is back: %+v, %v", deregister, h.ID, h, err)
+					t.Errorf("deregister %v: %s is registered again: %+v, %v", deregister, h.ID, h, err)
 				}
 			}
 		})
 	}
 }
 
-// verifyNoLateDelivery checks that an instance got no delivery later than
+// verifyNoLateDelivery checks that no delivery to an instance started more than
 // drain-ms after its draining or deregistration was acknowledged.
 func (s *service) verifyNoLateDelivery(t *testing.T, id string, acknowledgedAt time.Time) {
 	t.Helper()
 	for _, d := range s.received() {
 		if d.instance == id && d.startedAt.Sub(acknowledgedAt) > 3*time.Second {
-			t.Fatalf("%s: a delivery %v after the acknowledgement", s.instances[id].state, d.startedAt.Sub(acknowledgedAt))
+			t.Fatalf("%s: a delivery started %v after the acknowledgement", s.instances[id].state, d.startedAt.Sub(acknowledgedAt))
 		}
 	}
 }
 
-// drainOrDeregister has an instance report that it drains, or stops it and
-// deregisters it.
+// drainOrDeregister reports an instance as draining, or stops and deregisters it.
 func (s *service) drainOrDeregister(t *testing.T, in *instance, deregister bool) {
 	t.Helper()
 	s.mu.Lock()
@@ -67,24 +66,24 @@
 	s.mu.Unlock()
 	if !deregister {
 		if !s.heartbeat(in) {
-			t.Fatal("the draining is not acknowledged")
+			t.Fatal("the heartbeat with state draining is not acknowledged")
 		}
 		return
 	}
-	in.cancel() // no heartbeats any more
+	in.cancel() // stops its heartbeats
 	if code := s.callCore("DELETE", in.id, ""); code != 200 {
-		t.Fatalf("DELETE: %d", code)
+		t.Fatalf("DELETE: status %d, want 200", code)
 	}
 }
 
-// sendStaleHeartbeat sends a heartbeat that is older than all others of an
-// instance of z1.
+// sendStaleHeartbeat sends a heartbeat of an instance in z1 with a lower sequence
+// number than its others.
 func (s *service) sendStaleHeartbeat(in *instance) int {
 	return s.callCore("PUT", in.id, fmt.Sprintf(`{"service":"plain","address":%q,"zone":"z1","slots":2,"oper-state":"ready","call-seq":1}`, in.address))
 }
 
-// A tombstone stored by two of three voters survives the replacement of one of
-// them and then the loss of the other.
+// A tombstone stored by two of three voters survives the replacement of one of them
+// followed by the loss of the other.
 func TestTombstoneSurvivesReplacementOfItsVoters(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2")
@@ -110,14 +109,14 @@
 		s, err := w.status()
 		for _, h := range s.Handlers {
 			if h.ID == leaver.id {
-				t.Errorf("%s is back: %+v, %v", h.ID, h, err)
+				t.Errorf("%s is registered again: %+v, %v", h.ID, h, err)
 			}
 		}
 	})
 }
 
-// Voters store a tombstone only for the quorum epoch in force: a call in the
-// name of an earlier one is rejected.
+// Voters store a tombstone only for the current quorum epoch and reject a request with
+// an earlier one.
 func TestVotersRejectStaleQuorumEpoch(t *testing.T) {
 	runCluster(t, func(w *world) {
 		w.applyConfiguration(options{})
@@ -135,16 +134,16 @@
 			return err == nil && epoch > 0
 		})
 		for _, ip := range []string{"10.1.0.9", "10.2.0.1", "10.3.0.1"} {
-			w.waitFor(time.Second, ip+" stores for the epoch in force", func() bool { return w.storeTombstone(ip, epoch, "x2") == nil })
+			w.waitFor(time.Second, ip+" to store a tombstone for the current epoch", func() bool { return w.storeTombstone(ip, epoch, "x2") == nil })
 			if err := w.storeTombstone(ip, 0, "x3"); rpc.StatusCode(err) != 409 {
-				t.Errorf("%s stores for the first epoch: %v", ip, err)
+				t.Errorf("%s: request with the first epoch: %v, want status 409", ip, err)
 			}
 		}
 	})
 }
 
-// storeTombstone has one core store the tombstone of an instance, in the name of
-// a quorum epoch.
+// storeTombstone requests one core to store the tombstone of an instance for a quorum
+// epoch.
 func (w *world) storeTombstone(ip string, epoch int64, id string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
--- a/internal/cluster/zone_loss_test.go
+++ b/internal/cluster/zone_loss_test.go
@@ -13,14 +13,14 @@
 	"saltreel/internal/httpwire"
 )
 
-// coreProcessorRate is how many received bytes a core processes in a second: little
-// for what the cores of this test hold. All of the registry takes a core longer than
-// one call of those that load it may.
+// coreProcessorRate is the number of received bytes that a core processes per second.
+// It is low for the state in this test: processing the whole registry takes longer than
+// the timeout of one call that loads it.
 const coreProcessorRate = 512 << 10
 
-// A zone is lost and comes back while the cores have little processor left. The core
-// that returns loads what the others know with a bounded number of calls, and joins
-// them; nobody's attempts keep the others from answering.
+// A zone fails and recovers while the cores have little CPU capacity. The recovering
+// core loads the state of the others with a bounded number of calls and rejoins, and
+// retries do not overload the other cores.
 func TestReturnOfAZoneMakesNoStormAtTheCores(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		size := clusterSize{machines: 30, handlers: 400}
@@ -40,7 +40,7 @@
 				w.network.setProcessor(ip, coreProcessorRate)
 			}
 		}
-		const settleTime = 5 * time.Second // for the cores to be as before
+		const settleTime = 5 * time.Second // for the cores to return to normal load
 		calm := w.callsBetweenCores(roleOf, settleTime)
 		lost := w.machinesOf("z3")
 		for _, name := range lost {
@@ -56,23 +56,24 @@
 		time.Sleep(settleTime)
 		after := w.callsBetweenCores(roleOf, settleTime)
 		if after > calm*3/2 {
-			t.Errorf("calls between cores in %v: %d before the zone was lost, %d after its return", settleTime, calm, after)
+			t.Errorf("calls between cores in %v: %d before the zone failure, %d after recovery, limit 1.5 times", settleTime, calm, after)
 		}
 		if members, _ := w.viewSize(); members != measuredCores {
-			t.Errorf("%d cores of %d are in the view", members, measuredCores)
+			t.Errorf("the view has %d members, want %d", members, measuredCores)
 		}
 		failures, ofLostCore := 0, size.handlers/len(zones)
 		for _, h := range handlers {
 			failures += int(h.failures.Load())
 		}
-		// One for each that the lost core had; no other core sends it back there.
+		// One failed call for each handler of the lost core: no other core may redirect
+		// a handler back to it. A quarter more is tolerated.
 		if failures > ofLostCore*5/4 {
-			t.Errorf("%d calls of handlers failed, of %d that sent theirs to the lost core", failures, ofLostCore)
+			t.Errorf("%d heartbeats failed; %d handlers sent theirs to the lost core", failures, ofLostCore)
 		}
 	})
 }
 
-// machinesOf names the machines of ours in a zone.
+// machinesOf returns the names of the platform's machines in a zone.
 func (w *world) machinesOf(zone string) (names []string) {
 	for name, m := range w.machines {
 		if m.zone == zone && m.role != "" {
@@ -82,7 +83,7 @@
 	return names
 }
 
-// callsBetweenCores counts the calls of cores to cores for a while.
+// callsBetweenCores counts the calls from cores to cores during the given time.
 func (w *world) callsBetweenCores(roleOf map[string]string, duration time.Duration) int {
 	var mu sync.Mutex
 	calls := 0
@@ -100,8 +101,8 @@
 	return calls
 }
 
-// startRoamingHandlers runs handlers that send their heartbeats where the cores tell
-// them to, and to another core after a failure.
+// startRoamingHandlers starts n handlers that send their heartbeats to the target named
+// in the last response, and to the next core after a failure.
 func (w *world) startRoamingHandlers(n int) (handlers []*roamingHandler) {
 	controls := w.controlAddresses()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -121,10 +122,10 @@
 	return handlers
 }
 
-// handlerKeepalive is keepalive-ms of the settings.
+// handlerKeepalive is the heartbeat interval, keepalive-ms of the settings.
 const handlerKeepalive = 1200 * time.Millisecond
 
-// roamingHandler sends the heartbeats of one handler.
+// roamingHandler sends the heartbeats of one handler to changing cores.
 type roamingHandler struct {
 	pool     *httpwire.Pool
 	controls []string
@@ -151,7 +152,7 @@
 	}
 }
 
-// send sends one heartbeat, and reports whether it was acknowledged.
+// send sends one heartbeat and reports whether it was acknowledged.
 func (h *roamingHandler) send(body string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
