--- a/internal/cluster/configuration_writes_test.go
+++ b/internal/cluster/configuration_writes_test.go
@@ -169,7 +169,7 @@
 func TestRetriedWriteIsAcknowledgedAgain(t *testing.T) {
 	runCluster(t, func(w *world) {
 		w.applyConfiguration(options{})
-		stop := w.loseAnswers()
+		stop := w.dropResponses()
 		writes := w.writeConcurrently()
 		stop()
 		w.verifyWinners(t, writes)
@@ -193,9 +193,9 @@
 	})
 }
 
-// loseAnswers blocks and unblocks the links from the cores to the operators at random
+// dropResponses blocks and unblocks the links from the cores to the operators at random
 // until stop is called.
-func (w *world) loseAnswers() (stop func()) {
+func (w *world) dropResponses() (stop func()) {
 	random := rand.New(rand.NewPCG(1, 8))
 	stopping := make(chan struct{})
 	stopped := make(chan struct{})
--- a/internal/cluster/control_traffic_test.go
+++ b/internal/cluster/control_traffic_test.go
@@ -18,7 +18,7 @@
 	"saltreel/internal/httpwire"
 )
 
-var runScaled = flag.Bool("scale", false, "count calls and bytes of clusters of several sizes, and print them")
+var measureAllSizes = flag.Bool("scale", false, "count calls and bytes of clusters of several sizes, and print them")
 
 // controlBudget is the limit for the control traffic of a node in docs/CAPACITY.md, in
 // bytes per second.
@@ -48,14 +48,14 @@
 func (n *trafficCounter) observe(c *conn, b []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	kind, asked := requestKind(c, b)
-	if asked {
+	kind, isRequest := requestKind(c, b)
+	if isRequest {
 		n.kindByPipe[c.out] = kind
 	} else {
-		kind = cmp.Or(n.kindByPipe[c.in], "asked before")
+		kind = cmp.Or(n.kindByPipe[c.in], "earlier request")
 	}
 	from, to := n.trafficOfLocked(c.owner.ip, kind), n.trafficOfLocked(c.peer.ip, kind)
-	if asked {
+	if isRequest {
 		from.out++
 		to.in++
 	}
@@ -122,8 +122,8 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, t.TempDir(), 1, "10.1.0.1", "10.2.0.1", "10.3.0.1")
-		defer w.stopMeasured()
-		roleOf := w.startMeasured(s)
+		defer w.stopSizedCluster()
+		roleOf := w.startSizedCluster(s)
 		w.waitFor(20*time.Second, "the first placement", func() bool {
 			st, err := w.status()
 			return err == nil && len(st.Placement.Stores) == s.stores() && len(st.View.Members) == measuredCores
@@ -145,9 +145,9 @@
 	return byRole, spent
 }
 
-// startMeasured starts the cores, stores and edges of a cluster of the given size and
+// startSizedCluster starts the cores, stores and edges of a cluster of the given size and
 // returns their roles by IP.
-func (w *world) startMeasured(s clusterSize) (roleOf map[string]string) {
+func (w *world) startSizedCluster(s clusterSize) (roleOf map[string]string) {
 	roleOf = map[string]string{}
 	for i := range s.machines {
 		role, z := "edge", i%3
@@ -170,9 +170,9 @@
 	return roleOf
 }
 
-// stopMeasured stops the handlers and then the machines: a handler reports a heartbeat
+// stopSizedCluster stops the handlers and then the machines: a handler reports a heartbeat
 // that a stopping core refuses as a failure.
-func (w *world) stopMeasured() {
+func (w *world) stopSizedCluster() {
 	if h := w.machines["handlers"]; h != nil {
 		h.cancel()
 		synctest.Wait()
@@ -299,7 +299,7 @@
 		{30, 10, 0}, {30, 1000, 0}, // varying handlers
 		{30, 100, 100}, {30, 100, 300}, // varying message rate
 	} {
-		if s != (clusterSize{10, 10, 0}) && !*runScaled {
+		if s != (clusterSize{10, 10, 0}) && !*measureAllSizes {
 			continue
 		}
 		perSecond := func(n int) float64 { return float64(n) / duration.Seconds() }
--- a/internal/cluster/core_isolation_test.go
+++ b/internal/cluster/core_isolation_test.go
@@ -269,14 +269,14 @@
 		for i, z := range zones {
 			ip := w.machines["core-"+z].ip
 			w.network.isolate(ip, true)
-			victim := "store-" + zones[(i+1)%3]
+			failedStore := "store-" + zones[(i+1)%3]
 			w.withTraffic(plain, func() {
 				time.Sleep(time.Second)
-				w.killMachine(victim)
+				w.killMachine(failedStore)
 				time.Sleep(6 * time.Second)
 			})
 			w.network.isolate(ip, false)
-			w.startMachine(victim, false)
+			w.startMachine(failedStore, false)
 			time.Sleep(6 * time.Second)
 		}
 		after, err := w.status()
--- a/internal/cluster/core_membership_test.go
+++ b/internal/cluster/core_membership_test.go
@@ -96,7 +96,7 @@
 		var want []byte
 		w.withTraffic(plain, func() {
 			for _, pair := range [][]string{{"z1", "z11"}, {"z2", "z31"}} {
-				want = w.loseAndReplace(pair)
+				want = w.replaceAfterDiskLoss(pair)
 			}
 		})
 		w.verifyConfiguration("after two losses, twice", want)
@@ -107,10 +107,10 @@
 	})
 }
 
-// loseAndReplace kills the store and the core of each suffix, writes a configuration
+// replaceAfterDiskLoss kills the store and the core of each suffix, writes a configuration
 // without them, restarts them with empty disks and waits until they have rejoined.
 // It returns the configuration written.
-func (w *world) loseAndReplace(suffixes []string) []byte {
+func (w *world) replaceAfterDiskLoss(suffixes []string) []byte {
 	w.t.Helper()
 	for _, suffix := range suffixes {
 		w.killMachine("store-" + suffix)
--- a/internal/cluster/closing_faults_test.go
+++ b/internal/cluster/crash_faults_test.go
@@ -17,56 +17,56 @@
 // everything acknowledged must be read back. Disks keep all data written to them here;
 // the loss of unsynced writes on power loss is tested in packages boltstore and partition.
 
-// closingFault defines which processes and disks a crash affects.
-type closingFault struct {
-	name       string
-	wipesDisk  bool // of the target machine; the clusters of these tests tolerate one lost disk
-	endsOthers bool // all other machines of the platform, including edges and gateways
+// crashFault defines which processes and disks a crash affects.
+type crashFault struct {
+	name        string
+	wipesDisk   bool // of the target machine; the clusters of these tests tolerate one lost disk
+	killsOthers bool // all other machines of the platform, including edges and gateways
 }
 
-var closingFaults = []closingFault{
+var crashFaults = []crashFault{
 	{"all processes are killed", false, true},
 	{"a disk is lost", true, false},
 	{"a disk is lost and all others are killed", true, true},
 }
 
-// strikeDelays are the times from sending a change to the crash; 0 means right after
+// crashDelays are the times from sending a change to the crash; 0 means right after
 // the acknowledgement.
-var strikeDelays = []time.Duration{0, 5 * time.Millisecond, 40 * time.Millisecond, 400 * time.Millisecond}
+var crashDelays = []time.Duration{0, 5 * time.Millisecond, 40 * time.Millisecond, 400 * time.Millisecond}
 
 // downTime is the time from the crash to the restart of the machines.
 const downTime = 1400 * time.Millisecond
 
-// strike crashes the target machine, and all others if the fault says so, and restarts
+// injectCrash crashes the target machine, and all others if the fault says so, and restarts
 // them after downTime.
-func (w *world) strike(f closingFault, first string) {
+func (w *world) injectCrash(f crashFault, target string) {
 	w.t.Helper()
-	names := []string{first}
+	names := []string{target}
 	for _, z := range zones {
-		if f.endsOthers {
+		if f.killsOthers {
 			names = append(names, w.machinesOf(z)...)
 		}
 	}
-	struck := map[string]bool{}
+	crashed := map[string]bool{}
 	for _, name := range names {
 		w.processOf(name).kill()
-		struck[name] = true
+		crashed[name] = true
 	}
-	for name := range struck {
+	for name := range crashed {
 		w.killMachine(name)
 	}
 	if f.wipesDisk {
-		w.wipeDisk(first)
+		w.wipeDisk(target)
 	}
 	time.Sleep(downTime)
-	for name := range struck {
+	for name := range crashed {
 		w.startMachine(name, false)
 	}
 }
 
-// strikeAfter sends a change and injects the crash after the delay. It returns the
+// injectCrashAfter sends a change and injects the crash after the delay. It returns the
 // response status of the change, or 0 if its outcome is unknown.
-func (w *world) strikeAfter(delay time.Duration, f closingFault, first string, send func() int) int {
+func (w *world) injectCrashAfter(delay time.Duration, f crashFault, target string, send func() int) int {
 	w.t.Helper()
 	status := make(chan int, 1)
 	w.goroutines.Go(func() { status <- send() })
@@ -81,18 +81,18 @@
 	}
 	if delay == 0 {
 		got := await()
-		w.strike(f, first)
+		w.injectCrash(f, target)
 		return got
 	}
 	time.Sleep(delay)
-	w.strike(f, first)
+	w.injectCrash(f, target)
 	return await()
 }
 
-func forEachClosingFault(t *testing.T, run func(t *testing.T, f closingFault, delay time.Duration)) {
+func forEachCrashFault(t *testing.T, run func(t *testing.T, f crashFault, delay time.Duration)) {
 	t.Helper()
-	for _, f := range closingFaults {
-		for _, delay := range strikeDelays {
+	for _, f := range crashFaults {
+		for _, delay := range crashDelays {
 			name := fmt.Sprintf("%s, %v after a change was sent", f.name, delay)
 			if delay == 0 {
 				name = f.name + ", right after an acknowledgement"
@@ -104,17 +104,17 @@
 
 // An acknowledged configuration is read back after each kind of crash. One without a
 // response is either applied completely or not at all, and its retry is acknowledged.
-func TestConfigurationOutlivesClosingFaults(t *testing.T) {
-	forEachClosingFault(t, func(t *testing.T, f closingFault, delay time.Duration) {
+func TestConfigurationSurvivesCrashes(t *testing.T) {
+	forEachCrashFault(t, func(t *testing.T, f crashFault, delay time.Duration) {
 		runCluster(t, func(w *world) {
 			for round, z := range zones { // several crashes in one run, one at each core
 				before := w.changeConfiguration(fmt.Sprint("before fault ", round), options{maxAttempts: 2 + 2*round})
 				next := w.configuration(w.revision+1, options{maxAttempts: 3 + 2*round})
 				core := w.machines["core-"+z]
-				status := w.strikeAfter(delay, f, core.name, func() int {
+				status := w.injectCrashAfter(delay, f, core.name, func() int {
 					return w.putConfiguration(core.ip+":82", w.revision, next)
 				})
-				w.checkReadBack(before, next, status == 200)
+				w.verifyConfigurationAfterCrash(before, next, status == 200)
 				w.waitFor(10*time.Second, "acknowledgement of the retried change", func() bool {
 					return w.operator().PutConfiguration(context.Background(), next, int64(w.revision)) == nil
 				})
@@ -126,9 +126,9 @@
 	})
 }
 
-// checkReadBack reads the configuration after a crash. It must be next, or before if
-// next was not acknowledged.
-func (w *world) checkReadBack(before, next []byte, acknowledged bool) {
+// verifyConfigurationAfterCrash reads the configuration after a crash. It must be next,
+// or before if next was not acknowledged.
+func (w *world) verifyConfigurationAfterCrash(before, next []byte, acknowledged bool) {
 	w.t.Helper()
 	w.waitFor(15*time.Second, "reading back", func() bool {
 		raw, err := w.operator().Get(context.Background(), "/v1/configuration")
@@ -147,8 +147,8 @@
 
 // Accepted messages with a delay are delivered exactly once after each kind of crash
 // before they are due.
-func TestMessagesOutliveClosingFaults(t *testing.T) {
-	forEachClosingFault(t, func(t *testing.T, f closingFault, delay time.Duration) {
+func TestMessagesSurviveCrashes(t *testing.T) {
+	forEachCrashFault(t, func(t *testing.T, f crashFault, delay time.Duration) {
 		runCluster(t, func(w *world) {
 			plain := w.newService("plain", "z1", "z2", "z3")
 			w.applyConfiguration(options{retentionSeconds: 300})
@@ -159,7 +159,7 @@
 					names[id] = w.sendUntilAccepted(z, "/plain/", id, "Saltreel-Delay-Ms", "30000")
 				}
 				last := w.newID()
-				w.strikeAfter(delay, f, "store-"+z, func() int {
+				w.injectCrashAfter(delay, f, "store-"+z, func() int {
 					answer := w.sendMessage(z, "/plain/", last, "Saltreel-Delay-Ms", "30000")
 					if answer.Status == 202 {
 						names[last] = answer.Header.Get("Saltreel-Message-Name")
@@ -178,15 +178,15 @@
 
 // Subscribers of topics get each acknowledged message exactly once and in order across
 // crashes during publishing.
-func TestTopicsOutliveClosingFaults(t *testing.T) {
-	for i, f := range closingFaults {
+func TestTopicsSurviveCrashes(t *testing.T) {
+	for i, f := range crashFaults {
 		t.Run(f.name, func(t *testing.T) {
 			runLive(t, func(w *world) {
 				rng := rand.New(rand.NewPCG(uint64(i), 1))
 				traffic := w.startLiveTraffic(2, 40*time.Millisecond)
 				for _, z := range zones {
 					time.Sleep(time.Second + time.Duration(rng.IntN(400))*time.Millisecond)
-					w.strike(f, "broker-"+z)
+					w.injectCrash(f, "broker-"+z)
 					time.Sleep(recoveryTime)
 				}
 				for _, problem := range traffic.finish() {
--- a/internal/cluster/promises_test.go
+++ b/internal/cluster/guarantees_test.go
@@ -12,7 +12,7 @@
 // A handler may deregister without draining first and keep serving for a while.
 // Deliveries in progress are completed there, and it gets no new ones. Late heartbeats
 // do not register it again.
-func TestHandlerThatDeregistersFirstGetsNothingMore(t *testing.T) {
+func TestDeregisteredHandlerGetsNoNewDeliveries(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2", "z3")
 		plain.respond = func(delivery) (int, time.Duration) { return 200, 400 * time.Millisecond }
@@ -30,7 +30,7 @@
 				time.Sleep(time.Second)
 			}
 		})
-		ended := 0
+		inProgress := 0
 		for _, d := range plain.received() {
 			if d.instance != in.id {
 				continue
@@ -39,13 +39,13 @@
 				t.Errorf("delivery of %s started %v after the acknowledgement, limit 500ms", d.id, d.startedAt.Sub(acknowledged))
 			}
 			if d.startedAt.Before(acknowledged) && d.endedAt.After(acknowledged) {
-				ended++
+				inProgress++
 				if n := plain.deliveryCount(d.id); n != 1 {
 					t.Errorf("%s was in progress at the deregistration and was delivered %d times", d.id, n)
 				}
 			}
 		}
-		if ended == 0 {
+		if inProgress == 0 {
 			t.Error("no delivery was in progress at the deregistration")
 		}
 	})
@@ -64,7 +64,7 @@
 		}
 		time.Sleep(2 * time.Second)
 		answers := map[int]int{}
-		for _, strike := range []func(){
+		for _, injectFault := range []func(){
 			func() { w.killMachine("store-z1") },
 			func() { w.startMachine("store-z1", false) },
 			func() { w.network.isolate(w.machines["store-z2"].ip, true) },
@@ -73,7 +73,7 @@
 			func() { w.startMachine("store-z3", false) },
 			func() { w.killMachine("edge-z1"); w.startMachine("edge-z1", false) },
 		} {
-			strike()
+			injectFault()
 			for range 3 {
 				for i, name := range names {
 					status, body := w.get(zones[i%3], "/v1/message/"+name)
@@ -94,7 +94,7 @@
 // The total number of attempts of a message is bounded across failovers of the primary:
 // three times max-attempts for status 500, three for status 422. The message then
 // becomes a dead letter.
-func TestAttemptsAreBoundedOverFailovers(t *testing.T) {
+func TestAttemptsAreBoundedAcrossFailovers(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2", "z3")
 		plain.respond = func(d delivery) (int, time.Duration) {
@@ -120,12 +120,12 @@
 		}
 		for id, name := range names {
 			w.waitForState(name, "dead_letter", 20*time.Second)
-			most := 3 * maxAttempts
+			limit := 3 * maxAttempts
 			if id[0] == 'r' {
-				most = 3
+				limit = 3
 			}
-			if n := plain.deliveryCount(id); n > most {
-				t.Errorf("%s: %d attempts, limit %d", id, n, most)
+			if n := plain.deliveryCount(id); n > limit {
+				t.Errorf("%s: %d attempts, limit %d", id, n, limit)
 			}
 		}
 	})
@@ -133,7 +133,7 @@
 
 // No delayed message is delivered before it is due, even if another store has become
 // its primary.
-func TestDelayHoldsOverFailovers(t *testing.T) {
+func TestDelayIsKeptAcrossFailovers(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2", "z3")
 		w.applyConfiguration(options{})
--- a/internal/cluster/overlapping_core_losses_test.go
+++ b/internal/cluster/overlapping_core_losses_test.go
@@ -19,18 +19,18 @@
 		w.waitFor(recoveryLimit, "the view without core-z3", func() bool { m, _ := w.viewSize(); return m == 2 })
 		want = append(want[:0:0], w.makeChanges(3, 100*time.Millisecond)...)
 		w.killMachine("core-z2")
-		var refused atomic.Int64
+		var dropped atomic.Int64
 		w.network.mu.Lock()
 		w.network.rewrite = func(b []byte) []byte { // drops the updates to the new member
 			if bytes.Contains(b, []byte("POST /chain/pass ")) {
-				refused.Add(1)
+				dropped.Add(1)
 				return nil
 			}
 			return b
 		}
 		w.network.mu.Unlock()
 		w.startMachine("core-z3", false)
-		w.waitFor(recoveryLimit, "updates to core-z3", func() bool { return refused.Load() > 0 })
+		w.waitFor(recoveryLimit, "updates to core-z3", func() bool { return dropped.Load() > 0 })
 		w.killMachine("core-z1")
 		w.wipeDisk("core-z1")
 		w.network.mu.Lock()
--- a/internal/cluster/pauses_test.go
+++ b/internal/cluster/pauses_test.go
@@ -33,7 +33,7 @@
 	} {
 		for seed := range uint64(quotaSeeds) {
 			t.Run(fmt.Sprintf("%s, seed %d", name, seed), func(t *testing.T) {
-				runCluster(t, func(w *world) { w.checkQuota(seed, c.pause, c.holdsWrites) })
+				runCluster(t, func(w *world) { w.verifyQuotaCausesNoFailover(seed, c.pause, c.holdsWrites) })
 			})
 		}
 	}
@@ -44,9 +44,10 @@
 // noticed late, since the data may have arrived in the meantime.
 const quotaSeeds = 4
 
-// checkQuota sends messages while all processes are paused periodically, and checks that
-// the view and the placement stay the same and that no message is delivered twice.
-func (w *world) checkQuota(seed uint64, pause time.Duration, holdsWrites bool) {
+// verifyQuotaCausesNoFailover sends messages while all processes are paused
+// periodically, and checks that the view and the placement stay the same and that no
+// message is delivered twice.
+func (w *world) verifyQuotaCausesNoFailover(seed uint64, pause time.Duration, holdsWrites bool) {
 	w.t.Helper()
 	plain := w.newService("plain", "z1", "z2", "z3")
 	w.applyConfiguration(options{})
@@ -54,7 +55,7 @@
 	time.Sleep(3 * time.Second)
 	before := w.clusterState()
 	resume := w.pauseAll(seed, pause, holdsWrites)
-	w.sendPaused(12 * time.Second)
+	w.sendMessagesDuringPauses(12 * time.Second)
 	resume()
 	if after := w.clusterState(); after != before {
 		w.t.Errorf("state before the pauses: %s, after: %s", before, after)
@@ -106,9 +107,9 @@
 	}
 }
 
-// sendPaused sends messages for the given duration. Each must be accepted at the first
-// attempt.
-func (w *world) sendPaused(duration time.Duration) {
+// sendMessagesDuringPauses sends messages for the given duration. Each must be accepted
+// at the first attempt.
+func (w *world) sendMessagesDuringPauses(duration time.Duration) {
 	w.t.Helper()
 	const interval = 50 * time.Millisecond
 	var tasks sync.WaitGroup
--- a/internal/cluster/tombstone_test.go
+++ b/internal/cluster/tombstone_test.go
@@ -19,8 +19,8 @@
 		runCluster(t, func(w *world) {
 			plain := w.newService("plain", "z1", "z2")
 			w.applyConfiguration(options{})
-			leaver := plain.instances["plain-i0"]
-			plain.drainOrDeregister(t, leaver, deregister)
+			departing := plain.instances["plain-i0"]
+			plain.drainOrDeregister(t, departing, deregister)
 			acknowledgedAt := time.Now()
 			for _, z := range zones {
 				w.killMachine("core-" + z)
@@ -29,17 +29,17 @@
 			for _, z := range zones {
 				w.startMachine("core-"+z, false)
 			}
-			w.waitFor(5*time.Second, "heartbeats are accepted again", func() bool { return plain.sendStaleHeartbeat(leaver) == 200 })
+			w.waitFor(5*time.Second, "heartbeats are accepted again", func() bool { return plain.sendStaleHeartbeat(departing) == 200 })
 			if code := plain.callCore("DELETE", "nobody-knows", ""); code != 200 {
 				t.Errorf("DELETE of an unknown instance: status %d, want 200", code)
 			}
 			plain.callCore("PUT", "nobody-knows", `{"service":"plain","address":"10.20.99.1:90","zone":"z1","slots":2,"oper-state":"ready","call-seq":7}`)
 			time.Sleep(time.Until(acknowledgedAt.Add(3 * time.Second))) // drain-ms
 			w.withTraffic(plain, func() { time.Sleep(3 * time.Second) })
-			plain.verifyNoLateDelivery(t, leaver.id, acknowledgedAt)
+			plain.verifyNoLateDelivery(t, departing.id, acknowledgedAt)
 			s, err := w.status()
 			for _, h := range s.Handlers {
-				if h.ID == "nobody-knows" || h.ID == leaver.id && h.State == "ready" {
+				if h.ID == "nobody-knows" || h.ID == departing.id && h.State == "ready" {
 					t.Errorf("deregister %v: %s is registered again: %+v, %v", deregister, h.ID, h, err)
 				}
 			}
@@ -90,9 +90,9 @@
 		w.applyConfiguration(options{})
 		// The head reaches the tail only through the chain.
 		w.setPartition([]string{"10.1.0.1"}, []string{"10.3.0.1"}, bothDirections, true)
-		leaver := plain.instances["plain-i0"]
-		leaver.cancel()
-		a, err := w.request("10.1.0.1:82", &httpwire.Call{Method: "DELETE", Target: "/v1/instances/" + leaver.id, Host: "10.1.0.1:82"}, time.Second)
+		departing := plain.instances["plain-i0"]
+		departing.cancel()
+		a, err := w.request("10.1.0.1:82", &httpwire.Call{Method: "DELETE", Target: "/v1/instances/" + departing.id, Host: "10.1.0.1:82"}, time.Second)
 		if err != nil || a.Status != 200 {
 			t.Fatalf("DELETE: %+v, %v", a, err)
 		}
@@ -104,11 +104,11 @@
 			return err == nil && len(s.View.Voters) == 3 && strings.Contains(fmt.Sprint(s.View.Voters), "10.1.0.9")
 		})
 		w.killMachine("core-z2")
-		w.waitFor(10*time.Second, "heartbeats are accepted again", func() bool { return plain.sendStaleHeartbeat(leaver) == 200 })
+		w.waitFor(10*time.Second, "heartbeats are accepted again", func() bool { return plain.sendStaleHeartbeat(departing) == 200 })
 		time.Sleep(2 * time.Second)
 		s, err := w.status()
 		for _, h := range s.Handlers {
-			if h.ID == leaver.id {
+			if h.ID == departing.id {
 				t.Errorf("%s is registered again: %+v, %v", h.ID, h, err)
 			}
 		}
--- a/internal/cluster/zone_loss_test.go
+++ b/internal/cluster/zone_loss_test.go
@@ -21,13 +21,13 @@
 // A zone fails and recovers while the cores have little CPU capacity. The recovering
 // core loads the state of the others with a bounded number of calls and rejoins, and
 // retries do not overload the other cores.
-func TestReturnOfAZoneMakesNoStormAtTheCores(t *testing.T) {
+func TestZoneRecoveryCausesNoRequestStorm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		size := clusterSize{machines: 30, handlers: 400}
 		w := newWorld(t, t.TempDir(), 1, "10.1.0.1", "10.2.0.1", "10.3.0.1")
 		w.extraSettings = "fault-tolerance.zones=1\nfault-tolerance.region-failures=1\n"
-		defer w.stopMeasured()
-		roleOf := w.startMeasured(size)
+		defer w.stopSizedCluster()
+		roleOf := w.startSizedCluster(size)
 		w.waitFor(20*time.Second, "the first placement", func() bool {
 			s, err := w.status()
 			return err == nil && len(s.Placement.Stores) == size.stores() && len(s.View.Members) == measuredCores
@@ -41,7 +41,7 @@
 			}
 		}
 		const settleTime = 5 * time.Second // for the cores to return to normal load
-		calm := w.callsBetweenCores(roleOf, settleTime)
+		baseline := w.callsBetweenCores(roleOf, settleTime)
 		lost := w.machinesOf("z3")
 		for _, name := range lost {
 			w.processOf(name).kill()
@@ -55,8 +55,8 @@
 		}
 		time.Sleep(settleTime)
 		after := w.callsBetweenCores(roleOf, settleTime)
-		if after > calm*3/2 {
-			t.Errorf("calls between cores in %v: %d before the zone failure, %d after recovery, limit 1.5 times", settleTime, calm, after)
+		if after > baseline*3/2 {
+			t.Errorf("calls between cores in %v: %d before the zone failure, %d after recovery, limit 1.5 times", settleTime, baseline, after)
 		}
 		if members, _ := w.viewSize(); members != measuredCores {
 			t.Errorf("the view has %d members, want %d", members, measuredCores)
@@ -88,7 +88,7 @@
 	var mu sync.Mutex
 	calls := 0
 	w.network.setObserver(func(c *conn, b []byte) {
-		if _, asked := requestKind(c, b); asked && roleOf[c.owner.ip] == "core" && roleOf[c.peer.ip] == "core" {
+		if _, isRequest := requestKind(c, b); isRequest && roleOf[c.owner.ip] == "core" && roleOf[c.peer.ip] == "core" {
 			mu.Lock()
 			defer mu.Unlock()
 			calls++
