--- a/internal/cluster/control_traffic_test.go
+++ b/internal/cluster/control_traffic_test.go
@@ -18,7 +18,7 @@
 	"saltreel/internal/httpwire"
 )
 
-var measureAllSizes = flag.Bool("scale", false, "count calls and bytes of clusters of several sizes, and print them")
+var measureAllSizes = flag.Bool("scale", false, "also measure the traffic of larger clusters; print it with -v")
 
 // controlBudget is the limit for the control traffic of a node in docs/CAPACITY.md, in
 // bytes per second.
@@ -304,7 +304,7 @@
 		}
 		perSecond := func(n int) float64 { return float64(n) / duration.Seconds() }
 		roles, spent := measureTraffic(t, s, duration)
-		t.Logf("%+v: %.2f ms of processor time a second, all together", s, perSecond(int(spent.Microseconds()))/1000)
+		t.Logf("%+v: %.2f ms of CPU time per second in total", s, perSecond(int(spent.Microseconds()))/1000)
 		for role, r := range roles {
 			if got := perSecond(totalBytes(r.busiest, false)); role != "core" && got > controlBudget {
 				t.Errorf("%+v: control traffic of the busiest %s is %.0f B/s, the budget is %d", s, role, got, controlBudget)
--- a/internal/cluster/crash_faults_test.go
+++ b/internal/cluster/crash_faults_test.go
@@ -37,8 +37,8 @@
 // downTime is the time from the crash to the restart of the machines.
 const downTime = 1400 * time.Millisecond
 
-// injectCrash crashes the target machine, and all others if the fault says so, and restarts
-// them after downTime.
+// injectCrash crashes the target machine, and all others if the fault kills them, and
+// restarts them after downTime.
 func (w *world) injectCrash(f crashFault, target string) {
 	w.t.Helper()
 	names := []string{target}
