--- a/internal/cluster/operator_test.go
+++ b/internal/cluster/operator_test.go
@@ -83,7 +83,8 @@
 		revision, strings.Join(routes, ","), o.pacedRate, o.apiKeys, o.rate, o.burst, other)
 }
 
-// applyConfiguration writes a configuration and waits until all edges apply it.
+// applyConfiguration writes a configuration. It waits until all edges are ready after
+// the first one, and 500 ms for the edges to apply a later one.
 func (w *world) applyConfiguration(o options) {
 	w.t.Helper()
 	old := w.revision
