--- a/tools/planneddays/main.go
+++ b/tools/planneddays/main.go
@@ -1,6 +1,7 @@
-// Command planneddays writes days for the bench: planned work of two kinds that
-// overlaps, at any time from the start of the traffic to its end, for every pair of
-// kinds; with -fault one fault beside it. README.md says how to play them.
+// Command planneddays generates days for the bench. Each day overlaps two kinds of
+// planned work at random times during the traffic; there is one day for every pair
+// of kinds. With -fault, each day also has one fault close to the planned work.
+// README.md describes how to run them.
 package main
 
 import (
@@ -17,14 +18,14 @@
 const (
 	minStart       = 0.2
 	maxStart       = 30.0
-	pairsPerDay    = 2   // overlaps of one pair of kinds on one day
-	maxPairOffset  = 3.0 // between the beginnings of the two
-	maxFaultOffset = 4.0 // between a pair and the fault beside it
+	pairsPerDay    = 2   // occurrences of the pair on one day
+	maxPairOffset  = 3.0 // between the starts of the two entries of a pair
+	maxFaultOffset = 4.0 // between a pair and its fault
 )
 
-// entry is one line of a day's plan or faults, but for its time.
+// entry is a line of the plan or the faults of a day, without its time.
 type entry struct {
-	name string // for the name of the day
+	name string // part of the name of the day
 	line func(r *rand.Rand) string
 }
 
@@ -37,7 +38,7 @@
 
 func choose(r *rand.Rand, from ...string) string { return from[r.IntN(len(from))] }
 
-// roll stops and starts the machines of a class in turn.
+// roll is a rolling restart of the machines of a class.
 func roll(class string) entry {
 	return entry{"roll-" + class, func(r *rand.Rand) string {
 		how := choose(r, "", "busy")
@@ -45,7 +46,7 @@
 	}}
 }
 
-// plannedWork are the kinds of planned work.
+// plannedWork lists the kinds of planned work.
 var plannedWork = []entry{
 	roll("front"),
 	roll("store"),
@@ -67,7 +68,7 @@
 	fixedEntry("hup", `kind = "hup", share = 1.0, gap_s = 2.0`),
 }
 
-// faults are what may come beside planned work.
+// faults lists the faults that -fault chooses from.
 var faults = []entry{
 	fixedEntry("kill-store", `kind = "node_kill", on = "store", count = 1, for_s = 2.0, how = ""`),
 	fixedEntry("power-store", `kind = "node_kill", on = "store", count = 1, for_s = 2.0, how = "power"`),
@@ -108,7 +109,7 @@
 	return fmt.Sprintf("  { at = %.2f, %s },\n", min(max(seconds, minStart), maxStart), e.line(r))
 }
 
-// newDay makes a day on which two kinds of planned work overlap.
+// newDay generates a day on which two kinds of planned work overlap.
 func newDay(r *rand.Rand, a, b entry, withFault bool) day {
 	d := day{name: a.name + "-and-" + b.name}
 	for range pairsPerDay {
@@ -123,7 +124,8 @@
 	return d
 }
 
-// writeDays writes a day for each pair of kinds, and returns how many.
+// writeDays writes a day for each pair of kinds and returns the number of files
+// written.
 func writeDays(dir string, seed int, withFault bool) (int, error) {
 	r := rand.New(rand.NewPCG(uint64(seed), uint64(len(plannedWork))))
 	n := 0
@@ -142,8 +144,8 @@
 
 func main() {
 	log.SetFlags(0)
-	seed := flag.Int("seed", 1, "what the times and parameters are drawn from")
-	dir := flag.String("dir", "", "the folder to write the days to; it must exist")
+	seed := flag.Int("seed", 1, "seed of the random times and parameters")
+	dir := flag.String("dir", "", "existing directory to write the days to")
 	withFault := flag.Bool("fault", false, "add one fault to each day")
 	flag.Parse()
 	if *dir == "" || flag.NArg() > 0 {
@@ -152,7 +154,7 @@
 	}
 	n, err := writeDays(*dir, *seed, *withFault)
 	if err != nil {
-		log.Fatalf("after %d days: %v", n, err)
+		log.Fatalf("failed after %d days: %v", n, err)
 	}
-	fmt.Printf("%d days are in %s\n", n, *dir)
+	fmt.Printf("wrote %d days to %s\n", n, *dir)
 }
