--- a/internal/cluster/large_backlog_test.go
+++ b/internal/cluster/large_backlog_test.go
@@ -20,7 +20,7 @@
 		reader := w.newLiveClient(here, "reader", "z2", "live.a")
 		stayed := w.newLiveClient(ctx, "stayed", "z2", "live.a")
 		writer := w.newLiveClient(ctx, "writer", "z1")
-		w.waitFor(10*time.Second, "the subscriptions", func() bool { return reader.ready() && stayed.ready() })
+		w.waitFor(10*time.Second, "the subscriptions", func() bool { return reader.allSubscribed() && stayed.allSubscribed() })
 		before := reader.snapshot("live.a")
 		left()
 		time.Sleep(time.Second)
@@ -34,7 +34,7 @@
 		}
 		back := w.newLiveClient(ctx, "reader", "z3", "live.a")
 		back.mu.Lock()
-		*back.subscriptions["live.a"] = liveSubscription{since: before.since, cursor: before.cursor}
+		*back.subscriptions["live.a"] = liveSubscription{firstSubscribed: before.firstSubscribed, cursor: before.cursor}
 		back.mu.Unlock()
 		for range 20 {
 			writer.publishBody("live.a", size)
@@ -55,5 +55,5 @@
 func (c *liveClient) publishBody(topic string, size int) {
 	m := c.newMessage(topic)
 	m.body += fmt.Sprintf("%*s", size-len(m.body), "")
-	c.publishNumber(m, time.Now().Add(8*time.Second))
+	c.publishUntilConclusive(m, time.Now().Add(8*time.Second))
 }
--- a/internal/cluster/live_checks_test.go
+++ b/internal/cluster/live_checks_test.go
@@ -14,8 +14,8 @@
 	number    int64
 }
 
-// checkLive checks all rules of topics on the histories of clients.
-func checkLive(clients []*liveClient) (problems []string) {
+// checkTopicHistories checks all rules of topics on the histories of clients.
+func checkTopicHistories(clients []*liveClient) (problems []string) {
 	sent := map[messageKey]*liveMessage{}
 	for _, c := range clients {
 		c.mu.Lock()
@@ -30,7 +30,7 @@
 		for topic := range c.subscriptions {
 			s := c.snapshot(topic)
 			problems = append(problems, checkDeliveries(c.name, topic, s.deliveries, sent)...)
-			problems = append(problems, checkOwed(c.name, topic, &s, sent)...)
+			problems = append(problems, checkMissingDeliveries(c.name, topic, &s, sent)...)
 			var order []messageKey
 			for _, d := range s.deliveries {
 				order = append(order, messageKey{d.publisher, d.number})
@@ -39,7 +39,7 @@
 		}
 	}
 	for topic, all := range orders {
-		problems = append(problems, checkOneOrder(topic, all)...)
+		problems = append(problems, checkTotalOrder(topic, all)...)
 	}
 	return problems
 }
@@ -63,15 +63,15 @@
 	return problems
 }
 
-// checkOwed checks that a subscriber got all that was sent after its first OK and
+// checkMissingDeliveries checks that a subscriber got all that was sent after its first OK and
 // acknowledged.
-func checkOwed(client, topic string, s *liveSubscription, sent map[messageKey]*liveMessage) (problems []string) {
+func checkMissingDeliveries(client, topic string, s *liveSubscription, sent map[messageKey]*liveMessage) (problems []string) {
 	got := map[messageKey]bool{}
 	for _, d := range s.deliveries {
 		got[messageKey{d.publisher, d.number}] = true
 	}
 	for key, m := range sent {
-		if m.topic != topic || m.acknowledged.IsZero() || s.since.IsZero() || !m.firstSent.After(s.since) {
+		if m.topic != topic || m.acknowledged.IsZero() || s.firstSubscribed.IsZero() || !m.firstSent.After(s.firstSubscribed) {
 			continue
 		}
 		if !s.ended.IsZero() && m.acknowledged.After(s.ended) || got[key] {
@@ -82,9 +82,9 @@
 	return problems
 }
 
-// checkOneOrder checks that all subscribers of a topic got what they have in common
+// checkTotalOrder checks that all subscribers of a topic got what they have in common
 // in one order.
-func checkOneOrder(topic string, orders [][]messageKey) (problems []string) {
+func checkTotalOrder(topic string, orders [][]messageKey) (problems []string) {
 	for i, order := range orders {
 		for _, other := range orders[:i] {
 			place := map[messageKey]int{}
@@ -111,7 +111,7 @@
 // what is missing is lost, and returns what is wrong.
 func (w *world) waitForDeliveries(clients []*liveClient, limit time.Duration) []string {
 	for end := time.Now().Add(limit); ; time.Sleep(100 * time.Millisecond) {
-		problems := checkLive(clients)
+		problems := checkTopicHistories(clients)
 		if len(problems) == 0 || time.Now().After(end) {
 			return problems
 		}
--- a/internal/cluster/live_clients_test.go
+++ b/internal/cluster/live_clients_test.go
@@ -32,11 +32,11 @@
 
 // liveSubscription is what a client got of a topic since its first OK.
 type liveSubscription struct {
-	since      time.Time // of the first OK; zero before
-	joined     time.Time // of the last OK
-	ended      time.Time // when the client was told that it is subscribed no more
-	cursor     string
-	deliveries []liveDelivery
+	firstSubscribed time.Time // of the first OK; zero before
+	lastSubscribed  time.Time // of the last OK
+	ended           time.Time // when the client was told that it is subscribed no more
+	cursor          string
+	deliveries      []liveDelivery
 }
 
 // liveClient is a realtime client that comes back when it loses its connection.
@@ -74,7 +74,7 @@
 	return c
 }
 
-func (c *liveClient) problem(format string, args ...any) {
+func (c *liveClient) reportProblem(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.problems = append(c.problems, c.name+": "+fmt.Sprintf(format, args...))
@@ -93,7 +93,7 @@
 		conn, err := c.process.dial(dialing, address)
 		cancel()
 		if err != nil {
-			c.goElsewhere(address)
+			c.switchGateway(address)
 			continue
 		}
 		stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
@@ -103,8 +103,8 @@
 	}
 }
 
-// goElsewhere has the client try the gateway of the next zone.
-func (c *liveClient) goElsewhere(from string) {
+// switchGateway has the client try the gateway of the next zone.
+func (c *liveClient) switchGateway(from string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.address != from {
@@ -125,7 +125,7 @@
 	reader := bufio.NewReader(conn)
 	line := c.exchange(conn, reader, "HELLO "+c.name+" "+c.secret+"\r\n")
 	if line != "OK HELLO" {
-		c.goElsewhere(address)
+		c.switchGateway(address)
 		return
 	}
 	c.mu.Lock()
@@ -196,15 +196,15 @@
 	switch {
 	case fields[0] == "PONG" || fields[0] == "OK" && fields[1] == "UNSUB":
 	case fields[0] == "OK" && fields[1] == "SUBSCRIBE" && len(fields) == 4:
-		c.subscribed(fields[2], fields[3])
+		c.handleSubscribed(fields[2], fields[3])
 	case fields[0] == "DELIVER" && len(fields) == 6:
-		return c.delivered(reader, fields)
+		return c.handleDelivery(reader, fields)
 	case fields[0] == "ACK" && len(fields) == 3:
-		c.answered(fields[2], "ACK")
+		c.handlePublishResponse(fields[2], "ACK")
 	case fields[0] == "COUNT" && len(fields) == 3:
-		c.counted(fields[1], fields[2])
+		c.handleCount(fields[1], fields[2])
 	case fields[0] == "REJECT" && len(fields) == 5:
-		c.rejected(fields)
+		c.handleReject(fields)
 	case fields[0] == "REDIRECT" && len(fields) == 2:
 		c.mu.Lock()
 		c.address = fields[1]
@@ -212,12 +212,12 @@
 		c.mu.Unlock()
 		return false
 	default:
-		c.problem("cannot read %q", line)
+		c.reportProblem("cannot read %q", line)
 	}
 	return true
 }
 
-func (c *liveClient) subscribed(topic, cursor string) {
+func (c *liveClient) handleSubscribed(topic, cursor string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.subscriptions[topic]
@@ -225,14 +225,14 @@
 		c.problems = append(c.problems, c.name+": an OK for "+topic)
 		return
 	}
-	if s.since.IsZero() {
-		s.since = time.Now()
+	if s.firstSubscribed.IsZero() {
+		s.firstSubscribed = time.Now()
 	}
-	s.joined = time.Now()
+	s.lastSubscribed = time.Now()
 	s.cursor = cursor
 }
 
-func (c *liveClient) delivered(reader *bufio.Reader, fields []string) bool {
+func (c *liveClient) handleDelivery(reader *bufio.Reader, fields []string) bool {
 	number, _ := strconv.ParseInt(fields[4], 10, 64)
 	size, _ := strconv.Atoi(fields[5])
 	body := make([]byte, size+2)
@@ -242,7 +242,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.subscriptions[fields[1]]
-	if s == nil || s.since.IsZero() || !s.ended.IsZero() {
+	if s == nil || s.firstSubscribed.IsZero() || !s.ended.IsZero() {
 		c.problems = append(c.problems, fmt.Sprintf("%s: %q without a subscription", c.name, fields))
 		return true
 	}
@@ -251,10 +251,10 @@
 	return true
 }
 
-func (c *liveClient) rejected(fields []string) {
+func (c *liveClient) handleReject(fields []string) {
 	switch fields[1] {
 	case "PUBLISH":
-		c.answered(fields[3], fields[4])
+		c.handlePublishResponse(fields[3], fields[4])
 	case "SUBSCRIBE":
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -265,11 +265,11 @@
 		}
 		c.problems = append(c.problems, fmt.Sprintf("%s: %q with cursor %q", c.name, fields, s.cursor))
 	case "SUBCOUNT":
-		c.counted(fields[2], "-1")
+		c.handleCount(fields[2], "-1")
 	}
 }
 
-func (c *liveClient) answered(number, answer string) {
+func (c *liveClient) handlePublishResponse(number, answer string) {
 	n, _ := strconv.ParseInt(number, 10, 64)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -279,7 +279,7 @@
 	}
 }
 
-func (c *liveClient) counted(topic, count string) {
+func (c *liveClient) handleCount(topic, count string) {
 	n, _ := strconv.Atoi(count)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -296,7 +296,7 @@
 	deadline := time.Now().Add(8 * time.Second)
 	for time.Now().Before(deadline) {
 		m := c.newMessage(topic)
-		if answer := c.publishNumber(m, deadline); answer != "RETRY" {
+		if answer := c.publishUntilConclusive(m, deadline); answer != "RETRY" {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -315,11 +315,11 @@
 	return m
 }
 
-// publishNumber sends one message until the answer is conclusive. It returns the
+// publishUntilConclusive sends one message until the answer is conclusive. It returns the
 // last answer.
-func (c *liveClient) publishNumber(m *liveMessage, deadline time.Time) string {
+func (c *liveClient) publishUntilConclusive(m *liveMessage, deadline time.Time) string {
 	for {
-		answer := c.tryPublish(m)
+		answer := c.publishOnce(m)
 		c.mu.Lock()
 		if answer == "ACK" {
 			m.acknowledged = time.Now()
@@ -333,8 +333,8 @@
 	}
 }
 
-// tryPublish sends a message once and returns the answer; empty without one.
-func (c *liveClient) tryPublish(m *liveMessage) string {
+// publishOnce sends a message once and returns the answer; empty without one.
+func (c *liveClient) publishOnce(m *liveMessage) string {
 	answer := make(chan string, 1)
 	c.mu.Lock()
 	c.answers[m.number] = answer
@@ -367,12 +367,12 @@
 	}
 }
 
-// ready reports whether all subscriptions were answered once.
-func (c *liveClient) ready() bool {
+// allSubscribed reports whether all subscriptions were answered once.
+func (c *liveClient) allSubscribed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.subscriptions {
-		if s.since.IsZero() {
+		if s.firstSubscribed.IsZero() {
 			return false
 		}
 	}
--- a/internal/cluster/live_recovery_test.go
+++ b/internal/cluster/live_recovery_test.go
@@ -14,9 +14,9 @@
 
 var recoverySeeds = flag.Int("live.seeds", 3, "how many seeds the times of recovery of topics are measured with")
 
-// recoveryBound is what either recovery may take: an eighth of contact-ms in the tests'
+// maxRecoveryTime is what either recovery may take: an eighth of contact-ms in the tests'
 // settings. With 20 seeds both take less than half of that (docs/live.md).
-const recoveryBound = 500 * time.Millisecond
+const maxRecoveryTime = 500 * time.Millisecond
 
 // measureRecovery runs a measurement once for each seed, on a cluster of its own, and
 // logs the median and the worst.
@@ -31,23 +31,23 @@
 	}
 	slices.Sort(took)
 	t.Logf("%d seeds: median %v, worst %v", len(took), took[len(took)/2], took[len(took)-1])
-	if worst := took[len(took)-1]; worst > recoveryBound {
+	if worst := took[len(took)-1]; worst > maxRecoveryTime {
 		t.Errorf("recovered after %v", worst)
 	}
 }
 
 // From the last acknowledgement on topics of a broker that is killed to the first of
 // its successors.
-func TestFailoverOfABrokerIsShort(t *testing.T) {
+func TestBrokerFailoverTimeIsBounded(t *testing.T) {
 	measureRecovery(t, func(w *world, rng *rand.Rand) time.Duration {
 		ctx, cancel := context.WithCancel(w.t.Context())
 		defer cancel()
-		topics := w.topicsLedBy("broker-z1", 4)
+		topics := w.topicsWithPrimary("broker-z1", 4)
 		var clients []*liveClient
 		for i, name := range topics {
 			c := w.newLiveClient(ctx, fmt.Sprint("publisher-", i), "z2", name)
 			clients = append(clients, c)
-			w.waitFor(10*time.Second, "the subscription", c.ready)
+			w.waitFor(10*time.Second, "the subscription", c.allSubscribed)
 			w.goroutines.Go(func() {
 				for ctx.Err() == nil {
 					c.publish(name)
@@ -67,8 +67,8 @@
 	})
 }
 
-// topicsLedBy names topics whose partitions a broker is primary of.
-func (w *world) topicsLedBy(broker string, n int) (topics []string) {
+// topicsWithPrimary names topics whose partitions a broker is primary of.
+func (w *world) topicsWithPrimary(broker string, n int) (topics []string) {
 	w.t.Helper()
 	status, err := w.status()
 	if err != nil {
@@ -108,7 +108,7 @@
 
 // From the reset of all connections to the last subscription that is taken up again.
 // Clients come back after 0.1 s.
-func TestRejoiningAfterAResetIsShort(t *testing.T) {
+func TestResubscriptionTimeAfterResetIsBounded(t *testing.T) {
 	measureRecovery(t, func(w *world, rng *rand.Rand) time.Duration {
 		ctx, cancel := context.WithCancel(w.t.Context())
 		defer cancel()
@@ -117,29 +117,29 @@
 			topics := []string{fmt.Sprint("live.all-", i%3), fmt.Sprint("live.one-", i), fmt.Sprint("live.few-", rng.IntN(20))}
 			clients = append(clients, w.newLiveClient(ctx, fmt.Sprint("client-", i), zones[i%len(zones)], topics...))
 		}
-		joinedSince := func(at time.Time) func() bool {
+		allSubscribedAfter := func(at time.Time) func() bool {
 			return func() bool {
-				return !slices.ContainsFunc(clients, func(c *liveClient) bool { return !c.joinedSince(at) })
+				return !slices.ContainsFunc(clients, func(c *liveClient) bool { return !c.subscribedAfter(at) })
 			}
 		}
-		w.waitFor(10*time.Second, "all subscriptions", joinedSince(time.Time{}))
+		w.waitFor(10*time.Second, "all subscriptions", allSubscribedAfter(time.Time{}))
 		time.Sleep(time.Duration(rng.Int64N(int64(time.Second))))
 		reset := time.Now()
 		for _, z := range zones {
 			w.network.reset(clientIP, w.machines["gateway-"+z].ip)
 		}
-		w.waitFor(10*time.Second, "all subscriptions again", joinedSince(reset))
+		w.waitFor(10*time.Second, "all subscriptions again", allSubscribedAfter(reset))
 		return time.Since(reset)
 	})
 }
 
-// joinedSince reports whether all subscriptions of a client were taken up after a
+// subscribedAfter reports whether all subscriptions of a client were taken up after a
 // moment.
-func (c *liveClient) joinedSince(at time.Time) bool {
+func (c *liveClient) subscribedAfter(at time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.subscriptions {
-		if !s.joined.After(at) {
+		if !s.lastSubscribed.After(at) {
 			return false
 		}
 	}
--- a/internal/cluster/live_rules_test.go
+++ b/internal/cluster/live_rules_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestGatewayAnswersAsClientsExpect(t *testing.T) {
+func TestGatewayProtocolResponses(t *testing.T) {
 	runLive(t, func(w *world) {
 		hello := "HELLO u1 key-one\r\n"
 		long := strings.Repeat("x", linewire.MaxBodyBytes+1)
@@ -132,7 +132,7 @@
 
 // A cursor is good at any gateway for any client, as long as nothing behind it was
 // deleted.
-func TestCursorsOfOthersAndOldOnes(t *testing.T) {
+func TestCursorIsValidAtAnyGatewayUntilExpired(t *testing.T) {
 	runLive(t, func(w *world) {
 		publish := func(number int64, body string) {
 			client := &realtime.Client{Dial: w.clientProcess.dial, Address: w.machines["gateway-z1"].ip + ":80", Name: "p", Key: "key-one"}
@@ -180,7 +180,7 @@
 // Where all messages of a topic are gone, a cursor from before the last of them is
 // expired, and that of the last one is not: also after the loss of power of all
 // brokers.
-func TestCursorsOfATopicWithoutMessagesOutliveAllBrokers(t *testing.T) {
+func TestCursorsOfEmptyTopicSurviveLossOfAllBrokers(t *testing.T) {
 	runLive(t, func(w *world) {
 		client := &realtime.Client{Dial: w.clientProcess.dial, Address: w.machines["gateway-z1"].ip + ":80", Name: "p", Key: "key-one"}
 		c := w.dialGateway("z2")
@@ -226,7 +226,7 @@
 		ctx, cancel := context.WithCancel(w.t.Context())
 		defer cancel()
 		quick := w.newLiveClient(ctx, "quick", "z1", "live.a")
-		w.waitFor(5*time.Second, "the subscription", quick.ready)
+		w.waitFor(5*time.Second, "the subscription", quick.allSubscribed)
 		body := strings.Repeat("x", 16000)
 		publisher := &realtime.Client{Dial: w.clientProcess.dial, Address: w.machines["gateway-z2"].ip + ":80", Name: "p", Key: "key-one"}
 		for n := range int64(40) {
@@ -240,7 +240,7 @@
 }
 
 // A gateway that is to stop sends its clients to the others, and they miss nothing.
-func TestDrainedGatewaySendsItsClientsElsewhere(t *testing.T) {
+func TestDrainingGatewayRedirectsItsClients(t *testing.T) {
 	runLive(t, func(w *world) {
 		w.addMachine("gateway2-z1", "gateway", "z1", "10.1.0.9", false)
 		time.Sleep(3 * time.Second)
--- a/internal/cluster/live_test.go
+++ b/internal/cluster/live_test.go
@@ -46,12 +46,12 @@
 // liveTraffic is clients that subscribe to all of a few topics and publish on them
 // until stopped.
 type liveTraffic struct {
-	w       *world
-	topics  []string
-	clients []*liveClient
-	stop    context.CancelFunc // of the publishing
-	end     context.CancelFunc // of the clients
-	work    sync.WaitGroup
+	w              *world
+	topics         []string
+	clients        []*liveClient
+	stopPublishing context.CancelFunc // of the publishing
+	disconnect     context.CancelFunc // of the clients
+	publishers     sync.WaitGroup
 }
 
 // startLiveTraffic starts clients at each gateway, one publication of each in an
@@ -60,7 +60,7 @@
 	w.t.Helper()
 	connected, end := context.WithCancel(context.Background())
 	publishing, stop := context.WithCancel(connected)
-	traffic := &liveTraffic{w: w, topics: []string{"live.a", "live.b", "live.c", "live.d"}, stop: stop, end: end}
+	traffic := &liveTraffic{w: w, topics: []string{"live.a", "live.b", "live.c", "live.d"}, stopPublishing: stop, disconnect: end}
 	for _, z := range zones {
 		for i := range clientsPerZone {
 			c := w.newLiveClient(connected, fmt.Sprintf("%s-%d", z, i), z, traffic.topics...)
@@ -69,14 +69,14 @@
 	}
 	w.waitFor(10*time.Second, "all subscriptions", func() bool {
 		for _, c := range traffic.clients {
-			if !c.ready() {
+			if !c.allSubscribed() {
 				return false
 			}
 		}
 		return true
 	})
 	for i, c := range traffic.clients {
-		traffic.work.Go(func() {
+		traffic.publishers.Go(func() {
 			for n := i; publishing.Err() == nil; n++ {
 				c.publish(traffic.topics[n%len(traffic.topics)])
 				time.Sleep(every)
@@ -89,10 +89,10 @@
 // finish stops the publishing and returns what is wrong when the deliveries have
 // ended.
 func (l *liveTraffic) finish() []string {
-	l.stop()
-	l.work.Wait()
+	l.stopPublishing()
+	l.publishers.Wait()
 	problems := l.w.waitForDeliveries(l.clients, 8*time.Second)
-	l.end()
+	l.disconnect()
 	return problems
 }
 
@@ -112,7 +112,7 @@
 }
 
 // verify fails the test if a rule was broken, or hardly anything was published.
-func (l *liveTraffic) verify(t *testing.T, least int) {
+func (l *liveTraffic) verify(t *testing.T, minimum int) {
 	t.Helper()
 	for i, problem := range l.finish() {
 		if i == 10 {
@@ -120,8 +120,8 @@
 		}
 		t.Error(problem)
 	}
-	if n := l.acknowledged(); n < least {
-		t.Errorf("%d messages were acknowledged, not %d", n, least)
+	if n := l.acknowledged(); n < minimum {
+		t.Errorf("%d messages were acknowledged, not %d", n, minimum)
 	}
 }
 
@@ -138,8 +138,8 @@
 
 // Each fault strikes in the middle of traffic and is over some seconds before its
 // end.
-func TestTopicsOutliveFaults(t *testing.T) {
-	for name, strike := range map[string]func(w *world){
+func TestTopicsSurviveFaults(t *testing.T) {
+	for name, injectFault := range map[string]func(w *world){
 		"a broker crashes and comes back": func(w *world) {
 			w.killMachine("broker-z1")
 			time.Sleep(3 * time.Second)
@@ -212,7 +212,7 @@
 			runLive(t, func(w *world) {
 				traffic := w.startLiveTraffic(2, 50*time.Millisecond)
 				time.Sleep(2 * time.Second)
-				strike(w)
+				injectFault(w)
 				time.Sleep(4 * time.Second)
 				traffic.verify(t, 200)
 			})
--- a/internal/cluster/overlapping_losses_test.go
+++ b/internal/cluster/overlapping_losses_test.go
@@ -11,14 +11,14 @@
 	"saltreel/internal/topic"
 )
 
-// overlapLosses kills the first store, and has the second lose its disk while it is the
+// causeOverlappingLosses kills the first store, and has the second lose its disk while it is the
 // only one with a complete replica of some partitions. Both come back, the first with its
 // disk. It returns how many partitions that struck.
-func (w *world) overlapLosses(first, second string) int {
+func (w *world) causeOverlappingLosses(first, second string) int {
 	w.t.Helper()
 	w.killMachine(first)
-	struck := 0
-	for deadline := time.Now().Add(5 * time.Second); struck == 0; time.Sleep(time.Millisecond) {
+	affected := 0
+	for deadline := time.Now().Add(5 * time.Second); affected == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			w.t.Fatal("the replicas were in sync before the second loss")
 		}
@@ -27,8 +27,8 @@
 			continue
 		}
 		for _, p := range status.Placement.Partitions {
-			if isOnlyComplete(p, second) {
-				struck++
+			if isSoleSyncedReplica(p, second) {
+				affected++
 			}
 		}
 	}
@@ -38,11 +38,11 @@
 	w.startMachine(second, false)
 	time.Sleep(800 * time.Millisecond)
 	w.startMachine(first, false)
-	return struck
+	return affected
 }
 
-// isOnlyComplete reports whether a store leads a partition none of whose backups is in sync.
-func isOnlyComplete(p placement.Partition, store string) bool {
+// isSoleSyncedReplica reports whether a store leads a partition none of whose backups is in sync.
+func isSoleSyncedReplica(p placement.Partition, store string) bool {
 	for _, backup := range p.Backups {
 		if backup.InSync {
 			return false
@@ -68,7 +68,7 @@
 		w.quickLinks()
 		stop := make(chan struct{})
 		collect := w.streamMessages("/plain/", 20*time.Millisecond, stop) // accepted on the replicas that are left, too
-		struck := w.overlapLosses("store-z1", "store-z2")
+		affected := w.causeOverlappingLosses("store-z1", "store-z2")
 		if took := time.Since(began); took > 50*time.Second {
 			t.Fatalf("some messages are due before the losses are over, after %v", took)
 		}
@@ -77,7 +77,7 @@
 		for id, name := range collect() {
 			names[id] = name
 		}
-		t.Logf("%d messages, %d partitions struck", len(names), struck)
+		t.Logf("%d messages, %d partitions struck", len(names), affected)
 		w.waitFor(12*time.Second, "all partitions in sync again", w.allInSync)
 		for id, name := range names {
 			w.waitForState(name, "complete seal-"+id, 70*time.Second)
@@ -105,18 +105,18 @@
 			t.Fatal(err)
 		}
 		partitions := status.Placement.Partitions
-		followed := partitions[topic.PartitionOf(traffic.topics[0], len(partitions))]
-		struck := w.overlapLosses(followed.Primary, followed.Backups[0].Store)
+		placed := partitions[topic.PartitionOf(traffic.topics[0], len(partitions))]
+		affected := w.causeOverlappingLosses(placed.Primary, placed.Backups[0].Store)
 		time.Sleep(12 * time.Second)
 		connected, end := context.WithCancel(context.Background())
 		defer end()
 		returned := w.newLiveClient(connected, "returned", "z3", traffic.topics[0])
 		returned.mu.Lock()
-		*returned.subscriptions[traffic.topics[0]] = liveSubscription{since: leftAt, cursor: left.cursor}
+		*returned.subscriptions[traffic.topics[0]] = liveSubscription{firstSubscribed: leftAt, cursor: left.cursor}
 		returned.mu.Unlock()
 		traffic.clients = append(traffic.clients, returned)
-		w.waitFor(10*time.Second, "the subscription of the one that was away", returned.ready)
-		t.Logf("%d messages acknowledged, %d partitions struck", traffic.acknowledged(), struck)
+		w.waitFor(10*time.Second, "the subscription of the one that was away", returned.allSubscribed)
+		t.Logf("%d messages acknowledged, %d partitions struck", traffic.acknowledged(), affected)
 		for _, problem := range traffic.finish() {
 			t.Error(problem)
 		}
--- a/internal/cluster/response_mismatch_test.go
+++ b/internal/cluster/response_mismatch_test.go
@@ -20,7 +20,7 @@
 		w.applyConfiguration(options{})
 		var mu sync.Mutex
 		rng := rand.New(rand.NewPCG(5, 13))
-		var old [][]byte // earlier responses
+		var earlier [][]byte // earlier responses
 		injected := map[string]int{}
 		rate := 60
 		w.network.mu.Lock()
@@ -32,11 +32,11 @@
 			defer mu.Unlock()
 			b = bytes.Clone(b)
 			other := b
-			if len(old) > 0 {
-				other = old[rng.IntN(len(old))]
+			if len(earlier) > 0 {
+				other = earlier[rng.IntN(len(earlier))]
 			}
-			if old = append(old, b); len(old) > 64 {
-				old = old[1:]
+			if earlier = append(earlier, b); len(earlier) > 64 {
+				earlier = earlier[1:]
 			}
 			switch rng.IntN(rate) {
 			case 0:
--- a/internal/cluster/returning_store_test.go
+++ b/internal/cluster/returning_store_test.go
@@ -14,7 +14,7 @@
 // A store that was away for longer than outcomes are retained returns with messages
 // that are pending on its disk, and that the others have delivered and forgotten.
 // None of them runs again, also when a client asks for them.
-func TestStoreThatWasAwayForLongBringsNoMessageBack(t *testing.T) {
+func TestLongAbsentStoreRevivesNoMessage(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2", "z3")
 		var accepting atomic.Bool
--- a/internal/cluster/subscribe_test.go
+++ b/internal/cluster/subscribe_test.go
@@ -13,7 +13,7 @@
 // A subscriber of a terminal learns when it has joined a topic, and behind which cursor:
 // a message that is published then arrives. After the loss of its gateway's connections
 // it joins again, behind the last message that it got.
-func TestSubscriberLearnsWhenItHasJoined(t *testing.T) {
+func TestSubscriberIsToldItsCursorOnSubscribing(t *testing.T) {
 	runLive(t, func(w *world) {
 		address := w.machines["gateway-z1"].ip + ":80"
 		reader := &process{network: w.network, ip: "10.9.0.2"}
