--- a/internal/cluster/large_backlog_test.go
+++ b/internal/cluster/large_backlog_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Guards against a subscriber that is closed each time it comes back, since it missed more
-// than the gateway queues for one client (docs/incidents/large-backlog.md). It was away
-// while 3 MB were published, and gets all of it, on the connection that it came back with,
-// beside what is published meanwhile and what a subscriber gets that was never away.
+// Guards against a subscriber that is disconnected on every reconnect because its backlog
+// exceeds what the gateway queues for one client (docs/incidents/large-backlog.md). The
+// subscriber misses 3 MB and must receive all of it, and what is published meanwhile, on its
+// first new connection. A subscriber that stayed connected must receive the same messages.
 func TestSubscriberGetsALargeBacklog(t *testing.T) {
 	const number, size = 200, 16 << 10
 	runLive(t, func(w *world) {
@@ -46,12 +46,12 @@
 		back.mu.Lock()
 		defer back.mu.Unlock()
 		if back.connections != 1 {
-			t.Errorf("it took %d connections", back.connections)
+			t.Errorf("the returning subscriber used %d connections, want 1", back.connections)
 		}
 	})
 }
 
-// publishBody publishes a message of a size until it is acknowledged or its time is over.
+// publishBody publishes a message with a body of the given size and retries for up to 8 s.
 func (c *liveClient) publishBody(topic string, size int) {
 	m := c.newMessage(topic)
 	m.body += fmt.Sprintf("%*s", size-len(m.body), "")
--- a/internal/cluster/live_checks_test.go
+++ b/internal/cluster/live_checks_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The checks here compare what clients sent with what clients got. Each returns
-// what is wrong.
+// The checks in this file compare published messages with deliveries. Each returns
+// a description of every violation.
 
 // messageKey identifies a message.
 type messageKey struct {
@@ -14,7 +14,7 @@
 	number    int64
 }
 
-// checkTopicHistories checks all rules of topics on the histories of clients.
+// checkTopicHistories checks the histories of all clients against all delivery rules.
 func checkTopicHistories(clients []*liveClient) (problems []string) {
 	sent := map[messageKey]*liveMessage{}
 	for _, c := range clients {
@@ -25,7 +25,7 @@
 		}
 		c.mu.Unlock()
 	}
-	orders := map[string][][]messageKey{} // by topic: of each subscriber
+	orders := map[string][][]messageKey{} // by topic: the delivery order at each subscriber
 	for _, c := range clients {
 		for topic := range c.subscriptions {
 			s := c.snapshot(topic)
@@ -44,27 +44,28 @@
 	return problems
 }
 
-// checkDeliveries checks what one subscriber got: nothing that was not sent, nothing
-// twice, and of each publisher in its order.
+// checkDeliveries checks that one subscriber received only messages that were
+// published, none that was refused and none twice, and those of each publisher in
+// publication order.
 func checkDeliveries(client, topic string, deliveries []liveDelivery, sent map[messageKey]*liveMessage) (problems []string) {
 	newest := map[string]int64{}
 	for _, d := range deliveries {
 		m := sent[messageKey{d.publisher, d.number}]
 		switch {
 		case m == nil || m.topic != topic || m.body != d.body:
-			problems = append(problems, fmt.Sprintf("MIXED: %s got %+v on %s", client, d, topic))
+			problems = append(problems, fmt.Sprintf("MIXED: %s received %+v on %s, which matches no message published there", client, d, topic))
 		case m.onlyRetry:
-			problems = append(problems, fmt.Sprintf("REFUSED: %s got %+v, which was refused", client, d))
+			problems = append(problems, fmt.Sprintf("REFUSED: %s received %+v, which was refused", client, d))
 		case d.number <= newest[d.publisher]:
-			problems = append(problems, fmt.Sprintf("ORDER: %s got %s's %d behind %d on %s", client, d.publisher, d.number, newest[d.publisher], topic))
+			problems = append(problems, fmt.Sprintf("ORDER: %s received %s's number %d after number %d on %s", client, d.publisher, d.number, newest[d.publisher], topic))
 		}
 		newest[d.publisher] = max(newest[d.publisher], d.number)
 	}
 	return problems
 }
 
-// checkMissingDeliveries checks that a subscriber got all that was sent after its first OK and
-// acknowledged.
+// checkMissingDeliveries checks that a subscriber received every acknowledged message
+// that was published after its subscription was first confirmed.
 func checkMissingDeliveries(client, topic string, s *liveSubscription, sent map[messageKey]*liveMessage) (problems []string) {
 	got := map[messageKey]bool{}
 	for _, d := range s.deliveries {
@@ -77,13 +78,13 @@
 		if !s.ended.IsZero() && m.acknowledged.After(s.ended) || got[key] {
 			continue
 		}
-		problems = append(problems, fmt.Sprintf("LOST: %s did not get %s's %d on %s", client, m.publisher, m.number, topic))
+		problems = append(problems, fmt.Sprintf("LOST: %s did not receive %s's number %d on %s", client, m.publisher, m.number, topic))
 	}
 	return problems
 }
 
-// checkTotalOrder checks that all subscribers of a topic got what they have in common
-// in one order.
+// checkTotalOrder checks that any two subscribers of a topic received the messages that
+// both have in the same order.
 func checkTotalOrder(topic string, orders [][]messageKey) (problems []string) {
 	for i, order := range orders {
 		for _, other := range orders[:i] {
@@ -98,7 +99,7 @@
 					continue
 				}
 				if at < last {
-					problems = append(problems, fmt.Sprintf("ORDER: two subscribers of %s got %v in differing orders", topic, key))
+					problems = append(problems, fmt.Sprintf("ORDER: two subscribers of %s received %v in different orders", topic, key))
 				}
 				last = max(last, at)
 			}
@@ -107,8 +108,8 @@
 	return problems
 }
 
-// waitForDeliveries waits until the histories are right or do not change for long enough that
-// what is missing is lost, and returns what is wrong.
+// waitForDeliveries waits until the histories satisfy all rules, but no longer than limit,
+// after which missing messages count as lost. It returns the remaining violations.
 func (w *world) waitForDeliveries(clients []*liveClient, limit time.Duration) []string {
 	for end := time.Now().Add(limit); ; time.Sleep(100 * time.Millisecond) {
 		problems := checkTopicHistories(clients)
--- a/internal/cluster/live_clients_test.go
+++ b/internal/cluster/live_clients_test.go
@@ -13,33 +13,33 @@
 	"time"
 )
 
-// liveMessage is a message as its sender knows it.
+// liveMessage is a message as seen by its publisher.
 type liveMessage struct {
 	topic, publisher string
 	number           int64
 	body             string
 	firstSent        time.Time
-	acknowledged     time.Time // zero if it never was
-	onlyRetry        bool      // all its tries were answered RETRY
+	acknowledged     time.Time // zero if not acknowledged
+	onlyRetry        bool      // every attempt was answered RETRY
 }
 
-// liveDelivery is a message as a subscriber got it.
+// liveDelivery is a message as received by a subscriber.
 type liveDelivery struct {
 	publisher string
 	number    int64
 	body      string
 }
 
-// liveSubscription is what a client got of a topic since its first OK.
+// liveSubscription is what a client received on a topic since its first OK SUBSCRIBE.
 type liveSubscription struct {
-	firstSubscribed time.Time // of the first OK; zero before
-	lastSubscribed  time.Time // of the last OK
-	ended           time.Time // when the client was told that it is subscribed no more
+	firstSubscribed time.Time // time of the first OK; zero before
+	lastSubscribed  time.Time // time of the latest OK
+	ended           time.Time // when the gateway ended the subscription; zero before
 	cursor          string
 	deliveries      []liveDelivery
 }
 
-// liveClient is a realtime client that comes back when it loses its connection.
+// liveClient is a realtime client that reconnects when it loses its connection.
 type liveClient struct {
 	w       *world
 	name    string
@@ -47,20 +47,20 @@
 	process *process
 
 	mu            sync.Mutex
-	conn          net.Conn // nil while there is none
-	address       string   // of the gateway to go to
-	redirected    int      // how often it was sent to another gateway
+	conn          net.Conn // nil while disconnected
+	address       string   // of the gateway to connect to
+	redirected    int      // number of REDIRECT lines received
 	connections   int
 	subscriptions map[string]*liveSubscription
 	published     []*liveMessage
-	answers       map[int64]chan string // by number
+	answers       map[int64]chan string // by message number
 	counts        map[string]chan int
 	number        int64
-	problems      []string // what must not happen
+	problems      []string // protocol violations seen
 }
 
-// newLiveClient starts a client that goes to the gateway of a zone. It ends with
-// the context.
+// newLiveClient starts a client that first connects to the gateway of a zone. It
+// stops when ctx is done.
 func (w *world) newLiveClient(ctx context.Context, name, zone string, topics ...string) *liveClient {
 	c := &liveClient{
 		w: w, name: name, secret: "key-one", process: &process{network: w.network, ip: clientIP},
@@ -80,7 +80,7 @@
 	c.problems = append(c.problems, c.name+": "+fmt.Sprintf(format, args...))
 }
 
-// run keeps a connection until ctx ends.
+// run reconnects until ctx is done.
 func (c *liveClient) run(ctx context.Context) {
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		if attempt > 0 {
@@ -103,7 +103,8 @@
 	}
 }
 
-// switchGateway has the client try the gateway of the next zone.
+// switchGateway makes the client try the gateway of the next zone, unless its address
+// has already changed from the given one.
 func (c *liveClient) switchGateway(from string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,7 +120,7 @@
 	c.address = c.w.machines["gateway-z1"].ip + ":80"
 }
 
-// serve speaks on one connection until it ends.
+// serve handles one connection until it ends.
 func (c *liveClient) serve(conn net.Conn) {
 	address := c.address
 	reader := bufio.NewReader(conn)
@@ -149,7 +150,7 @@
 	c.mu.Unlock()
 }
 
-// exchange sends a line and reads the answer; empty if none comes in time.
+// exchange sends a line and returns the response line, or "" if none arrives in time.
 func (c *liveClient) exchange(conn net.Conn, reader *bufio.Reader, line string) string {
 	if _, err := io.WriteString(conn, line); err != nil {
 		return ""
@@ -162,7 +163,7 @@
 	return strings.TrimSuffix(answer, "\r\n")
 }
 
-// ping sends a PING every second until done.
+// ping sends a PING every second until done is closed.
 func (c *liveClient) ping(conn net.Conn, done chan struct{}) {
 	for {
 		select {
@@ -184,8 +185,8 @@
 	}
 }
 
-// read handles one message of the gateway. It reports whether the connection goes
-// on: it ends after five seconds of silence, as a real client's.
+// read handles one message from the gateway and reports whether to keep the
+// connection. Like a real client, it gives up after five seconds without a message.
 func (c *liveClient) read(reader *bufio.Reader, conn net.Conn) bool {
 	_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	line, err := reader.ReadString('\n')
@@ -212,7 +213,7 @@
 		c.mu.Unlock()
 		return false
 	default:
-		c.reportProblem("cannot read %q", line)
+		c.reportProblem("unexpected line %q", line)
 	}
 	return true
 }
@@ -222,7 +223,7 @@
 	defer c.mu.Unlock()
 	s := c.subscriptions[topic]
 	if s == nil {
-		c.problems = append(c.problems, c.name+": an OK for "+topic)
+		c.problems = append(c.problems, c.name+": OK SUBSCRIBE for a topic that was not requested: "+topic)
 		return
 	}
 	if s.firstSubscribed.IsZero() {
@@ -243,7 +244,7 @@
 	defer c.mu.Unlock()
 	s := c.subscriptions[fields[1]]
 	if s == nil || s.firstSubscribed.IsZero() || !s.ended.IsZero() {
-		c.problems = append(c.problems, fmt.Sprintf("%s: %q without a subscription", c.name, fields))
+		c.problems = append(c.problems, fmt.Sprintf("%s: %q without an active subscription", c.name, fields))
 		return true
 	}
 	s.cursor = fields[2]
@@ -274,7 +275,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
-	case c.answers[n] <- answer: // nobody waits for a late one
+	case c.answers[n] <- answer: // a late response has no waiter
 	default:
 	}
 }
@@ -289,9 +290,9 @@
 	}
 }
 
-// publish sends a message until it is acknowledged or its deadline is over, as
-// clients do: the same number again after UNKNOWN and silence, a new one after
-// RETRY.
+// publish publishes a message until it is acknowledged or the deadline passes, as
+// clients do: after UNKNOWN or a time-out it repeats the same number, after RETRY it
+// uses a new one.
 func (c *liveClient) publish(topic string) {
 	deadline := time.Now().Add(8 * time.Second)
 	for time.Now().Before(deadline) {
@@ -315,8 +316,8 @@
 	return m
 }
 
-// publishUntilConclusive sends one message until the answer is conclusive. It returns the
-// last answer.
+// publishUntilConclusive sends one message until the response is ACK or RETRY or the
+// deadline passes. It returns the last response.
 func (c *liveClient) publishUntilConclusive(m *liveMessage, deadline time.Time) string {
 	for {
 		answer := c.publishOnce(m)
@@ -333,7 +334,7 @@
 	}
 }
 
-// publishOnce sends a message once and returns the answer; empty without one.
+// publishOnce sends a message once and returns the response, or "" if there was none.
 func (c *liveClient) publishOnce(m *liveMessage) string {
 	answer := make(chan string, 1)
 	c.mu.Lock()
@@ -346,13 +347,13 @@
 		return a
 	case <-time.After(1500 * time.Millisecond):
 		if conn != nil {
-			_ = conn.Close() // as a real client: it has waited for long enough
+			_ = conn.Close() // as a real client does after a time-out
 		}
 		return ""
 	}
 }
 
-// count asks how many subscribers a topic has; -1 without an answer.
+// count returns the number of subscribers of a topic, or -1 without a response.
 func (c *liveClient) count(topic string) int {
 	answer := make(chan int, 1)
 	c.mu.Lock()
@@ -367,7 +368,7 @@
 	}
 }
 
-// allSubscribed reports whether all subscriptions were answered once.
+// allSubscribed reports whether every subscription was confirmed at least once.
 func (c *liveClient) allSubscribed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -379,7 +380,7 @@
 	return true
 }
 
-// snapshot copies what the client saw of a topic.
+// snapshot returns a copy of the state of a subscription.
 func (c *liveClient) snapshot(topic string) liveSubscription {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/live_recovery_test.go
+++ b/internal/cluster/live_recovery_test.go
@@ -12,14 +12,14 @@
 	"saltreel/internal/topic"
 )
 
-var recoverySeeds = flag.Int("live.seeds", 3, "how many seeds the times of recovery of topics are measured with")
+var recoverySeeds = flag.Int("live.seeds", 3, "number of seeds for measuring topic recovery times")
 
-// maxRecoveryTime is what either recovery may take: an eighth of contact-ms in the tests'
-// settings. With 20 seeds both take less than half of that (docs/live.md).
+// maxRecoveryTime bounds both recovery times: an eighth of contact-ms in the settings of
+// the tests. With 20 seeds both take less than half of that (docs/live.md).
 const maxRecoveryTime = 500 * time.Millisecond
 
-// measureRecovery runs a measurement once for each seed, on a cluster of its own, and
-// logs the median and the worst.
+// measureRecovery runs a measurement once per seed, each on a new cluster. It logs the
+// median and the maximum and checks the maximum against the bound.
 func measureRecovery(t *testing.T, measure func(w *world, rng *rand.Rand) time.Duration) {
 	t.Helper()
 	var took []time.Duration
@@ -32,12 +32,12 @@
 	slices.Sort(took)
 	t.Logf("%d seeds: median %v, worst %v", len(took), took[len(took)/2], took[len(took)-1])
 	if worst := took[len(took)-1]; worst > maxRecoveryTime {
-		t.Errorf("recovered after %v", worst)
+		t.Errorf("slowest recovery took %v", worst)
 	}
 }
 
-// From the last acknowledgement on topics of a broker that is killed to the first of
-// its successors.
+// Measures the longest gap between the last acknowledgement from a killed broker and
+// the first from its successors, over topics that the broker led.
 func TestBrokerFailoverTimeIsBounded(t *testing.T) {
 	measureRecovery(t, func(w *world, rng *rand.Rand) time.Duration {
 		ctx, cancel := context.WithCancel(w.t.Context())
@@ -67,7 +67,8 @@
 	})
 }
 
-// topicsWithPrimary names topics whose partitions a broker is primary of.
+// topicsWithPrimary returns the names of n topics whose partitions have the given broker as
+// primary.
 func (w *world) topicsWithPrimary(broker string, n int) (topics []string) {
 	w.t.Helper()
 	status, err := w.status()
@@ -84,8 +85,8 @@
 	return topics
 }
 
-// acknowledgementGap is the time from the last acknowledgement before a moment to the
-// first after it.
+// acknowledgementGap returns the time between the last acknowledgement up to a given
+// time and the first after it.
 func (c *liveClient) acknowledgementGap(t *testing.T, at time.Time) time.Duration {
 	t.Helper()
 	c.mu.Lock()
@@ -101,13 +102,13 @@
 		}
 	}
 	if before.IsZero() || after.IsZero() {
-		t.Fatalf("acknowledged last at %v, next at %v", before, after)
+		t.Fatalf("last acknowledgement at %v, next at %v: one is missing", before, after)
 	}
 	return after.Sub(before)
 }
 
-// From the reset of all connections to the last subscription that is taken up again.
-// Clients come back after 0.1 s.
+// Measures the time from the reset of all connections until the last subscription is
+// confirmed again. Clients reconnect after 0.1 s.
 func TestResubscriptionTimeAfterResetIsBounded(t *testing.T) {
 	measureRecovery(t, func(w *world, rng *rand.Rand) time.Duration {
 		ctx, cancel := context.WithCancel(w.t.Context())
@@ -133,8 +134,8 @@
 	})
 }
 
-// subscribedAfter reports whether all subscriptions of a client were taken up after a
-// moment.
+// subscribedAfter reports whether all subscriptions of a client were confirmed after the
+// given time.
 func (c *liveClient) subscribedAfter(at time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/live_rules_test.go
+++ b/internal/cluster/live_rules_test.go
@@ -14,7 +14,7 @@
 	"saltreel/internal/realtime"
 )
 
-// liveConn is a connection to a gateway that a test speaks on line by line.
+// liveConn is a raw connection to a gateway, for tests of the line protocol.
 type liveConn struct {
 	t      *testing.T
 	conn   net.Conn
@@ -35,14 +35,14 @@
 
 func (c *liveConn) write(text string) { _, _ = io.WriteString(c.conn, text) }
 
-// expect reads one line, which begins with a text.
+// expect reads one line and checks that it has the given prefix.
 func (c *liveConn) expect(want string) string {
 	c.t.Helper()
 	_ = c.conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	line, err := c.reader.ReadString('\n')
 	line = strings.TrimSuffix(line, "\r\n")
 	if err != nil || !strings.HasPrefix(line, want) {
-		c.t.Errorf("got %q, %v; not %q", line, err, want)
+		c.t.Errorf("got line %q, error %v; want prefix %q", line, err, want)
 	}
 	return line
 }
@@ -52,7 +52,7 @@
 	c.t.Helper()
 	_ = c.conn.SetReadDeadline(time.Now().Add(15 * time.Second))
 	if n, err := io.Copy(io.Discard, c.reader); err != nil || n > 0 {
-		c.t.Errorf("the connection goes on: %d bytes, %v", n, err)
+		c.t.Errorf("connection not closed cleanly: %d more bytes, error %v", n, err)
 	}
 }
 
@@ -60,14 +60,14 @@
 	runLive(t, func(w *world) {
 		hello := "HELLO u1 key-one\r\n"
 		long := strings.Repeat("x", linewire.MaxBodyBytes+1)
-		for name, exchange := range map[string][]string{ // what is sent and what comes, in turn
+		for name, exchange := range map[string][]string{ // lines sent and expected, alternating
 			"the key is unknown":           {"HELLO u1 key-none\r\n", "REJECT HELLO - - UNAUTH", hello, "OK HELLO"},
 			"a second HELLO":               {hello, "OK HELLO", hello, "REJECT HELLO - - MALFORMED"},
 			"no HELLO":                     {"SUBSCRIBE live.q\r\n", "REJECT SUBSCRIBE live.q - MALFORMED"},
 			"PING":                         {"PING\r\n", "PONG"},
 			"no space":                     {hello, "OK HELLO", "SUBSCRIBE x.q\r\n", "REJECT SUBSCRIBE x.q - NOSPACE", "PUBLISH x.q 1 2\r\nab\r\n", "REJECT PUBLISH x.q 1 NOSPACE", "SUBCOUNT x.q\r\n", "REJECT SUBCOUNT x.q - NOSPACE"},
 			"a space that needs a key":     {"HELLO u1\r\n", "OK HELLO", "SUBSCRIBE live.q\r\n", "REJECT SUBSCRIBE live.q - UNAUTH"},
-			"a cursor that is none":        {hello, "OK HELLO", "SUBSCRIBE live.q never\r\n", "REJECT SUBSCRIBE live.q - MALFORMED"},
+			"an invalid cursor":            {hello, "OK HELLO", "SUBSCRIBE live.q never\r\n", "REJECT SUBSCRIBE live.q - MALFORMED"},
 			"UNSUB without a subscription": {hello, "OK HELLO", "UNSUB live.q\r\n", "OK UNSUB live.q"},
 			"a body that is too long":      {hello, "OK HELLO", "PUBLISH live.q 3 16385\r\n" + long + "\r\n", "REJECT PUBLISH live.q 3 OVERSIZE", "PING\r\n", "PONG"},
 			"the longest body":             {hello, "OK HELLO", "PUBLISH live.q 4 16384\r\n" + long[1:] + "\r\n", "ACK live.q 4"},
@@ -75,7 +75,7 @@
 				"HELLO u2 key-one\r\n", "OK HELLO", "PUBLISH live.q 9 1\r\na\r\n", "ACK live.q 9", "PUBLISH live.q 9 1\r\na\r\n", "ACK live.q 9",
 				"PUBLISH live.q 8 1\r\nb\r\n", "REJECT PUBLISH live.q 8 RETRY",
 			},
-			"something unreadable, then the end": {hello, "OK HELLO", "SUBSCRIBE\r\n", "REJECT SUBSCRIBE - - MALFORMED", "BREW coffee\r\n", ""},
+			"a malformed line, then an unknown command": {hello, "OK HELLO", "SUBSCRIBE\r\n", "REJECT SUBSCRIBE - - MALFORMED", "BREW coffee\r\n", ""},
 		} {
 			c := w.dialGateway("z1")
 			for i := 0; i < len(exchange); i += 2 {
@@ -87,7 +87,7 @@
 				}
 			}
 			if w.t.Failed() {
-				t.Fatalf("in the case %q", name)
+				t.Fatalf("case %q failed", name)
 			}
 			_ = c.conn.Close()
 		}
@@ -105,7 +105,7 @@
 		}
 		c.write("SUBSCRIBE live.20\r\n")
 		c.expect("REJECT SUBSCRIBE live.20 - RETRY")
-		c.write("SUBSCRIBE live.7\r\n") // one of them again
+		c.write("SUBSCRIBE live.7\r\n") // already subscribed, does not count again
 		c.expect("OK SUBSCRIBE live.7 ")
 		c.write("UNSUB live.7\r\n")
 		c.expect("OK UNSUB live.7")
@@ -114,8 +114,8 @@
 	})
 }
 
-// A space or key that a configuration takes away ends the subscriptions, unasked;
-// a space that it adds can be used.
+// When a configuration removes a space, the gateway ends its subscriptions without a
+// request of the client. A space that the configuration adds is usable at once.
 func TestSubscriptionsEndWithTheirSpace(t *testing.T) {
 	runLive(t, func(w *world) {
 		c := w.dialGateway("z2")
@@ -130,8 +130,8 @@
 	})
 }
 
-// A cursor is good at any gateway for any client, as long as nothing behind it was
-// deleted.
+// A cursor is valid at any gateway and for any client until a message after it has
+// been deleted.
 func TestCursorIsValidAtAnyGatewayUntilExpired(t *testing.T) {
 	runLive(t, func(w *world) {
 		publish := func(number int64, body string) {
@@ -177,9 +177,8 @@
 	})
 }
 
-// Where all messages of a topic are gone, a cursor from before the last of them is
-// expired, and that of the last one is not: also after the loss of power of all
-// brokers.
+// Once all messages of a topic have been deleted, the cursor of the last message is
+// valid and any earlier one is expired, even after all brokers have lost power.
 func TestCursorsOfEmptyTopicSurviveLossOfAllBrokers(t *testing.T) {
 	runLive(t, func(w *world) {
 		client := &realtime.Client{Dial: w.clientProcess.dial, Address: w.machines["gateway-z1"].ip + ":80", Name: "p", Key: "key-one"}
@@ -216,7 +215,8 @@
 	})
 }
 
-// A client that takes nothing of what it is sent is closed, and holds up nobody.
+// The gateway closes the connection of a client that reads nothing, and such a client
+// does not delay other subscribers.
 func TestSlowClientIsClosed(t *testing.T) {
 	runLive(t, func(w *world) {
 		slow := w.dialGateway("z1")
@@ -234,12 +234,13 @@
 				t.Fatal(err)
 			}
 		}
-		w.waitFor(5*time.Second, "all messages at the quick client", func() bool { return len(quick.snapshot("live.a").deliveries) == 40 })
-		w.waitFor(15*time.Second, "the end of the slow client", func() bool { return quick.count("live.a") == 1 })
+		w.waitFor(5*time.Second, "all deliveries to the quick client", func() bool { return len(quick.snapshot("live.a").deliveries) == 40 })
+		w.waitFor(15*time.Second, "the slow client to be disconnected", func() bool { return quick.count("live.a") == 1 })
 	})
 }
 
-// A gateway that is to stop sends its clients to the others, and they miss nothing.
+// A gateway that shuts down redirects its clients to another gateway, without losing
+// any of their messages.
 func TestDrainingGatewayRedirectsItsClients(t *testing.T) {
 	runLive(t, func(w *world) {
 		w.addMachine("gateway2-z1", "gateway", "z1", "10.1.0.9", false)
@@ -247,14 +248,14 @@
 		traffic := w.startLiveTraffic(3, 50*time.Millisecond)
 		time.Sleep(time.Second)
 		if took := w.terminateMachine("gateway-z1"); took > gracePeriod {
-			t.Errorf("it took %v to stop", took)
+			t.Errorf("gateway-z1 took %v to stop", took)
 		}
 		time.Sleep(2 * time.Second)
 		for _, c := range traffic.clients {
 			c.mu.Lock()
 			moved := c.redirected == 1 && c.connections == 2 && strings.HasPrefix(c.address, "10.1.0.9:")
 			if fromZ1 := strings.HasPrefix(c.name, "z1-"); fromZ1 != moved {
-				t.Errorf("%s: redirected %d times, %d connections, at %s", c.name, c.redirected, c.connections, c.address)
+				t.Errorf("%s: redirected %d times, %d connections, last gateway %s", c.name, c.redirected, c.connections, c.address)
 			}
 			c.mu.Unlock()
 		}
--- a/internal/cluster/live_test.go
+++ b/internal/cluster/live_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// runLive runs a test on a cluster of one core, broker and gateway in each of three
-// zones, which has a space of topics.
+// runLive runs a test on a cluster with one core, broker and gateway in each of three
+// zones and with the space "live." configured.
 func runLive(t *testing.T, f func(w *world)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { runLiveInBubble(t, f) })
@@ -24,7 +24,7 @@
 	})
 }
 
-// applySpaces puts a configuration with a stored space for each prefix in force.
+// applySpaces applies a configuration with one stored space per prefix.
 func (w *world) applySpaces(prefixes ...string) {
 	w.t.Helper()
 	old := w.revision
@@ -43,19 +43,19 @@
 	time.Sleep(time.Second)
 }
 
-// liveTraffic is clients that subscribe to all of a few topics and publish on them
-// until stopped.
+// liveTraffic is a set of clients that each subscribe to all topics and publish on them
+// in turn until stopped.
 type liveTraffic struct {
 	w              *world
 	topics         []string
 	clients        []*liveClient
-	stopPublishing context.CancelFunc // of the publishing
-	disconnect     context.CancelFunc // of the clients
+	stopPublishing context.CancelFunc // stops publishing
+	disconnect     context.CancelFunc // stops the clients
 	publishers     sync.WaitGroup
 }
 
-// startLiveTraffic starts clients at each gateway, one publication of each in an
-// interval.
+// startLiveTraffic starts clients at each gateway. Each publishes a message, waits for
+// its acknowledgement and pauses for the given interval.
 func (w *world) startLiveTraffic(clientsPerZone int, every time.Duration) *liveTraffic {
 	w.t.Helper()
 	connected, end := context.WithCancel(context.Background())
@@ -86,8 +86,7 @@
 	return traffic
 }
 
-// finish stops the publishing and returns what is wrong when the deliveries have
-// ended.
+// finish stops publishing, waits for outstanding deliveries and returns the violations.
 func (l *liveTraffic) finish() []string {
 	l.stopPublishing()
 	l.publishers.Wait()
@@ -96,7 +95,7 @@
 	return problems
 }
 
-// acknowledged counts the messages that were acknowledged.
+// acknowledged returns the number of acknowledged messages.
 func (l *liveTraffic) acknowledged() int {
 	total := 0
 	for _, c := range l.clients {
@@ -111,17 +110,18 @@
 	return total
 }
 
-// verify fails the test if a rule was broken, or hardly anything was published.
+// verify fails the test if a delivery rule was violated or too few messages were
+// acknowledged.
 func (l *liveTraffic) verify(t *testing.T, minimum int) {
 	t.Helper()
 	for i, problem := range l.finish() {
 		if i == 10 {
-			t.Fatal("and more")
+			t.Fatal("further problems omitted")
 		}
 		t.Error(problem)
 	}
 	if n := l.acknowledged(); n < minimum {
-		t.Errorf("%d messages were acknowledged, not %d", n, minimum)
+		t.Errorf("%d messages were acknowledged, want at least %d", n, minimum)
 	}
 }
 
@@ -130,14 +130,13 @@
 		traffic := w.startLiveTraffic(2, 50*time.Millisecond)
 		time.Sleep(5 * time.Second)
 		if n := traffic.clients[0].count("live.a"); n != 6 {
-			t.Errorf("%d subscribers are counted, not 6", n)
+			t.Errorf("counted %d subscribers, want 6", n)
 		}
 		traffic.verify(t, 300)
 	})
 }
 
-// Each fault strikes in the middle of traffic and is over some seconds before its
-// end.
+// Each fault occurs during traffic and is over some seconds before the traffic ends.
 func TestTopicsSurviveFaults(t *testing.T) {
 	for name, injectFault := range map[string]func(w *world){
 		"a broker crashes and comes back": func(w *world) {
--- a/internal/cluster/messages_test.go
+++ b/internal/cluster/messages_test.go
@@ -8,8 +8,8 @@
 	"saltreel/internal/httpwire"
 )
 
-// A message accepted at any edge is delivered once, not before its delay is over,
-// and any edge reports its state and body.
+// A message accepted at any edge is delivered once, not before its delay has passed,
+// and every edge can report its state and body.
 func TestMessageIsAcceptedDeliveredAndReported(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2", "z3")
@@ -29,15 +29,15 @@
 		began := time.Now()
 		name := w.sendUntilAccepted("z1", "/plain/y", delayed, "Saltreel-Delay-Ms", "1500")
 		if got := w.messageState(name); got != "pending" {
-			t.Errorf("delayed message: %s", got)
+			t.Errorf("delayed message has state %s", got)
 		}
 		if code, body := w.get("z3", "/v1/message-body/"+name); code != 200 || body != "body of "+delayed {
-			t.Errorf("body: %d %q", code, body)
+			t.Errorf("body of the delayed message: status %d, %q", code, body)
 		}
 		w.waitForState(name, "complete seal-"+delayed, 4*time.Second)
 		for _, d := range plain.received() {
 			if d.id == delayed && d.startedAt.Sub(began) < 1500*time.Millisecond {
-				t.Errorf("ran %v after it was sent", d.startedAt.Sub(began))
+				t.Errorf("delayed message was delivered %v after it was sent", d.startedAt.Sub(began))
 			}
 		}
 	})
@@ -60,28 +60,28 @@
 			{"/plain/", "a5", []string{"X-Large", strings.Repeat("x", 17000)}, 431},
 		} {
 			if a := w.sendMessage("z1", c.path, c.id, c.header...); a.Status != c.want {
-				t.Errorf("%s %s %.40v: %d, not %d", c.path, c.id, c.header, a.Status, c.want)
+				t.Errorf("%s %s %.40v: status %d, want %d", c.path, c.id, c.header, a.Status, c.want)
 			}
 		}
 		a, err := w.request(w.machines["edge-z1"].ip+":80", &httpwire.Call{Method: "POST", Target: "/plain/", Host: "app.example", Header: []string{"Saltreel-Key", "key-one", "Saltreel-Attempt-Id", "a6"}, Body: make([]byte, 300000)}, time.Second)
 		if err != nil || a.Status != 413 {
-			t.Errorf("large body: %v %v", a, err)
+			t.Errorf("body over the limit: %v, error %v", a, err)
 		}
 		name := w.sendUntilAccepted("z1", "/ordered/", "a7", "Saltreel-Order-Key", "k")
-		for range 3 { // the same id again is the same message
+		for range 3 { // a repeated attempt id names the same message
 			if a := w.sendMessage("z1", "/ordered/", "a7", "Saltreel-Order-Key", "k"); a.Status != 202 || a.Header.Get("Saltreel-Message-Name") != name {
-				t.Errorf("the same message again: %d %v", a.Status, a.Header)
+				t.Errorf("repeated attempt id: status %d, header %v", a.Status, a.Header)
 			}
 		}
 		a, err = w.request(w.machines["edge-z2"].ip+":80", &httpwire.Call{Method: "GET", Target: "/v1/message/" + name, Host: "app.example", Header: []string{"Saltreel-Key", "key-two"}}, time.Second)
 		if err != nil || a.Status != 404 {
-			t.Errorf("a read by another tenant: %v %v", a, err)
+			t.Errorf("read by another tenant: %v, error %v", a, err)
 		}
 	})
 }
 
-// A delivery that fails is retried up to max-attempts, one that is rejected is
-// not; a message without success becomes a dead letter and retains its body.
+// A failed delivery is retried up to max-attempts and a rejected one is not retried.
+// A message that never succeeds becomes a dead letter and keeps its body.
 func TestFailedDeliveriesAreRetriedOrDeadLettered(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2")
@@ -104,18 +104,18 @@
 			w.waitForState(name, want, 5*time.Second)
 			if want == "dead_letter" {
 				if code, body := w.get("z1", "/v1/message-body/"+name); code != 200 || body != "body of "+id {
-					t.Errorf("body of the dead letter %s: %d %q", id, code, body)
+					t.Errorf("body of the dead letter %s: status %d, %q", id, code, body)
 				}
 			}
 		}
 		if a, b, c := plain.deliveryCount("never"), plain.deliveryCount("fails"), plain.deliveryCount("third"); a != 1 || b != 3 || c != 3 {
-			t.Errorf("runs: %d %d %d", a, b, c)
+			t.Errorf("deliveries: never %d, fails %d, third %d; want 1, 3, 3", a, b, c)
 		}
 	})
 }
 
-// Messages of one order key are delivered one after the other although every
-// fourth delivery fails and a store crashes.
+// Messages with the same order key are delivered one after the other, even though
+// every fourth delivery fails and a store crashes.
 func TestKeyOrderSurvivesRetriesAndStoreCrash(t *testing.T) {
 	runCluster(t, func(w *world) {
 		ordered := w.newService("ordered", "z1", "z2", "z3")
@@ -147,8 +147,8 @@
 	})
 }
 
-// verifyKeyOrder checks that no message, in the order in which they were
-// accepted, started before the first end of its predecessors.
+// verifyKeyOrder checks that no delivery of a message started before each message
+// accepted earlier had completed a delivery. ids are in the order of acceptance.
 func verifyKeyOrder(t *testing.T, ids []string, deliveries []delivery) {
 	t.Helper()
 	firstEnd := map[string]time.Time{}
@@ -161,7 +161,7 @@
 	for _, id := range ids {
 		for _, d := range deliveries {
 			if d.id == id && d.startedAt.Before(earliestStart) {
-				t.Errorf("%s started before its predecessor ended", id)
+				t.Errorf("delivery of %s started before that of a predecessor ended", id)
 			}
 		}
 		if firstEnd[id].After(earliestStart) {
@@ -178,15 +178,15 @@
 		w.applyConfiguration(options{withoutRoute: "plain"})
 		for _, z := range zones {
 			if a := w.sendMessage(z, "/plain/", "late-"+z); a.Status != 404 {
-				t.Errorf("removed route at %s: %d", z, a.Status)
+				t.Errorf("removed route at %s: status %d", z, a.Status)
 			}
 			if a := w.sendMessage(z, "/ordered/", "key-"+z, "Saltreel-Key", "spare"); a.Status != 401 {
-				t.Errorf("removed key at %s: %d", z, a.Status)
+				t.Errorf("removed key at %s: status %d", z, a.Status)
 			}
 		}
 		time.Sleep(6 * time.Second)
 		if plain.deliveryCount("waits") != 0 || w.messageState(waiting) != "dead_letter" {
-			t.Errorf("message of a removed route: %d runs, %s", plain.deliveryCount("waits"), w.messageState(waiting))
+			t.Errorf("message of a removed route: %d deliveries, state %s", plain.deliveryCount("waits"), w.messageState(waiting))
 		}
 	})
 }
@@ -200,7 +200,7 @@
 		in.state = "draining"
 		plain.mu.Unlock()
 		if !plain.heartbeat(in) {
-			t.Fatal("draining is not acknowledged")
+			t.Fatal("the draining heartbeat was not acknowledged")
 		}
 		acked := time.Now()
 		time.Sleep(300 * time.Millisecond)
@@ -211,14 +211,14 @@
 		time.Sleep(time.Second)
 		for _, d := range plain.received() {
 			if d.instance == in.id && d.startedAt.After(from) {
-				t.Errorf("delivered to it %v after the acknowledgement", d.startedAt.Sub(acked))
+				t.Errorf("delivery to the draining instance %v after the acknowledgement", d.startedAt.Sub(acked))
 			}
 		}
 		if code := plain.callCore("DELETE", in.id, ""); code != 200 {
-			t.Errorf("deregistration: %d", code)
+			t.Errorf("deregistration: status %d", code)
 		}
 		if code := plain.callCore("PUT", "bad", `{"service":1}`); code != 400 {
-			t.Errorf("malformed heartbeat: %d", code)
+			t.Errorf("malformed heartbeat: status %d", code)
 		}
 	})
 }
--- a/internal/cluster/overlapping_losses_test.go
+++ b/internal/cluster/overlapping_losses_test.go
@@ -11,16 +11,16 @@
 	"saltreel/internal/topic"
 )
 
-// causeOverlappingLosses kills the first store, and has the second lose its disk while it is the
-// only one with a complete replica of some partitions. Both come back, the first with its
-// disk. It returns how many partitions that struck.
+// causeOverlappingLosses kills the first store, then wipes the second one while it holds the
+// only synchronized replica of some partitions. Both restart, the first with its disk. It
+// returns the number of these partitions.
 func (w *world) causeOverlappingLosses(first, second string) int {
 	w.t.Helper()
 	w.killMachine(first)
 	affected := 0
 	for deadline := time.Now().Add(5 * time.Second); affected == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			w.t.Fatal("the replicas were in sync before the second loss")
+			w.t.Fatal("no partition had the second store as its only synchronized replica within 5 s")
 		}
 		status, err := w.status()
 		if err != nil {
@@ -41,7 +41,8 @@
 	return affected
 }
 
-// isSoleSyncedReplica reports whether a store leads a partition none of whose backups is in sync.
+// isSoleSyncedReplica reports whether a store is primary of a partition without a synchronized
+// backup.
 func isSoleSyncedReplica(p placement.Partition, store string) bool {
 	for _, backup := range p.Backups {
 		if backup.InSync {
@@ -51,14 +52,14 @@
 	return p.Primary == store
 }
 
-// Guards against partitions that wait for ever for a lost disk, although a store that is
-// back and the one that was being filled hold all messages together
+// Guards against partitions that wait forever for a lost disk although the returned store
+// and the one that was being resynchronized together hold all messages
 // (docs/incidents/overlapping-losses.md).
 func TestOverlappingLossesLoseNoAcceptedMessage(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2", "z3")
 		w.applyConfiguration(options{retentionSeconds: 900})
-		w.slowLinks() // so that filling the new replicas takes a while
+		w.slowLinks() // prolongs the resynchronization of new replicas
 		names := map[string]string{}
 		began := time.Now()
 		for i := range 120 {
@@ -67,32 +68,32 @@
 		}
 		w.quickLinks()
 		stop := make(chan struct{})
-		collect := w.streamMessages("/plain/", 20*time.Millisecond, stop) // accepted on the replicas that are left, too
+		collect := w.streamMessages("/plain/", 20*time.Millisecond, stop) // some are accepted by the remaining replicas
 		affected := w.causeOverlappingLosses("store-z1", "store-z2")
 		if took := time.Since(began); took > 50*time.Second {
-			t.Fatalf("some messages are due before the losses are over, after %v", took)
+			t.Fatalf("the losses took %v, so that some messages became due before they were over", took)
 		}
 		time.Sleep(2 * time.Second)
 		close(stop)
 		for id, name := range collect() {
 			names[id] = name
 		}
-		t.Logf("%d messages, %d partitions struck", len(names), affected)
+		t.Logf("%d messages, %d partitions affected", len(names), affected)
 		w.waitFor(12*time.Second, "all partitions in sync again", w.allInSync)
 		for id, name := range names {
 			w.waitForState(name, "complete seal-"+id, 70*time.Second)
 		}
 		for id := range names {
-			if strings.HasPrefix(id, "o") { // none of these had run before the losses
+			if strings.HasPrefix(id, "o") { // none of these was due before the losses
 				plain.checkDeliveredOnce(id)
 			}
 		}
 	})
 }
 
-// As above for topics: subscribers get all messages that were acknowledged, once and in
-// one order, also what was published between the losses, and one that was away all the
-// time.
+// Guards against the same failure for topics. Subscribers receive every acknowledged
+// message once and in one order, including those published between the losses; so does a
+// subscriber that was disconnected throughout.
 func TestOverlappingLossesLoseNoTopicMessage(t *testing.T) {
 	runLive(t, func(w *world) {
 		traffic := w.startLiveTraffic(1, 20*time.Millisecond)
@@ -115,8 +116,8 @@
 		*returned.subscriptions[traffic.topics[0]] = liveSubscription{firstSubscribed: leftAt, cursor: left.cursor}
 		returned.mu.Unlock()
 		traffic.clients = append(traffic.clients, returned)
-		w.waitFor(10*time.Second, "the subscription of the one that was away", returned.allSubscribed)
-		t.Logf("%d messages acknowledged, %d partitions struck", traffic.acknowledged(), affected)
+		w.waitFor(10*time.Second, "the subscription of the returning client", returned.allSubscribed)
+		t.Logf("%d messages acknowledged, %d partitions affected", traffic.acknowledged(), affected)
 		for _, problem := range traffic.finish() {
 			t.Error(problem)
 		}
--- a/internal/cluster/rate_limit_test.go
+++ b/internal/cluster/rate_limit_test.go
@@ -11,8 +11,8 @@
 	"saltreel/internal/ratelimit"
 )
 
-// A service with a rate gets no more than that in any 5 s, within the overshoot of
-// the settings, also when a store that delivers to it crashes.
+// A rate-limited service receives no more than its rate in any 5 s, plus the configured
+// overshoot, even if a store that delivers to it crashes.
 func TestRateLimitedServiceStaysBelowItsRate(t *testing.T) {
 	runCluster(t, func(w *world) {
 		paced := &service{world: w, name: "paced", instances: map[string]*instance{}}
@@ -40,7 +40,7 @@
 			}
 		}
 		wg.Wait()
-		w.waitFor(30*time.Second, "all paced messages", func() bool { return len(paced.received()) >= 200 })
+		w.waitFor(30*time.Second, "all rate-limited messages", func() bool { return len(paced.received()) >= 200 })
 		deliveries := paced.received()
 		for i, d := range deliveries {
 			arrivals := 0
@@ -50,14 +50,14 @@
 				}
 			}
 			if limit := 20*5*1.1 + 5; float64(arrivals) > limit {
-				t.Fatalf("%d arrivals in 5 s, %v allowed", arrivals, limit)
+				t.Fatalf("%d deliveries in 5 s, at most %v allowed", arrivals, limit)
 			}
 		}
 	})
 }
 
-// maxInWindow returns how many of some moments lie in the window of a length
-// that has most of them.
+// maxInWindow returns the largest number of the given times that fall within a window
+// of the given length.
 func maxInWindow(moments []time.Time, length time.Duration) (most int) {
 	for _, from := range moments {
 		n := 0
@@ -71,8 +71,8 @@
 	return most
 }
 
-// A tenant that sends to all edges gets no more than its rate and burst, and does
-// not disturb its neighbours.
+// A tenant that sends to all edges is limited to its rate and burst overall, without
+// affecting other tenants.
 func TestTenantRateLimitHoldsAcrossEdges(t *testing.T) {
 	runCluster(t, func(w *world) {
 		w.newService("plain", "z1", "z2", "z3")
@@ -81,7 +81,7 @@
 		var accepted []time.Time
 		rejected, other := 0, 0
 		var wg sync.WaitGroup
-		for i := range 600 { // 100 a second against 20
+		for i := range 600 { // 100 per second, with a rate of 20
 			time.Sleep(10 * time.Millisecond)
 			wg.Go(func() {
 				a := w.sendMessage(zones[i%3], "/plain/", fmt.Sprintf("q%d", i))
@@ -93,7 +93,7 @@
 				case 429:
 					rejected++
 					if a.Header.Get("Retry-After") == "" || a.Header.Get("Saltreel-Throttle-Ms") == "" {
-						t.Errorf("a 429 has no Retry-After or no Saltreel-Throttle-Ms: %v", a.Header)
+						t.Errorf("response 429 without Retry-After or Saltreel-Throttle-Ms: %v", a.Header)
 					}
 				default:
 					other++
@@ -103,20 +103,20 @@
 		wg.Wait()
 		most := maxInWindow(accepted, 5*time.Second)
 		if limit := (20.0*5+20)*1.1 + 20; float64(most) > limit {
-			t.Errorf("%d accepted in 5 s, %v allowed", most, limit)
+			t.Errorf("%d accepted in 5 s, at most %v allowed", most, limit)
 		}
 		if len(accepted) < 100 || rejected < 300 || other > 0 {
 			t.Errorf("%d accepted, %d rejected, %d other", len(accepted), rejected, other)
 		}
 		if a := w.sendMessage("z1", "/plain/", "neighbour", "Saltreel-Key", "key-two"); a.Status != 202 {
-			t.Errorf("a neighbour of the busy tenant got %d", a.Status)
+			t.Errorf("request of another tenant: status %d, want 202", a.Status)
 		}
 	})
 }
 
-// The store that holds a tenant's rate limiter is restarted while the tenant sends
-// far beyond its limit: neither its successor nor the edges that wait for it
-// accept more.
+// The store that holds a tenant's rate limiter restarts while the tenant sends far more
+// than its limit. Neither the successor nor the edges that wait for it may exceed the
+// limit.
 func TestTenantRateLimitHoldsWhileLimiterMoves(t *testing.T) {
 	const rate = 200.0
 	for _, at := range []time.Duration{300 * time.Millisecond, 1300 * time.Millisecond, 2500 * time.Millisecond} {
@@ -158,10 +158,10 @@
 			most := maxInWindow(accepted, 5*time.Second)
 			t.Logf("limiter moves after %v: %d accepted in 5 s", at, most)
 			if limit := (rate*5+rate)*1.1 + 20; float64(most) > limit {
-				t.Errorf("limiter moves after %v: %d accepted in 5 s, %v allowed", at, most, limit)
+				t.Errorf("limiter moves after %v: %d accepted in 5 s, at most %v allowed", at, most, limit)
 			}
 			if most < int(rate*5) {
-				t.Errorf("limiter moves after %v: %d accepted in 5 s of %v owed", at, most, rate*6)
+				t.Errorf("limiter moves after %v: %d accepted in 5 s, although the limit permits %v", at, most, rate*6)
 			}
 		})
 	}
--- a/internal/cluster/response_mismatch_test.go
+++ b/internal/cluster/response_mismatch_test.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// A few responses in a hundred between our processes arrive behind that of
-// another call, before it, twice, or truncated. Every message is accepted,
-// delivered and reported as its own all the same, and every configuration reads
-// back as it was acknowledged.
+// A few percent of the responses between processes arrive after or before the response
+// to another call, twice, or truncated. Messages must still be accepted, delivered and
+// reported under their own identity, and each configuration must read back as it was
+// acknowledged.
 func TestMismatchedResponsesAreRejected(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2", "z3")
 		w.applyConfiguration(options{})
 		var mu sync.Mutex
 		rng := rand.New(rand.NewPCG(5, 13))
-		var earlier [][]byte // earlier responses
+		var earlier [][]byte // responses to insert before or after others
 		injected := map[string]int{}
 		rate := 60
 		w.network.mu.Lock()
@@ -68,7 +68,7 @@
 		mu.Unlock()
 		for id, name := range names {
 			if code, body := w.get("z1", "/v1/message/"+name); code == 200 && !strings.Contains(body, `"seal-`+id+`"`) {
-				t.Errorf("of %s is reported %s", id, body)
+				t.Errorf("status of %s is that of another message: %s", id, body)
 			}
 		}
 		if len(names) < 100 || len(injected) != 4 {
--- a/internal/cluster/retry_after_accept_test.go
+++ b/internal/cluster/retry_after_accept_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// Guards against RETRY for a number that was accepted, where its answer was lost and its tenant
-// is over its rate by now (docs/incidents/retry-after-accept.md): it gets ACK from any gateway, and
-// subscribers get it once. A number that was never accepted gets RETRY still.
+// Guards against RETRY for an accepted message number whose response was lost and whose tenant
+// has since exceeded its rate (docs/incidents/retry-after-accept.md). Every gateway must answer
+// the repeated number with ACK, and subscribers receive the message once. A number that was
+// never accepted is still answered with RETRY.
 func TestAcceptedNumberOverTheRateIsAcknowledgedAgain(t *testing.T) {
 	runLive(t, func(w *world) {
 		old := w.revision
@@ -40,14 +41,14 @@
 			}
 		}
 		if accepted == 0 || accepted > 50 {
-			t.Fatalf("%d messages are accepted", accepted)
+			t.Fatalf("%d messages were accepted before the rate limit, want 1 to 50", accepted)
 		}
 		for _, zone := range zones {
 			if answer := publish(zone, accepted); answer != fmt.Sprintf("ACK live.q %d", accepted) {
-				t.Errorf("number %d again in %s: %q", accepted, zone, answer)
+				t.Errorf("accepted number %d repeated in %s: %q", accepted, zone, answer)
 			}
 			if answer := publish(zone, accepted+1); answer != fmt.Sprintf("REJECT PUBLISH live.q %d RETRY", accepted+1) {
-				t.Errorf("number %d in %s: %q", accepted+1, zone, answer)
+				t.Errorf("new number %d over the rate in %s: %q", accepted+1, zone, answer)
 			}
 		}
 		for number := 1; number <= accepted; number++ {
@@ -55,6 +56,6 @@
 			reader.expect("x")
 		}
 		reader.write("PING\r\n")
-		reader.expect("PONG") // and nothing before it
+		reader.expect("PONG") // no further delivery precedes it
 	})
 }
--- a/internal/cluster/returning_store_test.go
+++ b/internal/cluster/returning_store_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// statusRetention is how long the settings of the tests let the outcome of a message
-// be asked for.
+// statusRetention is timers.status-ttl-s of the test settings: how long the outcome of a
+// message can be queried.
 const statusRetention = 120 * time.Second
 
-// A store that was away for longer than outcomes are retained returns with messages
-// that are pending on its disk, and that the others have delivered and forgotten.
-// None of them runs again, also when a client asks for them.
+// A store that was down for longer than outcomes are retained returns with messages that
+// are pending on its disk, while the other stores have delivered them and removed their
+// outcomes. None of them is delivered again, even if a client queries them.
 func TestLongAbsentStoreRevivesNoMessage(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2", "z3")
@@ -48,14 +48,15 @@
 		time.Sleep(10 * time.Second)
 		for id := range names {
 			if n := plain.deliveryCount(id); n != delivered[id] {
-				t.Errorf("%s was delivered %d times before the store returned, %d times in all", id, delivered[id], n)
+				t.Errorf("%s was delivered %d times before the store returned, %d times in total", id, delivered[id], n)
 			}
 		}
 		w.waitFor(10*time.Second, "the returned store to be in sync", w.allInSync)
 	})
 }
 
-// allInSync reports whether each partition has a primary and a backup in sync.
+// allInSync reports whether every partition has a complete primary and at least one backup, and
+// all its backups are in sync.
 func (w *world) allInSync() bool {
 	s, err := w.status()
 	if err != nil {
--- a/internal/cluster/store_failure_test.go
+++ b/internal/cluster/store_failure_test.go
@@ -12,8 +12,8 @@
 	"saltreel/internal/rpc"
 )
 
-// Each store crashes in turn under load: every accepted message completes, and
-// the partitions return to their first placement.
+// Each store crashes in turn under load. Every accepted message completes, and the
+// primaries return to their initial distribution.
 func TestStoreCrashLosesNoAcceptedMessage(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2", "z3")
@@ -30,7 +30,7 @@
 		if n < 1200 {
 			t.Errorf("only %d messages were accepted", n)
 		}
-		w.waitFor(10*time.Second, "the first placement again", func() bool {
+		w.waitFor(10*time.Second, "the initial distribution of primaries", func() bool {
 			s, err := w.status()
 			lead := map[string]int{}
 			for _, p := range s.Placement.Partitions {
@@ -43,8 +43,8 @@
 	})
 }
 
-// Stores and edges that are restarted in order hand over what they do: no message
-// is delivered twice.
+// Stores and edges that are restarted gracefully hand over their work, so that no
+// message is delivered twice.
 func TestRollingRestartDeliversExactlyOnce(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2", "z3")
@@ -69,9 +69,9 @@
 	})
 }
 
-// Guards against successes that run again since the store that stops read them just before it
-// ended (docs/incidents/successes-of-a-stopping-store.md): runs take up to 3.5 s, nearly as long
-// as a store may take to stop.
+// Guards against redelivery of a message whose success the stopping store read just before it
+// exited (docs/incidents/successes-of-a-stopping-store.md). Deliveries take up to 3.5 s, nearly
+// as long as a store may take to stop.
 func TestRollingRestartWithLongRunsDeliversExactlyOnce(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2", "z3")
@@ -99,7 +99,7 @@
 }
 
 // A primary that was isolated while its messages became due delivers none of them
-// when it is connected again.
+// after it is reconnected.
 func TestDeposedPrimaryDeliversNothingAfterIsolation(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2", "z3")
@@ -108,7 +108,7 @@
 		for i := range 60 {
 			names = append(names, w.sendUntilAccepted("z1", "/plain/", fmt.Sprintf("w%d", i), "Saltreel-Delay-Ms", "3000"))
 		}
-		w.network.isolate("10.1.0.2", true) // the store of z1 runs on, but reaches nobody
+		w.network.isolate("10.1.0.2", true) // store-z1 keeps running but reaches no other process
 		w.withTraffic(plain, func() { time.Sleep(6 * time.Second) })
 		w.network.isolate("10.1.0.2", false)
 		w.withTraffic(plain, func() { time.Sleep(6 * time.Second) })
@@ -121,7 +121,7 @@
 }
 
 // After a power loss of all machines, delayed messages are delivered once and the
-// configuration is in force.
+// configuration is still active.
 func TestMessagesSurvivePowerLossOfAllMachines(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z2")
@@ -148,13 +148,13 @@
 		}
 		raw, err := w.operator().Get(context.Background(), "/v1/configuration")
 		if err != nil || !bytes.Equal(raw, w.configuration(w.revision, options{})) {
-			t.Errorf("the configuration is not what was sent: %v", err)
+			t.Errorf("the configuration differs from the one applied, or cannot be read: %v", err)
 		}
 	})
 }
 
-// A store that comes back with an empty disk gets its replicas from the others and
-// leads its partitions again.
+// A store that restarts with an empty disk copies its replicas from the other stores
+// and becomes primary of its partitions again.
 func TestWipedStoreIsResynchronizedFromReplicas(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z2")
@@ -181,7 +181,7 @@
 			}
 			return ok && lead == 4
 		})
-		w.killMachine("store-z2") // what it stored is on the new disk by now
+		w.killMachine("store-z2") // its messages have been copied to the new disk
 		for id, name := range names {
 			w.waitForState(name, "complete seal-"+id, 30*time.Second)
 			plain.checkDeliveredOnce(id)
@@ -189,8 +189,8 @@
 	})
 }
 
-// With one store left, messages are rejected at once with 503 and a Retry-After,
-// and a rejected one is never delivered.
+// With a single store left, messages are rejected immediately with 503 and
+// Retry-After, and rejected messages are never delivered.
 func TestSingleReplicaAcceptsNoMessage(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z3")
@@ -206,14 +206,14 @@
 			a := w.sendMessage(zones[i%3], "/plain/", id)
 			switch {
 			case a.Status == 202:
-				t.Errorf("%s was accepted on one disk", id)
+				t.Errorf("%s was accepted with a single replica", id)
 			case a.Status == 503 && a.Header.Get("Retry-After") == "":
-				t.Errorf("a 503 has no Retry-After")
+				t.Errorf("response 503 without Retry-After")
 			case a.Status == 503:
 				rejected = append(rejected, id)
 			}
 			if took := time.Since(began); took > 300*time.Millisecond {
-				t.Errorf("%s waited %v for its answer, %d", id, took, a.Status)
+				t.Errorf("%s waited %v for its response, status %d", id, took, a.Status)
 			}
 		}
 		w.startMachine("store-z1", false)
@@ -221,14 +221,14 @@
 		w.withTraffic(plain, func() { time.Sleep(8 * time.Second) })
 		for _, id := range rejected {
 			if plain.deliveryCount(id) != 0 {
-				t.Errorf("%s ran after a 503", id)
+				t.Errorf("%s was delivered after a 503", id)
 			}
 		}
 	})
 }
 
-// A store is retired once its replicas are elsewhere, and only if enough stores
-// remain.
+// A store is retired once its replicas have moved to other stores, and only if enough
+// stores remain.
 func TestRetiredStoreIsDrained(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2")
@@ -236,26 +236,26 @@
 		op := w.operator()
 		ctx := context.Background()
 		if err := op.Retire(ctx, "store-nowhere", time.Second); rpc.StatusCode(err) != 404 {
-			t.Errorf("unknown store: %v", err)
+			t.Errorf("retiring an unknown store: got %v, want status 404", err)
 		}
 		w.withTraffic(plain, func() {
 			if err := op.Retire(ctx, "store-z2", 10*time.Second); err != nil {
 				t.Errorf("retire: %v", err)
 			}
-			w.waitFor(10*time.Second, "the store is empty", func() bool {
+			w.waitFor(10*time.Second, "the store to be drained", func() bool {
 				raw, err := op.Get(ctx, "/v1/retire/store-z2")
 				return err == nil && string(raw) == `{"oper-state":"complete"}`
 			})
 			w.killMachine("store-z2")
 		})
 		if err := op.Retire(ctx, "store-z1", time.Second); rpc.StatusCode(err) != 409 {
-			t.Errorf("too few would be left: %v", err)
+			t.Errorf("retiring a store that is needed: got %v, want status 409", err)
 		}
 	})
 }
 
-// When all links are slow for a while, no store loses its partitions, and what is
-// accepted is delivered once.
+// When all links are slow for a while, no partition changes its primary and accepted
+// messages are delivered once.
 func TestUniformSlownessCausesNoFailover(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2", "z3")
@@ -286,8 +286,8 @@
 	})
 }
 
-// A store that the cores cannot reach is declared dead while it delivers: its
-// outcomes must reach its successor before that one may deliver.
+// A store that the cores cannot reach is declared dead while it is delivering. Its
+// delivery outcomes must reach its successor before that one starts to deliver.
 func TestSuccessorDoesNotRedeliverWorkOfDeposedPrimary(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2", "z3")
@@ -297,7 +297,7 @@
 		accepted := w.streamMessages("/plain/", 4*time.Millisecond, stop)
 		time.Sleep(time.Second)
 		w.setPartition(cores, isolated, bothDirections, true)
-		w.waitFor(5*time.Second, "the store leads nothing", func() bool {
+		w.waitFor(5*time.Second, "store-z1 to be primary of no partition", func() bool {
 			s, err := w.status()
 			leads := 0
 			for _, p := range s.Placement.Partitions {
@@ -315,7 +315,7 @@
 		}
 		for id := range names {
 			if n := plain.deliveryCount(id); n != 1 {
-				t.Errorf("%s ran %d times", id, n)
+				t.Errorf("%s was delivered %d times", id, n)
 				for _, d := range plain.received() {
 					if d.id == id {
 						t.Logf("%s: %v to %v at %s", names[id], d.startedAt, d.endedAt, d.instance)
--- a/internal/cluster/subscribe_test.go
+++ b/internal/cluster/subscribe_test.go
@@ -10,9 +10,9 @@
 	"saltreel/internal/realtime"
 )
 
-// A subscriber of a terminal learns when it has joined a topic, and behind which cursor:
-// a message that is published then arrives. After the loss of its gateway's connections
-// it joins again, behind the last message that it got.
+// OnSubscribed reports when a subscription is active and the cursor that it starts after;
+// a message published from then on is delivered. After a connection reset the client
+// subscribes again, starting after the last message received.
 func TestSubscriberIsToldItsCursorOnSubscribing(t *testing.T) {
 	runLive(t, func(w *world) {
 		address := w.machines["gateway-z1"].ip + ":80"
@@ -32,21 +32,21 @@
 		for number, body := range []string{"first", "second"} {
 			cursor := <-joined
 			if number > 0 && cursor != got[len(got)-1] {
-				t.Errorf("joined again behind %s, not %s", cursor, got[len(got)-1])
+				t.Errorf("subscribed again after cursor %s, want %s", cursor, got[len(got)-1])
 			}
 			if err := publisher.Publish(ctx, "live.q", int64(number+1), []byte(body)); err != nil {
 				t.Fatal(err)
 			}
 			m := <-messages
 			if string(m.Body) != body {
-				t.Errorf("got %q, not %q", m.Body, body)
+				t.Errorf("received body %q, want %q", m.Body, body)
 			}
 			got = append(got, m.Cursor)
 			w.network.reset(reader.ip, w.machines["gateway-z1"].ip)
 			time.Sleep(time.Second)
 		}
 		if slices.Sort(got); got[0] == got[1] {
-			t.Errorf("two messages have the cursor %s", got[0])
+			t.Errorf("two messages have the same cursor %s", got[0])
 		}
 	})
 }
