--- a/internal/cluster/large_backlog_test.go
+++ b/internal/cluster/large_backlog_test.go
@@ -12,41 +12,41 @@
 // subscriber misses 3 MB and must receive all of it, and what is published meanwhile, on its
 // first new connection. A subscriber that stayed connected must receive the same messages.
 func TestSubscriberGetsALargeBacklog(t *testing.T) {
-	const number, size = 200, 16 << 10
+	const messageCount, size = 200, 16 << 10
 	runLive(t, func(w *world) {
 		ctx, end := context.WithCancel(context.Background())
 		defer end()
-		here, left := context.WithCancel(ctx)
-		reader := w.newLiveClient(here, "reader", "z2", "live.a")
+		readerCtx, disconnectReader := context.WithCancel(ctx)
+		reader := w.newLiveClient(readerCtx, "reader", "z2", "live.a")
 		stayed := w.newLiveClient(ctx, "stayed", "z2", "live.a")
 		writer := w.newLiveClient(ctx, "writer", "z1")
 		w.waitFor(10*time.Second, "the subscriptions", func() bool { return reader.allSubscribed() && stayed.allSubscribed() })
 		before := reader.snapshot("live.a")
-		left()
+		disconnectReader()
 		time.Sleep(time.Second)
 		w.waitFor(10*time.Second, "the connection of the writer", func() bool {
 			writer.mu.Lock()
 			defer writer.mu.Unlock()
 			return writer.conn != nil
 		})
-		for range number {
+		for range messageCount {
 			writer.publishBody("live.a", size)
 		}
-		back := w.newLiveClient(ctx, "reader", "z3", "live.a")
-		back.mu.Lock()
-		*back.subscriptions["live.a"] = liveSubscription{firstSubscribed: before.firstSubscribed, cursor: before.cursor}
-		back.mu.Unlock()
+		returned := w.newLiveClient(ctx, "reader", "z3", "live.a")
+		returned.mu.Lock()
+		*returned.subscriptions["live.a"] = liveSubscription{firstSubscribed: before.firstSubscribed, cursor: before.cursor}
+		returned.mu.Unlock()
 		for range 20 {
 			writer.publishBody("live.a", size)
 		}
-		clients := []*liveClient{back, stayed, writer}
+		clients := []*liveClient{returned, stayed, writer}
 		for _, problem := range w.waitForDeliveries(clients, 8*time.Second) {
 			t.Error(problem)
 		}
-		back.mu.Lock()
-		defer back.mu.Unlock()
-		if back.connections != 1 {
-			t.Errorf("the returning subscriber used %d connections, want 1", back.connections)
+		returned.mu.Lock()
+		defer returned.mu.Unlock()
+		if returned.connections != 1 {
+			t.Errorf("the returning subscriber used %d connections, want 1", returned.connections)
 		}
 	})
 }
--- a/internal/cluster/overlapping_losses_test.go
+++ b/internal/cluster/overlapping_losses_test.go
@@ -98,8 +98,8 @@
 	runLive(t, func(w *world) {
 		traffic := w.startLiveTraffic(1, 20*time.Millisecond)
 		time.Sleep(time.Second)
-		left := traffic.clients[0].snapshot(traffic.topics[0])
-		leftAt := time.Now()
+		before := traffic.clients[0].snapshot(traffic.topics[0])
+		snapshotAt := time.Now()
 		time.Sleep(2 * time.Second)
 		status, err := w.status()
 		if err != nil {
@@ -113,7 +113,7 @@
 		defer end()
 		returned := w.newLiveClient(connected, "returned", "z3", traffic.topics[0])
 		returned.mu.Lock()
-		*returned.subscriptions[traffic.topics[0]] = liveSubscription{firstSubscribed: leftAt, cursor: left.cursor}
+		*returned.subscriptions[traffic.topics[0]] = liveSubscription{firstSubscribed: snapshotAt, cursor: before.cursor}
 		returned.mu.Unlock()
 		traffic.clients = append(traffic.clients, returned)
 		w.waitFor(10*time.Second, "the subscription of the returning client", returned.allSubscribed)
--- a/internal/cluster/rate_limit_test.go
+++ b/internal/cluster/rate_limit_test.go
@@ -58,10 +58,10 @@
 
 // maxInWindow returns the largest number of the given times that fall within a window
 // of the given length.
-func maxInWindow(moments []time.Time, length time.Duration) (most int) {
-	for _, from := range moments {
+func maxInWindow(times []time.Time, length time.Duration) (most int) {
+	for _, from := range times {
 		n := 0
-		for _, at := range moments {
+		for _, at := range times {
 			if d := at.Sub(from); d >= 0 && d < length {
 				n++
 			}
--- a/internal/cluster/returning_store_test.go
+++ b/internal/cluster/returning_store_test.go
@@ -14,7 +14,7 @@
 // A store that was down for longer than outcomes are retained returns with messages that
 // are pending on its disk, while the other stores have delivered them and removed their
 // outcomes. None of them is delivered again, even if a client queries them.
-func TestLongAbsentStoreRevivesNoMessage(t *testing.T) {
+func TestReturningStoreRedeliversNoMessage(t *testing.T) {
 	runCluster(t, func(w *world) {
 		plain := w.newService("plain", "z1", "z2", "z3")
 		var accepting atomic.Bool
