--- a/internal/cluster/live_clients_test.go
+++ b/internal/cluster/live_clients_test.go
@@ -13,33 +13,33 @@
 	"time"
 )
 
-// liveMessage is a message as its sender knows it.
+// liveMessage is a message as seen by its publisher.
 type liveMessage struct {
 	topic, publisher string
 	number           int64
 	body             string
 	firstSent        time.Time
-	acknowledged     time.Time // zero if it never was
-	onlyRetry        bool      // all its tries were answered RETRY
+	acknowledged     time.Time // zero if not acknowledged
+	onlyRetry        bool      // every attempt was answered RETRY
 }
 
-// liveDelivery is a message as a subscriber got it.
+// liveDelivery is a message as received by a subscriber.
 type liveDelivery struct {
 	publisher string
 	number    int64
 	body      string
 }
 
-// liveSubscription is what a client got of a topic since its first OK.
+// liveSubscription is what a client received on a topic since its first OK SUBSCRIBE.
 type liveSubscription struct {
-	since      time.Time // of the first OK; zero before
-	joined     time.Time // of the last OK
-	ended      time.Time // when the client was told that it is subscribed no more
-	cursor     string
-	deliveries []liveDelivery
+	firstSubscribed time.Time // time of the first OK; zero before
+	lastSubscribed  time.Time // time of the latest OK
+	ended           time.Time // when the gateway ended the subscription; zero before
+	cursor          string
+	deliveries      []liveDelivery
 }
 
-// liveClient is a realtime client that comes back when it loses its connection.
+// liveClient is a realtime client that reconnects when it loses its connection.
 type liveClient struct {
 	w       *world
 	name    string
@@ -47,20 +47,20 @@
 	process *process
 
 	mu            sync.Mutex
-	conn          net.Conn // nil while there is none
-	address       string   // of the gateway to go to
-	redirected    int      // how often it was sent to another gateway
+	conn          net.Conn // nil while disconnected
+	address       string   // of the gateway to connect to
+	redirected    int      // number of REDIRECT lines received
 	connections   int
 	subscriptions map[string]*liveSubscription
 	published     []*liveMessage
-	answers       map[int64]chan string // by number
+	answers       map[int64]chan string // by message number
 	counts        map[string]chan int
 	number        int64
-	problems      []string // what must not happen
+	problems      []string // protocol violations seen
 }
 
-// newLiveClient starts a client that goes to the gateway of a zone. It ends with
-// the context.
+// newLiveClient starts a client that first connects to the gateway of a zone. It
+// stops when ctx is done.
 func (w *world) newLiveClient(ctx context.Context, name, zone string, topics ...string) *liveClient {
 	c := &liveClient{
 		w: w, name: name, secret: "key-one", process: &process{network: w.network, ip: clientIP},
@@ -74,13 +74,13 @@
 	return c
 }
 
-func (c *liveClient) problem(format string, args ...any) {
+func (c *liveClient) reportProblem(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.problems = append(c.problems, c.name+": "+fmt.Sprintf(format, args...))
 }
 
-// run keeps a connection until ctx ends.
+// run reconnects until ctx is done.
 func (c *liveClient) run(ctx context.Context) {
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		if attempt > 0 {
@@ -93,7 +93,7 @@
 		conn, err := c.process.dial(dialing, address)
 		cancel()
 		if err != nil {
-			c.goElsewhere(address)
+			c.switchGateway(address)
 			continue
 		}
 		stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
@@ -103,8 +103,9 @@
 	}
 }
 
-// goElsewhere has the client try the gateway of the next zone.
-func (c *liveClient) goElsewhere(from string) {
+// switchGateway makes the client try the gateway of the next zone, unless its address
+// has already changed from the given one.
+func (c *liveClient) switchGateway(from string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.address != from {
@@ -119,13 +120,13 @@
 	c.address = c.w.machines["gateway-z1"].ip + ":80"
 }
 
-// serve speaks on one connection until it ends.
+// serve handles one connection until it ends.
 func (c *liveClient) serve(conn net.Conn) {
 	address := c.address
 	reader := bufio.NewReader(conn)
 	line := c.exchange(conn, reader, "HELLO "+c.name+" "+c.secret+"\r\n")
 	if line != "OK HELLO" {
-		c.goElsewhere(address)
+		c.switchGateway(address)
 		return
 	}
 	c.mu.Lock()
@@ -149,7 +150,7 @@
 	c.mu.Unlock()
 }
 
-// exchange sends a line and reads the answer; empty if none comes in time.
+// exchange sends a line and returns the response line, or "" if none arrives in time.
 func (c *liveClient) exchange(conn net.Conn, reader *bufio.Reader, line string) string {
 	if _, err := io.WriteString(conn, line); err != nil {
 		return ""
@@ -162,7 +163,7 @@
 	return strings.TrimSuffix(answer, "\r\n")
 }
 
-// ping sends a PING every second until done.
+// ping sends a PING every second until done is closed.
 func (c *liveClient) ping(conn net.Conn, done chan struct{}) {
 	for {
 		select {
@@ -184,8 +185,8 @@
 	}
 }
 
-// read handles one message of the gateway. It reports whether the connection goes
-// on: it ends after five seconds of silence, as a real client's.
+// read handles one message from the gateway and reports whether to keep the
+// connection. Like a real client, it gives up after five seconds without a message.
 func (c *liveClient) read(reader *bufio.Reader, conn net.Conn) bool {
 	_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	line, err := reader.ReadString('\n')
@@ -196,15 +197,15 @@
 	switch {
 	case fields[0] == "PONG" || fields[0] == "OK" && fields[1] == "UNSUB":
 	case fields[0] == "OK" && fields[1] == "SUBSCRIBE" && len(fields) == 4:
-		c.subscribed(fields[2], fields[3])
+		c.handleSubscribed(fields[2], fields[3])
 	case fields[0] == "DELIVER" && len(fields) == 6:
-		return c.delivered(reader, fields)
+		return c.handleDelivery(reader, fields)
 	case fields[0] == "ACK" && len(fields) == 3:
-		c.answered(fields[2], "ACK")
+		c.handlePublishResponse(fields[2], "ACK")
 	case fields[0] == "COUNT" && len(fields) == 3:
-		c.counted(fields[1], fields[2])
+		c.handleCount(fields[1], fields[2])
 	case fields[0] == "REJECT" && len(fields) == 5:
-		c.rejected(fields)
+		c.handleReject(fields)
 	case fields[0] == "REDIRECT" && len(fields) == 2:
 		c.mu.Lock()
 		c.address = fields[1]
@@ -212,27 +213,27 @@
 		c.mu.Unlock()
 		return false
 	default:
-		c.problem("cannot read %q", line)
+		c.reportProblem("unexpected line %q", line)
 	}
 	return true
 }
 
-func (c *liveClient) subscribed(topic, cursor string) {
+func (c *liveClient) handleSubscribed(topic, cursor string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.subscriptions[topic]
 	if s == nil {
-		c.problems = append(c.problems, c.name+": an OK for "+topic)
+		c.problems = append(c.problems, c.name+": OK SUBSCRIBE for a topic that was not requested: "+topic)
 		return
 	}
-	if s.since.IsZero() {
-		s.since = time.Now()
+	if s.firstSubscribed.IsZero() {
+		s.firstSubscribed = time.Now()
 	}
-	s.joined = time.Now()
+	s.lastSubscribed = time.Now()
 	s.cursor = cursor
 }
 
-func (c *liveClient) delivered(reader *bufio.Reader, fields []string) bool {
+func (c *liveClient) handleDelivery(reader *bufio.Reader, fields []string) bool {
 	number, _ := strconv.ParseInt(fields[4], 10, 64)
 	size, _ := strconv.Atoi(fields[5])
 	body := make([]byte, size+2)
@@ -242,8 +243,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.subscriptions[fields[1]]
-	if s == nil || s.since.IsZero() || !s.ended.IsZero() {
-		c.problems = append(c.problems, fmt.Sprintf("%s: %q without a subscription", c.name, fields))
+	if s == nil || s.firstSubscribed.IsZero() || !s.ended.IsZero() {
+		c.problems = append(c.problems, fmt.Sprintf("%s: %q without an active subscription", c.name, fields))
 		return true
 	}
 	s.cursor = fields[2]
@@ -251,10 +252,10 @@
 	return true
 }
 
-func (c *liveClient) rejected(fields []string) {
+func (c *liveClient) handleReject(fields []string) {
 	switch fields[1] {
 	case "PUBLISH":
-		c.answered(fields[3], fields[4])
+		c.handlePublishResponse(fields[3], fields[4])
 	case "SUBSCRIBE":
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -265,21 +266,21 @@
 		}
 		c.problems = append(c.problems, fmt.Sprintf("%s: %q with cursor %q", c.name, fields, s.cursor))
 	case "SUBCOUNT":
-		c.counted(fields[2], "-1")
+		c.handleCount(fields[2], "-1")
 	}
 }
 
-func (c *liveClient) answered(number, answer string) {
+func (c *liveClient) handlePublishResponse(number, answer string) {
 	n, _ := strconv.ParseInt(number, 10, 64)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
-	case c.answers[n] <- answer: // nobody waits for a late one
+	case c.answers[n] <- answer: // a late response has no waiter
 	default:
 	}
 }
 
-func (c *liveClient) counted(topic, count string) {
+func (c *liveClient) handleCount(topic, count string) {
 	n, _ := strconv.Atoi(count)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -289,14 +290,14 @@
 	}
 }
 
-// publish sends a message until it is acknowledged or its deadline is over, as
-// clients do: the same number again after UNKNOWN and silence, a new one after
-// RETRY.
+// publish publishes a message until it is acknowledged or the deadline passes, as
+// clients do: after UNKNOWN or a time-out it repeats the same number, after RETRY it
+// uses a new one.
 func (c *liveClient) publish(topic string) {
 	deadline := time.Now().Add(8 * time.Second)
 	for time.Now().Before(deadline) {
 		m := c.newMessage(topic)
-		if answer := c.publishNumber(m, deadline); answer != "RETRY" {
+		if answer := c.publishUntilConclusive(m, deadline); answer != "RETRY" {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -315,11 +316,11 @@
 	return m
 }
 
-// publishNumber sends one message until the answer is conclusive. It returns the
-// last answer.
-func (c *liveClient) publishNumber(m *liveMessage, deadline time.Time) string {
+// publishUntilConclusive sends one message until the response is ACK or RETRY or the
+// deadline passes. It returns the last response.
+func (c *liveClient) publishUntilConclusive(m *liveMessage, deadline time.Time) string {
 	for {
-		answer := c.tryPublish(m)
+		answer := c.publishOnce(m)
 		c.mu.Lock()
 		if answer == "ACK" {
 			m.acknowledged = time.Now()
@@ -333,8 +334,8 @@
 	}
 }
 
-// tryPublish sends a message once and returns the answer; empty without one.
-func (c *liveClient) tryPublish(m *liveMessage) string {
+// publishOnce sends a message once and returns the response, or "" if there was none.
+func (c *liveClient) publishOnce(m *liveMessage) string {
 	answer := make(chan string, 1)
 	c.mu.Lock()
 	c.answers[m.number] = answer
@@ -346,13 +347,13 @@
 		return a
 	case <-time.After(1500 * time.Millisecond):
 		if conn != nil {
-			_ = conn.Close() // as a real client: it has waited for long enough
+			_ = conn.Close() // as a real client does after a time-out
 		}
 		return ""
 	}
 }
 
-// count asks how many subscribers a topic has; -1 without an answer.
+// count returns the number of subscribers of a topic, or -1 without a response.
 func (c *liveClient) count(topic string) int {
 	answer := make(chan int, 1)
 	c.mu.Lock()
@@ -367,19 +368,19 @@
 	}
 }
 
-// ready reports whether all subscriptions were answered once.
-func (c *liveClient) ready() bool {
+// allSubscribed reports whether every subscription was confirmed at least once.
+func (c *liveClient) allSubscribed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.subscriptions {
-		if s.since.IsZero() {
+		if s.firstSubscribed.IsZero() {
 			return false
 		}
 	}
 	return true
 }
 
-// snapshot copies what the client saw of a topic.
+// snapshot returns a copy of the state of a subscription.
 func (c *liveClient) snapshot(topic string) liveSubscription {
 	c.mu.Lock()
 	defer c.mu.Unlock()
