--- a/internal/registry/deregister.go
+++ b/internal/registry/deregister.go
@@ -37,8 +37,8 @@
 	return r.recordTombstone(ctx, Entry{Key: distribution.PrefixInstance + id, Version: version, Value: nullValue})
 }
 
-// recordTombstone returns nil once a tombstone is on the disks of a quorum. After
-// that, repeated calls are cheap.
+// recordTombstone returns nil once a tombstone is on the disks of a quorum. If that
+// is already known, it returns without calling other cores.
 func (r *Registry) recordTombstone(ctx context.Context, entry Entry) error {
 	r.table.mergeHeartbeat(entry)
 	if r.table.isConfirmed(entry) {
@@ -77,19 +77,19 @@
 	for _, voter := range view.Voters {
 		r.config.Go(func(context.Context) { results <- r.persistAt(ctx, voter, entry, view.QuorumEpoch) })
 	}
-	missing := max(len(view.Voters)/2+1, r.config.HostFailures+1)
-	var last error
-	for pending := len(view.Voters); pending >= missing; pending-- {
+	needed := max(len(view.Voters)/2+1, r.config.HostFailures+1)
+	var lastErr error
+	for pending := len(view.Voters); pending >= needed; pending-- {
 		if err := <-results; err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
-		missing--
-		if missing == 0 {
+		needed--
+		if needed == 0 {
 			return nil
 		}
 	}
-	return fmt.Errorf("quorum epoch %d: %w", view.QuorumEpoch, last)
+	return fmt.Errorf("quorum epoch %d: %w", view.QuorumEpoch, lastErr)
 }
 
 // persistAt writes a tombstone to the disk of one voter.
@@ -110,8 +110,10 @@
 }
 
 // persistForEpoch persists tombstones as a voter of a quorum epoch. The epoch is
-// checked again after the write: a core that loads for the next epoch after this
-// check finds the tombstones, and one that loaded before has ended this epoch here.
+// checked again after the write, so that a core that loads for the next epoch does not
+// miss the tombstones: its request carries the next view and thereby ends this epoch
+// here. If it arrives before the second check, that check fails; if it arrives later,
+// the response contains the tombstones.
 func (r *Registry) persistForEpoch(epoch int64, entries []Entry) error {
 	if err := r.checkEpoch(epoch); err != nil {
 		return err
--- a/internal/registry/load.go
+++ b/internal/registry/load.go
@@ -23,19 +23,20 @@
 // quorum has: after its start, after a change of the voters, and after a loss of
 // contact. It returns when ctx ends.
 func (r *Registry) RunLoader(ctx context.Context) {
-	wasInContact := false
+	everInContact := false
 	var pages pageCursor
 	for ctx.Err() == nil {
 		inContact := r.config.Chain.InContact()
-		loaded, stale := r.completeness.updateStale(wasInContact && !inContact)
-		wasInContact = wasInContact || inContact
-		outdated := stale && inContact
-		if r.VoterReady() && !outdated {
+		loaded, stale := r.completeness.updateStale(everInContact && !inContact)
+		everInContact = everInContact || inContact
+		canRefresh := stale && inContact
+		if r.VoterReady() && !canRefresh {
 			timeutil.Sleep(ctx, r.timing.loadCheckInterval())
 			continue
 		}
 		if !loaded {
-			// This core may become complete even if no pages arrive: all others may be starting.
+			// An error is ignored: if all other cores are starting too, none of them sends
+			// pages, and this core has to become complete without them.
 			_ = r.loadPages(ctx, &pages)
 		}
 		if r.load(ctx) != nil {
--- a/internal/registry/pages.go
+++ b/internal/registry/pages.go
@@ -41,8 +41,8 @@
 var errNoPages = errors.New("no loaded core sent all of its entries")
 
 // pageCursor is the position up to which the entries have been loaded. Loading resumes
-// there with another core if one stops responding. Entries at earlier keys that only
-// the other core has arrive by anti-entropy.
+// there with another core if one stops responding. Entries with earlier keys that the
+// first core lacked are received by anti-entropy.
 type pageCursor struct{ after string }
 
 // loadPages loads the remaining pages from the first core that sends them all. The
--- a/internal/registry/peers.go
+++ b/internal/registry/peers.go
@@ -23,7 +23,8 @@
 }
 
 // Peers returns the internal addresses of the other cores: the voters, the known
-// cores, and the seeds while the registry is not loaded.
+// cores, and the seeds while the registry is not loaded or no voter or other core is
+// known.
 func (r *Registry) Peers() []string {
 	all := r.config.Chain.Voters()
 	for _, m := range r.KnownCores() {
--- a/internal/registry/quorum_epoch.go
+++ b/internal/registry/quorum_epoch.go
@@ -23,7 +23,7 @@
 // completeness tracks which part of the state of a quorum this core may lack.
 type completeness struct {
 	mu            sync.Mutex
-	loaded        bool  // a quorum has sent its entries since the start
+	loaded        bool  // a quorum has sent its tombstones since the start
 	stale         bool  // this core has been out of contact since it loaded
 	completeEpoch int64 // all tombstones acknowledged before this quorum epoch are on this disk
 }
@@ -40,7 +40,7 @@
 	return c.completeEpoch
 }
 
-// isLoaded reports whether a quorum has sent its entries since the start.
+// isLoaded reports whether a quorum has sent its tombstones since the start.
 func (c *completeness) isLoaded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,7 +95,7 @@
 type loadResponses map[chain.Member]*SyncResponse
 
 // hasQuorum reports whether the responses, together with this core's own state, make
-// it complete for the epoch of a view, and how many cores they come from.
+// this core complete for the epoch of a view, and how many voters it counted.
 func (responses loadResponses) hasQuorum(view chain.View, self chain.Member, completeEpoch int64) (n int, ok bool) {
 	majority := func(voters []chain.Member, epoch int64) (int, bool) {
 		return chain.CountMembers(voters, func(m chain.Member) bool {
--- a/internal/registry/record.go
+++ b/internal/registry/record.go
@@ -109,8 +109,9 @@
 	return version, true
 }
 
-// isStale reports whether an incarnation is an earlier one than the current, whose
-// heartbeats are recent.
+// isStale reports whether an incarnation precedes the current one. The previous
+// incarnation counts as stale for the window after the current one was first seen, and
+// the replaced ones count as stale while the newest heartbeat is within the window.
 func (r *record) isStale(incarnation string, now time.Time, window time.Duration) bool {
 	if r.previousIncarnation == incarnation && now.Sub(r.replacedAt) < window {
 		return true
--- a/internal/registry/sync.go
+++ b/internal/registry/sync.go
@@ -34,7 +34,7 @@
 	return p.sentAt[peer], p.sent[peer]
 }
 
-// version returns the version of a key that has been sent, or unsent.
+// version returns the version of a key that was sent last, or unsent if none was.
 func (p *syncProgress) version(sent map[string]journal.Version, key string) journal.Version {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,8 +102,8 @@
 	return entries
 }
 
-// broadcast sends an entry to all other cores without waiting for them; lost ones
-// are sent again in the next round of anti-entropy. Entries that follow within
+// broadcast sends an entry to all other cores without waiting for them. If a call fails,
+// the next round of anti-entropy sends the entry again. Entries that follow within
 // broadcastDelay are sent together, so that the start of many nodes at the same time
 // does not cause a call to each core for each of them.
 func (r *Registry) broadcast(entry Entry) {
@@ -163,8 +163,9 @@
 
 // addSnapshot adds the view and the entries that a loading core requested.
 func (r *Registry) addSnapshot(out *SyncResponse, want string) {
-	// The view is read before the entries, which may lack a tombstone persisted for
-	// that view later.
+	// The view is read before the entries, so that they contain every tombstone that this
+	// core persisted for an earlier view. A view read after the entries could be newer
+	// than they are.
 	view := r.config.Chain.View()
 	out.View = &view
 	out.CompleteEpoch = r.completeness.completedEpoch()
--- a/internal/registry/table.go
+++ b/internal/registry/table.go
@@ -199,8 +199,8 @@
 	return t.records[in.Key].needsValue(in)
 }
 
-// isConfirmed reports whether a tombstone of this stage is known to be on the disks
-// of a quorum.
+// isConfirmed reports whether a tombstone of this or a later stage is known to be on
+// the disks of a quorum.
 func (t *table) isConfirmed(in Entry) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/registry/timing.go
+++ b/internal/registry/timing.go
@@ -30,8 +30,8 @@
 // syncTimeout bounds one anti-entropy exchange: half the interval between rounds.
 func (t timing) syncTimeout() time.Duration { return t.contactTimeout / 8 }
 
-// loadTimeout bounds one attempt to load from a quorum: a few round trips between
-// regions.
+// loadTimeout bounds one attempt to load the tombstones of a quorum, and the call for
+// one page: a few round trips between regions.
 func (t timing) loadTimeout() time.Duration { return t.contactTimeout / 16 }
 
 // loadRetryDelay is the delay after a failed attempt to load. It is short, since
@@ -42,11 +42,12 @@
 // again.
 func (t timing) loadCheckInterval() time.Duration { return t.contactTimeout / 40 }
 
-// quorumTimeout bounds how long a handler waits for its deregistration.
+// quorumTimeout bounds how long a handler waits until its draining or deregistration is
+// on the disks of a quorum.
 func (t timing) quorumTimeout() time.Duration { return t.contactTimeout / 5 }
 
-// quorumAttemptTimeout bounds one attempt. It leaves time for a second attempt
-// after a change of the voters.
+// quorumAttemptTimeout bounds one attempt to persist a tombstone on a quorum. It leaves
+// time for a second attempt after a change of the voters.
 func (t timing) quorumAttemptTimeout() time.Duration { return t.contactTimeout / 10 }
 
 // quorumRetryDelay is the delay between two attempts, about the time that a change
--- a/internal/registry/tombstones.go
+++ b/internal/registry/tombstones.go
@@ -116,7 +116,7 @@
 		return err
 	}
 	var old Entry
-	if was := bucket.Get([]byte(entry.Key)); was != nil && json.Unmarshal(was, &old) == nil && !old.Version.Less(entry.Version) {
+	if oldRaw := bucket.Get([]byte(entry.Key)); oldRaw != nil && json.Unmarshal(oldRaw, &old) == nil && !old.Version.Less(entry.Version) {
 		return nil
 	}
 	return bucket.Put([]byte(entry.Key), raw)
