--- a/internal/configstore/errors.go
+++ b/internal/configstore/errors.go
@@ -6,8 +6,8 @@
 )
 
 // RejectedError reports that the state does not allow a change. It is returned only
-// once the tail holds that state, and for no other reason: a change that failed on
-// the way may still be in force.
+// once the tail holds that state. No other failure is reported as a rejection, since a
+// change that failed on the way may still take effect.
 type RejectedError struct {
 	Code int    `json:"code"` // an HTTP status
 	Text string `json:"text"`
--- a/internal/configstore/idempotency.go
+++ b/internal/configstore/idempotency.go
@@ -14,8 +14,8 @@
 	"saltreel/internal/chain"
 )
 
-// Idempotency records are hashes of the accepted configurations, by which one that is
-// sent again is recognized and acknowledged. The hashes are stored in a ring of
+// Idempotency records are hashes of the accepted configurations and patches, by which
+// one that is sent again is recognized and acknowledged. The hashes are stored in a ring of
 // blocks, each of which is a document: a change writes one block, and the state does
 // not grow with the number of changes. A block begins with its number, which keeps
 // increasing when the ring wraps around.
@@ -34,12 +34,12 @@
 	return fmt.Sprintf("%s/%02d", keyRecords, number%recordBlocks)
 }
 
-func hashOf(configuration []byte) []byte {
-	sum := sha256.Sum256(configuration)
+func hashOf(content []byte) []byte {
+	sum := sha256.Sum256(content)
 	return sum[:hashSize]
 }
 
-// isRecorded reports whether a configuration with this hash was accepted before.
+// isRecorded reports whether a configuration or patch with this hash was accepted before.
 func isRecorded(docs chain.Documents, hash []byte) bool {
 	for n := range uint64(recordBlocks) {
 		if blockContains(docs[blockKey(n)], hash) {
@@ -84,8 +84,8 @@
 		if len(raw) < blockHeaderSize {
 			continue
 		}
-		if at := binary.BigEndian.Uint64(raw); block == nil || at > number {
-			number = at
+		if rawNumber := binary.BigEndian.Uint64(raw); block == nil || rawNumber > number {
+			number = rawNumber
 			block = raw
 		}
 	}
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -135,8 +135,8 @@
 		return &UnavailableError{err}
 	}
 	var rejected *RejectedError
-	if sent := len(p.Configuration) + len(p.Patch); sent > 0 && errors.As(err, &rejected) && rejected.Code == 400 {
-		s.config.Log.Printf("core: rejected a configuration of %d bytes: %v", sent, err)
+	if size := len(p.Configuration) + len(p.Patch); size > 0 && errors.As(err, &rejected) && rejected.Code == 400 {
+		s.config.Log.Printf("core: rejected a configuration of %d bytes: %v", size, err)
 	}
 	return err
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -28,7 +28,7 @@
 // Registry is the part of the node registry that the controller uses.
 type Registry interface {
 	Nodes() map[string]registry.NodeStatus
-	OverdueStores(after, before time.Duration) []string
+	OverdueStores(minAge, maxAge time.Duration) []string
 	Peers() []string
 }
 
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -59,7 +59,8 @@
 	return out
 }
 
-// hasFailed reports whether a node has failed and has not sent a heartbeat since.
+// hasFailed reports whether a node has failed and has not sent a heartbeat since. If it
+// has sent one, the failure is cleared.
 func (d *failureDetector) hasFailed(name string, heartbeatAge time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/controlplane/publication.go
+++ b/internal/controlplane/publication.go
@@ -40,7 +40,7 @@
 }
 
 // replace stores the documents and reports whether the configuration or the placement
-// differs from before. Most updates are keepalives of the chain that change neither.
+// differs from before. Most updates are heartbeats of the chain that change neither.
 func (p *publication) replace(docs chain.Documents) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -254,15 +254,16 @@
 	return &struct{}{}, nil
 }
 
-// runAntiEntropy periodically exchanges registry entries with the other cores and
-// expires those without heartbeats.
+// runAntiEntropy periodically records a heartbeat of this core, exchanges registry entries
+// with the other cores and expires entries without heartbeats. It also logs the call
+// statistics.
 func (s *Server) runAntiEntropy(ctx context.Context) {
 	tick := time.NewTicker(s.timing.syncInterval())
 	defer tick.Stop()
-	trafficLogged := time.Now()
+	trafficLoggedAt := time.Now()
 	for n := int64(1); ; n++ {
-		if time.Since(trafficLogged) > s.timing.trafficLogInterval() {
-			trafficLogged = time.Now()
+		if time.Since(trafficLoggedAt) > s.timing.trafficLogInterval() {
+			trafficLoggedAt = time.Now()
 			s.log.Printf("traffic: in %v: %s", s.timing.trafficLogInterval(), s.client.Traffic())
 		}
 		self := s.node
--- a/internal/operator/serve.go
+++ b/internal/operator/serve.go
@@ -111,7 +111,7 @@
 	return settings.Seconds(set.Timers.GraceS) / 16
 }
 
-// coreStopTimeout is how long the core may take to stop after that.
+// coreStopTimeout is how long the core may take to stop after the listener has shut down.
 func coreStopTimeout(set *settings.Settings) time.Duration {
 	return settings.Seconds(set.Timers.GraceS) / 4
 }
