--- a/internal/placement/encoding.go
+++ b/internal/placement/encoding.go
@@ -45,13 +45,13 @@
 	for i, name := range slices.Sorted(maps.Keys(p.Stores)) {
 		numbers[name] = i
 	}
-	var others []string
+	var unlisted []string
 	numberOf := func(name string) int {
 		number, known := numbers[name]
 		if !known {
 			number = len(numbers)
 			numbers[name] = number
-			others = append(others, name)
+			unlisted = append(unlisted, name)
 		}
 		return number
 	}
@@ -70,7 +70,7 @@
 		Term:              p.Term,
 		InitialStores:     p.InitialStores,
 		Stores:            p.Stores,
-		UnlistedStores:    others,
+		UnlistedStores:    unlisted,
 		CompactPartitions: string(compact),
 		Spans:             string(spans),
 	})
--- a/internal/placement/spans.go
+++ b/internal/placement/spans.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// A message is accepted once all replicas of its partition in that epoch have it on disk.
+// A message is accepted once all replicas of its partition in the current epoch have it on disk.
 // Each replica therefore holds every message that was accepted while it was a replica,
 // even if it was never in sync, and keeps it after it is removed from the replica set.
 // After the loss of all in-sync replicas, the remaining stores may still hold all
