--- a/internal/chain/contact.go
+++ b/internal/chain/contact.go
@@ -16,10 +16,10 @@
 	recent          [recentAnswers]answeredUpdate
 }
 
-// answeredUpdate is an update that this member answered, with its time of arrival.
+// answeredUpdate is an update that this member answered.
 type answeredUpdate struct {
-	position StreamPosition
-	received time.Time
+	position     StreamPosition
+	forwardStart time.Time // when this member began to forward the update, after its arrival
 }
 
 // confirm records a proof of contact at the given time. Older proofs are ignored.
@@ -37,18 +37,18 @@
 // The arrival of an update does not prove contact at the present time: it may have
 // been buffered while this process was suspended or a link was down. The head sends
 // an update only after the previous one has succeeded or failed. The update that it
-// names as committed therefore proves contact at the time when this member received
-// that earlier update: from then until its answer was sent, all members before this
+// names as committed therefore proves contact at the time when this member began to
+// forward that earlier update: from then until its answer was sent, all members before this
 // one were in this view, and no member behind it had left it.
-func (c *contact) recordAnswer(position StreamPosition, committedThrough int64, received time.Time) {
+func (c *contact) recordAnswer(position StreamPosition, committedThrough int64, forwardStart time.Time) {
 	committed := StreamPosition{Head: position.Head, Number: committedThrough}
 	for _, answered := range c.recent {
 		if answered.position == committed {
-			c.confirm(answered.received)
+			c.confirm(answered.forwardStart)
 		}
 	}
 	copy(c.recent[1:], c.recent[:])
-	c.recent[0] = answeredUpdate{position, received}
+	c.recent[0] = answeredUpdate{position, forwardStart}
 }
 
 // resetAnswers is called on a view change: answers given in the previous view prove
--- a/internal/chain/forward.go
+++ b/internal/chain/forward.go
@@ -65,7 +65,7 @@
 // forward sends an update to the successor, if there is one. When it returns nil, the
 // tail holds everything that this member holds. The caller holds updateLock.
 func (c *Chain) forward(ctx context.Context, u UpdateRequest) error {
-	received := time.Now()
+	forwardStart := time.Now()
 	if successor, ok := u.View.successor(c.Self); ok {
 		if len(u.Set) > 0 {
 			go c.config.OnUpdate(u.Set)
@@ -75,7 +75,7 @@
 		}
 	}
 	c.mu.Lock()
-	c.replica.recordCommitted(&u, received, time.Now())
+	c.replica.recordCommitted(&u, forwardStart, time.Now())
 	docs := c.replica.docs
 	c.mu.Unlock()
 	c.config.OnCommit(docs)
--- a/internal/chain/nextview.go
+++ b/internal/chain/nextview.go
@@ -147,11 +147,11 @@
 // than lostAfter, or -1. It adds voters that never answered to d.neverAnswered.
 func (in *viewInput) lostVoter(d *viewDecision) int {
 	return slices.IndexFunc(d.next.Voters, func(v Member) bool {
-		at, known := in.answeredAt[v.identity()]
+		lastAnswer, known := in.answeredAt[v.identity()]
 		if !known {
 			d.neverAnswered = append(d.neverAnswered, v.identity())
 			return false
 		}
-		return in.status(v) == nil && in.now.Sub(at) > in.lostAfter
+		return in.status(v) == nil && in.now.Sub(lastAnswer) > in.lostAfter
 	})
 }
--- a/internal/chain/reconfigure.go
+++ b/internal/chain/reconfigure.go
@@ -28,7 +28,10 @@
 }
 
 // reconfigure requests the status of all cores. If one of them knows a newer view,
-// it installs that view; otherwise it proposes the view that nextView decides on.
+// it installs that view. Otherwise it restores the state of this core if no member is
+// complete and a voter can provide it. If there is nothing to restore, it proposes the
+// view that nextView decides on, provided that this differs from the current view or
+// that the acceptor of this core has accepted a proposal for it.
 func (r *reconfigurer) reconfigure(ctx context.Context, view View) {
 	c := r.chain
 	statuses := r.collectStatuses(ctx, view)
@@ -90,7 +93,8 @@
 	return statuses
 }
 
-// logReplacedVoter logs once for each voter that its disk is not the one in the view.
+// logReplacedVoter logs, once for each voter, that the disk at its address is another
+// one than in the view.
 func (r *reconfigurer) logReplacedVoter(m Member, err error) {
 	if !isWrongDisk(err) || r.replacedVoters[m] {
 		return
--- a/internal/chain/replica.go
+++ b/internal/chain/replica.go
@@ -154,18 +154,19 @@
 }
 
 // recordCommitted records that this member and all members behind it hold an update.
-// The time received is when the update arrived, or at the head when it was sent.
-func (r *replica) recordCommitted(u *UpdateRequest, received, now time.Time) {
+// forwardStart is the time at which this member began to forward the update: after its
+// arrival and before the answer to it.
+func (r *replica) recordCommitted(u *UpdateRequest, forwardStart, now time.Time) {
 	r.active = true
 	r.successorDown = false
 	r.lastUpdate = now
 	r.position = u.Position
 	if u.View.indexOf(r.self) == 0 {
 		r.committedThrough = u.Position.Number
-		r.contact.confirm(received)
+		r.contact.confirm(forwardStart)
 		return
 	}
-	r.contact.recordAnswer(u.Position, u.CommittedThrough, received)
+	r.contact.recordAnswer(u.Position, u.CommittedThrough, forwardStart)
 }
 
 // markIncomplete records that this disk does not hold every committed update, even if
--- a/internal/chain/restore.go
+++ b/internal/chain/restore.go
@@ -12,7 +12,7 @@
 // complete for the view before the new member joined, or for a later view, therefore holds every
 // committed update. The new member restores the state from that core and becomes complete. It
 // decides this alone, while it accepts no updates: no agreement of other cores is needed, and a
-// complete member that was only slow finds the new one ahead or level.
+// complete member that was only slow then finds that the new one holds the same or later updates.
 
 // wasNeverComplete reports whether this replica is a member that has not been complete in any
 // view since it joined, and returns the view in which it joined. It returns false for a disk
--- a/internal/chain/run.go
+++ b/internal/chain/run.go
@@ -64,14 +64,14 @@
 // monitorView starts a reconfiguration when the view may have to change.
 func (c *Chain) monitorView(ctx context.Context, started time.Time) {
 	r := newReconfigurer(c)
-	var last time.Time
+	var lastAttempt time.Time
 	c.runPeriodically(ctx, func() {
-		if time.Since(started) < c.timing.startGrace() || time.Since(last) < c.timing.reconfigureInterval() {
+		if time.Since(started) < c.timing.startGrace() || time.Since(lastAttempt) < c.timing.reconfigureInterval() {
 			return
 		}
 		view := c.View()
 		if c.needsReconfiguration(ctx, view) {
-			last = time.Now()
+			lastAttempt = time.Now()
 			r.reconfigure(ctx, view)
 		}
 	})
@@ -79,8 +79,8 @@
 
 // needsReconfiguration reports whether the view may have to change: a neighbor is
 // lost, or this core is the head and there are voters or candidates to add. A proposal
-// accepted by the acceptor of this core must be completed as well: until then no
-// majority may be able to confirm that this view is the newest.
+// accepted by the acceptor of this core must be completed as well: until then there
+// may be no majority that confirms that this view is the newest.
 func (c *Chain) needsReconfiguration(ctx context.Context, view View) bool {
 	if c.neighborLost(ctx, view) || c.acceptor.HasAccepted(view.Number+1) {
 		return true
--- a/internal/chain/storage.go
+++ b/internal/chain/storage.go
@@ -78,7 +78,7 @@
 }
 
 // deleteAcceptorStates deletes the acceptor states of all instances up to and including
-// through.
+// through, and those whose key is not a number.
 func deleteAcceptorStates(tx *bbolt.Tx, through int64) error {
 	votes := tx.Bucket(bucketVotes)
 	var old [][]byte
