--- a/internal/partition/batch_response.go
+++ b/internal/partition/batch_response.go
@@ -34,7 +34,7 @@
 			continue
 		}
 		if result.Stale {
-			m.handleNewerEpochLocked(sent)
+			m.handleStaleLocked(sent)
 			continue
 		}
 		m.renewContactLocked(sent.partition)
@@ -58,9 +58,9 @@
 	}
 }
 
-// handleNewerEpochLocked handles a backup that follows another primary: it grants this
-// store no lease.
-func (m *Manager) handleNewerEpochLocked(sent *sentPartition) {
+// handleStaleLocked handles a backup that does not regard this store as the primary,
+// usually since it knows a newer epoch: it grants this store no lease.
+func (m *Manager) handleStaleLocked(sent *sentPartition) {
 	p, replica := sent.partition, sent.replica
 	if replica.connected {
 		m.config.Log.Printf("copy: partition %d: %s knows a newer epoch than %d", p.number, replica.store, p.epoch)
