--- a/internal/partition/antientropy.go
+++ b/internal/partition/antientropy.go
@@ -62,9 +62,9 @@
 	return true
 }
 
-// compare queues the records that a backup lacks. It returns their number and the
-// identifiers of the records to fetch from it. It does nothing if this store no longer
-// leads the partition in that epoch.
+// compare queues the records that a backup lacks, and the deletion of those that it must
+// not hold. It returns the number of both and the identifiers of the records to fetch from
+// the peer. It does nothing if this store no longer leads the partition in that epoch.
 func (m *Manager) compare(p *partition, epoch int64, peer string, digest DigestResponse) (toSend int, toFetch []string) {
 	remote := digest.statesByID()
 	m.mu.Lock()
@@ -74,7 +74,7 @@
 	}
 	if r := p.replica(peer); r != nil {
 		toSend = r.queueMissing(&p.records, remote)
-		toSend += m.deleteUnconfirmedEntriesLocked(p, remote)
+		toSend += m.deleteExtraneousEntriesLocked(p, remote)
 		if digest.Outdated {
 			toSend += m.deleteStalePendingLocked(p, remote)
 		}
--- a/internal/partition/topiclog.go
+++ b/internal/partition/topiclog.go
@@ -10,8 +10,8 @@
 // message of a topic is an entry of the partition's log: it never changes and is deleted
 // when its retention is over. Both are replicated by the same rules with one exception:
 // the primary alone decides which log entries exist. An entry that a replica holds and
-// the primary lacks was confirmed by no primary, so the replica deletes it, whereas a
-// deferred message would be taken over.
+// the primary lacks has expired or was confirmed by no primary, so the replica deletes
+// it, whereas a deferred message would be taken over.
 
 // entryIDPrefix is the prefix of the identifiers of log entries. No deferred message has
 // it, since an attempt id contains no space.
@@ -270,9 +270,9 @@
 	}
 }
 
-// deleteUnconfirmedEntriesLocked deletes the entries that a replica holds and this
-// primary lacks: they were never confirmed and never will be.
-func (m *Manager) deleteUnconfirmedEntriesLocked(p *partition, remote map[string]State) (deleted int) {
+// deleteExtraneousEntriesLocked deletes the entries that a replica holds and this
+// primary lacks: they have expired, or were never confirmed and never will be.
+func (m *Manager) deleteExtraneousEntriesLocked(p *partition, remote map[string]State) (deleted int) {
 	for id, state := range remote {
 		if isEntryID(id) && state != Deleted && p.records.byID[id] == nil {
 			m.commitLocked(p, &Record{ID: id, Partition: p.number, State: Deleted}, nil)
