--- a/internal/partition/accept.go
+++ b/internal/partition/accept.go
@@ -68,7 +68,7 @@
 		select {
 		case <-wait.confirmed:
 			return nil
-		case <-wait.changed: // the message may be accepted in the new epoch
+		case <-wait.changed: // the message may be accepted now, for example in a new epoch
 		case <-retry:
 		case <-ctx.Done():
 			return notAccepted(n, mayBeStored)
@@ -86,7 +86,8 @@
 }
 
 // tryAccept stores a message unless it is already stored or cannot be stored now, and
-// returns what to wait for. Messages are stored in the order of the calls.
+// returns what to wait for. mayBeStored means that an earlier call for the message may have
+// stored it. Messages are stored in the order of the calls.
 func (m *Manager) tryAccept(n int, r *Record, mayBeStored bool) (acceptWait, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/partition/antientropy.go
+++ b/internal/partition/antientropy.go
@@ -98,8 +98,8 @@
 	return states
 }
 
-// missingOrOlder lists the messages and log entries that are missing here or present only
-// in an earlier state than in remote.
+// missingOrOlder lists the identifiers of the records that are missing here or present
+// only in an earlier state than in remote.
 func (s *recordSet) missingOrOlder(remote map[string]State) []string {
 	var ids []string
 	for id, state := range remote {
@@ -204,7 +204,7 @@
 	return bodies[r.Length:], true
 }
 
-// Find returns the record of a message that this store leads as the primary. If the
+// Find returns the record of a message in a partition that this store leads. If the
 // record is not here, it is fetched from a backup. Find returns a *NotPrimaryError,
 // ErrUnknownMessage, ErrIndeterminate if messages require backups but none could be
 // asked, or the error of the last backup that did not answer.
--- a/internal/partition/backup.go
+++ b/internal/partition/backup.go
@@ -32,7 +32,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	// The primary counts the response as a confirmation by the disk that its placement
-	// names.
+	// names, so a batch for another disk must not be confirmed.
 	otherDisk := batch.Disk != "" && batch.Disk != m.storage.identity
 	for _, part := range batch.Partitions {
 		if otherDisk {
@@ -48,8 +48,8 @@
 		response.Partitions = append(response.Partitions, m.applyPartitionBatchLocked(batch, part, bodies))
 	}
 	m.recordAppliedLocked(batch)
-	// This includes records of earlier batches and of other primaries: the checksum
-	// covers them, and a message that a checksum covers may be answered with 202.
+	// The wait includes records of earlier batches and of other primaries: the checksum
+	// covers them, and the primary may accept a message that the checksum covers.
 	m.storage.afterSync(func() { close(onDisk) })
 	return response, onDisk, nil
 }
--- a/internal/partition/events.go
+++ b/internal/partition/events.go
@@ -3,8 +3,8 @@
 // Event reports a change to the delivery or to the broker. The events of a partition are
 // in the order of the changes: BecamePrimary, then the records to deliver, then
 // LostPrimary. LogReady comes once between BecamePrimary and LostPrimary, or not at all
-// if the role is lost first. It waits for disks, so messages may precede it. Entries only
-// follow it.
+// if the role is lost first. It waits for disks, so deferred messages may precede it, but
+// no log entries do.
 type Event struct {
 	Partition     int
 	BecamePrimary bool                // this store has become the primary; Records holds all pending deferred messages
--- a/internal/partition/floor.go
+++ b/internal/partition/floor.go
@@ -6,9 +6,9 @@
 )
 
 // The floor of a topic is the position of its last deleted entry. While a topic has
-// entries, the first of them names its predecessor. For a topic without entries, the
-// floor is a separate record in the partition and is replicated like all others, so that
-// a cursor from before a deletion is recognized after any failover and restart.
+// entries, the floor is Record.Previous of the first of them. For a topic without entries,
+// the floor is a separate record in the partition and is replicated like all others, so
+// that a cursor from before a deletion is recognized after any failover and restart.
 
 // floorIDPrefix is the prefix of the identifiers of floors. No message identifier has it.
 const floorIDPrefix = " floor/"
--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -28,7 +28,7 @@
 
 	// Used by a backup, and after it becomes primary until the granted lease expires:
 	granted  grantedLease
-	released Position // position up to which entries were released, as last received from the primary
+	released Position // position up to which the current or a former primary is known to have released entries
 }
 
 func newPartition(number int, epoch int64, records []*Record) (p *partition, memoryBytes int64) {
--- a/internal/partition/record.go
+++ b/internal/partition/record.go
@@ -19,7 +19,7 @@
 	Pending    State = iota
 	DeadLetter       // undeliverable: refused by the handler, out of attempts, expired or without a route
 	Complete
-	Deleted // expired; replicas that receive it remove the record
+	Deleted // the record was deleted; replicas that receive this state remove theirs
 )
 
 // Record is a message as held by a store. Records are shared between goroutines and
@@ -36,10 +36,10 @@
 	Host      string   `json:"h,omitempty"`
 	Type      string   `json:"c,omitempty"` // content type
 	OrderKey  string   `json:"k,omitempty"`
-	Due       int64    `json:"d,omitempty"` // wall clock, ms
-	Expires   int64    `json:"x,omitempty"` // end of the retention of the entry or of the outcome; wall clock, ms
-	Revision  int64    `json:"r,omitempty"` // revision of the configuration under which it was accepted
-	Seal      string   `json:"s,omitempty"`
+	Due       int64    `json:"d,omitempty"`  // wall clock, ms
+	Expires   int64    `json:"x,omitempty"`  // end of the retention of the message, the entry or the outcome; wall clock, ms
+	Revision  int64    `json:"r,omitempty"`  // revision of the configuration under which it was accepted
+	Seal      string   `json:"s,omitempty"`  // of the handler that completed it
 	Topic     string   `json:"tp,omitempty"` // of a log entry
 	Publisher string   `json:"pb,omitempty"` // of a log entry: the client
 	Number    int64    `json:"pn,omitempty"` // of a log entry: the number assigned by the client
--- a/internal/partition/recovery.go
+++ b/internal/partition/recovery.go
@@ -156,8 +156,8 @@
 }
 
 // divergentEntries returns the entries of one topic that are not part of the log that
-// ends with the last entry. Each entry names its predecessor, so no entry can lie between
-// the two.
+// ends with the last entry. Each entry names its predecessor, so an entry that lies
+// between the two is divergent.
 func divergentEntries(entries []*Record) []*Record {
 	slices.SortFunc(entries, func(a, b *Record) int { return b.Position().Compare(a.Position()) })
 	var next *Record
--- a/internal/partition/replica.go
+++ b/internal/partition/replica.go
@@ -41,8 +41,8 @@
 
 // needsBatch reports whether the partition belongs in the next batch. Since traffic
 // between regions is expensive, a partition with nothing to send is left out until its
-// lease must be renewed. While a batch is in flight, only new messages are sent: its
-// response decides about everything else.
+// lease must be renewed or released. While a batch is in flight, only new messages are
+// sent; everything else waits for its response.
 func (r *replica) needsBatch(now time.Time, release bool, renewal time.Duration) bool {
 	if r.inFlightBatches > 0 {
 		return r.hasNewMessages()
@@ -53,13 +53,14 @@
 	return r.leaseExpires.Sub(now) <= renewal
 }
 
-// maxBatchBytes limits the size of a batch, and thereby its memory.
+// maxBatchBytes is the size above which a batch takes no more records, which limits its
+// memory. The first changed record of each partition is taken in any case.
 const maxBatchBytes = 256 << 10
 
 // selectRecords selects the records of the next batch for the replica: the changed
-// records in the order of their changes, then the missing ones. size is the number of
-// bytes already in the batch; complete reports that nothing was left out. Selected
-// records are removed from missing.
+// records that are not in flight, in the order of their changes, then the missing ones.
+// size is the number of bytes already in the batch; complete reports that none of these
+// records was left out. Selected records are removed from missing.
 func (r *replica) selectRecords(records *recordSet, size int64) (selected []*Record, complete bool) {
 	for _, record := range r.unreplicated {
 		if r.inFlight[record.ID] != record {
--- a/internal/partition/replicator.go
+++ b/internal/partition/replicator.go
@@ -171,7 +171,7 @@
 func (r *replicator) handleOutcome(ctx context.Context, outcome batchOutcome) {
 	r.inFlight--
 	switch {
-	case r.pipeline.Err() != nil:
+	case r.pipeline.Err() != nil: // canceled after an earlier failure, or the Manager ends
 	case outcome.err != nil:
 		r.cancelPipeline()
 		r.handleFailure(ctx, outcome.err)
--- a/internal/partition/timing.go
+++ b/internal/partition/timing.go
@@ -85,7 +85,8 @@
 func (t timing) handoverPoll() time.Duration { return t.contactTimeout / 800 }
 
 // handoverValidity is how long a partition that is ready for its handover stays stopped
-// without a new placement. It is longer than the controller relies on the response.
+// without a new placement. It exceeds the time for which the controller relies on the
+// response.
 func (t timing) handoverValidity() time.Duration { return t.contactTimeout / 4 }
 
 // clock is the wall clock at the start of the process, advanced by the monotonic clock,
--- a/internal/partition/topiclog.go
+++ b/internal/partition/topiclog.go
@@ -219,8 +219,10 @@
 			tail = append(tail, p.requeueAccept(r))
 		}
 	}
+	// afterSync may call its argument at once, while mu is held, so another goroutine has
+	// to lock mu.
 	m.storage.afterSync(func() {
-		m.background.tasks.Go(func() { // afterSync may call this function with mu held
+		m.background.tasks.Go(func() {
 			m.mu.Lock()
 			defer m.mu.Unlock()
 			if p.log == log {
