--- a/internal/store/messages.go
+++ b/internal/store/messages.go
@@ -53,19 +53,19 @@
 	deliveryBytes *quota.Manager
 }
 
-func newMessages(host WorkloadConfig) (Workload, error) {
+func newMessages(config WorkloadConfig) (Workload, error) {
 	m := &messages{
-		timing:        newTiming(host.Settings),
-		node:          host.Node,
-		partitions:    host.Partitions,
+		timing:        newTiming(config.Settings),
+		node:          config.Node,
+		partitions:    config.Partitions,
 		deliveryBytes: quota.NewManager(quota.DeliveryBytes),
 	}
 	scheduler, err := delivery.New(delivery.Config{
-		Partitions:    host.Partitions,
-		Pool:          &httpwire.Pool{Network: host.Network, DialTimeout: m.timing.dialTimeout()},
-		Settings:      host.Settings,
-		Log:           host.Log,
-		Table:         host.Node.Table,
+		Partitions:    config.Partitions,
+		Pool:          &httpwire.Pool{Network: config.Network, DialTimeout: m.timing.dialTimeout()},
+		Settings:      config.Settings,
+		Log:           config.Log,
+		Table:         config.Node.Table,
 		DeliveryBytes: m.deliveryBytes,
 	})
 	m.scheduler = scheduler
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -130,7 +130,7 @@
 		ReportInSync:   s.node.ReportInSync,
 		ReportFailure:  s.node.ReportFailure,
 		Backups:        int(set.FaultTolerance.HostFailures),
-		MaxDisk:        set.Limits.DiskMb << 20 * 2 / 5, // the file is written anew after a failed write
+		MaxDisk:        set.Limits.DiskMb << 20 * 2 / 5, // leaves room for a second file: the file is rewritten after a failed write
 		MaxMemory:      set.Limits.MemoryMb << 20 / 3,
 	})
 	if err != nil {
@@ -226,7 +226,7 @@
 }
 
 // startDeliveries runs the workload until ctx ends. The channel is closed when no
-// delivery is in flight any more, which may be after the process has ended.
+// delivery is in flight any more.
 func (s *Store) startDeliveries(ctx context.Context) (deliveriesDone <-chan struct{}) {
 	done := make(chan struct{})
 	go func() {
--- a/internal/store/timing.go
+++ b/internal/store/timing.go
@@ -21,21 +21,21 @@
 func (t timing) dialTimeout() time.Duration { return t.contactTimeout / 16 }
 
 // limiterReconcileInterval is how often the limiter is reconciled with the placement:
-// once per lease period of the edges.
+// once per renewal interval of the edges' leases.
 func (t timing) limiterReconcileInterval() time.Duration { return t.contactTimeout / 16 }
 
 // lookupTimeout bounds finding a message, including on its backups.
 func (t timing) lookupTimeout() time.Duration { return t.contactTimeout / 4 }
 
-// handoverTimeout is how long a partition may be frozen until its deliveries in flight
-// end.
+// handoverTimeout bounds how long the deliveries of a partition are stopped while a
+// handover waits for those in flight and for the backups.
 func (t timing) handoverTimeout() time.Duration { return t.contactTimeout * 3 / 4 }
 
 // drainTimeout bounds the handover of the partitions. The rest of the grace period is
 // for the deliveries in flight and the calls.
 func (t timing) drainTimeout() time.Duration { return t.grace * 3 / 4 }
 
-// drainPollInterval is how often drain checks whether they are handed over.
+// drainPollInterval is how often drain checks for partitions that are left.
 func (t timing) drainPollInterval() time.Duration { return t.contactTimeout / 200 }
 
 // deliveryDrainTimeout bounds the deliveries in flight after drainTimeout.
