--- a/internal/admission/quotas.go
+++ b/internal/admission/quotas.go
@@ -68,8 +68,8 @@
 // that requires it.
 func (q *Quotas) RecordRequest(tenant, route string, bytes int, processingTime, acceptedThrottle time.Duration) (time.Duration, *quota.Manager) {
 	throttle, limiting := q.RequestBytes.Record(tenant, route, float64(bytes)), q.RequestBytes
-	if x := q.RequestTime.Record(tenant, route, max(0, processingTime.Seconds())); x > throttle {
-		throttle, limiting = x, q.RequestTime
+	if timeThrottle := q.RequestTime.Record(tenant, route, max(0, processingTime.Seconds())); timeThrottle > throttle {
+		throttle, limiting = timeThrottle, q.RequestTime
 	}
 	if acceptedThrottle > throttle {
 		throttle, limiting = acceptedThrottle, q.AcceptedMessages
--- a/internal/edge/admission.go
+++ b/internal/edge/admission.go
@@ -46,9 +46,10 @@
 	return response
 }
 
-// throttle records the resource usage of a request. If a quota is exceeded, the
-// response is sent at once with the throttle time in a header, and reads from the
-// connection are paused for that time.
+// throttle records the resource usage of a request. waitTime is the time in which the
+// request was read and admitted; it does not count as processing time. If a quota is
+// exceeded, the response is sent at once with the throttle time in a header, and reads
+// from the connection are paused for that time unless other tenants share it.
 func (e *Edge) throttle(r *httpwire.Request, m *client.Message, route *configuration.Route, waitTime time.Duration, response *httpwire.Response) {
 	processingTime := time.Since(r.Received) - waitTime
 	throttleTime, limitingQuota := e.quotas.RecordRequest(m.Tenant, route.Name, len(r.Body), processingTime, m.Throttle)
@@ -75,11 +76,11 @@
 		ID: m.ID, Tenant: m.Tenant, Method: r.Method, Target: r.RequestURI, Host: r.Host,
 		Type: r.Header.Get("Content-Type"), OrderKey: m.OrderKey, Revision: table.Revision, Body: r.Body,
 	}
-	number, err := e.forward(ctx, route, table.Service(route.Service), &record, m.Delay, r.Received)
+	partitionNumber, err := e.forward(ctx, route, table.Service(route.Service), &record, m.Delay, r.Received)
 	if err != nil {
 		return e.forwardErrorResponse(m.ID, err)
 	}
-	return &httpwire.Response{Status: 202, Header: []string{"Saltreel-Message-Name", client.Name(number, m.ID)}}
+	return &httpwire.Response{Status: 202, Header: []string{"Saltreel-Message-Name", client.Name(partitionNumber, m.ID)}}
 }
 
 // checkRate consumes one message of the tenant's rate limit. It returns a 429
--- a/internal/edge/candidates.go
+++ b/internal/edge/candidates.go
@@ -20,8 +20,8 @@
 // candidatePartitions lists the partitions that may store a message, the nearest
 // tier first. Within a tier the order starts at a partition derived from the message
 // ID, so that an edge distributes its messages over all of them. If a single node has
-// to pace the service or to order the key, its partition is the only candidate. The
-// list is empty if there are no partitions.
+// to pace the service or to order the key, the partition that the name of the service or
+// the key hashes to is the only candidate. The list is empty if there are no partitions.
 func candidatePartitions(p *placement.Placement, set *settings.Settings, route *configuration.Route, service *configuration.Service, r *partition.Record) []int {
 	n := uint64(len(p.Partitions))
 	if n == 0 {
--- a/internal/edge/forward.go
+++ b/internal/edge/forward.go
@@ -30,7 +30,7 @@
 	declined map[int]bool    // partitions that cannot accept messages now
 }
 
-// forward stores a message on one more disk than the number of disk failures to
+// forward stores a message on one more disk than the number of host failures to
 // tolerate. It returns the partition that accepted it, or errIDConflict, a
 // *notAcceptedError or an *indeterminateError.
 func (e *Edge) forward(ctx context.Context, route *configuration.Route, service *configuration.Service, r *partition.Record, delay time.Duration, received time.Time) (int, error) {
