--- a/internal/delivery/attempt.go
+++ b/internal/delivery/attempt.go
@@ -107,9 +107,10 @@
 // maxRetryDoublings bounds the exponential backoff of a message.
 const maxRetryDoublings = 4
 
-// retryDelay returns the time until the next attempt of a message: exponential backoff if the
-// last one may have been executed, and jitter of ±50% in any case. The last attempt is
-// delayed by longer while the service is failing, so that an outage does not use it up.
+// retryDelay returns the time until the next attempt of a message: exponential backoff, except
+// after an attempt that was declined or met another instance, and jitter of ±50% in any case.
+// The last attempt is delayed by longer while the service is failing, so that an outage does
+// not use it up.
 func (s *Scheduler) retryDelay(m *message, o handler.Outcome, route *configuration.Route) time.Duration {
 	mean := s.timing.baseRetryDelay()
 	lastAttempt := m.failedAttempts+1 >= int(route.MaxAttempts)
--- a/internal/delivery/dispatch.go
+++ b/internal/delivery/dispatch.go
@@ -160,8 +160,8 @@
 }
 
 // beginDelivery counts a delivery as in flight if it may start. It counts before the check, so
-// that a handover that finds no delivery in flight after it has frozen the partition can rely
-// on that.
+// that a handover that has stopped the deliveries of the partition and then finds none in
+// flight can rely on that.
 func (s *Scheduler) beginDelivery(m *message) bool {
 	s.inFlight.add(m.record.Partition, 1)
 	if s.config.Partitions.MayDeliver(m.record.Partition) {
--- a/internal/delivery/endpoint.go
+++ b/internal/delivery/endpoint.go
@@ -106,8 +106,8 @@
 	s.wakeUp()
 }
 
-// applyInstanceLocked makes an instance an endpoint of its service if it is ready, and removes
-// it from all other services.
+// applyInstanceLocked makes a ready instance an endpoint of its service and of no other. An
+// instance that is not ready is removed from all services.
 func (s *Scheduler) applyInstanceLocked(id string, in handler.Instance, ready bool) {
 	for service, list := range s.endpoints {
 		e := list[id]
--- a/internal/delivery/pacing.go
+++ b/internal/delivery/pacing.go
@@ -26,7 +26,8 @@
 // overshoot. The rest of the overshoot is reserved for deliveries that bunch up on the way.
 func refillRate(ratePerS, overshoot float64) float64 { return ratePerS * (1 + (overshoot-1)/4) }
 
-// timeUntilToken returns the time until the bucket holds a whole token.
+// timeUntilToken returns the time until the bucket holds a whole token if it is refilled at the
+// limit, without the overshoot.
 func (b *tokenBucket) timeUntilToken(ratePerS float64) time.Duration {
 	return time.Duration((1 - b.tokens) / ratePerS * float64(time.Second))
 }
--- a/internal/handler/deliver.go
+++ b/internal/handler/deliver.go
@@ -11,11 +11,12 @@
 	"saltreel/internal/httpwire"
 )
 
-// Delivery is one attempt to deliver a message to a handler.
+// Delivery is one attempt to deliver a message to a handler. Instance, Tenant, OrderKey and
+// Type are not sent if they are empty.
 type Delivery struct {
 	Address  string
-	Instance string // expected at the address; empty for a fixed endpoint
-	ID       string // message ID; empty fields below are not sent
+	Instance string // expected at the address; empty for a static endpoint
+	ID       string // message ID
 	Tenant   string
 	OrderKey string
 	Method   string
--- a/internal/ratelimit/leases.go
+++ b/internal/ratelimit/leases.go
@@ -66,7 +66,8 @@
 
 // Acquire admits one message of a tenant and returns 0, or returns how long to wait if the
 // tenant is over its limit. While the owner is unreachable this is not known, so the
-// message waits for the owner until ctx is done, as it would wait for its store.
+// message waits for the owner until ctx is done, as it would wait for its store, and is
+// then refused for half a quota window.
 func (l *Leases) Acquire(ctx context.Context, tenant *configuration.Tenant) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
