--- a/internal/partition/antientropy.go
+++ b/internal/partition/antientropy.go
@@ -62,9 +62,9 @@
 	return true
 }
 
-// compare queues the records that a backup lacks. It returns their number and the
-// identifiers of the records to fetch from it. It does nothing if this store no longer
-// leads the partition in that epoch.
+// compare queues the records that a backup lacks, and the deletion of those that it must
+// not hold. It returns the number of both and the identifiers of the records to fetch from
+// the peer. It does nothing if this store no longer leads the partition in that epoch.
 func (m *Manager) compare(p *partition, epoch int64, peer string, digest DigestResponse) (toSend int, toFetch []string) {
 	remote := digest.statesByID()
 	m.mu.Lock()
@@ -74,7 +74,7 @@
 	}
 	if r := p.replica(peer); r != nil {
 		toSend = r.queueMissing(&p.records, remote)
-		toSend += m.deleteUnconfirmedEntriesLocked(p, remote)
+		toSend += m.deleteExtraneousEntriesLocked(p, remote)
 		if digest.Outdated {
 			toSend += m.deleteStalePendingLocked(p, remote)
 		}
@@ -98,8 +98,8 @@
 	return states
 }
 
-// missingOrOlder lists the messages and log entries that are missing here or present only
-// in an earlier state than in remote.
+// missingOrOlder lists the identifiers of the records that are missing here or present
+// only in an earlier state than in remote.
 func (s *recordSet) missingOrOlder(remote map[string]State) []string {
 	var ids []string
 	for id, state := range remote {
@@ -204,7 +204,7 @@
 	return bodies[r.Length:], true
 }
 
-// Find returns the record of a message that this store leads as the primary. If the
+// Find returns the record of a message in a partition that this store leads. If the
 // record is not here, it is fetched from a backup. Find returns a *NotPrimaryError,
 // ErrUnknownMessage, ErrIndeterminate if messages require backups but none could be
 // asked, or the error of the last backup that did not answer.
