--- a/cmd/saltreel-control/commands.go
+++ b/cmd/saltreel-control/commands.go
@@ -81,7 +81,7 @@
 			if err := send(c, cmd.Context(), raw, baseRevision); err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(cmd.OutOrStdout(), "revision %d was taken\n", revision)
+			_, err = fmt.Fprintf(cmd.OutOrStdout(), "revision %d was applied\n", revision)
 			return err
 		},
 	}
