--- a/internal/broker/topics.go
+++ b/internal/broker/topics.go
@@ -12,7 +12,7 @@
 	partition    int
 	entries      []*partition.Record // in order
 	floor        partition.Position  // messages up to this position were deleted
-	emptySinceMs int64               // time when the last entry was deleted; 0 while there are entries
+	emptySinceMs int64               // since when there are no entries, if any were deleted; otherwise 0
 	followers    map[*session]bool
 	subscribers  map[*session]int // number of subscribers by session; no zero entries
 }
--- a/internal/gateway/caller.go
+++ b/internal/gateway/caller.go
@@ -21,7 +21,8 @@
 }
 
 // call makes one call and returns the raw bytes that follow the response. The request is
-// followed by raw, unless raw is nil.
+// followed by raw, unless raw is nil. A broker that has not responded within the suspect
+// timeout is reported while the call continues, except for polls, which wait for messages.
 func (c *brokerCaller) call(ctx context.Context, store, address, path string, timeout time.Duration, in any, raw []byte, out any) ([]byte, error) {
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -182,9 +182,9 @@
 	c.send(linewire.AppendUnsubscribeOK(nil, command.Topic))
 }
 
-// handlePublish publishes a message, unless the tenant is over its rate limit and the number
-// was not accepted before. If another quota is exceeded, reads from the connection are paused
-// for the throttle time.
+// handlePublish publishes a message. If the tenant is over its rate limit, the message is
+// refused unless its number may have been accepted before. If another quota is exceeded, reads
+// from the connection are paused for the throttle time.
 func (c *clientConn) handlePublish(ctx context.Context, command *linewire.Command, table *configuration.Table, space *configuration.Route) {
 	received := time.Now()
 	g := c.gateway
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -195,8 +195,9 @@
 // of it: the broker restarted, or a call was lost.
 var errUnknownSession = errors.New("session unknown to the broker")
 
-// reset ends a session, unless it has already ended, and makes all feeds join again. cause is
-// the failure, or nil when the process ends.
+// reset ends the session with this ID, unless it has already ended, and makes all feeds join
+// again. An empty ID means the current session. cause is the failure, or nil when the process
+// ends.
 func (l *brokerLink) reset(id string, cause error) {
 	l.hub.mu.Lock()
 	defer l.hub.mu.Unlock()
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -54,7 +54,8 @@
 const maxQueued = 256
 
 // add queues a message, which is answered when its outcome is known or at its deadline. If the
-// number is already queued, the new response replaces the former.
+// number is already queued, the earlier request is answered with UNKNOWN and the new one waits
+// for the outcome.
 func (p *publishers) add(from publisherTopic, m *publication) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/httpwire/exchange.go
+++ b/internal/httpwire/exchange.go
@@ -61,8 +61,8 @@
 	return err
 }
 
-// applyDeadline sets the deadline of reads and writes. An error means that the connection is closed, which
-// the next read or write reports.
+// applyDeadline sets the deadline of reads and writes. An error means that the
+// connection is closed, which the next read or write reports.
 func (c *clientConn) applyDeadline(deadline time.Time) { _ = c.SetDeadline(deadline) }
 
 func (c *clientConn) readResponse(call *Call, id string) (*ClientResponse, error) {
--- a/internal/linewire/command.go
+++ b/internal/linewire/command.go
@@ -31,12 +31,12 @@
 // Reason codes.
 const (
 	Retry     Reason = "RETRY"
-	Unknown   Reason = "UNKNOWN"
-	Unauth    Reason = "UNAUTH"
-	NoSpace   Reason = "NOSPACE"
-	Oversize  Reason = "OVERSIZE"
-	Malformed Reason = "MALFORMED"
-	Expired   Reason = "EXPIRED"
+	Unknown   Reason = "UNKNOWN"   // the outcome of a PUBLISH is not known
+	Unauth    Reason = "UNAUTH"    // the secret is missing or belongs to no tenant
+	NoSpace   Reason = "NOSPACE"   // the topic is in no topic space
+	Oversize  Reason = "OVERSIZE"  // the body exceeds MaxBodyBytes
+	Malformed Reason = "MALFORMED" // the command is invalid
+	Expired   Reason = "EXPIRED"   // messages after the cursor were deleted
 )
 
 // Limits for decoding.
@@ -125,8 +125,8 @@
 	return string(text), nil
 }
 
-// parse assigns the fields to the targets. The first required fields must be present and not
-// empty.
+// parse assigns the fields to the targets in order. required is the number of leading fields
+// that must be present and not empty; the others are optional.
 func (c *Command) parse(fields []string, required int, targets ...*string) error {
 	if len(fields) < required || len(fields) > len(targets) {
 		return c.malformed("wrong number of fields")
--- a/internal/node/timing.go
+++ b/internal/node/timing.go
@@ -30,8 +30,9 @@
 // trafficInterval is how often the traffic of the calls is logged.
 func (t timing) trafficInterval() time.Duration { return 4 * t.contactTimeout }
 
-// reportInterval is the minimum time between two failure reports about the same node,
-// and before a report about any node that did not refuse a connection.
+// reportInterval is the minimum time between two failure reports about the same node.
+// A report about a node that did not refuse the connection must also be this much later
+// than the last report about any node.
 func (t timing) reportInterval() time.Duration { return t.contactTimeout / 20 }
 
 // reportTimeout bounds one failure report. The controller responds before it
--- a/internal/platform/lifecycle.go
+++ b/internal/platform/lifecycle.go
@@ -36,7 +36,7 @@
 	Log          *log.Logger
 
 	state    lifecycleState // used only by the goroutine of Run
-	lastRead []byte         // the content of the settings file that was applied
+	lastRead []byte         // the content of the settings file that was last applied or logged as not applied
 	process  Process        // nil until it has started
 }
 
@@ -85,7 +85,8 @@
 	return nil
 }
 
-// start opens the state. It returns a nil process if it was stopped while starting.
+// start opens the state. It returns a nil process if it was stopped before the state
+// was open.
 func (l *Lifecycle) start(ctx context.Context, cancel context.CancelFunc, set *settings.Settings) (Process, error) {
 	done := make(chan outcome, 1)
 	go func() {
@@ -143,10 +144,10 @@
 		l.applySettings()
 	case actionPostponeReload:
 		l.Log.Printf("platform: settings reload postponed until the process has started")
-		l.rememberSettings() // logged once for each change
+		l.rememberSettings()
 	case actionIgnoreReload:
 		l.Log.Printf("platform: the settings are not read again: the process is stopping")
-		l.rememberSettings() // logged once for each change
+		l.rememberSettings()
 	case actionIgnoreStop:
 		l.Log.Printf("platform: stopping already")
 	}
@@ -160,6 +161,8 @@
 	return err == nil && !bytes.Equal(raw, l.lastRead)
 }
 
+// rememberSettings records the content of the settings file without applying it, so
+// that the same change is not logged again.
 func (l *Lifecycle) rememberSettings() {
 	if raw, err := l.ReadSettings(); err == nil {
 		l.lastRead = raw
--- a/internal/platform/signals.go
+++ b/internal/platform/signals.go
@@ -28,8 +28,8 @@
 type Signals <-chan os.Signal
 
 // CatchSignals registers for all signals that a process of a role handles. A
-// program calls it first, since signals have their default action until then. They
-// are never unregistered, so that no signal interrupts the shutdown.
+// program calls it first, since signals have their default action until then. A process
+// of a role never unregisters them, so that no signal interrupts the shutdown.
 func CatchSignals() Signals { return RegisterSignals(osSignals{}) }
 
 // RegisterSignals is CatchSignals for a given source.
--- a/internal/realtime/client.go
+++ b/internal/realtime/client.go
@@ -1,6 +1,6 @@
 // Package realtime implements a client of topics. It subscribes and publishes at a gateway,
-// resumes from its cursors after a lost connection, and follows redirects. The terminal
-// commands use it.
+// resumes from its cursors after a lost connection, and follows redirects. The client
+// commands of saltreel-data use it.
 package realtime
 
 import (
@@ -138,7 +138,8 @@
 	return count, err
 }
 
-// rejection returns the error for a REJECT: a *RejectedError, unless a retry may succeed.
+// rejection returns the error for a REJECT: a *RejectedError, unless a retry may succeed. A
+// PUBLISH answered with RETRY is not retried: it was not executed and never will be.
 func rejection(a *linewire.Response) error {
 	if a.Reason == linewire.Retry && a.Request != linewire.Publish || a.Reason == linewire.Unknown {
 		return fmt.Errorf("%s %s: %s", a.Request, a.Topic, a.Reason)
