--- a/internal/boltstore/file.go
+++ b/internal/boltstore/file.go
@@ -177,11 +177,11 @@
 		if err := f.Err(); err != nil {
 			return err
 		}
-		var rolledBack error
+		var fnErr error
 		err := detectDamage(f.Path, func() error {
 			err := database.Update(func(tx *bbolt.Tx) error {
-				if rolledBack = fn(tx); rolledBack != nil {
-					return rolledBack
+				if fnErr = fn(tx); fnErr != nil {
+					return fnErr
 				}
 				return f.injectedFault(StepCommit)
 			})
@@ -190,7 +190,7 @@
 			}
 			return err
 		})
-		if err != nil && (rolledBack == nil || errors.Is(err, ErrDamaged)) {
+		if err != nil && (fnErr == nil || errors.Is(err, ErrDamaged)) {
 			f.fail(err)
 		}
 		return err
--- a/internal/broker/calls.go
+++ b/internal/broker/calls.go
@@ -83,10 +83,10 @@
 		b.topics.unfollow(name, s)
 	}
 	out := &topic.FollowResponse{}
-	bodies, size, bound := []byte{}, 0, responseLimit(in.MaxBytes)
+	bodies, size, maxBytes := []byte{}, 0, responseLimit(in.MaxBytes)
 	for _, f := range in.Follow {
 		state := topic.TopicState{Deferred: true}
-		if size < bound {
+		if size < maxBytes {
 			state = b.followLocked(s, f, in.MaxBacklog)
 		}
 		for _, e := range state.Entries {
@@ -156,10 +156,10 @@
 		return &topic.ReadResponse{}, []byte{}, nil
 	}
 	out := &topic.ReadResponse{End: t.end(), Floor: t.floor}
-	bodies, size, bound := []byte{}, 0, responseLimit(in.MaxBytes)
+	bodies, size, maxBytes := []byte{}, 0, responseLimit(in.MaxBytes)
 	for _, r := range partition.EntriesAfter(t.entries, in.After) {
 		size += entryBytes(r)
-		if size > bound && len(out.Entries) > 0 {
+		if size > maxBytes && len(out.Entries) > 0 {
 			break
 		}
 		out.Entries = append(out.Entries, topic.NewEntry(r))
--- a/internal/broker/refusals.go
+++ b/internal/broker/refusals.go
@@ -33,9 +33,9 @@
 
 // deleteBefore deletes the refusals older than the given time.
 func (r *refusals) deleteBefore(before time.Time) {
-	for n, since := range r.refused {
+	for key, since := range r.refused {
 		if since.Before(before) {
-			delete(r.refused, n)
+			delete(r.refused, key)
 		}
 	}
 }
@@ -61,9 +61,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, r := range records {
-		n := publicationKeyOf(r)
-		if b.refusals.publishing[n]--; b.refusals.publishing[n] == 0 {
-			delete(b.refusals.publishing, n)
+		key := publicationKeyOf(r)
+		if b.refusals.publishing[key]--; b.refusals.publishing[key] == 0 {
+			delete(b.refusals.publishing, key)
 		}
 	}
 }
@@ -76,10 +76,10 @@
 	if !b.topics.isReady(in.Partition) {
 		return nil, errNotReady
 	}
-	n := publicationKey{in.Topic, in.Publisher, in.Number}
-	if b.refusals.publishing[n] > 0 || b.config.Partitions.HoldsNumber(in.Partition, in.Topic, in.Publisher, in.Number) {
+	key := publicationKey{in.Topic, in.Publisher, in.Number}
+	if b.refusals.publishing[key] > 0 || b.config.Partitions.HoldsNumber(in.Partition, in.Topic, in.Publisher, in.Number) {
 		return &topic.RefuseResponse{}, nil
 	}
-	b.refusals.refused[n] = time.Now()
+	b.refusals.refused[key] = time.Now()
 	return &topic.RefuseResponse{Refused: true}, nil
 }
--- a/internal/gateway/caller.go
+++ b/internal/gateway/caller.go
@@ -27,12 +27,12 @@
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if path != topic.PathPoll {
-		early := time.AfterFunc(c.timing.suspectTimeout(), func() { c.node.ReportFailure(store, false) })
-		defer early.Stop()
+		suspectTimer := time.AfterFunc(c.timing.suspectTimeout(), func() { c.node.ReportFailure(store, false) })
+		defer suspectTimer.Stop()
 	}
-	answer, err := c.node.Client.CallRaw(callCtx, address, path, in, raw, out)
+	rawOut, err := c.node.Client.CallRaw(callCtx, address, path, in, raw, out)
 	if err != nil && ctx.Err() == nil && rpc.StatusCode(err) == 0 { // no response
 		c.node.ReportFailure(store, httpwire.ConnectionRefused(err))
 	}
-	return answer, err
+	return rawOut, err
 }
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -166,9 +166,9 @@
 	}
 	if !l.session.begun {
 		l.session.begun = true
-		polls, end := context.WithCancel(ctx)
+		pollCtx, end := context.WithCancel(ctx)
 		l.session.end = end
-		caller.tasks.Go(func() { l.pollLoop(polls, caller, r.Session) })
+		caller.tasks.Go(func() { l.pollLoop(pollCtx, caller, r.Session) })
 	}
 }
 
--- a/internal/linewire/response.go
+++ b/internal/linewire/response.go
@@ -68,47 +68,47 @@
 			fields[i] = ""
 		}
 	}
-	a := &Response{Verb: fields[0]}
+	response := &Response{Verb: fields[0]}
 	fields = fields[1:]
 	malformed := fmt.Errorf("malformed response %.80q", line)
 	switch {
-	case a.Verb == OK && len(fields) >= 1 && len(fields) <= 3:
+	case response.Verb == OK && len(fields) >= 1 && len(fields) <= 3:
 		fields = append(fields, "", "")
-		a.Request, a.Topic, a.Cursor = fields[0], fields[1], fields[2]
-	case a.Verb == Ack && len(fields) == 2:
-		a.Topic = fields[0]
-		a.Number, err = strconv.ParseInt(fields[1], 10, 64)
-	case a.Verb == CountResult && len(fields) == 2:
-		a.Topic = fields[0]
-		a.Count, err = strconv.Atoi(fields[1])
-	case a.Verb == Pong && len(fields) == 0:
-	case a.Verb == Reject && len(fields) == 4:
-		a.Request, a.Topic, a.Reason = fields[0], fields[1], Reason(fields[3])
+		response.Request, response.Topic, response.Cursor = fields[0], fields[1], fields[2]
+	case response.Verb == Ack && len(fields) == 2:
+		response.Topic = fields[0]
+		response.Number, err = strconv.ParseInt(fields[1], 10, 64)
+	case response.Verb == CountResult && len(fields) == 2:
+		response.Topic = fields[0]
+		response.Count, err = strconv.Atoi(fields[1])
+	case response.Verb == Pong && len(fields) == 0:
+	case response.Verb == Reject && len(fields) == 4:
+		response.Request, response.Topic, response.Reason = fields[0], fields[1], Reason(fields[3])
 		if fields[2] != "" {
-			a.Number, err = strconv.ParseInt(fields[2], 10, 64)
+			response.Number, err = strconv.ParseInt(fields[2], 10, 64)
 		}
-	case a.Verb == Redirect && len(fields) == 1:
-		a.Address = fields[0]
-	case a.Verb == Deliver && len(fields) == 5:
-		return a, a.readDelivery(fields, r)
+	case response.Verb == Redirect && len(fields) == 1:
+		response.Address = fields[0]
+	case response.Verb == Deliver && len(fields) == 5:
+		return response, response.readDelivery(fields, r)
 	default:
 		return nil, malformed
 	}
 	if err != nil {
 		return nil, malformed
 	}
-	return a, nil
+	return response, nil
 }
 
-func (a *Response) readDelivery(fields []string, r *bufio.Reader) (err error) {
-	a.Topic, a.Cursor, a.Publisher = fields[0], fields[1], fields[2]
-	if a.Number, err = strconv.ParseInt(fields[3], 10, 64); err != nil {
+func (r *Response) readDelivery(fields []string, reader *bufio.Reader) (err error) {
+	r.Topic, r.Cursor, r.Publisher = fields[0], fields[1], fields[2]
+	if r.Number, err = strconv.ParseInt(fields[3], 10, 64); err != nil {
 		return fmt.Errorf("invalid message number in DELIVER: %w", err)
 	}
 	size, err := strconv.ParseUint(fields[4], 10, 31)
 	if err != nil || size > MaxBodyBytes {
 		return fmt.Errorf("invalid body length %q in DELIVER", fields[4])
 	}
-	a.Body, err = readBody(r, int(size))
+	r.Body, err = readBody(reader, int(size))
 	return err
 }
--- a/internal/realtime/client.go
+++ b/internal/realtime/client.go
@@ -72,21 +72,21 @@
 			return err
 		}
 		for {
-			a, err := conn.read(idleTimeout)
+			response, err := conn.read(idleTimeout)
 			if err != nil {
 				return err
 			}
 			switch {
-			case a.Verb == linewire.Deliver && a.Topic == topic:
-				cursor = a.Cursor
-				handler.OnMessage(a)
-			case a.Verb == linewire.OK && a.Request == linewire.Subscribe:
-				cursor = a.Cursor
+			case response.Verb == linewire.Deliver && response.Topic == topic:
+				cursor = response.Cursor
+				handler.OnMessage(response)
+			case response.Verb == linewire.OK && response.Request == linewire.Subscribe:
+				cursor = response.Cursor
 				if handler.OnSubscribed != nil {
 					handler.OnSubscribed(cursor)
 				}
-			case a.Verb == linewire.Reject:
-				return rejection(a)
+			case response.Verb == linewire.Reject:
+				return rejection(response)
 			}
 		}
 	}
@@ -101,15 +101,15 @@
 			return err
 		}
 		for {
-			a, err := conn.read(responseTimeout)
+			response, err := conn.read(responseTimeout)
 			if err != nil {
 				return err
 			}
-			if a.Verb == linewire.Ack && a.Number == number {
+			if response.Verb == linewire.Ack && response.Number == number {
 				return nil
 			}
-			if a.Verb == linewire.Reject {
-				return rejection(a)
+			if response.Verb == linewire.Reject {
+				return rejection(response)
 			}
 		}
 	})
@@ -122,16 +122,16 @@
 			return err
 		}
 		for {
-			a, err := conn.read(responseTimeout)
+			response, err := conn.read(responseTimeout)
 			if err != nil {
 				return err
 			}
-			if a.Verb == linewire.CountResult {
-				count = a.Count
+			if response.Verb == linewire.CountResult {
+				count = response.Count
 				return nil
 			}
-			if a.Verb == linewire.Reject {
-				return rejection(a)
+			if response.Verb == linewire.Reject {
+				return rejection(response)
 			}
 		}
 	})
@@ -140,11 +140,11 @@
 
 // rejection returns the error for a REJECT: a *RejectedError, unless a retry may succeed. A
 // PUBLISH answered with RETRY is not retried: it was not executed and never will be.
-func rejection(a *linewire.Response) error {
-	if a.Reason == linewire.Retry && a.Request != linewire.Publish || a.Reason == linewire.Unknown {
-		return fmt.Errorf("%s %s: %s", a.Request, a.Topic, a.Reason)
+func rejection(response *linewire.Response) error {
+	if response.Reason == linewire.Retry && response.Request != linewire.Publish || response.Reason == linewire.Unknown {
+		return fmt.Errorf("%s %s: %s", response.Request, response.Topic, response.Reason)
 	}
-	return &RejectedError{a.Request, a.Topic, a.Reason}
+	return &RejectedError{response.Request, response.Topic, response.Reason}
 }
 
 // withRetries connects and calls use, and retries until use returns nil or a *RejectedError,
@@ -174,9 +174,9 @@
 
 // connect opens a connection, sends HELLO, and calls use.
 func (c *Client) connect(ctx context.Context, address string, use func(*connection) error) error {
-	dialing, cancel := context.WithTimeout(ctx, dialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	conn, err := c.Dial(dialing, address)
+	conn, err := c.Dial(dialCtx, address)
 	if err != nil {
 		return fmt.Errorf("connect: %w", err)
 	}
@@ -186,12 +186,12 @@
 	if err := connected.write(&linewire.Command{Verb: linewire.Hello, Client: c.Name, Secret: c.Key}); err != nil {
 		return err
 	}
-	a, err := connected.read(responseTimeout)
+	response, err := connected.read(responseTimeout)
 	if err != nil {
 		return err
 	}
-	if a.Verb != linewire.OK {
-		return rejection(a)
+	if response.Verb != linewire.OK {
+		return rejection(response)
 	}
 	defer connected.startPings()()
 	return use(connected)
@@ -222,14 +222,14 @@
 		if err := c.conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 			return nil, fmt.Errorf("read: %w", err)
 		}
-		a, err := linewire.ReadResponse(c.reader)
+		response, err := linewire.ReadResponse(c.reader)
 		switch {
 		case err != nil:
 			return nil, fmt.Errorf("read: %w", err)
-		case a.Verb == linewire.Redirect:
-			return nil, redirectedError{a.Address}
-		case a.Verb != linewire.Pong:
-			return a, nil
+		case response.Verb == linewire.Redirect:
+			return nil, redirectedError{response.Address}
+		case response.Verb != linewire.Pong:
+			return response, nil
 		}
 	}
 }
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -59,7 +59,7 @@
 // Send sends a call to another Saltreel process and returns the response, whatever
 // its status. Only a response that echoes the identifier of the call is accepted.
 func (c *Client) Send(ctx context.Context, addr, path string, body []byte) (*httpwire.ClientResponse, error) {
-	a, err := c.Do(ctx, addr, &httpwire.Call{
+	response, err := c.Do(ctx, addr, &httpwire.Call{
 		Method:     http.MethodPost,
 		Target:     path,
 		Host:       addr,
@@ -69,14 +69,14 @@
 		Idempotent: Idempotent[path],
 	})
 	received := 0
-	if a != nil {
-		received = len(a.Body)
+	if response != nil {
+		received = len(response.Body)
 	}
 	c.countCall(path, len(body)+received)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return a, nil
+	return response, nil
 }
 
 // Call sends in as JSON, followed by raw on a new line unless raw is nil, and
@@ -98,17 +98,17 @@
 	if raw != nil {
 		body = append(append(body, '\n'), raw...)
 	}
-	a, err := c.Send(ctx, addr, path, body)
+	response, err := c.Send(ctx, addr, path, body)
 	if err != nil {
 		return nil, err
 	}
-	if a.Status/100 != 2 {
-		return nil, &httpwire.Error{Step: path, Peer: addr, Sent: true, Err: &StatusError{Code: a.Status, Text: string(bytes.TrimSpace(a.Body))}}
+	if response.Status/100 != 2 {
+		return nil, &httpwire.Error{Step: path, Peer: addr, Sent: true, Err: &StatusError{Code: response.Status, Text: string(bytes.TrimSpace(response.Body))}}
 	}
 	if out == nil {
 		return nil, nil
 	}
-	jsonPart, rawOut := SplitBody(a.Body)
+	jsonPart, rawOut := SplitBody(response.Body)
 	if err := json.Unmarshal(jsonPart, out); err != nil {
 		return nil, &httpwire.Error{Step: "decode " + path, Peer: addr, Sent: true, Err: err}
 	}
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -84,7 +84,7 @@
 
 // requirements returns the requirement of each role.
 func (s *Settings) requirements() map[string]requirement {
-	clients := []field{
+	clientListeners := []field{
 		{"listeners.data-plane", s.Listeners.DataPlane},
 		{"listeners.readiness", s.Listeners.Readiness},
 	}
@@ -92,9 +92,9 @@
 	dataPath := field{"data-path", s.DataPath}
 	statusRetention := timer{"status-ttl-s", s.Timers.StatusTtlS}
 	return map[string]requirement{
-		"edge":  {clients, []timer{statusRetention}},
+		"edge":  {clientListeners, []timer{statusRetention}},
 		"store": {[]field{dataPath}, []timer{statusRetention}},
-		"gateway": {clients, []timer{
+		"gateway": {clientListeners, []timer{
 			{"ping-interval-s", s.Timers.PingIntervalS},
 			{"presence-ms", s.Timers.PresenceMs},
 		}},
